--- a/flow/agent.go
+++ b/flow/agent.go
@@ -46,8 +46,8 @@
 	// Number and Incarnation name it towards entry hosts, zero before it is
 	// registered.
 	Number, Incarnation uint32
-	// Ill: the agent holds it to be ill.
-	Ill bool
+	// Unhealthy: the agent holds it to be ill.
+	Unhealthy bool
 	// Evacuated: its failure domain takes no new flows. It keeps those that it has.
 	Evacuated bool
 }
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -218,7 +218,7 @@
 // to the control hosts. The lock is held.
 func (a *Agent) refresh() {
 	r, known := a.tracker.Current()
-	s := flow.Server{Service: a.service, Slots: r.Slots, Ill: a.ill, Evacuated: a.evacuated}
+	s := flow.Server{Service: a.service, Slots: r.Slots, Unhealthy: a.ill, Evacuated: a.evacuated}
 	switch {
 	case !known || r.Gone:
 		s.State = flow.Absent
