--- a/flow/frame.go
+++ b/flow/frame.go
@@ -108,7 +108,7 @@
 	// LoadPermille is the load of the target in thousandths of its capacity.
 	LoadPermille uint16
 	Draining     bool
-	Ill          bool
+	Unhealthy    bool
 }
 
 // Lengths of the headers in bytes.
@@ -164,7 +164,7 @@
 	for _, set := range []struct {
 		on  bool
 		bit byte
-	}{{f.Known, bitKnown}, {f.Opened, bitOpened}, {f.Draining, bitDraining}, {f.Ill, bitIll}} {
+	}{{f.Known, bitKnown}, {f.Opened, bitOpened}, {f.Draining, bitDraining}, {f.Unhealthy, bitIll}} {
 		if set.on {
 			bits |= set.bit
 		}
@@ -245,7 +245,7 @@
 	}
 	bits := b[1]
 	f.Known, f.Opened = bits&bitKnown != 0, bits&bitOpened != 0
-	f.Draining, f.Ill = bits&bitDraining != 0, bits&bitIll != 0
+	f.Draining, f.Unhealthy = bits&bitDraining != 0, bits&bitIll != 0
 	f.Number = binary.BigEndian.Uint32(b[2:6])
 	f.Incarnation = binary.BigEndian.Uint32(b[6:10])
 	f.LoadPermille = binary.BigEndian.Uint16(b[10:12])
--- a/flow/frame_test.go
+++ b/flow/frame_test.go
@@ -11,7 +11,7 @@
 func frames() []flow.Frame {
 	held := heldBy(9, firstA, true)
 	held.Number, held.Incarnation, held.LoadPermille = 7, 3, 1234
-	held.Draining, held.Ill = true, true
+	held.Draining, held.Unhealthy = true, true
 	return []flow.Frame{
 		{Kind: flow.Open, Hops: 2, Service: lodgement, Entry: entryA, Alternate: agentB},
 		{Kind: flow.Data, Service: copies, Entry: entryB},
--- a/flow/load.go
+++ b/flow/load.go
@@ -73,7 +73,7 @@
 		Incarnation:  a.server.Incarnation,
 		LoadPermille: max(a.load(), a.warmup.load()),
 		Draining:     a.server.State != Serving,
-		Ill:          a.server.Unhealthy,
+		Unhealthy:    a.server.Unhealthy,
 	}
 }
 
