--- a/flow/frame.go
+++ b/flow/frame.go
@@ -121,9 +121,9 @@
 	clearedLength = deniedLength + 8
 )
 
-// Wide asks the receiver of a search to ask all agents of its service: links of entry
+// HopsLookup asks the receiver of a search to ask all agents of its service: links of entry
 // hosts may be narrow.
-const Wide = 2
+const HopsLookup = 2
 
 // Bits of the second byte of Held and Load.
 const (
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -87,7 +87,7 @@
 		return
 	}
 	a := f.agents[to]
-	if m.Hops == flow.Wide {
+	if m.Hops == flow.HopsLookup {
 		f.tell(to, a.Inquire(m.Entry, p.Key, f.now))
 		m.Hops, m.Entry = 1, to
 	}
--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -118,7 +118,7 @@
 	is.True(v.Kept)
 	is.Equal(p.Key, key(1))
 	is.Equal(v.All, asked[:1]) // it passes the packet on to all others
-	is.Equal(v.Frame.Hops, uint8(flow.Wide))
+	is.Equal(v.Frame.Hops, uint8(flow.HopsLookup))
 	var rest []flow.Endpoint
 	for _, agent := range all {
 		if agent != asked[0] && agent != asked[1] {
--- a/flow/search.go
+++ b/flow/search.go
@@ -69,7 +69,7 @@
 	f.askedOf = nil
 	asked := int(f.round) - firstWide
 	e.all = e.placer.Coordinators(e.all[:0], p.Key, asked/registrars)
-	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: each(e.all, asked%registrars), Frame: Frame{Kind: Search, Hops: Wide, Entry: e.self}}
+	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: each(e.all, asked%registrars), Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}}
 }
 
 // each returns the agent at a place of each pair, in place.
@@ -172,7 +172,7 @@
 	f.askedOf = nil
 	f.round = max(f.round, firstWide)
 	f.roundAt = f.searched
-	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: e.all, Frame: Frame{Kind: Search, Hops: Wide, Entry: e.self}, Kept: true}, Packet{Key: key}
+	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: e.all, Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}, Kept: true}, Packet{Key: key}
 }
 
 func contains(list []Endpoint, one Endpoint) bool {
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -35,7 +35,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	if m.Kind == flow.Search && m.Hops == flow.Wide {
+	if m.Kind == flow.Search && m.Hops == flow.HopsLookup {
 		m.Hops, m.Entry = 1, a.inquire(m.Entry, p.Key, packet)
 	}
 	v := a.flows.FromEntry(m, p, now)
