--- a/flow/frame.go
+++ b/flow/frame.go
@@ -38,9 +38,9 @@
 	Register
 	// Ask: an agent asks another one which flows its target holds. Keys follow.
 	Ask
-	// Lacks and May answer: the target does not hold the flows, or may hold them. Keys
+	// NotHeld and May answer: the target does not hold the flows, or may hold them. Keys
 	// follow.
-	Lacks
+	NotHeld
 	May
 	// Cleared: an agent tells an entry host that searches for a flow that no target of its
 	// service holds it.
@@ -62,7 +62,7 @@
 	Hinted:   "hinted",
 	Register: "register",
 	Ask:      "ask",
-	Lacks:    "lacks",
+	NotHeld:  "lacks",
 	May:      "may",
 	Cleared:  "cleared",
 }
@@ -229,7 +229,7 @@
 		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
 		f.Digest = binary.BigEndian.Uint64(b[14:22])
 		return f, nil, nil
-	case Register, Ask, Lacks, May:
+	case Register, Ask, NotHeld, May:
 		return f, b[2:], nil
 	}
 	return Frame{}, nil, ErrFrame
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -20,9 +20,9 @@
 		a.flows.Register(keys, from, a.now())
 	case flow.Ask:
 		lacks, open := a.flows.Asked(keys, a.now())
-		a.sendKeys(flow.Lacks, lacks, from)
+		a.sendKeys(flow.NotHeld, lacks, from)
 		a.sendKeys(flow.May, open, from)
-	case flow.Lacks:
+	case flow.NotHeld:
 		a.tell(a.flows.Lacked(keys, from))
 	case flow.May:
 		a.tell(a.flows.Opened(keys, from))
