--- a/flow/frame.go
+++ b/flow/frame.go
@@ -41,7 +41,7 @@
 	// NotHeld and May answer: the target does not hold the flows, or may hold them. Keys
 	// follow.
 	NotHeld
-	May
+	MayHold
 	// Cleared: an agent tells an entry host that searches for a flow that no target of its
 	// service holds it.
 	Cleared
@@ -63,7 +63,7 @@
 	Register: "register",
 	Ask:      "ask",
 	NotHeld:  "lacks",
-	May:      "may",
+	MayHold:  "may",
 	Cleared:  "cleared",
 }
 
@@ -229,7 +229,7 @@
 		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
 		f.Digest = binary.BigEndian.Uint64(b[14:22])
 		return f, nil, nil
-	case Register, Ask, NotHeld, May:
+	case Register, Ask, NotHeld, MayHold:
 		return f, b[2:], nil
 	}
 	return Frame{}, nil, ErrFrame
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -21,10 +21,10 @@
 	case flow.Ask:
 		lacks, open := a.flows.Asked(keys, a.now())
 		a.sendKeys(flow.NotHeld, lacks, from)
-		a.sendKeys(flow.May, open, from)
+		a.sendKeys(flow.MayHold, open, from)
 	case flow.NotHeld:
 		a.tell(a.flows.Lacked(keys, from))
-	case flow.May:
+	case flow.MayHold:
 		a.tell(a.flows.Opened(keys, from))
 	}
 }
