--- a/flow/frame.go
+++ b/flow/frame.go
@@ -36,8 +36,8 @@
 	Hinted
 	// Register: an agent tells another one that it holds flows. Keys follow.
 	Register
-	// Ask: an agent asks another one which flows its target holds. Keys follow.
-	Ask
+	// Query: an agent asks another one which flows its target holds. Keys follow.
+	Query
 	// NotHeld and May answer: the target does not hold the flows, or may hold them. Keys
 	// follow.
 	NotHeld
@@ -61,7 +61,7 @@
 	Denied:   "denied",
 	Hinted:   "hinted",
 	Register: "register",
-	Ask:      "ask",
+	Query:    "ask",
 	NotHeld:  "lacks",
 	MayHold:  "may",
 	Cleared:  "cleared",
@@ -229,7 +229,7 @@
 		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
 		f.Digest = binary.BigEndian.Uint64(b[14:22])
 		return f, nil, nil
-	case Register, Ask, NotHeld, MayHold:
+	case Register, Query, NotHeld, MayHold:
 		return f, b[2:], nil
 	}
 	return Frame{}, nil, ErrFrame
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -13,7 +13,7 @@
 	m, packet, err := flow.ParseFrame(b)
 	if err == nil {
 		switch m.Kind {
-		case flow.Register, flow.Ask, flow.NotHeld, flow.MayHold:
+		case flow.Register, flow.Query, flow.NotHeld, flow.MayHold:
 			a.fromFellow(m.Kind, packet, from)
 			return
 		case flow.Denied, flow.Held:
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -18,7 +18,7 @@
 	switch kind {
 	case flow.Register:
 		a.flows.Register(keys, from, a.now())
-	case flow.Ask:
+	case flow.Query:
 		lacks, open := a.flows.Asked(keys, a.now())
 		a.sendKeys(flow.NotHeld, lacks, from)
 		a.sendKeys(flow.MayHold, open, from)
@@ -100,6 +100,6 @@
 // askAll asks the other agents of the service. The lock is held.
 func (a *Agent) askAll() {
 	for _, q := range a.flows.Questions(a.now()) {
-		a.sendKeys(flow.Ask, q.Keys, q.To)
+		a.sendKeys(flow.Query, q.Keys, q.To)
 	}
 }
