--- a/flow/frame.go
+++ b/flow/frame.go
@@ -31,9 +31,9 @@
 	// Denied: an agent tells an entry host that searches for a flow that its target
 	// does not hold it.
 	Denied
-	// Hinted: an agent tells an entry host that searches for a flow where it has heard
+	// Located: an agent tells an entry host that searches for a flow where it has heard
 	// that the flow lives.
-	Hinted
+	Located
 	// Register: an agent tells another one that it holds flows. Keys follow.
 	Register
 	// Query: an agent asks another one which flows its target holds. Keys follow.
@@ -59,7 +59,7 @@
 	Held:     "held",
 	Load:     "load",
 	Denied:   "denied",
-	Hinted:   "hinted",
+	Located:  "hinted",
 	Register: "register",
 	Query:    "ask",
 	NotHeld:  "lacks",
@@ -147,7 +147,7 @@
 		b = appendEndpoint(b, f.Key.Caller)
 		b = appendEndpoint(b, f.Key.Public)
 		return binary.BigEndian.AppendUint64(b, f.Digest)
-	case Hinted:
+	case Located:
 		b = append(b, byte(f.Kind), 0)
 		b = appendEndpoint(b, f.Key.Caller)
 		b = appendEndpoint(b, f.Key.Public)
@@ -215,7 +215,7 @@
 		}
 		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
 		return f, nil, nil
-	case Hinted:
+	case Located:
 		if len(b) != hintedLength {
 			return Frame{}, nil, ErrFrame
 		}
--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -131,7 +131,7 @@
 		return out
 	case !q.holder.IsZero():
 		q.told = true
-		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: Hinted, Key: key, Alternate: q.holder}})
+		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: Located, Key: key, Alternate: q.holder}})
 	case q.missing == 0 && len(q.lacks) > 0:
 		q.told = true
 		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: Cleared, Key: key, Digest: Digest(a.all)}})
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -139,7 +139,7 @@
 			continue
 		}
 		f.toEntry++
-		if n.Frame.Kind == flow.Hinted {
+		if n.Frame.Kind == flow.Located {
 			f.entry.Hinted(n.Frame, f.now)
 			continue
 		}
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -54,7 +54,7 @@
 	if v.Hint.IsZero() {
 		return
 	}
-	hint := flow.Frame{Kind: flow.Hinted, Key: p.Key, Alternate: v.Hint}
+	hint := flow.Frame{Kind: flow.Located, Key: p.Key, Alternate: v.Hint}
 	a.buffer = hint.Append(a.buffer[:0])
 	a.frames.sendFrame(a.buffer, m.Entry)
 }
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -271,7 +271,7 @@
 	switch m.Kind {
 	case flow.Load:
 		e.placer.learn(m, now)
-	case flow.Hinted:
+	case flow.Located:
 		e.mu.Lock()
 		e.flows.Hinted(m, now)
 		e.mu.Unlock()
