--- a/flow/frame.go
+++ b/flow/frame.go
@@ -42,29 +42,29 @@
 	// follow.
 	NotHeld
 	MayHold
-	// Cleared: an agent tells an entry host that searches for a flow that no target of its
+	// HeldByNone: an agent tells an entry host that searches for a flow that no target of its
 	// service holds it.
-	Cleared
+	HeldByNone
 
 	// KindCount is one more than the highest kind.
 	KindCount
 )
 
 var kindNames = [KindCount]string{
-	0:        "invalid",
-	Open:     "open",
-	Data:     "data",
-	Search:   "search",
-	Missed:   "missed",
-	Held:     "held",
-	Load:     "load",
-	Denied:   "denied",
-	Located:  "hinted",
-	Register: "register",
-	Query:    "ask",
-	NotHeld:  "lacks",
-	MayHold:  "may",
-	Cleared:  "cleared",
+	0:          "invalid",
+	Open:       "open",
+	Data:       "data",
+	Search:     "search",
+	Missed:     "missed",
+	Held:       "held",
+	Load:       "load",
+	Denied:     "denied",
+	Located:    "hinted",
+	Register:   "register",
+	Query:      "ask",
+	NotHeld:    "lacks",
+	MayHold:    "may",
+	HeldByNone: "cleared",
 }
 
 // String returns the kind in the form used as a metric label.
@@ -142,7 +142,7 @@
 		b = append(b, byte(f.Kind), 0)
 		b = appendEndpoint(b, f.Key.Caller)
 		return appendEndpoint(b, f.Key.Public)
-	case Cleared:
+	case HeldByNone:
 		b = append(b, byte(f.Kind), 0)
 		b = appendEndpoint(b, f.Key.Caller)
 		b = appendEndpoint(b, f.Key.Public)
@@ -222,7 +222,7 @@
 		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
 		f.Alternate = endpoint(b[14:20])
 		return f, nil, nil
-	case Cleared:
+	case HeldByNone:
 		if len(b) != clearedLength {
 			return Frame{}, nil, ErrFrame
 		}
--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -134,7 +134,7 @@
 		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: Located, Key: key, Alternate: q.holder}})
 	case q.missing == 0 && len(q.lacks) > 0:
 		q.told = true
-		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: Cleared, Key: key, Digest: Digest(a.all)}})
+		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: HeldByNone, Key: key, Digest: Digest(a.all)}})
 	}
 	return out
 }
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -255,7 +255,7 @@
 	all := fellows(40)
 	e := flow.NewEntry(&fixedPlacer{agents: all}, entryA)
 	e.Packet(request(1, firstA), 0)
-	cleared := flow.Frame{Kind: flow.Cleared, Key: key(1), Digest: flow.Digest(all[1:])}
+	cleared := flow.Frame{Kind: flow.HeldByNone, Key: key(1), Digest: flow.Digest(all[1:])}
 	v, _ := e.Cleared(cleared, all[5], 0)
 	is.Equal(v.Action, flow.Drop)
 	cleared.Digest = flow.Digest(all)
@@ -303,7 +303,7 @@
 
 func TestClearedFrame(t *testing.T) {
 	is := is.New(t)
-	m := flow.Frame{Kind: flow.Cleared, Key: key(7), Digest: 1<<63 + 5}
+	m := flow.Frame{Kind: flow.HeldByNone, Key: key(7), Digest: 1<<63 + 5}
 	b := m.Append(nil)
 	got, _, err := flow.ParseFrame(b)
 	is.NoErr(err)
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -285,7 +285,7 @@
 		v, p := e.flows.Denied(m.Key, from, e.look())
 		e.act(v, p, nil)
 		e.mu.Unlock()
-	case flow.Cleared:
+	case flow.HeldByNone:
 		e.mu.Lock()
 		v, p := e.flows.Cleared(m, from, e.look())
 		e.act(v, p, nil)
