--- a/flow/entry.go
+++ b/flow/entry.go
@@ -313,7 +313,7 @@
 		f.homes[f.count] = home{agent: placed.Agent, service: placed.Service}
 		f.count++
 	}
-	return e.offer(placed, ReasonPlacedAnew)
+	return e.offer(placed, ReasonPlacedAgain)
 }
 
 // Held takes in what an agent says of a flow that it holds.
--- a/flow/entry_test.go
+++ b/flow/entry_test.go
@@ -32,7 +32,7 @@
 	is.Equal(e.Packet(syn(1), 0).To, agentA)
 	v := e.Packet(syn(1), 200*time.Millisecond)
 	is.Equal(v.To, agentB)
-	is.Equal(v.Reason, flow.ReasonPlacedAnew)
+	is.Equal(v.Reason, flow.ReasonPlacedAgain)
 	is.Equal(e.Packet(syn(1), 600*time.Millisecond).To, agentB) // two are enough
 
 	is.Equal(e.Packet(syn(2), 0).To, agentC)
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -34,7 +34,7 @@
 // Reasons.
 const (
 	ReasonPlaced      Reason = "placed"
-	ReasonPlacedAnew  Reason = "placed_anew"
+	ReasonPlacedAgain Reason = "placed_anew"
 	ReasonKnown       Reason = "known"
 	ReasonUnknown     Reason = "unknown_flow"
 	ReasonNotReady    Reason = "not_ready"
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -13,7 +13,7 @@
 	action  flow.Action
 	reasons []flow.Reason
 }{
-	{"flow placed", flow.Send, []flow.Reason{flow.ReasonPlaced, flow.ReasonPlacedAnew, flow.ReasonOverflow}},
+	{"flow placed", flow.Send, []flow.Reason{flow.ReasonPlaced, flow.ReasonPlacedAgain, flow.ReasonOverflow}},
 	{"flow placed", flow.Deliver, []flow.Reason{flow.ReasonPlaced}},
 	{"flow handed on", flow.Send, []flow.Reason{flow.ReasonLeaving, flow.ReasonEvacuated, flow.ReasonWarming, flow.ReasonNoServer, flow.ReasonService, flow.ReasonRefused, flow.ReasonTableFull}},
 	{"flow waits for its target", flow.Wait, []flow.Reason{flow.ReasonQueued}},
