--- a/flow/search.go
+++ b/flow/search.go
@@ -34,7 +34,7 @@
 	}
 	asks := len(e.all) > smallService
 	if f.searches >= searchLimit(asks) {
-		return Verdict{Action: Drop, Reason: ReasonSearches}
+		return Verdict{Action: Drop, Reason: ReasonSearchLimit}
 	}
 	f.searches++
 	f.ack = p.Ack
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -40,7 +40,7 @@
 	ReasonNotReady    Reason = "not_ready"
 	ReasonNoRoute     Reason = "no_route"
 	ReasonNoTarget    Reason = "no_target"
-	ReasonSearches    Reason = "searches_spent"
+	ReasonSearchLimit Reason = "searches_spent"
 	ReasonTableFull   Reason = "table_full"
 	ReasonHeld        Reason = "held"
 	ReasonUncertain   Reason = "uncertain"
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -26,7 +26,7 @@
 	{"flow reset", flow.Reset, []flow.Reason{flow.ReasonNoRoute, flow.ReasonNoTarget, flow.ReasonHeldNowhere, flow.ReasonLost, flow.ReasonHops,
 		flow.ReasonLeaving, flow.ReasonNoServer, flow.ReasonService, flow.ReasonRefused, flow.ReasonTableFull,
 		flow.ReasonQueueSpent, flow.ReasonTargetGone, flow.ReasonEvacuated}},
-	{"packet dropped", flow.Drop, []flow.Reason{flow.ReasonNoRoute, flow.ReasonSearches, flow.ReasonTableFull, flow.ReasonLinkFull}},
+	{"packet dropped", flow.Drop, []flow.Reason{flow.ReasonNoRoute, flow.ReasonSearchLimit, flow.ReasonTableFull, flow.ReasonLinkFull}},
 	{"packet waits", flow.Wait, []flow.Reason{flow.ReasonNotReady, flow.ReasonStoodStill}},
 }
 
