--- a/flow/agent.go
+++ b/flow/agent.go
@@ -188,14 +188,14 @@
 	case answered:
 		if f.known && !acknowledges(p.Ack, f.first) && !p.Flags.Has(SYN) {
 			a.elsewhere(f)
-			return missed(m, p.Key, ReasonElsewhere)
+			return missed(m, p.Key, ReasonOpenedElsewhere)
 		}
 		f.stage = opened
 	case offered:
 		// The target's answer may have been lost on its way to the caller, but it
 		// cannot be acknowledged before it was given.
 		a.elsewhere(f)
-		return missed(m, p.Key, ReasonElsewhere)
+		return missed(m, p.Key, ReasonOpenedElsewhere)
 	}
 	a.request(f, p, now)
 	if p.Flags.Has(FIN) || p.Flags.Has(RST) {
@@ -337,7 +337,7 @@
 	f.seen = now
 	if f.elsewhere && !p.Flags.Has(SYN|ACK) {
 		// Only the target that the flow opened with may end it.
-		return Verdict{Action: Drop, Reason: ReasonElsewhere}, nil
+		return Verdict{Action: Drop, Reason: ReasonOpenedElsewhere}, nil
 	}
 	v = Verdict{Action: Reply, Reason: ReasonAnswered}
 	v.Waited, v.Began = f.waited(p, now)
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -87,7 +87,7 @@
 	a.FromTarget(synAck(1, firstA), long)
 	v := a.FromEntry(data(entryA), request(1, firstB), long)
 	is.Equal(v.Action, flow.Return)
-	is.Equal(v.Reason, flow.ReasonElsewhere)
+	is.Equal(v.Reason, flow.ReasonOpenedElsewhere)
 }
 
 // A target that was offered a flow which the caller opened with another one still holds
@@ -104,7 +104,7 @@
 		p := request(1, firstB)
 		v := a.FromEntry(data(entryA), p, time.Second)
 		is.Equal(v.Action, flow.Return)
-		is.Equal(v.Reason, flow.ReasonElsewhere)
+		is.Equal(v.Reason, flow.ReasonOpenedElsewhere)
 		v = a.FromEntry(search(entryB), p, time.Second)
 		is.Equal(v.Action, flow.Deny)
 		gaveUp := synAck(1, firstA)
