--- a/flow/agent.go
+++ b/flow/agent.go
@@ -289,7 +289,7 @@
 	case a.server.State == Absent:
 		return ReasonNoServer
 	case m.Service != a.server.Service:
-		return ReasonService
+		return ReasonOtherService
 	case a.server.State == Leaving:
 		return ReasonLeaving
 	case a.server.Evacuated:
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -135,7 +135,7 @@
 	}{
 		{"leaving", leaving, flow.ReasonLeaving},
 		{"gone", absent, flow.ReasonNoServer},
-		{"another service", other, flow.ReasonService},
+		{"another service", other, flow.ReasonOtherService},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -46,7 +46,7 @@
 	ReasonUncertain       Reason = "uncertain"
 	ReasonOpenedElsewhere Reason = "opened_elsewhere"
 	ReasonNotHeld         Reason = "not_held"
-	ReasonService         Reason = "other_service"
+	ReasonOtherService    Reason = "other_service"
 	ReasonLeaving         Reason = "leaving"
 	ReasonEvacuated       Reason = "evacuated"
 	ReasonWarming         Reason = "warming_up"
