--- a/flow/agent.go
+++ b/flow/agent.go
@@ -291,7 +291,7 @@
 	case m.Service != a.server.Service:
 		return ReasonOtherService
 	case a.server.State == Leaving:
-		return ReasonLeaving
+		return ReasonDraining
 	case a.server.Evacuated:
 		return ReasonEvacuated
 	}
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -133,7 +133,7 @@
 		server flow.Server
 		want   flow.Reason
 	}{
-		{"leaving", leaving, flow.ReasonLeaving},
+		{"leaving", leaving, flow.ReasonDraining},
 		{"gone", absent, flow.ReasonNoServer},
 		{"another service", other, flow.ReasonOtherService},
 	} {
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -47,7 +47,7 @@
 	ReasonOpenedElsewhere Reason = "opened_elsewhere"
 	ReasonNotHeld         Reason = "not_held"
 	ReasonOtherService    Reason = "other_service"
-	ReasonLeaving         Reason = "leaving"
+	ReasonDraining        Reason = "leaving"
 	ReasonEvacuated       Reason = "evacuated"
 	ReasonWarming         Reason = "warming_up"
 	ReasonNoServer        Reason = "no_backend_server"
