--- a/flow/agent.go
+++ b/flow/agent.go
@@ -249,7 +249,7 @@
 		return a.accept(f, m, p, now)
 	}
 	if a.warmup.spent(now) && m.Hops < maxHops && a.anotherTakes(m) {
-		return a.handOn(m.Alternate, m.Entry, m.Service, m.Hops, p.Key, ReasonWarming)
+		return a.handOn(m.Alternate, m.Entry, m.Service, m.Hops, p.Key, ReasonWarmingUp)
 	}
 	if a.busy(now) || a.warmup.spent(now) {
 		return a.queueOpening(m, p.Key, now)
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -49,7 +49,7 @@
 	ReasonOtherService    Reason = "other_service"
 	ReasonDraining        Reason = "leaving"
 	ReasonEvacuated       Reason = "evacuated"
-	ReasonWarming         Reason = "warming_up"
+	ReasonWarmingUp       Reason = "warming_up"
 	ReasonNoServer        Reason = "no_backend_server"
 	ReasonRefused         Reason = "refused_by_target"
 	ReasonHops            Reason = "hops_spent"
--- a/flow/warmup_test.go
+++ b/flow/warmup_test.go
@@ -30,7 +30,7 @@
 
 	v := a.FromEntry(open(entryA), syn(3), now)
 	is.Equal(v.Action, flow.Send)
-	is.Equal(v.Reason, flow.ReasonWarming)
+	is.Equal(v.Reason, flow.ReasonWarmingUp)
 	is.Equal(v.To, agentB)
 
 	handedOn := open(entryA)
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -15,7 +15,7 @@
 }{
 	{"flow placed", flow.Send, []flow.Reason{flow.ReasonPlaced, flow.ReasonPlacedAgain, flow.ReasonOverflow}},
 	{"flow placed", flow.Deliver, []flow.Reason{flow.ReasonPlaced}},
-	{"flow handed on", flow.Send, []flow.Reason{flow.ReasonDraining, flow.ReasonEvacuated, flow.ReasonWarming, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefused, flow.ReasonTableFull}},
+	{"flow handed on", flow.Send, []flow.Reason{flow.ReasonDraining, flow.ReasonEvacuated, flow.ReasonWarmingUp, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefused, flow.ReasonTableFull}},
 	{"flow waits for its target", flow.Wait, []flow.Reason{flow.ReasonQueued}},
 	{"flow not taken", flow.Return, []flow.Reason{flow.ReasonQueueSpent, flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonHops, flow.ReasonTableFull}},
 	{"flow searched for", flow.SendAll, []flow.Reason{flow.ReasonUnknown, flow.ReasonRegistered}},
