--- a/flow/agent.go
+++ b/flow/agent.go
@@ -410,10 +410,10 @@
 func (a *Agent) returned(f *agentFlow, p Packet, now time.Duration) Verdict {
 	if p.Flags.Has(SYN) {
 		if f == nil || f.stage != offered {
-			return Verdict{Action: Drop, Reason: ReasonRefused}
+			return Verdict{Action: Drop, Reason: ReasonRefusedByTarget}
 		}
 		a.forget(p.Key, f)
-		return a.handOn(f.alternate, f.entry, a.server.Service, f.hops, p.Key, ReasonRefused)
+		return a.handOn(f.alternate, f.entry, a.server.Service, f.hops, p.Key, ReasonRefusedByTarget)
 	}
 	if f == nil {
 		return Verdict{Action: Drop, Reason: ReasonNotHeld}
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -51,7 +51,7 @@
 	ReasonEvacuated       Reason = "evacuated"
 	ReasonWarmingUp       Reason = "warming_up"
 	ReasonNoServer        Reason = "no_backend_server"
-	ReasonRefused         Reason = "refused_by_target"
+	ReasonRefusedByTarget Reason = "refused_by_target"
 	ReasonHops            Reason = "hops_spent"
 	ReasonLost            Reason = "lost_by_target"
 	ReasonAnswered        Reason = "answered"
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -15,7 +15,7 @@
 }{
 	{"flow placed", flow.Send, []flow.Reason{flow.ReasonPlaced, flow.ReasonPlacedAgain, flow.ReasonOverflow}},
 	{"flow placed", flow.Deliver, []flow.Reason{flow.ReasonPlaced}},
-	{"flow handed on", flow.Send, []flow.Reason{flow.ReasonDraining, flow.ReasonEvacuated, flow.ReasonWarmingUp, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefused, flow.ReasonTableFull}},
+	{"flow handed on", flow.Send, []flow.Reason{flow.ReasonDraining, flow.ReasonEvacuated, flow.ReasonWarmingUp, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull}},
 	{"flow waits for its target", flow.Wait, []flow.Reason{flow.ReasonQueued}},
 	{"flow not taken", flow.Return, []flow.Reason{flow.ReasonQueueSpent, flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonHops, flow.ReasonTableFull}},
 	{"flow searched for", flow.SendAll, []flow.Reason{flow.ReasonUnknown, flow.ReasonRegistered}},
@@ -24,7 +24,7 @@
 	{"flow not held", flow.Deny, []flow.Reason{flow.ReasonNotHeld, flow.ReasonOpenedElsewhere}},
 	{"flow asked of its target", flow.Deliver, []flow.Reason{flow.ReasonUncertain}},
 	{"flow reset", flow.Reset, []flow.Reason{flow.ReasonNoRoute, flow.ReasonNoTarget, flow.ReasonHeldNowhere, flow.ReasonLost, flow.ReasonHops,
-		flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefused, flow.ReasonTableFull,
+		flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull,
 		flow.ReasonQueueSpent, flow.ReasonTargetGone, flow.ReasonEvacuated}},
 	{"packet dropped", flow.Drop, []flow.Reason{flow.ReasonNoRoute, flow.ReasonSearchLimit, flow.ReasonTableFull, flow.ReasonLinkFull}},
 	{"packet waits", flow.Wait, []flow.Reason{flow.ReasonNotReady, flow.ReasonStoodStill}},
