--- a/flow/agent.go
+++ b/flow/agent.go
@@ -302,7 +302,7 @@
 // caller at once that there is none.
 func (a *Agent) handOn(alternate, entry Endpoint, service uint64, hops uint8, key Key, reason Reason) Verdict {
 	if hops >= maxHops {
-		return Verdict{Action: Reset, Reason: ReasonHops}
+		return Verdict{Action: Reset, Reason: ReasonHopLimit}
 	}
 	to := alternate
 	if to.IsZero() && len(a.peers) > 0 && service == a.server.Service {
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -52,7 +52,7 @@
 	ReasonWarmingUp       Reason = "warming_up"
 	ReasonNoServer        Reason = "no_backend_server"
 	ReasonRefusedByTarget Reason = "refused_by_target"
-	ReasonHops            Reason = "hops_spent"
+	ReasonHopLimit        Reason = "hops_spent"
 	ReasonLost            Reason = "lost_by_target"
 	ReasonAnswered        Reason = "answered"
 	ReasonHeldNowhere     Reason = "held_nowhere"
