--- a/flow/agent.go
+++ b/flow/agent.go
@@ -423,7 +423,7 @@
 		// The target held it and does not any more: it has started anew.
 		a.stop(f)
 		f.stage, f.seen = absent, now
-		return Verdict{Action: Reset, Reason: ReasonLost}
+		return Verdict{Action: Reset, Reason: ReasonLostByTarget}
 	case uncertain, offered, answered:
 		a.stop(f)
 		f.stage, f.seen = absent, now
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -187,7 +187,7 @@
 	a := opened(t, 1, long)
 	v, _ := a.FromTarget(sentBack(request(1, firstA)), long)
 	is.Equal(v.Action, flow.Reset)
-	is.Equal(v.Reason, flow.ReasonLost)
+	is.Equal(v.Reason, flow.ReasonLostByTarget)
 	is.Equal(a.FromEntry(data(entryA), request(1, firstA), long).Action, flow.Return)
 }
 
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -53,7 +53,7 @@
 	ReasonNoServer        Reason = "no_backend_server"
 	ReasonRefusedByTarget Reason = "refused_by_target"
 	ReasonHopLimit        Reason = "hops_spent"
-	ReasonLost            Reason = "lost_by_target"
+	ReasonLostByTarget    Reason = "lost_by_target"
 	ReasonAnswered        Reason = "answered"
 	ReasonHeldNowhere     Reason = "held_nowhere"
 	ReasonRegistered      Reason = "registered"
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -23,7 +23,7 @@
 	{"flow not held", flow.Return, []flow.Reason{flow.ReasonNotHeld, flow.ReasonOpenedElsewhere}},
 	{"flow not held", flow.Deny, []flow.Reason{flow.ReasonNotHeld, flow.ReasonOpenedElsewhere}},
 	{"flow asked of its target", flow.Deliver, []flow.Reason{flow.ReasonUncertain}},
-	{"flow reset", flow.Reset, []flow.Reason{flow.ReasonNoRoute, flow.ReasonNoTarget, flow.ReasonHeldNowhere, flow.ReasonLost, flow.ReasonHopLimit,
+	{"flow reset", flow.Reset, []flow.Reason{flow.ReasonNoRoute, flow.ReasonNoTarget, flow.ReasonHeldNowhere, flow.ReasonLostByTarget, flow.ReasonHopLimit,
 		flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull,
 		flow.ReasonQueueSpent, flow.ReasonTargetGone, flow.ReasonEvacuated}},
 	{"packet dropped", flow.Drop, []flow.Reason{flow.ReasonNoRoute, flow.ReasonSearchLimit, flow.ReasonTableFull, flow.ReasonLinkFull}},
