--- a/flow/entry.go
+++ b/flow/entry.go
@@ -283,7 +283,7 @@
 		return Verdict{Action: Wait, Reason: reason}
 	}
 	if !e.MayReset(now) {
-		return Verdict{Action: Wait, Reason: ReasonStoodStill}
+		return Verdict{Action: Wait, Reason: ReasonStalled}
 	}
 	return Verdict{Action: Reset, Reason: reason}
 }
--- a/flow/search.go
+++ b/flow/search.go
@@ -90,7 +90,7 @@
 		if f != nil {
 			f.denied, f.cleared = nil, nil
 		}
-		return Verdict{Action: Drop, Reason: ReasonStoodStill}, Packet{}
+		return Verdict{Action: Drop, Reason: ReasonStalled}, Packet{}
 	}
 	if f != nil && f.count == 1 && f.homes[0].agent == from && (f.doubted != 0 || !f.homes[0].answered) {
 		// It was said to live there, or has lived there and was asked again.
@@ -117,7 +117,7 @@
 func (e *Entry) Cleared(m Frame, from Endpoint, now time.Duration) (Verdict, Packet) {
 	f := e.flows[m.Key]
 	if !e.MayReset(now) {
-		return Verdict{Action: Drop, Reason: ReasonStoodStill}, Packet{}
+		return Verdict{Action: Drop, Reason: ReasonStalled}, Packet{}
 	}
 	if f == nil || f.count > 0 {
 		return Verdict{Action: Drop, Reason: ReasonKnown}, Packet{}
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -59,7 +59,7 @@
 	ReasonRegistered      Reason = "registered"
 	ReasonTargetGone      Reason = "target_gone"
 	ReasonUnconfirmed     Reason = "unconfirmed"
-	ReasonStoodStill      Reason = "stood_still"
+	ReasonStalled         Reason = "stood_still"
 	ReasonOverflow        Reason = "overflow"
 	ReasonLinkFull        Reason = "link_full"
 	ReasonQueued          Reason = "queued"
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -27,7 +27,7 @@
 		flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull,
 		flow.ReasonQueueSpent, flow.ReasonTargetGone, flow.ReasonEvacuated}},
 	{"packet dropped", flow.Drop, []flow.Reason{flow.ReasonNoRoute, flow.ReasonSearchLimit, flow.ReasonTableFull, flow.ReasonLinkFull}},
-	{"packet waits", flow.Wait, []flow.Reason{flow.ReasonNotReady, flow.ReasonStoodStill}},
+	{"packet waits", flow.Wait, []flow.Reason{flow.ReasonNotReady, flow.ReasonStalled}},
 }
 
 // traceMessages has the message of each of these decisions. The bound on the lines of
