--- a/flow/entry.go
+++ b/flow/entry.go
@@ -395,7 +395,7 @@
 		return Verdict{Action: Drop, Reason: ReasonKnown}
 	}
 	delete(e.flows, p.Key)
-	return Verdict{Action: Reset, Reason: ReasonQueueSpent}
+	return Verdict{Action: Reset, Reason: ReasonQueueExpired}
 }
 
 // drop forgets one home.
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -112,7 +112,7 @@
 	}
 	if oldest := q.openings[0]; now-oldest.since >= queueFor || last >= a.server.Slots*queuePerSlot {
 		q.take(0)
-		return spent(oldest, ReasonQueueSpent), Packet{Key: oldest.key, Flags: SYN}, true
+		return spent(oldest, ReasonQueueExpired), Packet{Key: oldest.key, Flags: SYN}, true
 	}
 	newest := q.openings[last]
 	if a.refuses(newest.frame) == "" && (a.busy(now) || a.warmup.spent(now)) {
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -63,7 +63,7 @@
 	v, p, ok := a.Next(450 * millisecond)
 	is.True(ok)
 	is.Equal(v.Action, flow.Return)
-	is.Equal(v.Reason, flow.ReasonQueueSpent)
+	is.Equal(v.Reason, flow.ReasonQueueExpired)
 	is.Equal(v.To, entryA)
 	is.Equal(v.Frame.Kind, flow.Missed)
 	is.Equal(p.Key, key(11))
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -63,7 +63,7 @@
 	ReasonOverflow        Reason = "overflow"
 	ReasonLinkFull        Reason = "link_full"
 	ReasonQueued          Reason = "queued"
-	ReasonQueueSpent      Reason = "queue_spent"
+	ReasonQueueExpired    Reason = "queue_spent"
 )
 
 // Verdict is the decision on one packet.
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -17,7 +17,7 @@
 	{"flow placed", flow.Deliver, []flow.Reason{flow.ReasonPlaced}},
 	{"flow handed on", flow.Send, []flow.Reason{flow.ReasonDraining, flow.ReasonEvacuated, flow.ReasonWarmingUp, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull}},
 	{"flow waits for its target", flow.Wait, []flow.Reason{flow.ReasonQueued}},
-	{"flow not taken", flow.Return, []flow.Reason{flow.ReasonQueueSpent, flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonHopLimit, flow.ReasonTableFull}},
+	{"flow not taken", flow.Return, []flow.Reason{flow.ReasonQueueExpired, flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonHopLimit, flow.ReasonTableFull}},
 	{"flow searched for", flow.SendAll, []flow.Reason{flow.ReasonUnknown, flow.ReasonRegistered}},
 	{"flow searched for", flow.Send, []flow.Reason{flow.ReasonRegistered}},
 	{"flow not held", flow.Return, []flow.Reason{flow.ReasonNotHeld, flow.ReasonOpenedElsewhere}},
@@ -25,7 +25,7 @@
 	{"flow asked of its target", flow.Deliver, []flow.Reason{flow.ReasonUncertain}},
 	{"flow reset", flow.Reset, []flow.Reason{flow.ReasonNoRoute, flow.ReasonNoTarget, flow.ReasonHeldNowhere, flow.ReasonLostByTarget, flow.ReasonHopLimit,
 		flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull,
-		flow.ReasonQueueSpent, flow.ReasonTargetGone, flow.ReasonEvacuated}},
+		flow.ReasonQueueExpired, flow.ReasonTargetGone, flow.ReasonEvacuated}},
 	{"packet dropped", flow.Drop, []flow.Reason{flow.ReasonNoRoute, flow.ReasonSearchLimit, flow.ReasonTableFull, flow.ReasonLinkFull}},
 	{"packet waits", flow.Wait, []flow.Reason{flow.ReasonNotReady, flow.ReasonStalled}},
 }
