--- a/flow/queue.go
+++ b/flow/queue.go
@@ -14,8 +14,8 @@
 	// new flows wait: one in progress and one to follow it at once, since slots would be
 	// idle between two requests.
 	admitPerSlot = 2
-	// QueueLoad is the load of such a target, as its agent reports it.
-	QueueLoad = admitPerSlot * fullLoad
+	// SaturatedLoad is the load of such a target, as its agent reports it.
+	SaturatedLoad = admitPerSlot * fullLoad
 	// queuePerSlot bounds the openings that wait: what a slot takes in within queueFor,
 	// at 30 ms each.
 	queuePerSlot = 15
--- a/flow/warmup.go
+++ b/flow/warmup.go
@@ -105,9 +105,9 @@
 		return 0
 	}
 	if w.spent(w.at) {
-		return QueueLoad
+		return SaturatedLoad
 	}
-	return uint16(len(w.admitted) * QueueLoad / w.MostFlows)
+	return uint16(len(w.admitted) * SaturatedLoad / w.MostFlows)
 }
 
 // FlowsWhileWarming returns the bound that follows from the requests a second that a
--- a/placement/route.go
+++ b/placement/route.go
@@ -79,7 +79,7 @@
 		case overflows(best.Load, offer.Load):
 			best, reason = offer, flow.ReasonOverflow
 		}
-		if best.Load < flow.QueueLoad {
+		if best.Load < flow.SaturatedLoad {
 			break
 		}
 	}
@@ -89,7 +89,7 @@
 // overflows reports whether a flow that would go to a target goes to one of another
 // service: new flows wait beside the first one. Loads are in thousandths of slots.
 func overflows(to, other uint16) bool {
-	return to >= flow.QueueLoad && uint32(other)*overflowRatio <= uint32(to)
+	return to >= flow.SaturatedLoad && uint32(other)*overflowRatio <= uint32(to)
 }
 
 // draw returns the index of the service that the weights give.
