--- a/flow/waiting.go
+++ b/flow/waiting.go
@@ -9,10 +9,10 @@
 	waitFor = 1600 * time.Millisecond
 )
 
-// Waiting holds the newest packet of each flow that an entry host cannot decide on
+// PacketBuffer holds the newest packet of each flow that an entry host cannot decide on
 // yet, because it has just started. Senders double their pauses, so that the next copy
 // of a packet may come more than a second after the host knows what to do.
-type Waiting struct {
+type PacketBuffer struct {
 	packets map[Key]waitingPacket
 }
 
@@ -22,7 +22,7 @@
 }
 
 // Put keeps a copy of a packet. It reports false if too many wait.
-func (w *Waiting) Put(key Key, packet []byte, now time.Duration) bool {
+func (w *PacketBuffer) Put(key Key, packet []byte, now time.Duration) bool {
 	if w.packets == nil {
 		w.packets = make(map[Key]waitingPacket)
 	}
@@ -34,10 +34,10 @@
 }
 
 // Len returns the number of packets that wait.
-func (w *Waiting) Len() int { return len(w.packets) }
+func (w *PacketBuffer) Len() int { return len(w.packets) }
 
 // Take empties the buffer and returns the packets that have not waited too long.
-func (w *Waiting) Take(now time.Duration) [][]byte {
+func (w *PacketBuffer) Take(now time.Duration) [][]byte {
 	var out [][]byte
 	for _, p := range w.packets {
 		if now-p.since <= waitFor {
@@ -50,7 +50,7 @@
 
 // TakeOne removes and returns the packet of one flow, nil if there is none that is
 // fresh.
-func (w *Waiting) TakeOne(key Key, now time.Duration) []byte {
+func (w *PacketBuffer) TakeOne(key Key, now time.Duration) []byte {
 	p, known := w.packets[key]
 	delete(w.packets, key)
 	if !known || now-p.since > waitFor {
@@ -60,7 +60,7 @@
 }
 
 // Peek returns the packet of one flow, nil if there is none that is fresh.
-func (w *Waiting) Peek(key Key, now time.Duration) []byte {
+func (w *PacketBuffer) Peek(key Key, now time.Duration) []byte {
 	p, known := w.packets[key]
 	if !known || now-p.since > waitFor {
 		return nil
@@ -69,7 +69,7 @@
 }
 
 // Sweep drops the packets that have waited too long.
-func (w *Waiting) Sweep(now time.Duration) {
+func (w *PacketBuffer) Sweep(now time.Duration) {
 	for key, p := range w.packets {
 		if now-p.since > waitFor {
 			delete(w.packets, key)
--- a/flow/waiting_test.go
+++ b/flow/waiting_test.go
@@ -11,7 +11,7 @@
 
 func TestWaitingPackets(t *testing.T) {
 	is := is.New(t)
-	var w flow.Waiting
+	var w flow.PacketBuffer
 	is.True(w.Put(key(1), []byte("old"), 0))
 	is.True(w.Put(key(2), []byte("first"), time.Second))
 	is.True(w.Put(key(2), []byte("second"), time.Second))
@@ -23,7 +23,7 @@
 
 func TestWaitingPacketsAreBounded(t *testing.T) {
 	is := is.New(t)
-	var w flow.Waiting
+	var w flow.PacketBuffer
 	kept := 0
 	for port := range 5000 {
 		if w.Put(key(uint16(port)), []byte("packet"), 0) {
--- a/internal/flowd/agent.go
+++ b/internal/flowd/agent.go
@@ -90,11 +90,11 @@
 	mu    sync.Mutex
 	flows *flow.Agent
 	// queued has the openings that wait, admitting tells that they are looked at soon.
-	queued    flow.Waiting
+	queued    flow.PacketBuffer
 	admitting bool
 	// searched has packets whose flows this agent asks the others about, asking tells
 	// that the next round of questions is due soon.
-	searched flow.Waiting
+	searched flow.PacketBuffer
 	asking   bool
 	tracker  incarnation.Tracker
 	heardAt  time.Time
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -85,9 +85,9 @@
 	mu      sync.Mutex
 	flows   *flow.Entry
 	clocks  stall.Clocks
-	waiting flow.Waiting
+	waiting flow.PacketBuffer
 	// kept has packets whose flows are searched for.
-	kept   flow.Waiting
+	kept   flow.PacketBuffer
 	buffer []byte
 }
 
