--- a/flow/waiting.go
+++ b/flow/waiting.go
@@ -36,8 +36,8 @@
 // Len returns the number of packets that wait.
 func (w *PacketBuffer) Len() int { return len(w.packets) }
 
-// Take empties the buffer and returns the packets that have not waited too long.
-func (w *PacketBuffer) Take(now time.Duration) [][]byte {
+// TakeAll empties the buffer and returns the packets that have not waited too long.
+func (w *PacketBuffer) TakeAll(now time.Duration) [][]byte {
 	var out [][]byte
 	for _, p := range w.packets {
 		if now-p.since <= waitFor {
--- a/flow/waiting_test.go
+++ b/flow/waiting_test.go
@@ -15,7 +15,7 @@
 	is.True(w.Put(key(1), []byte("old"), 0))
 	is.True(w.Put(key(2), []byte("first"), time.Second))
 	is.True(w.Put(key(2), []byte("second"), time.Second))
-	got := w.Take(2 * time.Second)
+	got := w.TakeAll(2 * time.Second)
 	is.Equal(len(got), 1) // the other one's sender has sent it again meanwhile
 	is.Equal(string(got[0]), "second")
 	is.Equal(w.Len(), 0)
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -233,7 +233,7 @@
 	if !e.flows.MayReset(e.look()) {
 		return
 	}
-	for _, packet := range e.waiting.Take(e.now()) {
+	for _, packet := range e.waiting.TakeAll(e.now()) {
 		// It was read before.
 		p, err := e.opts.Codec.FromCaller(packet)
 		if err == nil {
