--- a/flow/warmup.go
+++ b/flow/warmup.go
@@ -12,9 +12,9 @@
 type Warmup struct {
 	// Until is when the target is warm.
 	Until time.Duration
-	// MostFlows is how many flows it may be let in within a second, 0 if nothing bounds
+	// MaxFlows is how many flows it may be let in within a second, 0 if nothing bounds
 	// them.
-	MostFlows int
+	MaxFlows int
 }
 
 const (
@@ -64,7 +64,7 @@
 // count notes that a flow is let in.
 func (w *warmup) count(f *agentFlow, now time.Duration) {
 	w.forget(now)
-	if w.MostFlows > 0 {
+	if w.MaxFlows > 0 {
 		w.admitted = append(w.admitted, admitted{flow: f, at: now})
 	}
 }
@@ -82,7 +82,7 @@
 }
 
 // bounds reports whether the target is warming up under a bound.
-func (w *warmup) bounds(now time.Duration) bool { return w.MostFlows > 0 && now < w.Until }
+func (w *warmup) bounds(now time.Duration) bool { return w.MaxFlows > 0 && now < w.Until }
 
 // spent reports whether the target is warming up and is let in no more flows for now.
 func (w *warmup) spent(now time.Duration) bool {
@@ -94,7 +94,7 @@
 		return true
 	}
 	w.forget(now)
-	return len(w.admitted) >= w.MostFlows
+	return len(w.admitted) >= w.MaxFlows
 }
 
 // load returns what a warming target is to be taken for by those who place flows, in
@@ -107,7 +107,7 @@
 	if w.spent(w.at) {
 		return SaturatedLoad
 	}
-	return uint16(len(w.admitted) * SaturatedLoad / w.MostFlows)
+	return uint16(len(w.admitted) * SaturatedLoad / w.MaxFlows)
 }
 
 // FlowsWhileWarming returns the bound that follows from the requests a second that a
--- a/flow/warmup_test.go
+++ b/flow/warmup_test.go
@@ -13,7 +13,7 @@
 // four seconds and may be let in some flows a second.
 func warming(most int, begin time.Duration) *flow.Agent {
 	a := newAgent(serving())
-	a.SetWarmup(flow.Warmup{Until: begin + 4*time.Second, MostFlows: most})
+	a.SetWarmup(flow.Warmup{Until: begin + 4*time.Second, MaxFlows: most})
 	return a
 }
 
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -193,7 +193,7 @@
 	if !a.told {
 		most = max(int(margin.Slack), 1)
 	}
-	a.flows.SetWarmup(flow.Warmup{Until: a.warmAt, MostFlows: most})
+	a.flows.SetWarmup(flow.Warmup{Until: a.warmAt, MaxFlows: most})
 }
 
 // noteEvacuation takes in whether the own failure domain takes new flows. The lock is held.
