--- a/flow/warmup.go
+++ b/flow/warmup.go
@@ -110,11 +110,11 @@
 	return uint16(len(w.admitted) * SaturatedLoad / w.MaxFlows)
 }
 
-// FlowsWhileWarming returns the bound that follows from the requests a second that a
+// WarmupFlowLimit returns the bound that follows from the requests a second that a
 // service states for its warming targets, of which each flow brings one at once, and how
 // far over that they may go: by a factor, and by a number beside it. It is 0, which bounds
 // nothing, if the service states none.
-func FlowsWhileWarming(perSecond, overshoot, slack float64) int {
+func WarmupFlowLimit(perSecond, overshoot, slack float64) int {
 	if perSecond <= 0 {
 		return 0
 	}
--- a/flow/warmup_test.go
+++ b/flow/warmup_test.go
@@ -108,7 +108,7 @@
 		"rounded down":     {3.9, 1, 0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(flow.FlowsWhileWarming(tt.perSecond, tt.overshoot, tt.slack), tt.want)
+			is.New(t).Equal(flow.WarmupFlowLimit(tt.perSecond, tt.overshoot, tt.slack), tt.want)
 		})
 	}
 }
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -189,7 +189,7 @@
 // yet what the service states keeps to what any may be given. The lock is held.
 func (a *Agent) boundWarmup() {
 	margin := a.opts.Warmup
-	most := flow.FlowsWhileWarming(a.warmup.GetRequestsPerSecond(), margin.Overshoot, margin.Slack)
+	most := flow.WarmupFlowLimit(a.warmup.GetRequestsPerSecond(), margin.Overshoot, margin.Slack)
 	if !a.told {
 		most = max(int(margin.Slack), 1)
 	}
