--- a/flow/entry.go
+++ b/flow/entry.go
@@ -57,8 +57,8 @@
 	// which asks all others of its service about it. Another turn names others, in case
 	// that both are lost.
 	Coordinators(to []Endpoint, key Key, turn int) []Endpoint
-	// Fellows appends the agents of an agent's service, itself included.
-	Fellows(to []Endpoint, agent Endpoint) []Endpoint
+	// ServiceAgents appends the agents of an agent's service, itself included.
+	ServiceAgents(to []Endpoint, agent Endpoint) []Endpoint
 	// Ready reports whether routes and targets are known. Before that nothing can be
 	// said of a flow that is not known.
 	Ready() bool
--- a/flow/helpers_test.go
+++ b/flow/helpers_test.go
@@ -87,7 +87,7 @@
 	return flow.AppendRegistrars(to, key, p.agents)
 }
 
-func (p *fixedPlacer) Fellows(to []flow.Endpoint, _ flow.Endpoint) []flow.Endpoint {
+func (p *fixedPlacer) ServiceAgents(to []flow.Endpoint, _ flow.Endpoint) []flow.Endpoint {
 	return append(to, p.agents...)
 }
 
--- a/flow/search.go
+++ b/flow/search.go
@@ -122,7 +122,7 @@
 	if f == nil || f.count > 0 {
 		return Verdict{Action: Drop, Reason: ReasonKnown}, Packet{}
 	}
-	e.fellows = e.placer.Fellows(e.fellows[:0], from)
+	e.fellows = e.placer.ServiceAgents(e.fellows[:0], from)
 	if len(e.fellows) == 0 || Digest(e.fellows) != m.Digest {
 		return Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}
 	}
@@ -154,7 +154,7 @@
 func (e *Entry) excuse(f *entryFlow) {
 	clear(e.excused)
 	for _, from := range f.cleared {
-		e.fellows = e.placer.Fellows(e.fellows[:0], from)
+		e.fellows = e.placer.ServiceAgents(e.fellows[:0], from)
 		for _, agent := range e.fellows {
 			e.excused[agent] = true
 		}
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -358,8 +358,8 @@
 	})
 }
 
-// Fellows implements flow.Placer.
-func (p *placer) Fellows(to []flow.Endpoint, agent flow.Endpoint) []flow.Endpoint {
+// ServiceAgents implements flow.Placer.
+func (p *placer) ServiceAgents(to []flow.Endpoint, agent flow.Endpoint) []flow.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, of := range p.targets {
