--- a/flow/standstill.go
+++ b/flow/standstill.go
@@ -14,10 +14,10 @@
 	settleMost = 500 * time.Millisecond
 )
 
-// Look records that the host runs. It has to be called far more often than every 150 ms
+// ObserveClock records that the host runs. It has to be called far more often than every 150 ms
 // from the first call on. It returns the longest standstill noticed since the last call,
 // 0 if there was none.
-func (e *Entry) Look(now time.Duration) time.Duration {
+func (e *Entry) ObserveClock(now time.Duration) time.Duration {
 	e.looks = true
 	e.notice(now)
 	longest := e.stood
--- a/flow/standstill_test.go
+++ b/flow/standstill_test.go
@@ -16,15 +16,15 @@
 // the standstill.
 func thawed(p flow.Placer) *flow.Entry {
 	e := flow.NewEntry(p, entryA)
-	e.Look(0)
-	e.Look(frozen)
+	e.ObserveClock(0)
+	e.ObserveClock(frozen)
 	return e
 }
 
 // run looks at the clock as a host that runs does.
 func run(e *flow.Entry, from, to time.Duration) {
 	for now := from; now < to; now += 20 * time.Millisecond {
-		e.Look(now)
+		e.ObserveClock(now)
 	}
 }
 
@@ -58,7 +58,7 @@
 func TestPacketShowsTheStandstill(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{reason: flow.ReasonNoTarget}, entryA)
-	e.Look(0)
+	e.ObserveClock(0)
 	is.Equal(e.Packet(syn(1), frozen).Action, flow.Wait)
 }
 
@@ -66,12 +66,12 @@
 func TestSuspendedMachine(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{reason: flow.ReasonNoTarget}, entryA)
-	e.Look(0)
+	e.ObserveClock(0)
 	e.StoodStill(20*time.Millisecond, time.Hour)
 	is.Equal(e.Packet(syn(1), 20*time.Millisecond).Action, flow.Wait)
 	run(e, 40*time.Millisecond, 520*time.Millisecond)
 	is.Equal(e.Packet(syn(1), 520*time.Millisecond).Action, flow.Reset)
-	is.Equal(e.Look(540*time.Millisecond), time.Duration(0)) // it was told before
+	is.Equal(e.ObserveClock(540*time.Millisecond), time.Duration(0)) // it was told before
 }
 
 // A short standstill, as on a busy processor, holds back resets for no longer than it
@@ -80,7 +80,7 @@
 	is := is.New(t)
 	const short = 200 * time.Millisecond
 	e := flow.NewEntry(&fixedPlacer{reason: flow.ReasonNoTarget}, entryA)
-	e.Look(0)
+	e.ObserveClock(0)
 	is.Equal(e.Packet(syn(1), short).Action, flow.Wait)
 	run(e, short, short+200*time.Millisecond)
 	is.Equal(e.Packet(syn(1), short+200*time.Millisecond).Action, flow.Reset)
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	p := &fixedPlacer{agents: []flow.Endpoint{agentA}}
 	e := flow.NewEntry(p, entryA)
-	e.Look(0)
+	e.ObserveClock(0)
 	e.Packet(syn(1), 0)
 	e.Held(heldBy(1, firstA, false), agentA, 0)
 	p.lost = agentA
@@ -104,7 +104,7 @@
 	settled := frozen + 500*time.Millisecond
 	run(e, settled-100*time.Millisecond, settled)
 	is.Equal(e.Packet(request(1, firstA), settled).Frame.Kind, flow.Search) // asked anew
-	e.Look(settled + 100*time.Millisecond)
+	e.ObserveClock(settled + 100*time.Millisecond)
 	v := e.Packet(request(1, firstA), settled+200*time.Millisecond)
 	is.Equal(v.Action, flow.Reset)
 	is.Equal(v.Reason, flow.ReasonTargetGone)
@@ -114,7 +114,7 @@
 func TestDenialsAfterAStandstill(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA}}, entryA)
-	e.Look(0)
+	e.ObserveClock(0)
 	e.Packet(request(1, firstA), 0)
 	v, _ := e.Denied(key(1), agentA, frozen)
 	is.Equal(v.Action, flow.Drop)
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -218,7 +218,7 @@
 // noticeStandstill tells that this host stood still.
 func (e *Entry) noticeStandstill() {
 	e.mu.Lock()
-	gap := e.flows.Look(e.look())
+	gap := e.flows.ObserveClock(e.look())
 	e.mu.Unlock()
 	if gap > 0 {
 		e.reasons.standstills.Inc(1)
