--- a/flow/standstill.go
+++ b/flow/standstill.go
@@ -28,13 +28,13 @@
 // notice takes in a standstill that has just ended.
 func (e *Entry) notice(now time.Duration) {
 	if gap := e.stalls.Look(now); gap > 0 {
-		e.StoodStill(now, gap)
+		e.ReportStall(now, gap)
 	}
 }
 
-// StoodStill tells that the host stood still until now in a way that its clock does not
+// ReportStall tells that the host stood still until now in a way that its clock does not
 // show: its machine was suspended.
-func (e *Entry) StoodStill(now, gap time.Duration) {
+func (e *Entry) ReportStall(now, gap time.Duration) {
 	e.stood = max(e.stood, gap)
 	e.settled = max(e.settled, now+min(gap, settleMost))
 }
--- a/flow/standstill_test.go
+++ b/flow/standstill_test.go
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{reason: flow.ReasonNoTarget}, entryA)
 	e.ObserveClock(0)
-	e.StoodStill(20*time.Millisecond, time.Hour)
+	e.ReportStall(20*time.Millisecond, time.Hour)
 	is.Equal(e.Packet(syn(1), 20*time.Millisecond).Action, flow.Wait)
 	run(e, 40*time.Millisecond, 520*time.Millisecond)
 	is.Equal(e.Packet(syn(1), 520*time.Millisecond).Action, flow.Reset)
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -169,7 +169,7 @@
 	t := time.Now()
 	now := t.Sub(e.began)
 	if gap := e.clocks.Look(now, t.Round(0).Sub(e.began.Round(0))); gap > 0 {
-		e.flows.StoodStill(now, gap)
+		e.flows.ReportStall(now, gap)
 	}
 	return now
 }
