--- a/flow/budget.go
+++ b/flow/budget.go
@@ -61,9 +61,9 @@
 	return b.left <= 0
 }
 
-// SetLink tells the width of the host's link in bits a second, for both directions together.
+// SetLinkRate tells the width of the host's link in bits a second, for both directions together.
 // 0 means that it is not known, so that nothing is held up for its sake.
-func (e *Entry) SetLink(bitsPerSecond float64, now time.Duration) {
+func (e *Entry) SetLinkRate(bitsPerSecond float64, now time.Duration) {
 	e.budget = newBudget(bitsPerSecond, now)
 }
 
--- a/flow/budget_test.go
+++ b/flow/budget_test.go
@@ -115,7 +115,7 @@
 func afterALossOfPower(bitsPerSecond float64, known bool) *narrow {
 	n := &narrow{entry: flow.NewEntry(&fixedPlacer{agents: agents(60)}, entryA), width: bitsPerSecond / 8}
 	if known {
-		n.entry.SetLink(bitsPerSecond, 0)
+		n.entry.SetLinkRate(bitsPerSecond, 0)
 	}
 	open := int(n.width / 3 / (2*payload + 2*headers + frameHeader))
 	for i := range open {
@@ -154,7 +154,7 @@
 func TestBudget(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: agents(40)}, entryA)
-	e.SetLink(1e6, 0)
+	e.SetLinkRate(1e6, 0)
 	is.Equal(e.Packet(request(2, firstA), 0).Action, flow.SendAll)
 	e.Carried(12_000, 0) // more than a tenth of a second of the link
 	is.Equal(e.Packet(request(2, firstA), 0).Reason, flow.ReasonLinkFull)
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -116,7 +116,7 @@
 	}
 	e.client = link.NewClient(o.Control, o.Creds, linkOptions(o.Log, o.Scope))
 	e.flows = flow.NewEntry(e.placer, flow.EndpointOf(agents.local()))
-	e.flows.SetLink(o.LinkBitsPerSecond, 0)
+	e.flows.SetLinkRate(o.LinkBitsPerSecond, 0)
 	return e, nil
 }
 
