--- a/flow/budget.go
+++ b/flow/budget.go
@@ -67,6 +67,6 @@
 	e.budget = newBudget(bitsPerSecond, now)
 }
 
-// Carried notes that the link has carried a datagram with that much payload, to the host or
+// CountTraffic notes that the link has carried a datagram with that much payload, to the host or
 // from it.
-func (e *Entry) Carried(payload int, now time.Duration) { e.budget.spend(payload, now) }
+func (e *Entry) CountTraffic(payload int, now time.Duration) { e.budget.spend(payload, now) }
--- a/flow/budget_test.go
+++ b/flow/budget_test.go
@@ -76,14 +76,14 @@
 // packet has a caller's request come through the link and go on to agents.
 func (n *narrow) packet(port uint16, delivered func()) {
 	n.carry(payload, func() {
-		n.entry.Carried(payload, n.now)
+		n.entry.CountTraffic(payload, n.now)
 		switch v := n.entry.Packet(request(port, firstA), n.now); v.Action {
 		case flow.Send:
-			n.entry.Carried(payload+frameHeader, n.now)
+			n.entry.CountTraffic(payload+frameHeader, n.now)
 			n.carry(payload+frameHeader, delivered)
 		case flow.SendAll:
 			for range v.All {
-				n.entry.Carried(payload+frameHeader, n.now)
+				n.entry.CountTraffic(payload+frameHeader, n.now)
 				n.carry(payload+frameHeader, func() { n.searched++ })
 			}
 		}
@@ -156,10 +156,10 @@
 	e := flow.NewEntry(&fixedPlacer{agents: agents(40)}, entryA)
 	e.SetLinkRate(1e6, 0)
 	is.Equal(e.Packet(request(2, firstA), 0).Action, flow.SendAll)
-	e.Carried(12_000, 0) // more than a tenth of a second of the link
+	e.CountTraffic(12_000, 0) // more than a tenth of a second of the link
 	is.Equal(e.Packet(request(2, firstA), 0).Reason, flow.ReasonLinkFull)
 	is.Equal(e.Packet(syn(3), 0).Action, flow.Send)
-	e.Carried(1_000_000, 0)
+	e.CountTraffic(1_000_000, 0)
 	is.Equal(e.Packet(request(2, firstA), 200*millisecond).Reason, flow.ReasonLinkFull)
 	is.Equal(e.Packet(request(2, firstA), 400*millisecond).Action, flow.SendAll) // the debt is bounded
 }
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -252,7 +252,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.look()
-	e.flows.Carried(len(b), now)
+	e.flows.CountTraffic(len(b), now)
 	e.act(e.flows.Packet(p, now), p, b)
 }
 
@@ -265,7 +265,7 @@
 	}
 	now := e.now()
 	e.mu.Lock()
-	e.flows.Carried(len(b), now)
+	e.flows.CountTraffic(len(b), now)
 	e.flows.Heard(from, now)
 	e.mu.Unlock()
 	switch m.Kind {
@@ -334,7 +334,7 @@
 
 // toAgent sends a frame within the budget of the link. The lock is held.
 func (e *Entry) toAgent(framed []byte, to flow.Endpoint) {
-	e.flows.Carried(len(framed), e.now())
+	e.flows.CountTraffic(len(framed), e.now())
 	e.agents.sendFrame(framed, to)
 }
 
