--- a/flow/entry.go
+++ b/flow/entry.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// Heard notes that an agent has sent something.
-func (e *Entry) Heard(agent Endpoint, now time.Duration) {
+// MarkSeen notes that an agent has sent something.
+func (e *Entry) MarkSeen(agent Endpoint, now time.Duration) {
 	if _, known := e.heard[agent]; known || len(e.heard) < maxHeard {
 		e.heard[agent] = now
 	}
--- a/flow/entry_test.go
+++ b/flow/entry_test.go
@@ -213,7 +213,7 @@
 	v := e.Packet(request(1, firstA), 2*time.Second)
 	is.Equal(v.To, agentA)
 	is.Equal(v.Frame.Kind, flow.Search) // it has to answer
-	e.Heard(agentA, 2*time.Second)
+	e.MarkSeen(agentA, 2*time.Second)
 	is.Equal(e.Packet(request(1, firstA), 3*time.Second).To, agentA) // it lives
 	is.Equal(e.Packet(request(1, firstA), 3*time.Second+50*time.Millisecond).To, agentA)
 	v = e.Packet(request(1, firstA), 3*time.Second+200*time.Millisecond)
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -266,7 +266,7 @@
 	now := e.now()
 	e.mu.Lock()
 	e.flows.CountTraffic(len(b), now)
-	e.flows.Heard(from, now)
+	e.flows.MarkSeen(from, now)
 	e.mu.Unlock()
 	switch m.Kind {
 	case flow.Load:
