--- a/flow/entry.go
+++ b/flow/entry.go
@@ -232,9 +232,9 @@
 	}
 }
 
-// Hinted takes in where an agent has heard that a flow lives. The packet that was
+// Located takes in where an agent has heard that a flow lives. The packet that was
 // searched with is on its way there.
-func (e *Entry) Hinted(m Frame, now time.Duration) {
+func (e *Entry) Located(m Frame, now time.Duration) {
 	f := e.flows[m.Key]
 	if f == nil || f.count > 0 {
 		return
--- a/flow/entry_test.go
+++ b/flow/entry_test.go
@@ -229,7 +229,7 @@
 	p := &fixedPlacer{agents: all, lost: agentA}
 	e := flow.NewEntry(p, entryA)
 	e.Packet(request(1, firstA), 0)
-	e.Hinted(flow.Frame{Kind: flow.Located, Key: key(1), Alternate: agentA}, time.Millisecond)
+	e.Located(flow.Frame{Kind: flow.Located, Key: key(1), Alternate: agentA}, time.Millisecond)
 	v := e.Packet(request(1, firstA), 200*time.Millisecond)
 	is.Equal(v.Action, flow.Reset)
 }
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -140,7 +140,7 @@
 		}
 		f.toEntry++
 		if n.Frame.Kind == flow.Located {
-			f.entry.Hinted(n.Frame, f.now)
+			f.entry.Located(n.Frame, f.now)
 			continue
 		}
 		v, p := f.entry.Cleared(n.Frame, from, f.now)
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -273,7 +273,7 @@
 		e.placer.learn(m, now)
 	case flow.Located:
 		e.mu.Lock()
-		e.flows.Hinted(m, now)
+		e.flows.Located(m, now)
 		e.mu.Unlock()
 	case flow.Held:
 		e.placer.learn(m, now)
