--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -143,7 +143,7 @@
 			f.entry.Located(n.Frame, f.now)
 			continue
 		}
-		v, p := f.entry.Cleared(n.Frame, from, f.now)
+		v, p := f.entry.HeldByNone(n.Frame, from, f.now)
 		f.entryActs(v, p)
 	}
 }
@@ -256,10 +256,10 @@
 	e := flow.NewEntry(&fixedPlacer{agents: all}, entryA)
 	e.Packet(request(1, firstA), 0)
 	cleared := flow.Frame{Kind: flow.HeldByNone, Key: key(1), Digest: flow.Digest(all[1:])}
-	v, _ := e.Cleared(cleared, all[5], 0)
+	v, _ := e.HeldByNone(cleared, all[5], 0)
 	is.Equal(v.Action, flow.Drop)
 	cleared.Digest = flow.Digest(all)
-	v, _ = e.Cleared(cleared, all[5], 0)
+	v, _ = e.HeldByNone(cleared, all[5], 0)
 	is.Equal(v.Action, flow.Reset)
 }
 
--- a/flow/search.go
+++ b/flow/search.go
@@ -112,9 +112,9 @@
 	return e.nowhere(f, key)
 }
 
-// Cleared decides on a flow of which an agent says that it has asked all agents of its
+// HeldByNone decides on a flow of which an agent says that it has asked all agents of its
 // service. That counts only if this host knows the same ones.
-func (e *Entry) Cleared(m Frame, from Endpoint, now time.Duration) (Verdict, Packet) {
+func (e *Entry) HeldByNone(m Frame, from Endpoint, now time.Duration) (Verdict, Packet) {
 	f := e.flows[m.Key]
 	if !e.MayReset(now) {
 		return Verdict{Action: Drop, Reason: ReasonStalled}, Packet{}
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -287,7 +287,7 @@
 		e.mu.Unlock()
 	case flow.HeldByNone:
 		e.mu.Lock()
-		v, p := e.flows.Cleared(m, from, e.look())
+		v, p := e.flows.HeldByNone(m, from, e.look())
 		e.act(v, p, nil)
 		e.mu.Unlock()
 	case flow.Missed:
