--- a/flow/agent.go
+++ b/flow/agent.go
@@ -140,9 +140,9 @@
 // Len returns the number of flows.
 func (a *Agent) Len() int { return len(a.flows) }
 
-// Witnessed tells that the target has started after this agent, so that it holds no
+// MarkComplete tells that the target has started after this agent, so that it holds no
 // flow that the agent has not seen.
-func (a *Agent) Witnessed(now time.Duration) { a.certainAt = min(a.certainAt, now) }
+func (a *Agent) MarkComplete(now time.Duration) { a.certainAt = min(a.certainAt, now) }
 
 // Server returns what is known of the target.
 func (a *Agent) Server() Server { return a.server }
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -73,7 +73,7 @@
 func TestAgentThatSawItsTargetStart(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
-	a.Witnessed(0)
+	a.MarkComplete(0)
 	is.Equal(a.FromEntry(search(entryA), request(1, firstA), time.Second).Action, flow.Deny)
 	is.Equal(a.FromEntry(data(entryA), request(1, firstA), time.Second).Action, flow.Return)
 }
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -38,7 +38,7 @@
 	for i, at := range f.all {
 		a := flow.NewAgent(f.now)
 		a.SetServer(flow.Server{State: flow.Serving, Service: lodgement, Slots: 4})
-		a.Witnessed(f.now)
+		a.MarkComplete(f.now)
 		for _, u := range uncertain {
 			if u == i {
 				a = flow.NewAgent(f.now)
@@ -270,7 +270,7 @@
 	all := fellows(20)
 	a := flow.NewAgent(0)
 	a.SetServer(flow.Server{State: flow.Serving, Service: lodgement})
-	a.Witnessed(0)
+	a.MarkComplete(0)
 	a.SetPeers(nil, all[:19], all[0])
 	is.Equal(len(a.Inquire(entryA, key(1), long)), 0)
 	a.Lacked([]flow.Key{key(1)}, all[0])
--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -88,7 +88,7 @@
 func TestRegisteredFlowIsFound(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
-	a.Witnessed(0)
+	a.MarkComplete(0)
 	a.Register([]flow.Key{key(1)}, agentB, long)
 	v := a.FromEntry(search(entryA), request(1, firstA), long)
 	is.Equal(v.Action, flow.Send)
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -39,7 +39,7 @@
 	}
 	if verdict == incarnation.First {
 		if known || a.startedBefore(r) {
-			a.flows.Witnessed(a.now())
+			a.flows.MarkComplete(a.now())
 		}
 		a.announce(current)
 	}
