--- a/flow/agent.go
+++ b/flow/agent.go
@@ -386,8 +386,8 @@
 	return a.held(f, p.Key)
 }
 
-// Found returns the notice for the entry host that searched for a flow.
-func (a *Agent) Found(key Key) *Frame {
+// HeldNotice returns the notice for the entry host that searched for a flow.
+func (a *Agent) HeldNotice(key Key) *Frame {
 	f := a.flows[key]
 	if f == nil || f.stage != opened {
 		return nil
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -52,7 +52,7 @@
 	a := opened(t, 1, long)
 	v := a.FromEntry(search(entryB), request(1, firstA), long)
 	is.Equal(v.Action, flow.Deliver)
-	found := a.Found(key(1))
+	found := a.HeldNotice(key(1))
 	is.Equal(found.Entry, entryB)
 	is.True(found.Opened)
 }
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -95,7 +95,7 @@
 	switch v.Action {
 	case flow.Deliver:
 		f.delivered[p.Key] = append(f.delivered[p.Key], to)
-		if held := a.Found(p.Key); held != nil {
+		if held := a.HeldNotice(p.Key); held != nil {
 			f.answer(held.Entry, *held, to, p)
 		}
 	case flow.Deny:
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -43,7 +43,7 @@
 	a.hint(m, v, p)
 	a.admit(now)
 	if m.Kind == flow.Search && v.Action == flow.Deliver {
-		a.notify(a.flows.Found(p.Key), now)
+		a.notify(a.flows.HeldNotice(p.Key), now)
 		return
 	}
 	a.report(m.Entry, now)
