--- a/flow/agent.go
+++ b/flow/agent.go
@@ -396,7 +396,7 @@
 }
 
 func (a *Agent) held(f *agentFlow, key Key) *Frame {
-	m := a.Report()
+	m := a.LoadFrame()
 	m.Kind = Held
 	m.Service = a.server.Service
 	m.Entry = f.entry
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -227,19 +227,19 @@
 func TestLoadFollowsRequestsInProgress(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
-	idle := a.Report().LoadPermille
+	idle := a.LoadFrame().LoadPermille
 	for port := uint16(1); port <= 4; port++ {
 		a.FromEntry(open(entryA), syn(port), long)
 		a.FromTarget(synAck(port, firstA), long)
 		a.FromEntry(data(entryA), request(port, firstA), long)
 	}
-	busy := a.Report().LoadPermille
+	busy := a.LoadFrame().LoadPermille
 	is.True(busy >= idle+1000) // all four slots
 	for port := uint16(1); port <= 4; port++ {
 		a.FromTarget(response(port, firstA), long+30*time.Millisecond)
 	}
 	a.Sweep(long+10*time.Second, 20*time.Second, time.Minute)
-	is.True(a.Report().LoadPermille < busy/2)
+	is.True(a.LoadFrame().LoadPermille < busy/2)
 }
 
 // A request counts as in progress until it is answered or one end of its flow no longer
@@ -281,7 +281,7 @@
 			a := opened(t, 1, time.Second)
 			tt.after(a)
 			a.Sweep(3*time.Second, time.Minute, time.Minute) // the average has followed
-			is.Equal(a.Report().LoadPermille >= 250, tt.busy)
+			is.Equal(a.LoadFrame().LoadPermille >= 250, tt.busy)
 		})
 	}
 }
@@ -291,5 +291,5 @@
 	a := opened(t, 1, long)
 	a.Sweep(long+21*time.Second, 20*time.Second, time.Minute)
 	is.Equal(a.Len(), 0)
-	is.True(a.Report().LoadPermille == 0 || a.Report().LoadPermille < 1000)
+	is.True(a.LoadFrame().LoadPermille == 0 || a.LoadFrame().LoadPermille < 1000)
 }
--- a/flow/evacuation_test.go
+++ b/flow/evacuation_test.go
@@ -34,7 +34,7 @@
 	is.Equal(v.To, agentB)
 
 	is.Equal(a.FromEntry(data(entryA), request(1, firstA), 0).Action, flow.Deliver) // an open flow
-	is.True(!a.Report().Draining)                                                   // it is taken back by a version alone
+	is.True(!a.LoadFrame().Draining)                                                // it is taken back by a version alone
 
 	a.SetServer(serving())
 	a.FromTarget(response(1, firstA), 0)
--- a/flow/load.go
+++ b/flow/load.go
@@ -65,8 +65,8 @@
 	a.average += (float64(a.running) - a.average) * share
 }
 
-// Report returns a Load frame.
-func (a *Agent) Report() Frame {
+// LoadFrame returns a Load frame.
+func (a *Agent) LoadFrame() Frame {
 	return Frame{
 		Kind:         Load,
 		Number:       a.server.Number,
--- a/flow/warmup_test.go
+++ b/flow/warmup_test.go
@@ -26,7 +26,7 @@
 	now := longAfterStart
 	is.Equal(a.FromEntry(open(entryA), syn(1), now).Action, flow.Deliver)
 	is.Equal(a.FromEntry(open(entryA), syn(2), now).Action, flow.Deliver)
-	is.Equal(a.Report().LoadPermille, uint16(flow.SaturatedLoad)) // entry hosts take it for full
+	is.Equal(a.LoadFrame().LoadPermille, uint16(flow.SaturatedLoad)) // entry hosts take it for full
 
 	v := a.FromEntry(open(entryA), syn(3), now)
 	is.Equal(v.Action, flow.Send)
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -136,7 +136,7 @@
 	return []zap.Field{
 		zap.Uint8("server_state", uint8(s.State)),
 		zap.Uint32("incarnation", s.Incarnation),
-		zap.Uint16("load_permille", a.flows.Report().LoadPermille),
+		zap.Uint16("load_permille", a.flows.LoadFrame().LoadPermille),
 		zap.Duration("report_age", time.Since(a.heardAt)),
 	}
 }
@@ -170,7 +170,7 @@
 	if len(a.reported) >= maxEntries {
 		clear(a.reported)
 	}
-	m := a.flows.Report()
+	m := a.flows.LoadFrame()
 	m.Entry = to
 	a.notify(&m, now)
 }
