--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -76,7 +76,7 @@
 		list := all[:43+n%2]
 		a.SetPeers(list[1:], list, list[0])
 		frames, keys = 0, 0
-		for _, r := range a.Due(long + time.Duration(n)) {
+		for _, r := range a.DueRegistrations(long + time.Duration(n)) {
 			frames++
 			keys += len(r.Keys)
 		}
--- a/flow/registry.go
+++ b/flow/registry.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// Due returns the registrations that are to be sent: of flows that have opened, whose
+// DueRegistrations returns the registrations that are to be sent: of flows that have opened, whose
 // registrars have changed, or that were registered a while ago.
-func (a *Agent) Due(now time.Duration) []Registration {
+func (a *Agent) DueRegistrations(now time.Duration) []Registration {
 	a.due = a.due[:0]
 	if len(a.peers) == 0 {
 		return nil
--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -51,17 +51,17 @@
 	all := agents(20)
 	a := opened(t, 1, long)
 	a.SetPeers(all[1:], all, all[0])
-	first := a.Due(long)
+	first := a.DueRegistrations(long)
 	is.True(len(first) > 0)
 	for _, r := range first {
 		is.Equal(r.Keys, []flow.Key{key(1)})
 		is.True(r.To != all[0]) // not to itself
 	}
-	is.Equal(len(a.Due(long+time.Second)), 0)
+	is.Equal(len(a.DueRegistrations(long+time.Second)), 0)
 	a.SetPeers(all[1:19], all[:19], all[0])
-	is.True(len(a.Due(long+2*time.Second)) > 0)
-	is.Equal(len(a.Due(long+3*time.Second)), 0)
-	is.True(len(a.Due(long+40*time.Second)) > 0)
+	is.True(len(a.DueRegistrations(long+2*time.Second)) > 0)
+	is.Equal(len(a.DueRegistrations(long+3*time.Second)), 0)
+	is.True(len(a.DueRegistrations(long+40*time.Second)) > 0)
 }
 
 func TestRegistrationsAreBounded(t *testing.T) {
@@ -74,7 +74,7 @@
 	}
 	a.SetPeers([]flow.Endpoint{agentB}, []flow.Endpoint{agentA, agentB}, agentA)
 	keys := 0
-	for _, r := range a.Due(long) {
+	for _, r := range a.DueRegistrations(long) {
 		is.True(len(r.Keys) <= flow.MaxKeys)
 		got, err := flow.ParseKeys(flow.AppendRegister(nil, r.Keys)[2:])
 		is.NoErr(err)
--- a/internal/flowd/agent.go
+++ b/internal/flowd/agent.go
@@ -204,7 +204,7 @@
 			a.refresh()
 		}
 		a.searched.Sweep(a.now())
-		for _, r := range a.flows.Due(a.now()) {
+		for _, r := range a.flows.DueRegistrations(a.now()) {
 			a.buffer = flow.AppendRegister(a.buffer[:0], r.Keys)
 			a.frames.sendFrame(a.buffer, r.To)
 		}
