--- a/flow/evacuation_test.go
+++ b/flow/evacuation_test.go
@@ -27,7 +27,7 @@
 	is.Equal(v.Action, flow.Send)
 	is.Equal(v.Reason, flow.ReasonEvacuated)
 	is.Equal(v.To, agentB)
-	v, p, ok := a.Next(0)
+	v, p, ok := a.NextQueued(0)
 	is.True(ok)
 	is.Equal(p.Key, key(11))
 	is.Equal(v.Action, flow.Send)
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -100,11 +100,11 @@
 // Queued returns the number of openings that wait.
 func (a *Agent) Queued() int { return len(a.queue.openings) }
 
-// Next decides on one opening that waits, until it reports false: on the oldest if it has
+// NextQueued decides on one opening that waits, until it reports false: on the oldest if it has
 // waited for too long or too many do, else on the newest if the target has room, or takes
 // no more flows at all. The verdict is on the packet kept for the flow. Ask after each
 // packet, and every few milliseconds while openings wait.
-func (a *Agent) Next(now time.Duration) (Verdict, Packet, bool) {
+func (a *Agent) NextQueued(now time.Duration) (Verdict, Packet, bool) {
 	q := &a.queue
 	last := len(q.openings) - 1
 	if last < 0 {
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -27,7 +27,7 @@
 
 func nothing(t *testing.T, a *flow.Agent, now time.Duration) {
 	t.Helper()
-	_, _, ok := a.Next(now)
+	_, _, ok := a.NextQueued(now)
 	is.New(t).True(!ok)
 }
 
@@ -43,13 +43,13 @@
 	is.Equal(a.Queued(), 3)
 	nothing(t, a, millisecond)
 	a.FromTarget(response(1, firstA), 30*millisecond)
-	v, p, ok := a.Next(30 * millisecond)
+	v, p, ok := a.NextQueued(30 * millisecond)
 	is.True(ok)
 	is.Equal(v.Action, flow.Deliver)
 	is.True(v.Kept)
 	is.Equal(p.Key, key(13))
 	nothing(t, a, 30*millisecond) // its request is on its way
-	_, p, ok = a.Next(80 * millisecond)
+	_, p, ok = a.NextQueued(80 * millisecond)
 	is.True(ok) // it does not come
 	is.Equal(p.Key, key(12))
 }
@@ -60,7 +60,7 @@
 	a.FromEntry(open(entryA), syn(11), 0)
 	a.FromEntry(open(entryA), syn(12), 100*millisecond)
 	nothing(t, a, 449*millisecond)
-	v, p, ok := a.Next(450 * millisecond)
+	v, p, ok := a.NextQueued(450 * millisecond)
 	is.True(ok)
 	is.Equal(v.Action, flow.Return)
 	is.Equal(v.Reason, flow.ReasonQueueExpired)
@@ -78,7 +78,7 @@
 	}
 	nothing(t, a, 0)
 	is.Equal(a.FromEntry(open(entryA), syn(200), 0).Action, flow.Wait)
-	v, p, ok := a.Next(0)
+	v, p, ok := a.NextQueued(0)
 	is.True(ok)
 	is.Equal(v.Action, flow.Return)
 	is.Equal(p.Key, key(100)) // the oldest
@@ -94,7 +94,7 @@
 	leaving := serving()
 	leaving.State = flow.Leaving
 	a.SetServer(leaving)
-	v, p, ok := a.Next(millisecond)
+	v, p, ok := a.NextQueued(millisecond)
 	is.True(ok)
 	is.Equal(v.Action, flow.Send)
 	is.Equal(v.To, agentB)
@@ -223,7 +223,7 @@
 // admit lets in or refuses what waits.
 func (b *burst) admit(now time.Duration) {
 	for {
-		v, p, ok := b.agent.Next(now)
+		v, p, ok := b.agent.NextQueued(now)
 		switch {
 		case !ok:
 			return
--- a/flow/warmup_test.go
+++ b/flow/warmup_test.go
@@ -60,7 +60,7 @@
 		if a.FromEntry(open(entry), syn(port), now).Action == flow.Deliver {
 			at = append(at, now)
 		}
-		if v, p, ok := a.Next(now); ok && v.Action == flow.Deliver {
+		if v, p, ok := a.NextQueued(now); ok && v.Action == flow.Deliver {
 			at = append(at, now)
 			a.FromTarget(synAck(p.Key.Caller.Port, firstA), now)
 		}
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -83,7 +83,7 @@
 // lock is held.
 func (a *Agent) admit(now time.Duration) {
 	for {
-		v, p, ok := a.flows.Next(now)
+		v, p, ok := a.flows.NextQueued(now)
 		if !ok {
 			break
 		}
