--- a/flow/queue.go
+++ b/flow/queue.go
@@ -97,8 +97,8 @@
 	return Verdict{Action: Wait, Reason: ReasonQueued}
 }
 
-// Queued returns the number of openings that wait.
-func (a *Agent) Queued() int { return len(a.queue.openings) }
+// QueueLen returns the number of openings that wait.
+func (a *Agent) QueueLen() int { return len(a.queue.openings) }
 
 // NextQueued decides on one opening that waits, until it reports false: on the oldest if it has
 // waited for too long or too many do, else on the newest if the target has room, or takes
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -40,7 +40,7 @@
 		is.Equal(v.Reason, flow.ReasonQueued)
 	}
 	is.Equal(a.FromEntry(open(entryB), syn(12), 0).Action, flow.Drop) // a copy
-	is.Equal(a.Queued(), 3)
+	is.Equal(a.QueueLen(), 3)
 	nothing(t, a, millisecond)
 	a.FromTarget(response(1, firstA), 30*millisecond)
 	v, p, ok := a.NextQueued(30 * millisecond)
@@ -142,7 +142,7 @@
 	a := full(t)
 	a.FromEntry(open(entryA), syn(11), 0)
 	a.FromEntry(search(entryA), request(11, firstB), 200*millisecond)
-	is.Equal(a.Queued(), 0)
+	is.Equal(a.QueueLen(), 0)
 }
 
 // Nothing waits beside a target that does not tell its slots.
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -92,7 +92,7 @@
 			a.act(v, p, packet)
 		}
 	}
-	if a.flows.Queued() == 0 || a.admitting {
+	if a.flows.QueueLen() == 0 || a.admitting {
 		return
 	}
 	a.admitting = true
