--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -89,10 +89,10 @@
 	Frame Frame
 }
 
-// Inquire takes in that an entry host wants to know whether any agent of the service holds
+// Lookup takes in that an entry host wants to know whether any agent of the service holds
 // a flow. Whether the own target does is told by Lacked and Found. It returns what can be
 // sent by now.
-func (a *Agent) Inquire(entry Endpoint, key Key, now time.Duration) []Notice {
+func (a *Agent) Lookup(entry Endpoint, key Key, now time.Duration) []Notice {
 	q := a.inquiries.flows[key]
 	if q == nil {
 		if len(a.inquiries.flows) >= maxInquiries {
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -88,7 +88,7 @@
 	}
 	a := f.agents[to]
 	if m.Hops == flow.HopsLookup {
-		f.tell(to, a.Inquire(m.Entry, p.Key, f.now))
+		f.tell(to, a.Lookup(m.Entry, p.Key, f.now))
 		m.Hops, m.Entry = 1, to
 	}
 	v := a.FromEntry(m, p, f.now)
@@ -272,14 +272,14 @@
 	a.SetServer(flow.Server{State: flow.Serving, Service: lodgement})
 	a.MarkComplete(0)
 	a.SetPeers(nil, all[:19], all[0])
-	is.Equal(len(a.Inquire(entryA, key(1), long)), 0)
+	is.Equal(len(a.Lookup(entryA, key(1), long)), 0)
 	a.Lacked([]flow.Key{key(1)}, all[0])
 	is.Equal(len(a.Questions(long)), 18)
 	a.SetPeers(nil, all, all[0])
 	for _, from := range all[1:] {
 		is.Equal(len(a.Lacked([]flow.Key{key(1)}, from)), 0)
 	}
-	is.Equal(len(a.Inquire(entryA, key(1), long+time.Second)), 0)
+	is.Equal(len(a.Lookup(entryA, key(1), long+time.Second)), 0)
 	a.Lacked([]flow.Key{key(1)}, all[0])
 	is.Equal(len(a.Questions(long+time.Second)), 19)
 	for i, from := range all[1:] {
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -47,7 +47,7 @@
 	if !a.searched.Put(key, packet, a.now()) {
 		a.reasons.overflow.Inc(1)
 	}
-	a.tell(a.flows.Inquire(entry, key, a.now()))
+	a.tell(a.flows.Lookup(entry, key, a.now()))
 	a.askSoon()
 	return flow.EndpointOf(a.frames.local())
 }
