--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -139,9 +139,9 @@
 	return out
 }
 
-// AskAfter returns how long it is until the next round of questions is due, and whether
+// NextQueryIn returns how long it is until the next round of questions is due, and whether
 // there is any.
-func (a *Agent) AskAfter(now time.Duration) (time.Duration, bool) {
+func (a *Agent) NextQueryIn(now time.Duration) (time.Duration, bool) {
 	if !a.inquiries.due {
 		return 0, false
 	}
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -151,7 +151,7 @@
 // ask has each agent whose pause is over send its questions.
 func (f *fleet) ask() {
 	for at, a := range f.agents {
-		if wait, due := a.AskAfter(f.now); !due || wait > 0 || f.deaf[at] {
+		if wait, due := a.NextQueryIn(f.now); !due || wait > 0 || f.deaf[at] {
 			continue
 		}
 		for _, q := range append([]flow.Registration{}, a.Questions(f.now)...) {
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -78,7 +78,7 @@
 
 // askSoon begins a round of questions, now or when the pause is over. The lock is held.
 func (a *Agent) askSoon() {
-	wait, due := a.flows.AskAfter(a.now())
+	wait, due := a.flows.NextQueryIn(a.now())
 	if !due || a.asking {
 		return
 	}
