--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -152,9 +152,9 @@
 	return max(a.inquiries.askedAt+pause-now, 0), true
 }
 
-// Questions begins a round: it returns which flows each of the other agents is to be
+// Queries begins a round: it returns which flows each of the other agents is to be
 // asked about.
-func (a *Agent) Questions(now time.Duration) []Registration {
+func (a *Agent) Queries(now time.Duration) []Registration {
 	a.inquiries.due = false
 	a.inquiries.askedAt = max(now, 1)
 	a.due = a.due[:0]
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -154,7 +154,7 @@
 		if wait, due := a.NextQueryIn(f.now); !due || wait > 0 || f.deaf[at] {
 			continue
 		}
-		for _, q := range append([]flow.Registration{}, a.Questions(f.now)...) {
+		for _, q := range append([]flow.Registration{}, a.Queries(f.now)...) {
 			f.between++
 			if f.deaf[q.To] {
 				continue
@@ -274,14 +274,14 @@
 	a.SetPeers(nil, all[:19], all[0])
 	is.Equal(len(a.Lookup(entryA, key(1), long)), 0)
 	a.Lacked([]flow.Key{key(1)}, all[0])
-	is.Equal(len(a.Questions(long)), 18)
+	is.Equal(len(a.Queries(long)), 18)
 	a.SetPeers(nil, all, all[0])
 	for _, from := range all[1:] {
 		is.Equal(len(a.Lacked([]flow.Key{key(1)}, from)), 0)
 	}
 	is.Equal(len(a.Lookup(entryA, key(1), long+time.Second)), 0)
 	a.Lacked([]flow.Key{key(1)}, all[0])
-	is.Equal(len(a.Questions(long+time.Second)), 19)
+	is.Equal(len(a.Queries(long+time.Second)), 19)
 	for i, from := range all[1:] {
 		notices := a.Lacked([]flow.Key{key(1)}, from)
 		is.Equal(len(notices) == 1, i == 18)
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -99,7 +99,7 @@
 
 // askAll asks the other agents of the service. The lock is held.
 func (a *Agent) askAll() {
-	for _, q := range a.flows.Questions(a.now()) {
+	for _, q := range a.flows.Queries(a.now()) {
 		a.sendKeys(flow.Query, q.Keys, q.To)
 	}
 }
