--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -173,9 +173,9 @@
 	return a.due
 }
 
-// Asked sorts the flows that another agent asks about: those that the target beside this
+// AnswerQuery sorts the flows that another agent asks about: those that the target beside this
 // agent does not hold, and those that it may hold, which a packet of the flow has to tell.
-func (a *Agent) Asked(keys []Key, now time.Duration) (lacks, open []Key) {
+func (a *Agent) AnswerQuery(keys []Key, now time.Duration) (lacks, open []Key) {
 	for _, key := range keys {
 		f := a.flows[key]
 		if f == nil && now >= a.certainAt || f != nil && f.stage == absent {
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -159,7 +159,7 @@
 			if f.deaf[q.To] {
 				continue
 			}
-			lacks, open := f.agents[q.To].Asked(q.Keys, f.now)
+			lacks, open := f.agents[q.To].AnswerQuery(q.Keys, f.now)
 			f.between++
 			f.tell(at, a.Lacked(lacks, q.To))
 			f.tell(at, a.Opened(open, q.To))
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -19,7 +19,7 @@
 	case flow.Register:
 		a.flows.Register(keys, from, a.now())
 	case flow.Query:
-		lacks, open := a.flows.Asked(keys, a.now())
+		lacks, open := a.flows.AnswerQuery(keys, a.now())
 		a.sendKeys(flow.NotHeld, lacks, from)
 		a.sendKeys(flow.MayHold, open, from)
 	case flow.NotHeld:
