--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -187,8 +187,8 @@
 	return lacks, open
 }
 
-// Lacked takes in that the target beside an agent, be it this one, does not hold flows.
-func (a *Agent) Lacked(keys []Key, from Endpoint) []Notice {
+// HandleNotHeld takes in that the target beside an agent, be it this one, does not hold flows.
+func (a *Agent) HandleNotHeld(keys []Key, from Endpoint) []Notice {
 	return a.answered(keys, from, func(out []Notice, q *inquiry, place int, _ Key) []Notice {
 		q.note(place)
 		return out
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -117,7 +117,7 @@
 	case a != nil && m.Kind == flow.Held:
 		f.tell(to, a.Located(m.Key, from))
 	case a != nil:
-		f.tell(to, a.Lacked([]flow.Key{m.Key}, from))
+		f.tell(to, a.HandleNotHeld([]flow.Key{m.Key}, from))
 	case m.Kind == flow.Held:
 		f.toEntry++
 		f.entry.Held(m, from, f.now)
@@ -161,7 +161,7 @@
 			}
 			lacks, open := f.agents[q.To].AnswerQuery(q.Keys, f.now)
 			f.between++
-			f.tell(at, a.Lacked(lacks, q.To))
+			f.tell(at, a.HandleNotHeld(lacks, q.To))
 			f.tell(at, a.Opened(open, q.To))
 		}
 	}
@@ -273,17 +273,17 @@
 	a.MarkComplete(0)
 	a.SetPeers(nil, all[:19], all[0])
 	is.Equal(len(a.Lookup(entryA, key(1), long)), 0)
-	a.Lacked([]flow.Key{key(1)}, all[0])
+	a.HandleNotHeld([]flow.Key{key(1)}, all[0])
 	is.Equal(len(a.Queries(long)), 18)
 	a.SetPeers(nil, all, all[0])
 	for _, from := range all[1:] {
-		is.Equal(len(a.Lacked([]flow.Key{key(1)}, from)), 0)
+		is.Equal(len(a.HandleNotHeld([]flow.Key{key(1)}, from)), 0)
 	}
 	is.Equal(len(a.Lookup(entryA, key(1), long+time.Second)), 0)
-	a.Lacked([]flow.Key{key(1)}, all[0])
+	a.HandleNotHeld([]flow.Key{key(1)}, all[0])
 	is.Equal(len(a.Queries(long+time.Second)), 19)
 	for i, from := range all[1:] {
-		notices := a.Lacked([]flow.Key{key(1)}, from)
+		notices := a.HandleNotHeld([]flow.Key{key(1)}, from)
 		is.Equal(len(notices) == 1, i == 18)
 	}
 }
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -23,7 +23,7 @@
 		a.sendKeys(flow.NotHeld, lacks, from)
 		a.sendKeys(flow.MayHold, open, from)
 	case flow.NotHeld:
-		a.tell(a.flows.Lacked(keys, from))
+		a.tell(a.flows.HandleNotHeld(keys, from))
 	case flow.MayHold:
 		a.tell(a.flows.Opened(keys, from))
 	}
@@ -38,7 +38,7 @@
 		a.tell(a.flows.Located(m.Key, from))
 		return
 	}
-	a.tell(a.flows.Lacked([]flow.Key{m.Key}, from))
+	a.tell(a.flows.HandleNotHeld([]flow.Key{m.Key}, from))
 }
 
 // inquire begins to ask the other agents about a flow that an entry host searches for. It
