--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -195,8 +195,8 @@
 	})
 }
 
-// Opened takes in that the target beside another agent may hold flows.
-func (a *Agent) Opened(keys []Key, from Endpoint) []Notice {
+// HandleMayHold takes in that the target beside another agent may hold flows.
+func (a *Agent) HandleMayHold(keys []Key, from Endpoint) []Notice {
 	return a.answered(keys, from, func(out []Notice, q *inquiry, place int, key Key) []Notice {
 		if !q.asks(place, from) {
 			return out
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -162,7 +162,7 @@
 			lacks, open := f.agents[q.To].AnswerQuery(q.Keys, f.now)
 			f.between++
 			f.tell(at, a.HandleNotHeld(lacks, q.To))
-			f.tell(at, a.Opened(open, q.To))
+			f.tell(at, a.HandleMayHold(open, q.To))
 		}
 	}
 }
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -25,7 +25,7 @@
 	case flow.NotHeld:
 		a.tell(a.flows.HandleNotHeld(keys, from))
 	case flow.MayHold:
-		a.tell(a.flows.Opened(keys, from))
+		a.tell(a.flows.HandleMayHold(keys, from))
 	}
 }
 
