--- a/flow/inquiry.go
+++ b/flow/inquiry.go
@@ -206,8 +206,8 @@
 	})
 }
 
-// Located takes in that the target beside an agent, be it this one, holds a flow.
-func (a *Agent) Located(key Key, from Endpoint) []Notice {
+// RecordHolder takes in that the target beside an agent, be it this one, holds a flow.
+func (a *Agent) RecordHolder(key Key, from Endpoint) []Notice {
 	return a.answered([]Key{key}, from, func(out []Notice, q *inquiry, _ int, _ Key) []Notice {
 		q.holder = from
 		return out
--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -115,7 +115,7 @@
 	}
 	switch {
 	case a != nil && m.Kind == flow.Held:
-		f.tell(to, a.Located(m.Key, from))
+		f.tell(to, a.RecordHolder(m.Key, from))
 	case a != nil:
 		f.tell(to, a.HandleNotHeld([]flow.Key{m.Key}, from))
 	case m.Kind == flow.Held:
--- a/internal/flowd/fellows.go
+++ b/internal/flowd/fellows.go
@@ -35,7 +35,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if m.Kind == flow.Held {
-		a.tell(a.flows.Located(m.Key, from))
+		a.tell(a.flows.RecordHolder(m.Key, from))
 		return
 	}
 	a.tell(a.flows.HandleNotHeld([]flow.Key{m.Key}, from))
