--- a/flow/entry.go
+++ b/flow/entry.go
@@ -156,7 +156,7 @@
 	if (f == nil || f.count == 0) && !e.placer.Ready() {
 		return Verdict{Action: Wait, Reason: ReasonNotReady}
 	}
-	if p.Opens() {
+	if p.IsOpening() {
 		return e.open(f, p, now)
 	}
 	if f == nil || f.count == 0 {
@@ -362,7 +362,7 @@
 // flow.
 func (e *Entry) Missed(p Packet, from Endpoint, now time.Duration) Verdict {
 	f := e.flows[p.Key]
-	if p.Opens() {
+	if p.IsOpening() {
 		return e.waitedInVain(f, p, from)
 	}
 	if f != nil {
--- a/flow/packet.go
+++ b/flow/packet.go
@@ -89,5 +89,5 @@
 	Length int
 }
 
-// Opens reports whether a caller's packet asks for a new flow.
-func (p *Packet) Opens() bool { return p.Flags.Has(SYN) }
+// IsOpening reports whether a caller's packet asks for a new flow.
+func (p *Packet) IsOpening() bool { return p.Flags.Has(SYN) }
