--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -109,7 +109,7 @@
 	v := e.Packet(request(1, firstA), 0)
 	is.Equal(v.Action, flow.SendAll)
 	is.Equal(len(v.All), 2)
-	is.True(v.Keep)
+	is.True(v.KeepCopy)
 	asked := append([]flow.Endpoint{}, v.All...)
 	v, _ = e.Denied(key(1), asked[0], 0)
 	is.Equal(v.Action, flow.Drop)
--- a/flow/search.go
+++ b/flow/search.go
@@ -64,7 +64,7 @@
 	if f.round == 1 {
 		e.all = e.placer.Registrars(e.all[:0], p.Key)
 		f.askedOf = append(f.askedOf[:0], e.all...)
-		return Verdict{Action: SendAll, Reason: ReasonRegistered, All: e.all, Frame: Frame{Kind: Search, Entry: e.self}, Keep: true}
+		return Verdict{Action: SendAll, Reason: ReasonRegistered, All: e.all, Frame: Frame{Kind: Search, Entry: e.self}, KeepCopy: true}
 	}
 	f.askedOf = nil
 	asked := int(f.round) - firstWide
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -306,7 +306,7 @@
 func (e *Entry) act(v flow.Verdict, p flow.Packet, packet []byte) {
 	e.reasons.count(v)
 	trace(e.opts.Log, &v, &p, e.placer.inputs)
-	if v.Keep && !e.kept.Put(p.Key, packet, e.now()) {
+	if v.KeepCopy && !e.kept.Put(p.Key, packet, e.now()) {
 		e.reasons.overflow.Inc(1)
 	}
 	if v.Kept {
