--- a/flow/inquiry_test.go
+++ b/flow/inquiry_test.go
@@ -124,7 +124,7 @@
 	default:
 		f.toEntry++
 		v, known := f.entry.Denied(m.Key, from, f.now)
-		if v.Kept {
+		if v.UseCopy {
 			known = p
 		}
 		f.entryActs(v, known)
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -124,12 +124,12 @@
 	if v.Action == Reset {
 		v = spent(newest, v.Reason)
 	}
-	v.Kept = true
+	v.UseCopy = true
 	return v, p, true
 }
 
 // spent sends an opening that has waited back to its entry host. Only that knows whether
 // the caller has opened the flow with another target meanwhile.
 func spent(one queued, reason Reason) Verdict {
-	return Verdict{Action: Return, Reason: reason, To: one.frame.Entry, Frame: Frame{Kind: Missed, Entry: one.frame.Entry}, Kept: true}
+	return Verdict{Action: Return, Reason: reason, To: one.frame.Entry, Frame: Frame{Kind: Missed, Entry: one.frame.Entry}, UseCopy: true}
 }
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -46,7 +46,7 @@
 	v, p, ok := a.NextQueued(30 * millisecond)
 	is.True(ok)
 	is.Equal(v.Action, flow.Deliver)
-	is.True(v.Kept)
+	is.True(v.UseCopy)
 	is.Equal(p.Key, key(13))
 	nothing(t, a, 30*millisecond) // its request is on its way
 	_, p, ok = a.NextQueued(80 * millisecond)
--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -115,7 +115,7 @@
 	is.Equal(v.Action, flow.Drop)
 	v, p := e.Denied(key(1), asked[1], 0)
 	is.Equal(v.Action, flow.SendAll)
-	is.True(v.Kept)
+	is.True(v.UseCopy)
 	is.Equal(p.Key, key(1))
 	is.Equal(v.All, asked[:1]) // it passes the packet on to all others
 	is.Equal(v.Frame.Hops, uint8(flow.HopsLookup))
--- a/flow/search.go
+++ b/flow/search.go
@@ -172,7 +172,7 @@
 	f.askedOf = nil
 	f.round = max(f.round, firstWide)
 	f.roundAt = f.searched
-	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: e.all, Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}, Kept: true}, Packet{Key: key}
+	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: e.all, Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}, UseCopy: true}, Packet{Key: key}
 }
 
 func contains(list []Endpoint, one Endpoint) bool {
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -76,9 +76,9 @@
 	All []Endpoint
 	// Frame is the header for Send, SendAll and Return.
 	Frame Frame
-	// KeepCopy asks for a copy of the packet until it is known who holds its flow. Kept
+	// KeepCopy asks for a copy of the packet until it is known who holds its flow. UseCopy
 	// stands for that copy, in place of a packet.
-	KeepCopy, Kept bool
+	KeepCopy, UseCopy bool
 	// Waited is how long the target took to answer what this packet is the first
 	// answer to: an opening packet, if Began, else a request. 0 if it answers neither.
 	Waited time.Duration
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -309,7 +309,7 @@
 	if v.KeepCopy && !e.kept.Put(p.Key, packet, e.now()) {
 		e.reasons.overflow.Inc(1)
 	}
-	if v.Kept {
+	if v.UseCopy {
 		if packet = e.kept.TakeOne(p.Key, e.now()); packet == nil {
 			return
 		}
