--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -79,10 +79,10 @@
 	// KeepCopy asks for a copy of the packet until it is known who holds its flow. UseCopy
 	// stands for that copy, in place of a packet.
 	KeepCopy, UseCopy bool
-	// Waited is how long the target took to answer what this packet is the first
+	// ResponseTime is how long the target took to answer what this packet is the first
 	// answer to: an opening packet, if Began, else a request. 0 if it answers neither.
-	Waited time.Duration
-	Began  bool
+	ResponseTime time.Duration
+	Began        bool
 	// Hint is where the entry host is to be told that the flow lives, or zero.
 	Hint Endpoint
 }
--- a/internal/flowd/latency.go
+++ b/internal/flowd/latency.go
@@ -23,10 +23,10 @@
 // count counts how long the target has taken for what the verdict passes on.
 func (l *latency) count(v flow.Verdict) {
 	switch {
-	case v.Waited == 0:
+	case v.ResponseTime == 0:
 	case v.Began:
-		l.openings.RecordDuration(v.Waited)
+		l.openings.RecordDuration(v.ResponseTime)
 	default:
-		l.requests.RecordDuration(v.Waited)
+		l.requests.RecordDuration(v.ResponseTime)
 	}
 }
