--- a/flow/agent.go
+++ b/flow/agent.go
@@ -340,7 +340,7 @@
 		return Verdict{Action: Drop, Reason: ReasonOpenedElsewhere}, nil
 	}
 	v = Verdict{Action: Reply, Reason: ReasonAnswered}
-	v.ResponseTime, v.Began = f.waited(p, now)
+	v.ResponseTime, v.Opening = f.waited(p, now)
 	notice = a.progress(f, p)
 	a.answer(f, p, now)
 	if p.Flags.Has(FIN) {
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -82,7 +82,7 @@
 	// ResponseTime is how long the target took to answer what this packet is the first
 	// answer to: an opening packet, if Began, else a request. 0 if it answers neither.
 	ResponseTime time.Duration
-	Began        bool
+	Opening      bool
 	// Hint is where the entry host is to be told that the flow lives, or zero.
 	Hint Endpoint
 }
--- a/flow/waited_test.go
+++ b/flow/waited_test.go
@@ -15,7 +15,7 @@
 	a := newAgent(serving())
 	waited := func(p flow.Packet, at time.Duration) (time.Duration, bool) {
 		v, _ := a.FromTarget(p, at)
-		return v.ResponseTime, v.Began
+		return v.ResponseTime, v.Opening
 	}
 	is := is.New(t)
 	a.FromEntry(open(entryA), syn(port), time.Millisecond)
--- a/internal/flowd/latency.go
+++ b/internal/flowd/latency.go
@@ -24,7 +24,7 @@
 func (l *latency) count(v flow.Verdict) {
 	switch {
 	case v.ResponseTime == 0:
-	case v.Began:
+	case v.Opening:
 		l.openings.RecordDuration(v.ResponseTime)
 	default:
 		l.requests.RecordDuration(v.ResponseTime)
