--- a/flow/agent.go
+++ b/flow/agent.go
@@ -176,7 +176,7 @@
 	if f == nil || f.stage == absent {
 		if to := a.registry.holder(p.Key); m.Kind == Search && m.Hops == 0 && !to.IsZero() {
 			m.Hops++
-			return Verdict{Action: Send, Reason: ReasonRegistered, To: to, Frame: m, Hint: to}
+			return Verdict{Action: Send, Reason: ReasonRegistered, To: to, Frame: m, Holder: to}
 		}
 	}
 	if f == nil {
--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -94,7 +94,7 @@
 	is.Equal(v.Action, flow.Send)
 	is.Equal(v.To, agentB)
 	is.Equal(v.Frame, flow.Frame{Kind: flow.Search, Hops: 1, Entry: entryA})
-	is.Equal(v.Hint, agentB)
+	is.Equal(v.Holder, agentB)
 	is.Equal(a.FromEntry(v.Frame, request(1, firstA), long).Action, flow.Deny) // no endless rounds
 	a.Sweep(long+2*time.Minute, time.Minute, time.Minute)
 	is.Equal(a.FromEntry(search(entryA), request(1, firstA), long+2*time.Minute).Action, flow.Deny)
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -83,8 +83,8 @@
 	// answer to: an opening packet, if Began, else a request. 0 if it answers neither.
 	ResponseTime time.Duration
 	Opening      bool
-	// Hint is where the entry host is to be told that the flow lives, or zero.
-	Hint Endpoint
+	// Holder is where the entry host is to be told that the flow lives, or zero.
+	Holder Endpoint
 }
 
 // String returns the action in the form used as a metric label.
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -51,10 +51,10 @@
 
 // hint tells an entry host that searches for a flow where it lives. The lock is held.
 func (a *Agent) hint(m flow.Frame, v flow.Verdict, p flow.Packet) {
-	if v.Hint.IsZero() {
+	if v.Holder.IsZero() {
 		return
 	}
-	hint := flow.Frame{Kind: flow.Located, Key: p.Key, Alternate: v.Hint}
+	hint := flow.Frame{Kind: flow.Located, Key: p.Key, Alternate: v.Holder}
 	a.buffer = hint.Append(a.buffer[:0])
 	a.frames.sendFrame(a.buffer, m.Entry)
 }
