--- a/flow/standstill.go
+++ b/flow/standstill.go
@@ -27,7 +27,7 @@
 
 // notice takes in a standstill that has just ended.
 func (e *Entry) notice(now time.Duration) {
-	if gap := e.stalls.Look(now); gap > 0 {
+	if gap := e.stalls.Observe(now); gap > 0 {
 		e.ReportStall(now, gap)
 	}
 }
--- a/internal/agentd/standstill.go
+++ b/internal/agentd/standstill.go
@@ -48,7 +48,7 @@
 func (s *standstills) look() time.Duration {
 	now := s.clock.now()
 	s.mu.Lock()
-	stood := s.detector.Look(now)
+	stood := s.detector.Observe(now)
 	s.mu.Unlock()
 	if stood > 0 {
 		s.counters.standstills.Inc(1)
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -18,9 +18,9 @@
 	ended time.Duration
 }
 
-// Look records that the process runs. If it stood still since the last look,
+// Observe records that the process runs. If it stood still since the last look,
 // it returns for how long, otherwise 0. Looks may be recorded out of order.
-func (d *Detector) Look(now time.Duration) time.Duration {
+func (d *Detector) Observe(now time.Duration) time.Duration {
 	gap := now - d.last
 	if !d.looked {
 		d.looked = true
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -20,17 +20,17 @@
 func TestHeld(t *testing.T) {
 	is := is.New(t)
 	d := &stall.Detector{Bound: bound, Grace: grace}
-	is.Equal(d.Look(5*time.Second), time.Duration(0)) // the first look follows no other
+	is.Equal(d.Observe(5*time.Second), time.Duration(0)) // the first look follows no other
 	is.True(!d.Held(0, 5*time.Second))
-	is.Equal(d.Look(6*time.Second), time.Duration(0)) // at the bound
-	is.Equal(d.Look(9*time.Second), 3*time.Second)
-	is.Equal(d.Look(8*time.Second), time.Duration(0)) // a look that is recorded late
-	is.True(d.Held(6*time.Second, 6*time.Second))     // waited for its grant meanwhile
+	is.Equal(d.Observe(6*time.Second), time.Duration(0)) // at the bound
+	is.Equal(d.Observe(9*time.Second), 3*time.Second)
+	is.Equal(d.Observe(8*time.Second), time.Duration(0)) // a look that is recorded late
+	is.True(d.Held(6*time.Second, 6*time.Second))        // waited for its grant meanwhile
 	is.True(d.Held(6*time.Second, 9*time.Second))
 	is.True(d.Held(6*time.Second, 9*time.Second+grace-1))
 	is.True(!d.Held(6*time.Second, 9*time.Second+grace))
 	is.True(!d.Held(9*time.Second, 9*time.Second)) // a connection that came after
-	d.Look(9 * time.Second)
+	d.Observe(9 * time.Second)
 	is.True(d.Held(6*time.Second, 6*time.Second)) // still so
 }
 
@@ -63,7 +63,7 @@
 		looks, stood := life(t)
 		d := &stall.Detector{Bound: bound, Grace: grace}
 		for _, now := range looks {
-			d.Look(now)
+			d.Observe(now)
 		}
 		asked := looks[len(looks)-1]
 		opened := rapid.SampledFrom(looks).Draw(t, "opened")
