--- a/internal/agentd/standstill.go
+++ b/internal/agentd/standstill.go
@@ -63,7 +63,7 @@
 	s.look()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.detector.Held(openedAt(c.request.Context()), c.arrived)
+	return s.detector.MayHaveWaited(openedAt(c.request.Context()), c.arrived)
 }
 
 // openedKey finds the time of the caller's connection in the context of a
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -36,12 +36,12 @@
 	return gap
 }
 
-// Held reports whether a request may have been sent before the end of a
+// MayHaveWaited reports whether a request may have been sent before the end of a
 // standstill. It arrived, as the process saw it, at a time; its connection was
 // opened by this process at another, before its sender could send anything on
 // it. Both times are of looks that were recorded; a look has to be recorded
 // right before this is asked.
-func (d *Detector) Held(opened, arrived time.Duration) bool {
+func (d *Detector) MayHaveWaited(opened, arrived time.Duration) bool {
 	if !d.stood {
 		return false
 	}
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -21,17 +21,17 @@
 	is := is.New(t)
 	d := &stall.Detector{Bound: bound, Grace: grace}
 	is.Equal(d.Observe(5*time.Second), time.Duration(0)) // the first look follows no other
-	is.True(!d.Held(0, 5*time.Second))
+	is.True(!d.MayHaveWaited(0, 5*time.Second))
 	is.Equal(d.Observe(6*time.Second), time.Duration(0)) // at the bound
 	is.Equal(d.Observe(9*time.Second), 3*time.Second)
-	is.Equal(d.Observe(8*time.Second), time.Duration(0)) // a look that is recorded late
-	is.True(d.Held(6*time.Second, 6*time.Second))        // waited for its grant meanwhile
-	is.True(d.Held(6*time.Second, 9*time.Second))
-	is.True(d.Held(6*time.Second, 9*time.Second+grace-1))
-	is.True(!d.Held(6*time.Second, 9*time.Second+grace))
-	is.True(!d.Held(9*time.Second, 9*time.Second)) // a connection that came after
+	is.Equal(d.Observe(8*time.Second), time.Duration(0))   // a look that is recorded late
+	is.True(d.MayHaveWaited(6*time.Second, 6*time.Second)) // waited for its grant meanwhile
+	is.True(d.MayHaveWaited(6*time.Second, 9*time.Second))
+	is.True(d.MayHaveWaited(6*time.Second, 9*time.Second+grace-1))
+	is.True(!d.MayHaveWaited(6*time.Second, 9*time.Second+grace))
+	is.True(!d.MayHaveWaited(9*time.Second, 9*time.Second)) // a connection that came after
 	d.Observe(9 * time.Second)
-	is.True(d.Held(6*time.Second, 6*time.Second)) // still so
+	is.True(d.MayHaveWaited(6*time.Second, 6*time.Second)) // still so
 }
 
 // life draws a process that looks at the clock often, but for standstills, and
@@ -75,7 +75,7 @@
 			inside := arrived < s[1] && asked >= s[1]
 			want = want || waited || inside
 		}
-		if got := d.Held(opened, arrived); got != want {
+		if got := d.MayHaveWaited(opened, arrived); got != want {
 			t.Fatalf("opened %v, arrived %v, standstills %v: held is %v", opened, arrived, stood, got)
 		}
 	})
