--- a/flow/entry.go
+++ b/flow/entry.go
@@ -140,7 +140,7 @@
 		flows:   make(map[Key]*entryFlow),
 		heard:   make(map[Endpoint]time.Duration),
 		excused: make(map[Endpoint]bool),
-		stalls:  stall.Detector{Bound: standstill},
+		stalls:  stall.Detector{Threshold: standstill},
 	}
 }
 
--- a/internal/agentd/standstill.go
+++ b/internal/agentd/standstill.go
@@ -26,7 +26,7 @@
 func newStandstills(c clock, t timing, counters *counters, log *zap.Logger) *standstills {
 	return &standstills{
 		clock: c, counters: counters, log: log, every: t.lookEvery,
-		detector: stall.Detector{Bound: t.standstill, Grace: t.thawGrace},
+		detector: stall.Detector{Threshold: t.standstill, Grace: t.thawGrace},
 	}
 }
 
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -5,8 +5,8 @@
 // Detector notices standstills of its own process as gaps between looks at the
 // clock. The process has to look far more often than Bound.
 type Detector struct {
-	// Bound is the longest time between two looks of a process that runs.
-	Bound time.Duration
+	// Threshold is the longest time between two looks of a process that runs.
+	Threshold time.Duration
 	// Grace is the time after a standstill within which everything that waited
 	// for the process is read.
 	Grace time.Duration
@@ -28,7 +28,7 @@
 		return 0
 	}
 	d.last = max(d.last, now)
-	if gap <= d.Bound {
+	if gap <= d.Threshold {
 		return 0
 	}
 	d.stood = true
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -19,7 +19,7 @@
 
 func TestHeld(t *testing.T) {
 	is := is.New(t)
-	d := &stall.Detector{Bound: bound, Grace: grace}
+	d := &stall.Detector{Threshold: bound, Grace: grace}
 	is.Equal(d.Observe(5*time.Second), time.Duration(0)) // the first look follows no other
 	is.True(!d.MayHaveWaited(0, 5*time.Second))
 	is.Equal(d.Observe(6*time.Second), time.Duration(0)) // at the bound
@@ -61,7 +61,7 @@
 func TestWhatWaitedIsHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		looks, stood := life(t)
-		d := &stall.Detector{Bound: bound, Grace: grace}
+		d := &stall.Detector{Threshold: bound, Grace: grace}
 		for _, now := range looks {
 			d.Observe(now)
 		}
