--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -84,7 +84,7 @@
 	// mu guards flows, clocks, waiting and buffer.
 	mu      sync.Mutex
 	flows   *flow.Entry
-	clocks  stall.Clocks
+	clocks  stall.SuspendDetector
 	waiting flow.PacketBuffer
 	// kept has packets whose flows are searched for.
 	kept   flow.PacketBuffer
@@ -112,7 +112,7 @@
 		agents:  agents,
 		reasons: newReasons(scope),
 		buffer:  make([]byte, 0, maxDatagram),
-		clocks:  stall.Clocks{Bound: maxAhead},
+		clocks:  stall.SuspendDetector{Bound: maxAhead},
 	}
 	e.client = link.NewClient(o.Control, o.Creds, linkOptions(o.Log, o.Scope))
 	e.flows = flow.NewEntry(e.placer, flow.EndpointOf(agents.local()))
--- a/stall/clocks_test.go
+++ b/stall/clocks_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := stall.Clocks{Bound: 100 * ms}
+			c := stall.SuspendDetector{Bound: 100 * ms}
 			for _, l := range looks {
 				is.Equal(c.Look(l.steady, l.ofDay), l.want)
 			}
