--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -168,7 +168,7 @@
 func (e *Entry) look() time.Duration {
 	t := time.Now()
 	now := t.Sub(e.began)
-	if gap := e.clocks.Look(now, t.Round(0).Sub(e.began.Round(0))); gap > 0 {
+	if gap := e.clocks.Observe(now, t.Round(0).Sub(e.began.Round(0))); gap > 0 {
 		e.flows.ReportStall(now, gap)
 	}
 	return now
--- a/stall/clocks.go
+++ b/stall/clocks.go
@@ -15,10 +15,10 @@
 	ahead  time.Duration
 }
 
-// Look records the steady clock and the time of day, each since any origin of its own. It
+// Observe records the steady clock and the time of day, each since any origin of its own. It
 // returns by how much the time of day has run ahead since the last look, 0 if by no more
 // than Bound.
-func (c *SuspendDetector) Look(steady, ofDay time.Duration) time.Duration {
+func (c *SuspendDetector) Observe(steady, ofDay time.Duration) time.Duration {
 	ahead := ofDay - steady
 	gap := ahead - c.ahead
 	first := !c.looked
--- a/stall/clocks_test.go
+++ b/stall/clocks_test.go
@@ -26,7 +26,7 @@
 			is := is.New(t)
 			c := stall.SuspendDetector{Bound: 100 * ms}
 			for _, l := range looks {
-				is.Equal(c.Look(l.steady, l.ofDay), l.want)
+				is.Equal(c.Observe(l.steady, l.ofDay), l.want)
 			}
 		})
 	}
