--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -112,7 +112,7 @@
 		agents:  agents,
 		reasons: newReasons(scope),
 		buffer:  make([]byte, 0, maxDatagram),
-		clocks:  stall.SuspendDetector{Bound: maxAhead},
+		clocks:  stall.SuspendDetector{Threshold: maxAhead},
 	}
 	e.client = link.NewClient(o.Control, o.Creds, linkOptions(o.Log, o.Scope))
 	e.flows = flow.NewEntry(e.placer, flow.EndpointOf(agents.local()))
--- a/stall/clocks.go
+++ b/stall/clocks.go
@@ -7,9 +7,9 @@
 // same, and one back at the same moment may hide a suspension, so nothing may rest on
 // this but that the process waits for a moment.
 type SuspendDetector struct {
-	// Bound is the most that the time of day runs ahead of the steady clock between two
+	// Threshold is the most that the time of day runs ahead of the steady clock between two
 	// looks, as when it is being corrected slowly.
-	Bound time.Duration
+	Threshold time.Duration
 
 	looked bool
 	ahead  time.Duration
@@ -23,7 +23,7 @@
 	gap := ahead - c.ahead
 	first := !c.looked
 	c.looked, c.ahead = true, ahead
-	if first || gap <= c.Bound {
+	if first || gap <= c.Threshold {
 		return 0
 	}
 	return gap
--- a/stall/clocks_test.go
+++ b/stall/clocks_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := stall.SuspendDetector{Bound: 100 * ms}
+			c := stall.SuspendDetector{Threshold: 100 * ms}
 			for _, l := range looks {
 				is.Equal(c.Observe(l.steady, l.ofDay), l.want)
 			}
