--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -117,9 +117,9 @@
 }
 
 func routeFrom(r *configpb.Route, numbers map[string]uint32, before *placement.Route) *placement.Route {
-	shares := make([]placement.Share, 0, len(r.GetServices()))
+	shares := make([]placement.WeightedService, 0, len(r.GetServices()))
 	for _, s := range r.GetServices() {
-		shares = append(shares, placement.Share{
+		shares = append(shares, placement.WeightedService{
 			Service: numbers[s.GetService()],
 			Hash:    flow.ServiceHash(s.GetService()),
 			Weight:  uint64(s.GetWeight()),
@@ -213,7 +213,7 @@
 	if r == nil {
 		return flow.Placement{}, flow.ReasonNoRoute
 	}
-	placed, reason := r.Choose(key.Hash(p.table.GetRevision()), func(s placement.Share) (placement.Offer, bool) {
+	placed, reason := r.Choose(key.Hash(p.table.GetRevision()), func(s placement.WeightedService) (placement.Offer, bool) {
 		return p.offer(s, key, avoid, now)
 	})
 	if reason != flow.ReasonNoTarget {
@@ -270,7 +270,7 @@
 
 // offer chooses a target of one service, other than avoid if there is one. The lock is
 // held.
-func (p *placer) offer(s placement.Share, key flow.Key, avoid flow.Endpoint, now time.Duration) (placement.Offer, bool) {
+func (p *placer) offer(s placement.WeightedService, key flow.Key, avoid flow.Endpoint, now time.Duration) (placement.Offer, bool) {
 	of := p.targets[s.Service]
 	if of == nil {
 		return placement.Offer{}, false
@@ -289,7 +289,7 @@
 	return offer, true
 }
 
-func (p *placer) offerOf(s placement.Share, c routing.Choice, now time.Duration) placement.Offer {
+func (p *placer) offerOf(s placement.WeightedService, c routing.Choice, now time.Duration) placement.Offer {
 	number, incarnation := c.Target.Number, c.Target.Incarnation
 	if age, known := p.loads.Age(number, incarnation, now); known {
 		p.loadAge.RecordDuration(age)
--- a/placement/route.go
+++ b/placement/route.go
@@ -6,8 +6,8 @@
 // to be: load figures are up to 250 ms old, and a burst meets both services.
 const overflowRatio = 2
 
-// Share is a service of a route.
-type Share struct {
+// WeightedService is a service of a route.
+type WeightedService struct {
 	// Service is its number, Hash the hash of its name.
 	Service uint32
 	Hash    uint64
@@ -16,7 +16,7 @@
 
 // Route is a public address that new flows come to.
 type Route struct {
-	shares []Share
+	shares []WeightedService
 	sum    uint64
 	// had has the numbers of all services that the route has had so far: open flows stay
 	// with them.
@@ -25,7 +25,7 @@
 
 // NewRoute returns a route with these services. Before is the route of the address until
 // now, nil if there was none.
-func NewRoute(shares []Share, before *Route) *Route {
+func NewRoute(shares []WeightedService, before *Route) *Route {
 	r := &Route{shares: shares, had: map[uint32]bool{}}
 	if before != nil {
 		for service := range before.had {
@@ -62,7 +62,7 @@
 // Choose decides on a new flow by a hash that is evenly spread. Offers returns the target
 // of a service that would take it, or false. The reason is ReasonNoTarget if there is
 // none.
-func (r *Route) Choose(hash uint64, offers func(Share) (Offer, bool)) (flow.Placement, flow.Reason) {
+func (r *Route) Choose(hash uint64, offers func(WeightedService) (Offer, bool)) (flow.Placement, flow.Reason) {
 	best, reason := Offer{}, flow.ReasonNoTarget
 	first := r.draw(hash)
 	for i := range r.shares {
--- a/placement/route_test.go
+++ b/placement/route_test.go
@@ -11,7 +11,7 @@
 
 // route gives hashes 0 to 89 to service 1, 90 to 99 to service 2 and none to service 3.
 func route() *placement.Route {
-	return placement.NewRoute([]placement.Share{
+	return placement.NewRoute([]placement.WeightedService{
 		{Service: 1, Hash: 101, Weight: 90},
 		{Service: 2, Hash: 102, Weight: 10},
 		{Service: 3, Hash: 103, Weight: 0},
@@ -20,8 +20,8 @@
 
 // loads offers one target of each service at these loads; a negative one stands for a
 // service without a target.
-func loads(of ...int) func(placement.Share) (placement.Offer, bool) {
-	return func(s placement.Share) (placement.Offer, bool) {
+func loads(of ...int) func(placement.WeightedService) (placement.Offer, bool) {
+	return func(s placement.WeightedService) (placement.Offer, bool) {
 		load := of[s.Service-1]
 		if load < 0 {
 			return placement.Offer{}, false
@@ -62,7 +62,7 @@
 // Open flows stay with the services that a route has had.
 func TestHad(t *testing.T) {
 	is := is.New(t)
-	r := placement.NewRoute([]placement.Share{{Service: 4, Weight: 1}}, route())
+	r := placement.NewRoute([]placement.WeightedService{{Service: 4, Weight: 1}}, route())
 	is.True(r.Had(1))
 	is.True(r.Had(4))
 	is.True(!r.Had(5))
@@ -70,7 +70,7 @@
 
 func TestRouteWithoutWeights(t *testing.T) {
 	is := is.New(t)
-	r := placement.NewRoute([]placement.Share{{Service: 1}}, nil)
+	r := placement.NewRoute([]placement.WeightedService{{Service: 1}}, nil)
 	_, reason := r.Choose(7, loads(0))
 	is.Equal(reason, flow.ReasonNoTarget)
 }
