--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -213,7 +213,7 @@
 	if r == nil {
 		return flow.Placement{}, flow.ReasonNoRoute
 	}
-	placed, reason := r.Choose(key.Hash(p.table.GetRevision()), func(s placement.WeightedService) (placement.Offer, bool) {
+	placed, reason := r.Choose(key.Hash(p.table.GetRevision()), func(s placement.WeightedService) (placement.Candidate, bool) {
 		return p.offer(s, key, avoid, now)
 	})
 	if reason != flow.ReasonNoTarget {
@@ -270,16 +270,16 @@
 
 // offer chooses a target of one service, other than avoid if there is one. The lock is
 // held.
-func (p *placer) offer(s placement.WeightedService, key flow.Key, avoid flow.Endpoint, now time.Duration) (placement.Offer, bool) {
+func (p *placer) offer(s placement.WeightedService, key flow.Key, avoid flow.Endpoint, now time.Duration) (placement.Candidate, bool) {
 	of := p.targets[s.Service]
 	if of == nil {
-		return placement.Offer{}, false
+		return placement.Candidate{}, false
 	}
-	var offer placement.Offer
+	var offer placement.Candidate
 	for salt := range uint64(redraws) {
 		c, ok := of.table.Choose(key.Hash(salt+uint64(now)), now)
 		if !ok || c.Reason == routing.LastResort {
-			return placement.Offer{}, false
+			return placement.Candidate{}, false
 		}
 		offer = p.offerOf(s, c, now)
 		if offer.Placement.Agent != avoid {
@@ -289,7 +289,7 @@
 	return offer, true
 }
 
-func (p *placer) offerOf(s placement.WeightedService, c routing.Choice, now time.Duration) placement.Offer {
+func (p *placer) offerOf(s placement.WeightedService, c routing.Choice, now time.Duration) placement.Candidate {
 	number, incarnation := c.Target.Number, c.Target.Incarnation
 	if age, known := p.loads.Age(number, incarnation, now); known {
 		p.loadAge.RecordDuration(age)
@@ -299,7 +299,7 @@
 	if c.Alternate.IsValid() {
 		placed.Alternate = flow.EndpointOf(c.Alternate)
 	}
-	return placement.Offer{Placement: placed, Load: report.Load}
+	return placement.Candidate{Placement: placed, Load: report.Load}
 }
 
 // Holders implements flow.Placer.
--- a/placement/route.go
+++ b/placement/route.go
@@ -52,8 +52,8 @@
 	return false
 }
 
-// Offer is a target of one service that would take a flow.
-type Offer struct {
+// Candidate is a target of one service that would take a flow.
+type Candidate struct {
 	Placement flow.Placement
 	// Load of the target in thousandths of its slots.
 	Load uint16
@@ -62,8 +62,8 @@
 // Choose decides on a new flow by a hash that is evenly spread. Offers returns the target
 // of a service that would take it, or false. The reason is ReasonNoTarget if there is
 // none.
-func (r *Route) Choose(hash uint64, offers func(WeightedService) (Offer, bool)) (flow.Placement, flow.Reason) {
-	best, reason := Offer{}, flow.ReasonNoTarget
+func (r *Route) Choose(hash uint64, offers func(WeightedService) (Candidate, bool)) (flow.Placement, flow.Reason) {
+	best, reason := Candidate{}, flow.ReasonNoTarget
 	first := r.draw(hash)
 	for i := range r.shares {
 		s := r.shares[(first+i)%len(r.shares)]
--- a/placement/route_test.go
+++ b/placement/route_test.go
@@ -20,13 +20,13 @@
 
 // loads offers one target of each service at these loads; a negative one stands for a
 // service without a target.
-func loads(of ...int) func(placement.WeightedService) (placement.Offer, bool) {
-	return func(s placement.WeightedService) (placement.Offer, bool) {
+func loads(of ...int) func(placement.WeightedService) (placement.Candidate, bool) {
+	return func(s placement.WeightedService) (placement.Candidate, bool) {
 		load := of[s.Service-1]
 		if load < 0 {
-			return placement.Offer{}, false
+			return placement.Candidate{}, false
 		}
-		return placement.Offer{Placement: flow.Placement{Service: s.Hash}, Load: uint16(load)}, true
+		return placement.Candidate{Placement: flow.Placement{Service: s.Hash}, Load: uint16(load)}, true
 	}
 }
 
