--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -315,7 +315,7 @@
 		return append(to, p.agents[:min(len(p.agents), maxHolders)]...), all && len(p.agents) <= maxHolders
 	}
 	for number, of := range p.targets {
-		if !r.Had(number) {
+		if !r.EverHad(number) {
 			continue
 		}
 		room := maxHolders - len(to)
@@ -344,7 +344,7 @@
 	}
 	unfamiliar := former && time.Since(p.began) < unfamiliarFor
 	for number, of := range p.targets {
-		if (unfamiliar || r.Had(number)) && len(to) < maxRegistrars {
+		if (unfamiliar || r.EverHad(number)) && len(to) < maxRegistrars {
 			to = draw(to, key, of.agents)
 		}
 	}
--- a/placement/route.go
+++ b/placement/route.go
@@ -39,8 +39,8 @@
 	return r
 }
 
-// Had reports whether the route has, or has had, a service.
-func (r *Route) Had(service uint32) bool { return r.had[service] }
+// EverHad reports whether the route has, or has had, a service.
+func (r *Route) EverHad(service uint32) bool { return r.had[service] }
 
 // Leads reports whether new flows of the route may go to a service.
 func (r *Route) Leads(service uint32) bool {
--- a/placement/route_test.go
+++ b/placement/route_test.go
@@ -63,9 +63,9 @@
 func TestHad(t *testing.T) {
 	is := is.New(t)
 	r := placement.NewRoute([]placement.WeightedService{{Service: 4, Weight: 1}}, route())
-	is.True(r.Had(1))
-	is.True(r.Had(4))
-	is.True(!r.Had(5))
+	is.True(r.EverHad(1))
+	is.True(r.EverHad(4))
+	is.True(!r.EverHad(5))
 }
 
 func TestRouteWithoutWeights(t *testing.T) {
