--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -235,7 +235,7 @@
 func (p *placer) evacuated(r *placement.Route) bool {
 	found := false
 	for number, of := range p.targets {
-		if !r.Leads(number) {
+		if !r.RoutesTo(number) {
 			continue
 		}
 		if len(of.list) > 0 {
--- a/placement/route.go
+++ b/placement/route.go
@@ -42,8 +42,8 @@
 // EverHad reports whether the route has, or has had, a service.
 func (r *Route) EverHad(service uint32) bool { return r.had[service] }
 
-// Leads reports whether new flows of the route may go to a service.
-func (r *Route) Leads(service uint32) bool {
+// RoutesTo reports whether new flows of the route may go to a service.
+func (r *Route) RoutesTo(service uint32) bool {
 	for _, s := range r.shares {
 		if s.Service == service && s.Weight > 0 {
 			return true
