--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// Life names one life of a backend server.
-type Life struct {
+// Instance names one life of a backend server.
+type Instance struct {
 	// ID is the name that it gives itself.
 	ID string
 	// StartedMS is the time of its start by its own clock, in milliseconds since
@@ -18,7 +18,7 @@
 
 // Report is what a backend server says of itself.
 type Report struct {
-	Life Life
+	Life Instance
 	// Sequence grows with each report of a life.
 	Sequence uint64
 	// Leaving: it takes no new flows.
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -102,7 +102,7 @@
 
 // processOf identifies a life of the backend server: an agent that starts again
 // beside it gets the same registration.
-func processOf(l incarnation.Life) []byte {
+func processOf(l incarnation.Instance) []byte {
 	h := fnv.New128a()
 	_, _ = h.Write([]byte(l.ID))
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(l.StartedMS)))
