--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -18,7 +18,7 @@
 
 // Report is what a backend server says of itself.
 type Report struct {
-	Life Instance
+	Instance Instance
 	// Sequence grows with each report of a life.
 	Sequence uint64
 	// Leaving: it takes no new flows.
@@ -97,10 +97,10 @@
 		t.known, t.current = true, r
 		return First
 	}
-	if r.Life.StartedMS == 0 && t.current.Life.StartedMS != 0 {
+	if r.Instance.StartedMS == 0 && t.current.Instance.StartedMS != 0 {
 		return Unordered
 	}
-	if r.Life != t.current.Life {
+	if r.Instance != t.current.Instance {
 		return t.another(r)
 	}
 	t.silent = false
@@ -127,8 +127,8 @@
 	if !t.succeeds(r) {
 		return Former
 	}
-	if t.current.Life.StartedMS == 0 {
-		t.former = append(t.former, former{id: t.current.Life.ID, sequence: t.current.Sequence})
+	if t.current.Instance.StartedMS == 0 {
+		t.former = append(t.former, former{id: t.current.Instance.ID, sequence: t.current.Sequence})
 		t.former = t.former[max(len(t.former)-maxFormer, 0):]
 	}
 	t.current = r
@@ -139,7 +139,7 @@
 // succeeds reports whether a life is later than the one known. Of two that started
 // in the same millisecond the one whose report came first stays, until it is gone.
 func (t *Tracker) succeeds(r Report) bool {
-	l, held := r.Life, t.current.Life
+	l, held := r.Instance, t.current.Instance
 	if l.StartedMS < held.StartedMS {
 		return t.silent && t.repeats(r)
 	}
@@ -160,8 +160,8 @@
 // repeats reports whether a life with an earlier start than the silent one was heard
 // before. One report may have been delayed.
 func (t *Tracker) repeats(r Report) bool {
-	again := t.earlier.Life == r.Life && r.Sequence > t.earlier.Sequence && !r.Gone
-	if t.earlier.Life != r.Life || again {
+	again := t.earlier.Instance == r.Instance && r.Sequence > t.earlier.Sequence && !r.Gone
+	if t.earlier.Instance != r.Instance || again {
 		t.earlier = r
 	}
 	return again
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -9,7 +9,7 @@
 )
 
 func report(id string, started int64, sequence uint64) incarnation.Report {
-	return incarnation.Report{Life: incarnation.Instance{ID: id, StartedMS: started}, Sequence: sequence, Slots: 4}
+	return incarnation.Report{Instance: incarnation.Instance{ID: id, StartedMS: started}, Sequence: sequence, Slots: 4}
 }
 
 func leaving(r incarnation.Report) incarnation.Report { r.Leaving = true; return r }
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -24,14 +24,14 @@
 	verdict := a.tracker.Take(r)
 	if verdict != incarnation.First && verdict != incarnation.Newer {
 		a.opts.Log.Info("report passed over", zap.String("reason", string(verdict)),
-			zap.String("server", r.Life.ID), zap.Int64("started_ms", r.Life.StartedMS), zap.Uint64("sequence", r.Sequence))
+			zap.String("server", r.Instance.ID), zap.Int64("started_ms", r.Instance.StartedMS), zap.Uint64("sequence", r.Sequence))
 		return verdict
 	}
 	a.heardAt, a.ill = time.Now(), false
 	current, _ := a.tracker.Current()
 	a.noteWarmup(current.WarmupLeft)
 	if verdict == incarnation.First || !known || before.Leaving != current.Leaving || before.Gone != current.Gone {
-		a.opts.Log.Info("backend server", zap.String("server", current.Life.ID), zap.Int64("started_ms", current.Life.StartedMS),
+		a.opts.Log.Info("backend server", zap.String("server", current.Instance.ID), zap.Int64("started_ms", current.Instance.StartedMS),
 			zap.Uint64("sequence", current.Sequence), zap.Bool("leaving", current.Leaving), zap.Bool("gone", current.Gone))
 	}
 	if current.Gone && !before.Gone {
@@ -67,8 +67,8 @@
 // sends its first report. It has to be sure: an agent that takes flows of its target
 // for none has their callers told that they are gone.
 func (a *Agent) startedBefore(r incarnation.Report) bool {
-	told := r.Life.StartedMS != 0
-	return r.Sequence <= newSequence && (!told || r.Life.StartedMS >= a.began.UnixMilli())
+	told := r.Instance.StartedMS != 0
+	return r.Sequence <= newSequence && (!told || r.Instance.StartedMS >= a.began.UnixMilli())
 }
 
 // announce registers another life of the target. The lock is held.
@@ -88,7 +88,7 @@
 		Service:       a.opts.Service,
 		CreateService: true,
 		Target:        a.opts.Target,
-		Process:       processOf(r.Life),
+		Process:       processOf(r.Instance),
 		FailureDomain: a.opts.FailureDomain,
 		Address:       a.frames.local().String(),
 		Started:       coldStart(r.WarmupLeft),
