--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -21,8 +21,8 @@
 	Instance Instance
 	// Sequence grows with each report of a life.
 	Sequence uint64
-	// Leaving: it takes no new flows.
-	Leaving bool
+	// Draining: it takes no new flows.
+	Draining bool
 	// Gone: it serves no more.
 	Gone bool
 	// Slots is how many requests it runs at a time.
@@ -113,7 +113,7 @@
 	if r.Sequence <= t.current.Sequence && !r.Gone {
 		return Late
 	}
-	r.Leaving = r.Leaving || t.current.Leaving
+	r.Draining = r.Draining || t.current.Draining
 	r.Sequence = max(r.Sequence, t.current.Sequence)
 	if r.Slots == 0 {
 		r.Slots = t.current.Slots
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -12,7 +12,7 @@
 	return incarnation.Report{Instance: incarnation.Instance{ID: id, StartedMS: started}, Sequence: sequence, Slots: 4}
 }
 
-func leaving(r incarnation.Report) incarnation.Report { r.Leaving = true; return r }
+func leaving(r incarnation.Report) incarnation.Report { r.Draining = true; return r }
 func gone(r incarnation.Report) incarnation.Report    { r.Gone = true; return r }
 
 func TestTake(t *testing.T) {
@@ -53,7 +53,7 @@
 			is.Equal(tracker.Take(tt.next), tt.want)
 			current, known := tracker.Current()
 			is.True(known)
-			is.Equal(current.Leaving, tt.leaving)
+			is.Equal(current.Draining, tt.leaving)
 			is.Equal(current.Gone, tt.gone)
 		})
 	}
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -30,9 +30,9 @@
 	a.heardAt, a.ill = time.Now(), false
 	current, _ := a.tracker.Current()
 	a.noteWarmup(current.WarmupLeft)
-	if verdict == incarnation.First || !known || before.Leaving != current.Leaving || before.Gone != current.Gone {
+	if verdict == incarnation.First || !known || before.Draining != current.Draining || before.Gone != current.Gone {
 		a.opts.Log.Info("backend server", zap.String("server", current.Instance.ID), zap.Int64("started_ms", current.Instance.StartedMS),
-			zap.Uint64("sequence", current.Sequence), zap.Bool("leaving", current.Leaving), zap.Bool("gone", current.Gone))
+			zap.Uint64("sequence", current.Sequence), zap.Bool("leaving", current.Draining), zap.Bool("gone", current.Gone))
 	}
 	if current.Gone && !before.Gone {
 		a.withdraw()
@@ -208,7 +208,7 @@
 
 func (a *Agent) status(r incarnation.Report) subscriber.Status {
 	state := controlpb.TargetState_TARGET_STATE_SERVING
-	if r.Leaving || r.Gone {
+	if r.Draining || r.Gone {
 		state = controlpb.TargetState_TARGET_STATE_DRAINING
 	}
 	return subscriber.Status{State: state, Ill: a.ill, Slots: uint32(r.Slots)}
@@ -222,7 +222,7 @@
 	switch {
 	case !known || r.Gone:
 		s.State = flow.Absent
-	case r.Leaving:
+	case r.Draining:
 		s.State = flow.Leaving
 	default:
 		s.State = flow.Serving
