--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -23,8 +23,8 @@
 	Sequence uint64
 	// Draining: it takes no new flows.
 	Draining bool
-	// Gone: it serves no more.
-	Gone bool
+	// Stopped: it serves no more.
+	Stopped bool
 	// Slots is how many requests it runs at a time.
 	Slots int
 	// WarmupLeft is how much longer it is slow after its start.
@@ -107,10 +107,10 @@
 	for i := range t.former {
 		t.former[i].rising = 0
 	}
-	if t.current.Gone {
+	if t.current.Stopped {
 		return Ended
 	}
-	if r.Sequence <= t.current.Sequence && !r.Gone {
+	if r.Sequence <= t.current.Sequence && !r.Stopped {
 		return Late
 	}
 	r.Draining = r.Draining || t.current.Draining
@@ -147,20 +147,20 @@
 		return true
 	}
 	if l.StartedMS != 0 {
-		return t.current.Gone
+		return t.current.Stopped
 	}
 	for i := range t.former {
 		if t.former[i].id == l.ID {
 			return t.revives(i, r)
 		}
 	}
-	return !r.Gone
+	return !r.Stopped
 }
 
 // repeats reports whether a life with an earlier start than the silent one was heard
 // before. One report may have been delayed.
 func (t *Tracker) repeats(r Report) bool {
-	again := t.earlier.Instance == r.Instance && r.Sequence > t.earlier.Sequence && !r.Gone
+	again := t.earlier.Instance == r.Instance && r.Sequence > t.earlier.Sequence && !r.Stopped
 	if t.earlier.Instance != r.Instance || again {
 		t.earlier = r
 	}
@@ -171,7 +171,7 @@
 // one after all. It is no longer remembered as a former one then.
 func (t *Tracker) revives(i int, r Report) bool {
 	f := &t.former[i]
-	if r.Gone || r.Sequence <= f.sequence {
+	if r.Stopped || r.Sequence <= f.sequence {
 		return false
 	}
 	f.sequence = r.Sequence
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -13,7 +13,7 @@
 }
 
 func leaving(r incarnation.Report) incarnation.Report { r.Draining = true; return r }
-func gone(r incarnation.Report) incarnation.Report    { r.Gone = true; return r }
+func gone(r incarnation.Report) incarnation.Report    { r.Stopped = true; return r }
 
 func TestTake(t *testing.T) {
 	for _, tt := range []struct {
@@ -54,7 +54,7 @@
 			current, known := tracker.Current()
 			is.True(known)
 			is.Equal(current.Draining, tt.leaving)
-			is.Equal(current.Gone, tt.gone)
+			is.Equal(current.Stopped, tt.gone)
 		})
 	}
 }
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -30,11 +30,11 @@
 	a.heardAt, a.ill = time.Now(), false
 	current, _ := a.tracker.Current()
 	a.noteWarmup(current.WarmupLeft)
-	if verdict == incarnation.First || !known || before.Draining != current.Draining || before.Gone != current.Gone {
+	if verdict == incarnation.First || !known || before.Draining != current.Draining || before.Stopped != current.Stopped {
 		a.opts.Log.Info("backend server", zap.String("server", current.Instance.ID), zap.Int64("started_ms", current.Instance.StartedMS),
-			zap.Uint64("sequence", current.Sequence), zap.Bool("leaving", current.Draining), zap.Bool("gone", current.Gone))
+			zap.Uint64("sequence", current.Sequence), zap.Bool("leaving", current.Draining), zap.Bool("gone", current.Stopped))
 	}
-	if current.Gone && !before.Gone {
+	if current.Stopped && !before.Stopped {
 		a.withdraw()
 	}
 	if verdict == incarnation.First {
@@ -77,7 +77,7 @@
 		former := a.announcer
 		a.workers.Go(former.Close)
 	}
-	if a.ctx.Err() != nil || r.Gone {
+	if a.ctx.Err() != nil || r.Stopped {
 		a.announcer = nil
 		return
 	}
@@ -208,7 +208,7 @@
 
 func (a *Agent) status(r incarnation.Report) subscriber.Status {
 	state := controlpb.TargetState_TARGET_STATE_SERVING
-	if r.Draining || r.Gone {
+	if r.Draining || r.Stopped {
 		state = controlpb.TargetState_TARGET_STATE_DRAINING
 	}
 	return subscriber.Status{State: state, Ill: a.ill, Slots: uint32(r.Slots)}
@@ -220,7 +220,7 @@
 	r, known := a.tracker.Current()
 	s := flow.Server{Service: a.service, Slots: r.Slots, Unhealthy: a.ill, Evacuated: a.evacuated}
 	switch {
-	case !known || r.Gone:
+	case !known || r.Stopped:
 		s.State = flow.Absent
 	case r.Draining:
 		s.State = flow.Leaving
