--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -31,23 +31,23 @@
 	WarmupLeft time.Duration
 }
 
-// Verdict tells what a report is.
-type Verdict string
+// Result tells what a report is.
+type Result string
 
 // Verdicts.
 const (
 	// First report of a life that is newer than the one known.
-	First Verdict = "first"
+	First Result = "first"
 	// Newer report of the life known.
-	Newer Verdict = "newer"
+	Newer Result = "newer"
 	// Late report of the life known: a later one was taken in before.
-	Late Verdict = "late"
+	Late Result = "late"
 	// Former life: a newer one has begun.
-	Former Verdict = "former_life"
+	Former Result = "former_life"
 	// Ended life: it said before that it is gone.
-	Ended Verdict = "ended_life"
+	Ended Result = "ended_life"
 	// Unordered: the life known tells its start, this report does not.
-	Unordered Verdict = "unordered"
+	Unordered Result = "unordered"
 )
 
 const (
@@ -92,7 +92,7 @@
 // Take takes in a report, unless the verdict says that a newer one is known. A life
 // that leaves does not return to service: a report that says otherwise was sent
 // before, whatever its sequence number.
-func (t *Tracker) Take(r Report) Verdict {
+func (t *Tracker) Take(r Report) Result {
 	if !t.known {
 		t.known, t.current = true, r
 		return First
@@ -123,7 +123,7 @@
 }
 
 // another decides on a report of another life than the one known.
-func (t *Tracker) another(r Report) Verdict {
+func (t *Tracker) another(r Report) Result {
 	if !t.succeeds(r) {
 		return Former
 	}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -20,7 +20,7 @@
 		name    string
 		before  []incarnation.Report
 		next    incarnation.Report
-		want    incarnation.Verdict
+		want    incarnation.Result
 		leaving bool
 		gone    bool
 	}{
