--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -36,8 +36,8 @@
 
 // Verdicts.
 const (
-	// First report of a life that is newer than the one known.
-	First Result = "first"
+	// NewInstance report of a life that is newer than the one known.
+	NewInstance Result = "first"
 	// Newer report of the life known.
 	Newer Result = "newer"
 	// Late report of the life known: a later one was taken in before.
@@ -95,7 +95,7 @@
 func (t *Tracker) Take(r Report) Result {
 	if !t.known {
 		t.known, t.current = true, r
-		return First
+		return NewInstance
 	}
 	if r.Instance.StartedMS == 0 && t.current.Instance.StartedMS != 0 {
 		return Unordered
@@ -133,7 +133,7 @@
 	}
 	t.current = r
 	t.silent = false
-	return First
+	return NewInstance
 }
 
 // succeeds reports whether a life is later than the one known. Of two that started
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -24,21 +24,21 @@
 		leaving bool
 		gone    bool
 	}{
-		{"first of all", nil, report("a", 100, 1), incarnation.First, false, false},
+		{"first of all", nil, report("a", 100, 1), incarnation.NewInstance, false, false},
 		{"next", []incarnation.Report{report("a", 100, 1)}, report("a", 100, 2), incarnation.Newer, false, false},
 		{"repeated", []incarnation.Report{report("a", 100, 2)}, report("a", 100, 2), incarnation.Late, false, false},
 		{"overtaken by its own drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 2), incarnation.Late, true, false},
 		{"never back from a drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 4), incarnation.Newer, true, false},
-		{"the same name again, counting anew", []incarnation.Report{leaving(report("a", 100, 9))}, report("a", 200, 1), incarnation.First, false, false},
+		{"the same name again, counting anew", []incarnation.Report{leaving(report("a", 100, 9))}, report("a", 200, 1), incarnation.NewInstance, false, false},
 		{"a drain of the life before", []incarnation.Report{report("a", 200, 1)}, leaving(report("a", 100, 50)), incarnation.Former, false, false},
-		{"another name later", []incarnation.Report{report("a", 100, 9)}, report("b", 200, 1), incarnation.First, false, false},
+		{"another name later", []incarnation.Report{report("a", 100, 9)}, report("b", 200, 1), incarnation.NewInstance, false, false},
 		{"an earlier one after it", []incarnation.Report{report("b", 200, 1)}, report("a", 100, 10), incarnation.Former, false, false},
 		{"gone, without a sequence number", []incarnation.Report{report("a", 100, 9)}, gone(report("a", 100, 0)), incarnation.Newer, false, true},
 		{"alive after it was gone", []incarnation.Report{gone(report("a", 100, 9))}, report("a", 100, 10), incarnation.Ended, false, true},
 		{"the life before is gone", []incarnation.Report{report("a", 200, 1)}, gone(report("a", 100, 0)), incarnation.Former, false, false},
-		{"no start told, another name", []incarnation.Report{report("a", 0, 9)}, report("b", 0, 1), incarnation.First, false, false},
+		{"no start told, another name", []incarnation.Report{report("a", 0, 9)}, report("b", 0, 1), incarnation.NewInstance, false, false},
 		{"no start told, delayed report of the life before", []incarnation.Report{report("a", 0, 9), report("b", 0, 1)}, leaving(report("a", 0, 10)), incarnation.Former, false, false},
-		{"no start told, the wrong order at first", []incarnation.Report{report("b", 0, 3), report("a", 0, 9), report("b", 0, 4)}, report("b", 0, 5), incarnation.First, false, false},
+		{"no start told, the wrong order at first", []incarnation.Report{report("b", 0, 3), report("a", 0, 9), report("b", 0, 4)}, report("b", 0, 5), incarnation.NewInstance, false, false},
 		{"no start told, two delayed reports around one of the present life",
 			[]incarnation.Report{report("a", 0, 9), report("b", 0, 1), report("a", 0, 10), report("b", 0, 2)}, report("a", 0, 11), incarnation.Former, false, false},
 		{"no start told, the life before is gone", []incarnation.Report{report("a", 0, 9), report("b", 0, 1)}, gone(report("a", 0, 0)), incarnation.Former, false, false},
@@ -72,8 +72,8 @@
 	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.Former)  // a copy
 	is.Equal(tracker.Take(report("a", 100, 50)), incarnation.Former) // of another life
 	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.Former)
-	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.First)
-	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.First) // it was right at first
+	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.NewInstance)
+	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.NewInstance) // it was right at first
 }
 
 // A life that is heard again after its silence is the one that lives.
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -22,7 +22,7 @@
 	defer a.mu.Unlock()
 	before, known := a.tracker.Current()
 	verdict := a.tracker.Take(r)
-	if verdict != incarnation.First && verdict != incarnation.Newer {
+	if verdict != incarnation.NewInstance && verdict != incarnation.Newer {
 		a.opts.Log.Info("report passed over", zap.String("reason", string(verdict)),
 			zap.String("server", r.Instance.ID), zap.Int64("started_ms", r.Instance.StartedMS), zap.Uint64("sequence", r.Sequence))
 		return verdict
@@ -30,14 +30,14 @@
 	a.heardAt, a.ill = time.Now(), false
 	current, _ := a.tracker.Current()
 	a.noteWarmup(current.WarmupLeft)
-	if verdict == incarnation.First || !known || before.Draining != current.Draining || before.Stopped != current.Stopped {
+	if verdict == incarnation.NewInstance || !known || before.Draining != current.Draining || before.Stopped != current.Stopped {
 		a.opts.Log.Info("backend server", zap.String("server", current.Instance.ID), zap.Int64("started_ms", current.Instance.StartedMS),
 			zap.Uint64("sequence", current.Sequence), zap.Bool("leaving", current.Draining), zap.Bool("gone", current.Stopped))
 	}
 	if current.Stopped && !before.Stopped {
 		a.withdraw()
 	}
-	if verdict == incarnation.First {
+	if verdict == incarnation.NewInstance {
 		if known || a.startedBefore(r) {
 			a.flows.MarkComplete(a.now())
 		}
