--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -38,8 +38,8 @@
 const (
 	// NewInstance report of a life that is newer than the one known.
 	NewInstance Result = "first"
-	// Newer report of the life known.
-	Newer Result = "newer"
+	// Update report of the life known.
+	Update Result = "newer"
 	// Late report of the life known: a later one was taken in before.
 	Late Result = "late"
 	// Former life: a newer one has begun.
@@ -119,7 +119,7 @@
 		r.Slots = t.current.Slots
 	}
 	t.current = r
-	return Newer
+	return Update
 }
 
 // another decides on a report of another life than the one known.
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -25,15 +25,15 @@
 		gone    bool
 	}{
 		{"first of all", nil, report("a", 100, 1), incarnation.NewInstance, false, false},
-		{"next", []incarnation.Report{report("a", 100, 1)}, report("a", 100, 2), incarnation.Newer, false, false},
+		{"next", []incarnation.Report{report("a", 100, 1)}, report("a", 100, 2), incarnation.Update, false, false},
 		{"repeated", []incarnation.Report{report("a", 100, 2)}, report("a", 100, 2), incarnation.Late, false, false},
 		{"overtaken by its own drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 2), incarnation.Late, true, false},
-		{"never back from a drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 4), incarnation.Newer, true, false},
+		{"never back from a drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 4), incarnation.Update, true, false},
 		{"the same name again, counting anew", []incarnation.Report{leaving(report("a", 100, 9))}, report("a", 200, 1), incarnation.NewInstance, false, false},
 		{"a drain of the life before", []incarnation.Report{report("a", 200, 1)}, leaving(report("a", 100, 50)), incarnation.Former, false, false},
 		{"another name later", []incarnation.Report{report("a", 100, 9)}, report("b", 200, 1), incarnation.NewInstance, false, false},
 		{"an earlier one after it", []incarnation.Report{report("b", 200, 1)}, report("a", 100, 10), incarnation.Former, false, false},
-		{"gone, without a sequence number", []incarnation.Report{report("a", 100, 9)}, gone(report("a", 100, 0)), incarnation.Newer, false, true},
+		{"gone, without a sequence number", []incarnation.Report{report("a", 100, 9)}, gone(report("a", 100, 0)), incarnation.Update, false, true},
 		{"alive after it was gone", []incarnation.Report{gone(report("a", 100, 9))}, report("a", 100, 10), incarnation.Ended, false, true},
 		{"the life before is gone", []incarnation.Report{report("a", 200, 1)}, gone(report("a", 100, 0)), incarnation.Former, false, false},
 		{"no start told, another name", []incarnation.Report{report("a", 0, 9)}, report("b", 0, 1), incarnation.NewInstance, false, false},
@@ -83,7 +83,7 @@
 	tracker.Take(report("a", 5000, 9))
 	tracker.Silent()
 	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.Former)
-	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.Newer)
+	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.Update)
 	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.Former)
 	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.Former)
 }
