--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -40,8 +40,8 @@
 	NewInstance Result = "first"
 	// Update report of the life known.
 	Update Result = "newer"
-	// Late report of the life known: a later one was taken in before.
-	Late Result = "late"
+	// Stale report of the life known: a later one was taken in before.
+	Stale Result = "late"
 	// Former life: a newer one has begun.
 	Former Result = "former_life"
 	// Ended life: it said before that it is gone.
@@ -111,7 +111,7 @@
 		return Ended
 	}
 	if r.Sequence <= t.current.Sequence && !r.Stopped {
-		return Late
+		return Stale
 	}
 	r.Draining = r.Draining || t.current.Draining
 	r.Sequence = max(r.Sequence, t.current.Sequence)
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -26,8 +26,8 @@
 	}{
 		{"first of all", nil, report("a", 100, 1), incarnation.NewInstance, false, false},
 		{"next", []incarnation.Report{report("a", 100, 1)}, report("a", 100, 2), incarnation.Update, false, false},
-		{"repeated", []incarnation.Report{report("a", 100, 2)}, report("a", 100, 2), incarnation.Late, false, false},
-		{"overtaken by its own drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 2), incarnation.Late, true, false},
+		{"repeated", []incarnation.Report{report("a", 100, 2)}, report("a", 100, 2), incarnation.Stale, false, false},
+		{"overtaken by its own drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 2), incarnation.Stale, true, false},
 		{"never back from a drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 4), incarnation.Update, true, false},
 		{"the same name again, counting anew", []incarnation.Report{leaving(report("a", 100, 9))}, report("a", 200, 1), incarnation.NewInstance, false, false},
 		{"a drain of the life before", []incarnation.Report{report("a", 200, 1)}, leaving(report("a", 100, 50)), incarnation.Former, false, false},
