--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -42,8 +42,8 @@
 	Update Result = "newer"
 	// Stale report of the life known: a later one was taken in before.
 	Stale Result = "late"
-	// Former life: a newer one has begun.
-	Former Result = "former_life"
+	// PreviousInstance life: a newer one has begun.
+	PreviousInstance Result = "former_life"
 	// Ended life: it said before that it is gone.
 	Ended Result = "ended_life"
 	// Unordered: the life known tells its start, this report does not.
@@ -125,7 +125,7 @@
 // another decides on a report of another life than the one known.
 func (t *Tracker) another(r Report) Result {
 	if !t.succeeds(r) {
-		return Former
+		return PreviousInstance
 	}
 	if t.current.Instance.StartedMS == 0 {
 		t.former = append(t.former, former{id: t.current.Instance.ID, sequence: t.current.Sequence})
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -30,18 +30,18 @@
 		{"overtaken by its own drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 2), incarnation.Stale, true, false},
 		{"never back from a drain", []incarnation.Report{leaving(report("a", 100, 3))}, report("a", 100, 4), incarnation.Update, true, false},
 		{"the same name again, counting anew", []incarnation.Report{leaving(report("a", 100, 9))}, report("a", 200, 1), incarnation.NewInstance, false, false},
-		{"a drain of the life before", []incarnation.Report{report("a", 200, 1)}, leaving(report("a", 100, 50)), incarnation.Former, false, false},
+		{"a drain of the life before", []incarnation.Report{report("a", 200, 1)}, leaving(report("a", 100, 50)), incarnation.PreviousInstance, false, false},
 		{"another name later", []incarnation.Report{report("a", 100, 9)}, report("b", 200, 1), incarnation.NewInstance, false, false},
-		{"an earlier one after it", []incarnation.Report{report("b", 200, 1)}, report("a", 100, 10), incarnation.Former, false, false},
+		{"an earlier one after it", []incarnation.Report{report("b", 200, 1)}, report("a", 100, 10), incarnation.PreviousInstance, false, false},
 		{"gone, without a sequence number", []incarnation.Report{report("a", 100, 9)}, gone(report("a", 100, 0)), incarnation.Update, false, true},
 		{"alive after it was gone", []incarnation.Report{gone(report("a", 100, 9))}, report("a", 100, 10), incarnation.Ended, false, true},
-		{"the life before is gone", []incarnation.Report{report("a", 200, 1)}, gone(report("a", 100, 0)), incarnation.Former, false, false},
+		{"the life before is gone", []incarnation.Report{report("a", 200, 1)}, gone(report("a", 100, 0)), incarnation.PreviousInstance, false, false},
 		{"no start told, another name", []incarnation.Report{report("a", 0, 9)}, report("b", 0, 1), incarnation.NewInstance, false, false},
-		{"no start told, delayed report of the life before", []incarnation.Report{report("a", 0, 9), report("b", 0, 1)}, leaving(report("a", 0, 10)), incarnation.Former, false, false},
+		{"no start told, delayed report of the life before", []incarnation.Report{report("a", 0, 9), report("b", 0, 1)}, leaving(report("a", 0, 10)), incarnation.PreviousInstance, false, false},
 		{"no start told, the wrong order at first", []incarnation.Report{report("b", 0, 3), report("a", 0, 9), report("b", 0, 4)}, report("b", 0, 5), incarnation.NewInstance, false, false},
 		{"no start told, two delayed reports around one of the present life",
-			[]incarnation.Report{report("a", 0, 9), report("b", 0, 1), report("a", 0, 10), report("b", 0, 2)}, report("a", 0, 11), incarnation.Former, false, false},
-		{"no start told, the life before is gone", []incarnation.Report{report("a", 0, 9), report("b", 0, 1)}, gone(report("a", 0, 0)), incarnation.Former, false, false},
+			[]incarnation.Report{report("a", 0, 9), report("b", 0, 1), report("a", 0, 10), report("b", 0, 2)}, report("a", 0, 11), incarnation.PreviousInstance, false, false},
+		{"no start told, the life before is gone", []incarnation.Report{report("a", 0, 9), report("b", 0, 1)}, gone(report("a", 0, 0)), incarnation.PreviousInstance, false, false},
 		{"start told before, not now", []incarnation.Report{report("a", 100, 9)}, leaving(report("a", 0, 10)), incarnation.Unordered, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -65,13 +65,13 @@
 	is := is.New(t)
 	var tracker incarnation.Tracker
 	tracker.Take(report("a", 5000, 9))
-	is.Equal(tracker.Take(report("a", 200, 1)), incarnation.Former)
-	is.Equal(tracker.Take(report("a", 200, 2)), incarnation.Former) // the life known may live
+	is.Equal(tracker.Take(report("a", 200, 1)), incarnation.PreviousInstance)
+	is.Equal(tracker.Take(report("a", 200, 2)), incarnation.PreviousInstance) // the life known may live
 	tracker.Silent()
-	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.Former)
-	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.Former)  // a copy
-	is.Equal(tracker.Take(report("a", 100, 50)), incarnation.Former) // of another life
-	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.Former)
+	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.PreviousInstance)
+	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.PreviousInstance)  // a copy
+	is.Equal(tracker.Take(report("a", 100, 50)), incarnation.PreviousInstance) // of another life
+	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.PreviousInstance)
 	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.NewInstance)
 	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.NewInstance) // it was right at first
 }
@@ -82,8 +82,8 @@
 	var tracker incarnation.Tracker
 	tracker.Take(report("a", 5000, 9))
 	tracker.Silent()
-	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.Former)
+	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.PreviousInstance)
 	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.Update)
-	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.Former)
-	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.Former)
+	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.PreviousInstance)
+	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.PreviousInstance)
 }
