--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -44,8 +44,8 @@
 	Stale Result = "late"
 	// PreviousInstance life: a newer one has begun.
 	PreviousInstance Result = "former_life"
-	// Ended life: it said before that it is gone.
-	Ended Result = "ended_life"
+	// StoppedInstance life: it said before that it is gone.
+	StoppedInstance Result = "ended_life"
 	// Unordered: the life known tells its start, this report does not.
 	Unordered Result = "unordered"
 )
@@ -108,7 +108,7 @@
 		t.former[i].rising = 0
 	}
 	if t.current.Stopped {
-		return Ended
+		return StoppedInstance
 	}
 	if r.Sequence <= t.current.Sequence && !r.Stopped {
 		return Stale
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -34,7 +34,7 @@
 		{"another name later", []incarnation.Report{report("a", 100, 9)}, report("b", 200, 1), incarnation.NewInstance, false, false},
 		{"an earlier one after it", []incarnation.Report{report("b", 200, 1)}, report("a", 100, 10), incarnation.PreviousInstance, false, false},
 		{"gone, without a sequence number", []incarnation.Report{report("a", 100, 9)}, gone(report("a", 100, 0)), incarnation.Update, false, true},
-		{"alive after it was gone", []incarnation.Report{gone(report("a", 100, 9))}, report("a", 100, 10), incarnation.Ended, false, true},
+		{"alive after it was gone", []incarnation.Report{gone(report("a", 100, 9))}, report("a", 100, 10), incarnation.StoppedInstance, false, true},
 		{"the life before is gone", []incarnation.Report{report("a", 200, 1)}, gone(report("a", 100, 0)), incarnation.PreviousInstance, false, false},
 		{"no start told, another name", []incarnation.Report{report("a", 0, 9)}, report("b", 0, 1), incarnation.NewInstance, false, false},
 		{"no start told, delayed report of the life before", []incarnation.Report{report("a", 0, 9), report("b", 0, 1)}, leaving(report("a", 0, 10)), incarnation.PreviousInstance, false, false},
