--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -89,10 +89,10 @@
 // ended. The time of day may have stepped back since it began.
 func (t *Tracker) Silent() { t.silent, t.earlier = true, Report{} }
 
-// Take takes in a report, unless the verdict says that a newer one is known. A life
+// Apply takes in a report, unless the verdict says that a newer one is known. A life
 // that leaves does not return to service: a report that says otherwise was sent
 // before, whatever its sequence number.
-func (t *Tracker) Take(r Report) Result {
+func (t *Tracker) Apply(r Report) Result {
 	if !t.known {
 		t.known, t.current = true, r
 		return NewInstance
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -48,9 +48,9 @@
 			is := is.New(t)
 			var tracker incarnation.Tracker
 			for _, r := range tt.before {
-				tracker.Take(r)
+				tracker.Apply(r)
 			}
-			is.Equal(tracker.Take(tt.next), tt.want)
+			is.Equal(tracker.Apply(tt.next), tt.want)
 			current, known := tracker.Current()
 			is.True(known)
 			is.Equal(current.Draining, tt.leaving)
@@ -64,26 +64,26 @@
 func TestClockThatStepsBack(t *testing.T) {
 	is := is.New(t)
 	var tracker incarnation.Tracker
-	tracker.Take(report("a", 5000, 9))
-	is.Equal(tracker.Take(report("a", 200, 1)), incarnation.PreviousInstance)
-	is.Equal(tracker.Take(report("a", 200, 2)), incarnation.PreviousInstance) // the life known may live
+	tracker.Apply(report("a", 5000, 9))
+	is.Equal(tracker.Apply(report("a", 200, 1)), incarnation.PreviousInstance)
+	is.Equal(tracker.Apply(report("a", 200, 2)), incarnation.PreviousInstance) // the life known may live
 	tracker.Silent()
-	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.PreviousInstance)
-	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.PreviousInstance)  // a copy
-	is.Equal(tracker.Take(report("a", 100, 50)), incarnation.PreviousInstance) // of another life
-	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.PreviousInstance)
-	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.NewInstance)
-	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.NewInstance) // it was right at first
+	is.Equal(tracker.Apply(report("a", 200, 3)), incarnation.PreviousInstance)
+	is.Equal(tracker.Apply(report("a", 200, 3)), incarnation.PreviousInstance)  // a copy
+	is.Equal(tracker.Apply(report("a", 100, 50)), incarnation.PreviousInstance) // of another life
+	is.Equal(tracker.Apply(report("a", 200, 4)), incarnation.PreviousInstance)
+	is.Equal(tracker.Apply(report("a", 200, 5)), incarnation.NewInstance)
+	is.Equal(tracker.Apply(report("a", 5000, 10)), incarnation.NewInstance) // it was right at first
 }
 
 // A life that is heard again after its silence is the one that lives.
 func TestSilenceThatEnds(t *testing.T) {
 	is := is.New(t)
 	var tracker incarnation.Tracker
-	tracker.Take(report("a", 5000, 9))
+	tracker.Apply(report("a", 5000, 9))
 	tracker.Silent()
-	is.Equal(tracker.Take(report("a", 200, 3)), incarnation.PreviousInstance)
-	is.Equal(tracker.Take(report("a", 5000, 10)), incarnation.Update)
-	is.Equal(tracker.Take(report("a", 200, 4)), incarnation.PreviousInstance)
-	is.Equal(tracker.Take(report("a", 200, 5)), incarnation.PreviousInstance)
+	is.Equal(tracker.Apply(report("a", 200, 3)), incarnation.PreviousInstance)
+	is.Equal(tracker.Apply(report("a", 5000, 10)), incarnation.Update)
+	is.Equal(tracker.Apply(report("a", 200, 4)), incarnation.PreviousInstance)
+	is.Equal(tracker.Apply(report("a", 200, 5)), incarnation.PreviousInstance)
 }
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -21,7 +21,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before, known := a.tracker.Current()
-	verdict := a.tracker.Take(r)
+	verdict := a.tracker.Apply(r)
 	if verdict != incarnation.NewInstance && verdict != incarnation.Update {
 		a.opts.Log.Info("report passed over", zap.String("reason", string(verdict)),
 			zap.String("server", r.Instance.ID), zap.Int64("started_ms", r.Instance.StartedMS), zap.Uint64("sequence", r.Sequence))
