--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -85,9 +85,9 @@
 // Current returns the newest report, and whether there is one.
 func (t *Tracker) Current() (Report, bool) { return t.current, t.known }
 
-// Silent tells that the life known has not been heard of for so long that it may have
+// MarkUnresponsive tells that the life known has not been heard of for so long that it may have
 // ended. The time of day may have stepped back since it began.
-func (t *Tracker) Silent() { t.silent, t.earlier = true, Report{} }
+func (t *Tracker) MarkUnresponsive() { t.silent, t.earlier = true, Report{} }
 
 // Apply takes in a report, unless the verdict says that a newer one is known. A life
 // that leaves does not return to service: a report that says otherwise was sent
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -67,7 +67,7 @@
 	tracker.Apply(report("a", 5000, 9))
 	is.Equal(tracker.Apply(report("a", 200, 1)), incarnation.PreviousInstance)
 	is.Equal(tracker.Apply(report("a", 200, 2)), incarnation.PreviousInstance) // the life known may live
-	tracker.Silent()
+	tracker.MarkUnresponsive()
 	is.Equal(tracker.Apply(report("a", 200, 3)), incarnation.PreviousInstance)
 	is.Equal(tracker.Apply(report("a", 200, 3)), incarnation.PreviousInstance)  // a copy
 	is.Equal(tracker.Apply(report("a", 100, 50)), incarnation.PreviousInstance) // of another life
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	var tracker incarnation.Tracker
 	tracker.Apply(report("a", 5000, 9))
-	tracker.Silent()
+	tracker.MarkUnresponsive()
 	is.Equal(tracker.Apply(report("a", 200, 3)), incarnation.PreviousInstance)
 	is.Equal(tracker.Apply(report("a", 5000, 10)), incarnation.Update)
 	is.Equal(tracker.Apply(report("a", 200, 4)), incarnation.PreviousInstance)
--- a/internal/flowd/agent.go
+++ b/internal/flowd/agent.go
@@ -199,7 +199,7 @@
 		silent := !a.heardAt.IsZero() && time.Since(a.heardAt) > patience
 		if silent && !a.ill {
 			a.ill = true
-			a.tracker.Silent()
+			a.tracker.MarkUnresponsive()
 			a.opts.Log.Info("backend server is silent", zap.Duration("for", time.Since(a.heardAt)))
 			a.refresh()
 		}
