--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -46,7 +46,7 @@
 func (d *directory) lease() time.Duration { return d.dir.Lease() }
 
 // announce takes the record of an agent.
-func (d *directory) announce(r *controlpb.TargetRecord) membership.Verdict {
+func (d *directory) announce(r *controlpb.TargetRecord) membership.Result {
 	verdict := d.merge(r)
 	if verdict == membership.Changed {
 		d.changed.notify()
@@ -54,7 +54,7 @@
 	return verdict
 }
 
-func (d *directory) merge(r *controlpb.TargetRecord) membership.Verdict {
+func (d *directory) merge(r *controlpb.TargetRecord) membership.Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.Announce(d.now(), r, membership.Direct)
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -44,13 +44,13 @@
 	Damping    Damping
 }
 
-// Verdict tells what became of an announced record.
-type Verdict int
+// Result tells what became of an announced record.
+type Result int
 
 // Verdicts of Announce.
 const (
 	// Changed tells that the record is new or differs from the one held.
-	Changed Verdict = iota + 1
+	Changed Result = iota + 1
 	// Renewed tells that the record held got a new lease.
 	Renewed
 	// Superseded tells that a newer incarnation of the target is known.
@@ -64,7 +64,7 @@
 )
 
 // Took reports whether the record is now held.
-func (v Verdict) Took() bool { return v == Changed || v == Renewed }
+func (v Result) Took() bool { return v == Changed || v == Renewed }
 
 // Source names where a record was heard: empty for the agent itself, else
 // the control host that passed it on.
@@ -191,7 +191,7 @@
 // Announce merges a record. One from the agent itself gets a new lease; one
 // from another control host lives until that host says otherwise or has been
 // silent for too long. The record must not be changed afterwards.
-func (d *Directory) Announce(now time.Duration, r *controlpb.TargetRecord, from Source) Verdict {
+func (d *Directory) Announce(now time.Duration, r *controlpb.TargetRecord, from Source) Result {
 	t, verdict := d.accept(now, r)
 	switch {
 	case t == nil:
@@ -212,7 +212,7 @@
 
 // accept merges a record without regard to who claims it. It returns the
 // target, nil if there is none.
-func (d *Directory) accept(now time.Duration, r *controlpb.TargetRecord) (*target, Verdict) {
+func (d *Directory) accept(now time.Duration, r *controlpb.TargetRecord) (*target, Result) {
 	if !proper(r) {
 		return nil, Improper
 	}
@@ -247,7 +247,7 @@
 }
 
 // compare tells how a record stands to the one held.
-func compare(held, r *controlpb.TargetRecord) Verdict {
+func compare(held, r *controlpb.TargetRecord) Result {
 	switch {
 	case r.GetIncarnation() < held.GetIncarnation():
 		return Superseded
@@ -268,7 +268,7 @@
 	return t
 }
 
-func (d *Directory) take(now time.Duration, t *target, r *controlpb.TargetRecord, known bool) Verdict {
+func (d *Directory) take(now time.Duration, t *target, r *controlpb.TargetRecord, known bool) Result {
 	old := t.heard
 	t.heard = r
 	t.heardAt = now
--- a/membership/directory_test.go
+++ b/membership/directory_test.go
@@ -29,7 +29,7 @@
 	tests := []struct {
 		name string
 		next *controlpb.TargetRecord
-		want membership.Verdict
+		want membership.Result
 	}{
 		{"same", record(1, 2, 5), membership.Renewed},
 		{"later sequence", record(1, 2, 6), membership.Changed},
