--- a/membership/converge_test.go
+++ b/membership/converge_test.go
@@ -85,7 +85,7 @@
 		}
 		verdict := n.hosts[a.host].Announce(n.now, proto.CloneOf(a.record), membership.Direct)
 		a.superseded = verdict == membership.Superseded
-		if verdict.Took() {
+		if verdict.Accepted() {
 			n.heard[a.host][a.record.GetNumber()] = n.now
 		}
 	}
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -63,8 +63,8 @@
 	Full
 )
 
-// Took reports whether the record is now held.
-func (v Result) Took() bool { return v == Changed || v == Renewed }
+// Accepted reports whether the record is now held.
+func (v Result) Accepted() bool { return v == Changed || v == Renewed }
 
 // Source names where a record was heard: empty for the agent itself, else
 // the control host that passed it on.
@@ -203,7 +203,7 @@
 		if verdict == Changed && d.own.held[r.GetNumber()] != versionOf(r) {
 			d.own.drop(r.GetNumber())
 		}
-	case verdict.Took():
+	case verdict.Accepted():
 		d.own.put(r.GetNumber(), versionOf(r))
 		d.restart(now, t)
 	}
@@ -223,7 +223,7 @@
 		}
 		t = d.create(r)
 	}
-	if verdict := compare(t.heard, r); known && !verdict.Took() {
+	if verdict := compare(t.heard, r); known && !verdict.Accepted() {
 		return t, verdict
 	}
 	return t, d.take(now, t, r, known)
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -167,7 +167,7 @@
 // is good for a lease.
 func (d *Directory) hearRecords(now time.Duration, records []*controlpb.TargetRecord) {
 	for _, r := range records {
-		if t, verdict := d.accept(now, r); verdict.Took() {
+		if t, verdict := d.accept(now, r); verdict.Accepted() {
 			d.linger(now, t)
 		}
 	}
