--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -384,7 +384,7 @@
 			return "", ""
 		}
 		return refusedSuperseded, RefusalSuperseded
-	case membership.Improper:
+	case membership.Invalid:
 		return refusedImproper, RefusalImproper
 	case membership.Full:
 		return refusedFull, RefusalFull
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -57,8 +57,8 @@
 	Superseded
 	// Outdated tells that a newer record of the same incarnation is known.
 	Outdated
-	// Improper tells that the record breaks a bound or names no address.
-	Improper
+	// Invalid tells that the record breaks a bound or names no address.
+	Invalid
 	// Full tells that the directory holds as many targets as it may.
 	Full
 )
@@ -214,7 +214,7 @@
 // target, nil if there is none.
 func (d *Directory) accept(now time.Duration, r *controlpb.TargetRecord) (*target, Result) {
 	if !proper(r) {
-		return nil, Improper
+		return nil, Invalid
 	}
 	t, known := d.byID[r.GetNumber()]
 	if !known {
--- a/membership/directory_test.go
+++ b/membership/directory_test.go
@@ -36,8 +36,8 @@
 		{"earlier sequence", record(1, 2, 4), membership.Outdated},
 		{"new incarnation starts over", record(1, 3, 1), membership.Changed},
 		{"old incarnation", record(1, 1, 9), membership.Superseded},
-		{"no number", record(0, 1, 9), membership.Improper},
-		{"number too great", record(1<<24, 1, 9), membership.Improper},
+		{"no number", record(0, 1, 9), membership.Invalid},
+		{"number too great", record(1<<24, 1, 9), membership.Invalid},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -244,7 +244,7 @@
 	for name, f := range spoil {
 		r := proto.CloneOf(record(1, 1, 1))
 		f(r)
-		if newDirectory(1).Announce(0, r, membership.Direct) != membership.Improper {
+		if newDirectory(1).Announce(0, r, membership.Direct) != membership.Invalid {
 			t.Error("taken: bad", name)
 		}
 	}
