--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -74,7 +74,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.dir.Sequence()
-	reply := d.dir.Hear(d.now(), from, m)
+	reply := d.dir.ApplySync(d.now(), from, m)
 	return reply, d.dir.Sequence() != before
 }
 
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -85,7 +85,7 @@
 					if err := proto.Unmarshal(data, got); err != nil {
 						b.Fatal(err)
 					}
-					if reply := group[0].Hear(now, membership.Source(fmt.Sprint(i)), got); len(reply.GetDigests()) > 0 {
+					if reply := group[0].ApplySync(now, membership.Source(fmt.Sprint(i)), got); len(reply.GetDigests()) > 0 {
 						b.Fatal("the summary does not match")
 					}
 				}
--- a/membership/converge_test.go
+++ b/membership/converge_test.go
@@ -116,7 +116,7 @@
 	e := n.queue[i]
 	n.queue = slices.Delete(n.queue, i, i+1)
 	if e.reply == nil {
-		reply := n.hosts[e.to].Hear(n.now, name(e.from), proto.CloneOf(e.sync))
+		reply := n.hosts[e.to].ApplySync(n.now, name(e.from), proto.CloneOf(e.sync))
 		n.post(envelope{from: e.to, to: e.from, life: e.life, reply: reply})
 		return
 	}
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -296,7 +296,7 @@
 		}
 		d.Announce(lease, record(n+1, 1, 1), membership.Direct)
 	}
-	d.Hear(lease, "c2", &controlpb.DirectorySync{Ended: []uint32{2_000}, Summary: &controlpb.DirectorySummary{Epoch: 9, Serial: 1}})
+	d.ApplySync(lease, "c2", &controlpb.DirectorySync{Ended: []uint32{2_000}, Summary: &controlpb.DirectorySummary{Epoch: 9, Serial: 1}})
 	u, _ = d.Next(2*lease, f)
 	l.Apply(u, time.Time{})
 	is.Equal(len(recordsOf(&l)), 1_000)
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// Hear merges what another control host passes on. The reply tells that host
+// ApplySync merges what another control host passes on. The reply tells that host
 // whether its claims are known here as its summary says.
-func (d *Directory) Hear(now time.Duration, from Source, m *controlpb.DirectorySync) *controlpb.DirectorySyncReply {
+func (d *Directory) ApplySync(now time.Duration, from Source, m *controlpb.DirectorySync) *controlpb.DirectorySyncReply {
 	s := m.GetSummary()
 	if s == nil {
 		d.hearRecords(now, m.GetRecords())
--- a/membership/sync_test.go
+++ b/membership/sync_test.go
@@ -15,9 +15,9 @@
 // and returns the next cursor.
 func pass(now time.Duration, from, to *membership.Directory, name membership.Source, cursor uint64) uint64 {
 	m, next := from.Sync(now, cursor)
-	if digests := to.Hear(now, name, m).GetDigests(); len(digests) > 0 {
+	if digests := to.ApplySync(now, name, m).GetDigests(); len(digests) > 0 {
 		m, next = from.Repair(now, next, digests)
-		to.Hear(now, name, m)
+		to.ApplySync(now, name, m)
 	}
 	return next
 }
@@ -32,7 +32,7 @@
 		}
 		m, next := a.Sync(now, cursor)
 		is.Equal(len(m.GetRecords()) > 0, now == 0) // records once, then summaries only
-		is.Equal(len(b.Hear(now, "a", m).GetDigests()), 0)
+		is.Equal(len(b.ApplySync(now, "a", m).GetDigests()), 0)
 		cursor = next
 		is.Equal(b.Expire(now), 0)
 		is.Equal(b.Len(), 5)
@@ -47,7 +47,7 @@
 	a.Expire(lease)
 	m, _ := a.Sync(lease, cursor)
 	is.Equal(m.GetEnded(), []uint32{1})
-	b.Hear(lease, "a", m)
+	b.ApplySync(lease, "a", m)
 	is.Equal(b.Len(), 0)
 }
 
@@ -103,11 +103,11 @@
 	_, cursor = a.Sync(1, cursor) // lost, and not made up for
 	m, cursor := a.Sync(2, cursor)
 	is.Equal(len(m.GetRecords()), 0)
-	digests := b.Hear(2, "a", m).GetDigests()
+	digests := b.ApplySync(2, "a", m).GetDigests()
 	is.Equal(len(digests), 64)
 	repair, cursor := a.Repair(3, cursor, digests)
 	is.Equal(len(repair.GetRecords()), 10) // one part in 64
-	is.Equal(len(b.Hear(3, "a", repair).GetDigests()), 0)
+	is.Equal(len(b.ApplySync(3, "a", repair).GetDigests()), 0)
 	is.Equal(b.Full(3, nil).GetPut()[6].GetSequence(), uint64(2))
 	is.Equal(pass(4, a, b, "a", cursor), cursor)
 }
@@ -119,8 +119,8 @@
 	old, cursor := a.Sync(0, 0)
 	a.Expire(lease)
 	m, _ := a.Sync(lease, cursor)
-	b.Hear(lease, "a", m)
-	is.Equal(len(b.Hear(lease, "a", old).GetDigests()), 0)
+	b.ApplySync(lease, "a", m)
+	is.Equal(len(b.ApplySync(lease, "a", old).GetDigests()), 0)
 	is.Equal(b.Len(), 0)
 }
 
@@ -158,7 +158,7 @@
 	d := newDirectory(1)
 	records := &controlpb.DirectorySync{Records: []*controlpb.TargetRecord{record(1, 1, 1)}}
 	for now := time.Duration(0); now < 3*lease; now += lease / 3 {
-		d.Hear(now, "old", proto.CloneOf(records))
+		d.ApplySync(now, "old", proto.CloneOf(records))
 		is.Equal(d.Expire(now), 0)
 		is.Equal(d.Len(), 1)
 	}
@@ -195,7 +195,7 @@
 	d.Announce(0, record(1, 1, 1), membership.Direct)
 	records := &controlpb.DirectorySync{Records: []*controlpb.TargetRecord{record(1, 1, 1)}}
 	for now := lease / 3; now < 3*lease; now += lease / 3 {
-		d.Hear(now, "old", proto.CloneOf(records))
+		d.ApplySync(now, "old", proto.CloneOf(records))
 		is.Equal(d.Expire(now), 0)
 		m, _ := d.Sync(now, 0)
 		is.Equal(m.GetSummary().GetCount() == 0, now >= lease)
