--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -40,7 +40,7 @@
 func (d *directory) holds(number, incarnation uint32) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.dir.Holds(number, incarnation)
+	return d.dir.HasIncarnation(number, incarnation)
 }
 
 func (d *directory) lease() time.Duration { return d.dir.Lease() }
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -166,9 +166,9 @@
 	return damped
 }
 
-// Holds reports whether the directory has heard of an incarnation of a target, or of
+// HasIncarnation reports whether the directory has heard of an incarnation of a target, or of
 // a later one, whose lease lasts.
-func (d *Directory) Holds(number, incarnation uint32) bool {
+func (d *Directory) HasIncarnation(number, incarnation uint32) bool {
 	t := d.byID[number]
 	return t != nil && t.heard.GetIncarnation() >= incarnation
 }
