--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -101,7 +101,7 @@
 func (d *directory) ownSequence() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.dir.OwnSequence()
+	return d.dir.LocalSequence()
 }
 
 // sync returns what to tell a control host that was told all up to the cursor.
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -72,10 +72,10 @@
 	}
 }
 
-// OwnSequence returns the sequence of the last change of the targets that are
+// LocalSequence returns the sequence of the last change of the targets that are
 // heard from agents here. It is the cursor that Sync returned last if there is
 // nothing new to pass on.
-func (d *Directory) OwnSequence() uint64 { return d.own.log.sequence }
+func (d *Directory) LocalSequence() uint64 { return d.own.log.sequence }
 
 // Sync returns what another control host has to be told that was told
 // everything up to the cursor, and the new cursor. A message that got lost is
