--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -90,10 +90,10 @@
 	defer d.mu.Unlock()
 	now := d.now()
 	before := d.dir.Sequence()
-	settled := d.dir.Settled(now)
+	settled := d.dir.Complete(now)
 	d.dir.Expire(now)
 	// Subscribers wait for the full list of a directory that has just settled.
-	justSettled := settled && !d.dir.Settled(now-2*expirePeriod)
+	justSettled := settled && !d.dir.Complete(now-2*expirePeriod)
 	return justSettled || d.dir.Sequence() != before
 }
 
@@ -142,7 +142,7 @@
 func (d *directory) settled() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.dir.Settled(d.now())
+	return d.dir.Complete(d.now())
 }
 
 // next returns what the follower has to be sent, or nil.
--- a/internal/controld/spread.go
+++ b/internal/controld/spread.go
@@ -43,7 +43,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	s := membership.Spread{Own: own, Settled: d.dir.Settled(now)}
+	s := membership.Spread{Own: own, Settled: d.dir.Complete(now)}
 	for name, h := range d.hosts {
 		s.Others = append(s.Others, membership.HostLoad{Name: name, Subscribers: h.subscribers, Age: now - h.heardAt})
 	}
--- a/membership/delta.go
+++ b/membership/delta.go
@@ -93,7 +93,7 @@
 // Full returns the whole list within the scope, by target number.
 func (d *Directory) Full(now time.Duration, s *Scope) *controlpb.DirectoryUpdate {
 	u := d.update()
-	u.Full = d.Settled(now)
+	u.Full = d.Complete(now)
 	for _, t := range d.byID {
 		u.collect(now, t, s)
 	}
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -183,10 +183,10 @@
 	return false
 }
 
-// Settled reports whether the directory has listened for a whole lease, so
+// Complete reports whether the directory has listened for a whole lease, so
 // that a target that it does not hold has no lease. Before that its list says
 // which targets exist, not which do not.
-func (d *Directory) Settled(now time.Duration) bool { return now-d.opts.Start >= d.opts.Lease }
+func (d *Directory) Complete(now time.Duration) bool { return now-d.opts.Start >= d.opts.Lease }
 
 // Announce merges a record. One from the agent itself gets a new lease; one
 // from another control host lives until that host says otherwise or has been
--- a/membership/follower.go
+++ b/membership/follower.go
@@ -99,13 +99,13 @@
 		// Nothing from elsewhere is held that this could remove unduly.
 		u.Full = true
 		return u, FullFirst
-	case digested && !d.Settled(now):
+	case digested && !d.Complete(now):
 		return d.addition(now, f, known), Addition
 	case digested:
 		return d.difference(now, f), Difference
-	case !d.Settled(now) && known:
+	case !d.Complete(now) && known:
 		return d.since(now, f.sequence, f.scope), Addition
-	case !d.Settled(now):
+	case !d.Complete(now):
 		return d.Full(now, f.scope), Addition
 	case f.whole && f.epoch == d.opts.Epoch:
 		return d.Full(now, f.scope), FullHistory
