--- a/internal/controld/spread.go
+++ b/internal/controld/spread.go
@@ -43,7 +43,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	s := membership.Spread{Own: own, Settled: d.dir.Complete(now)}
+	s := membership.Spread{Own: own, Complete: d.dir.Complete(now)}
 	for name, h := range d.hosts {
 		s.Others = append(s.Others, membership.HostLoad{Name: name, Subscribers: h.subscribers, Age: now - h.heardAt})
 	}
@@ -52,7 +52,7 @@
 
 // tellLoad adds this host's figure to a message, once its directory is settled.
 func (d *directory) tellLoad(m *controlpb.DirectorySync) {
-	if s := d.spread(); s.Settled {
+	if s := d.spread(); s.Complete {
 		own := uint32(s.Own)
 		m.Subscribers = &own
 	}
--- a/membership/spread.go
+++ b/membership/spread.go
@@ -31,9 +31,9 @@
 type Spread struct {
 	// Own is the number of its own subscribers.
 	Own int
-	// Settled tells whether its directory is settled.
-	Settled bool
-	Others  []HostLoad
+	// Complete tells whether its directory is settled.
+	Complete bool
+	Others   []HostLoad
 	// SinceMove is the time since it last let a subscriber go, Pause the least
 	// one between two, with jitter.
 	SinceMove, Pause time.Duration
@@ -56,7 +56,7 @@
 // well over it or another host well below, to the host that has least; so moves
 // end, also while figures are some seconds old.
 func (s *Spread) Decide() (to string, reason SpreadReason) {
-	if !s.Settled {
+	if !s.Complete {
 		return "", SpreadUnsettled
 	}
 	fresh := slices.DeleteFunc(slices.Clone(s.Others), func(h HostLoad) bool { return h.Age > maxLoadAge })
