--- a/internal/controld/subscription.go
+++ b/internal/controld/subscription.go
@@ -337,7 +337,7 @@
 }
 
 // countDirectory counts an update of the directory and its records by kind.
-func (s *subscription) countDirectory(u *controlpb.DirectoryUpdate, kind membership.Kind) {
+func (s *subscription) countDirectory(u *controlpb.DirectoryUpdate, kind membership.UpdateKind) {
 	scope := s.daemon.scope.Tagged(map[string]string{tagKind: string(kind)})
 	scope.Counter(metricDirectoryUpdates).Inc(1)
 	scope.Counter(metricDirectoryRecords).Inc(int64(len(u.GetPut())))
--- a/membership/follower.go
+++ b/membership/follower.go
@@ -11,26 +11,26 @@
 // tell what really differs.
 const maxAdditions = 64
 
-// Kind tells what an update is made of, and for a full list why no less
+// UpdateKind tells what an update is made of, and for a full list why no less
 // would do.
-type Kind string
+type UpdateKind string
 
 // Kinds of updates.
 const (
 	// Delta has the changes since the last update.
-	Delta Kind = "delta"
+	Delta UpdateKind = "delta"
 	// Difference has the buckets in which a list from elsewhere differs.
-	Difference Kind = "difference"
+	Difference UpdateKind = "difference"
 	// Addition adds to a list from elsewhere and removes nothing but what is
 	// known to be gone: the directory is not settled.
-	Addition Kind = "addition"
+	Addition UpdateKind = "addition"
 	// FullFirst is for a subscriber that holds nothing.
-	FullFirst Kind = "full_first"
+	FullFirst UpdateKind = "full_first"
 	// FullHistory is for one that missed removals which are forgotten.
-	FullHistory Kind = "full_history"
+	FullHistory UpdateKind = "full_history"
 	// FullUndigested is for one that holds a list from elsewhere, as far as is
 	// known, and sent no digests of it.
-	FullUndigested Kind = "full_undigested"
+	FullUndigested UpdateKind = "full_undigested"
 )
 
 // Position is how far a subscriber has followed: a sequence in an epoch, zero
@@ -69,7 +69,7 @@
 // Next returns what a subscriber has to be sent, or nil. Changes outside of
 // its scope are passed over. The follower is past the update then: one that
 // cannot be sent has to end the subscription.
-func (d *Directory) Next(now time.Duration, f *Follower) (*controlpb.DirectoryUpdate, Kind) {
+func (d *Directory) Next(now time.Duration, f *Follower) (*controlpb.DirectoryUpdate, UpdateKind) {
 	u, kind := d.choose(now, f)
 	if u == nil {
 		return nil, kind
@@ -88,7 +88,7 @@
 	return u, kind
 }
 
-func (d *Directory) choose(now time.Duration, f *Follower) (*controlpb.DirectoryUpdate, Kind) {
+func (d *Directory) choose(now time.Duration, f *Follower) (*controlpb.DirectoryUpdate, UpdateKind) {
 	known := f.epoch == d.opts.Epoch && d.remembers(f.sequence)
 	digested := len(f.digests) > 0
 	switch {
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -84,11 +84,11 @@
 	life     int
 	// newest has the newest record of each target that was acted on.
 	newest map[uint32]*controlpb.TargetRecord
-	kinds  map[membership.Kind]int
+	kinds  map[membership.UpdateKind]int
 }
 
 func newWatcher(scope *membership.Scope) *watcher {
-	return &watcher{list: &membership.List{}, scope: scope, newest: map[uint32]*controlpb.TargetRecord{}, kinds: map[membership.Kind]int{}}
+	return &watcher{list: &membership.List{}, scope: scope, newest: map[uint32]*controlpb.TargetRecord{}, kinds: map[membership.UpdateKind]int{}}
 }
 
 // move opens another subscription.
@@ -147,7 +147,7 @@
 // what its control host holds within its scope, whichever it is; it needs no full
 // list for that.
 func TestSubscriberComesToTheSameDirectory(t *testing.T) {
-	kinds := map[membership.Kind]int{}
+	kinds := map[membership.UpdateKind]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(t, rapid.IntRange(2, 100).Draw(t, "agents"))
 		var scope *membership.Scope
@@ -175,7 +175,7 @@
 		}
 	})
 	t.Log(kinds)
-	for _, kind := range []membership.Kind{membership.Delta, membership.Difference, membership.Addition, membership.FullFirst} {
+	for _, kind := range []membership.UpdateKind{membership.Delta, membership.Difference, membership.Addition, membership.FullFirst} {
 		if kinds[kind] == 0 {
 			t.Errorf("no schedule led to an update of kind %s", kind)
 		}
