--- a/internal/subscriber/counters.go
+++ b/internal/subscriber/counters.go
@@ -72,7 +72,7 @@
 		kind = "difference"
 	}
 	c.scope.Tagged(map[string]string{tagKind: kind}).Counter(metricDirectoryRecords).Inc(int64(len(u.GetPut())))
-	c.olderRecords.Inc(int64(change.Older))
+	c.olderRecords.Inc(int64(change.Stale))
 	c.forgotten.Inc(int64(change.Forgotten))
 	if change.Repeated {
 		c.repeatedUpdates.Inc(1)
--- a/membership/list.go
+++ b/membership/list.go
@@ -39,9 +39,9 @@
 type Change struct {
 	// Changed tells that the records are others now.
 	Changed bool
-	// Older is the number of records refused because a newer one of their
+	// Stale is the number of records refused because a newer one of their
 	// target is or was held.
-	Older int
+	Stale int
 	// Repeated is set for an update that was received before.
 	Repeated bool
 	// Forgotten is the number of removed targets whose version is no longer
@@ -145,7 +145,7 @@
 	delete(m.puts, number)
 	switch {
 	case put && versionOf(next).before(versionOf(held)):
-		m.change.Older++
+		m.change.Stale++
 		m.keep(held, heardAt)
 	case put:
 		m.keep(next, m.now)
@@ -163,7 +163,7 @@
 	added := false
 	for number, r := range m.puts {
 		if versionOf(r).before(m.list.departed.version(number)) {
-			m.change.Older++
+			m.change.Stale++
 			continue
 		}
 		m.list.departed.drop(number)
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -55,7 +55,7 @@
 
 	// A record never goes back; an equal one may change the verdict on it.
 	is.True(d.Apply(delta(1, 8, record(1, 2, 1)), now).Changed)
-	is.Equal(d.Apply(delta(1, 9, record(1, 1, 99)), now).Older, 1)
+	is.Equal(d.Apply(delta(1, 9, record(1, 1, 99)), now).Stale, 1)
 	ill := record(1, 2, 1)
 	ill.Ill = true
 	is.True(d.Apply(delta(1, 10, ill), now).Changed)
@@ -68,7 +68,7 @@
 	is.Equal(d.Position().Epoch, uint64(0))
 	// Its full list replaces what is known, newer records excepted.
 	res := d.Apply(full(2, 2, record(1, 1, 1), record(7, 1, 1)), now)
-	is.Equal(res.Older, 1)
+	is.Equal(res.Stale, 1)
 	is.Equal(numbers(d), []uint32{1, 7})
 	is.Equal(recordsOf(d)[0].GetIncarnation(), uint32(2))
 	is.Equal(d.Position().Epoch, uint64(2))
@@ -194,7 +194,7 @@
 	l.Apply(&controlpb.DirectoryUpdate{Epoch: 2, Full: true}, time.Time{})
 	is.Equal(len(recordsOf(&l)), 0)
 	change := l.Apply(&controlpb.DirectoryUpdate{Epoch: 2, Sequence: 1, Put: []*controlpb.TargetRecord{record(1, 2, 4)}}, time.Time{})
-	is.Equal(change, membership.Change{Older: 1})
+	is.Equal(change, membership.Change{Stale: 1})
 	is.True(l.Apply(&controlpb.DirectoryUpdate{Epoch: 2, Sequence: 2, Put: []*controlpb.TargetRecord{record(1, 2, 5)}}, time.Time{}).Changed)
 	is.Equal(len(recordsOf(&l)), 1)
 }
