--- a/membership/list.go
+++ b/membership/list.go
@@ -42,8 +42,8 @@
 	// Stale is the number of records refused because a newer one of their
 	// target is or was held.
 	Stale int
-	// Repeated is set for an update that was received before.
-	Repeated bool
+	// Duplicate is set for an update that was received before.
+	Duplicate bool
 	// Forgotten is the number of removed targets whose version is no longer
 	// remembered.
 	Forgotten int
@@ -77,7 +77,7 @@
 	sameEpoch := l.epoch == u.GetEpoch()
 	compared := u.GetBuckets() > 0
 	if sameEpoch && !u.GetFull() && !compared && u.GetSequence() < l.sequence {
-		return Change{Repeated: true}
+		return Change{Duplicate: true}
 	}
 	l.whole = u.GetFull() || compared || (l.whole && sameEpoch)
 	l.epoch, l.sequence = u.GetEpoch(), u.GetSequence()
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -50,7 +50,7 @@
 	is.Equal(numbers(d), []uint32{1, 2})
 
 	// An update from before does nothing.
-	is.True(d.Apply(delta(1, 6, record(3, 1, 1)), now).Repeated)
+	is.True(d.Apply(delta(1, 6, record(3, 1, 1)), now).Duplicate)
 	is.Equal(numbers(d), []uint32{1, 2})
 
 	// A record never goes back; an equal one may change the verdict on it.
