--- a/internal/subscriber/counters.go
+++ b/internal/subscriber/counters.go
@@ -73,7 +73,7 @@
 	}
 	c.scope.Tagged(map[string]string{tagKind: kind}).Counter(metricDirectoryRecords).Inc(int64(len(u.GetPut())))
 	c.olderRecords.Inc(int64(change.Stale))
-	c.forgotten.Inc(int64(change.Forgotten))
+	c.forgotten.Inc(int64(change.Evicted))
 	if change.Duplicate {
 		c.repeatedUpdates.Inc(1)
 	}
--- a/membership/list.go
+++ b/membership/list.go
@@ -44,9 +44,9 @@
 	Stale int
 	// Duplicate is set for an update that was received before.
 	Duplicate bool
-	// Forgotten is the number of removed targets whose version is no longer
+	// Evicted is the number of removed targets whose version is no longer
 	// remembered.
-	Forgotten int
+	Evicted int
 }
 
 // Position returns what a control host needs to go on from here.
@@ -90,7 +90,7 @@
 	if m.change.Changed {
 		l.records, l.heardAt = m.records, m.heardAt
 	}
-	m.change.Forgotten = l.departed.trim()
+	m.change.Evicted = l.departed.trim()
 	return m.change
 }
 
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -208,7 +208,7 @@
 		u.Put = append(u.Put, record(n+1, 1, 1))
 	}
 	l.Apply(u, time.Time{})
-	is.Equal(l.Apply(&controlpb.DirectoryUpdate{Epoch: 1, Sequence: 1, Full: true}, time.Time{}).Forgotten, 5_000-4_096)
+	is.Equal(l.Apply(&controlpb.DirectoryUpdate{Epoch: 1, Sequence: 1, Full: true}, time.Time{}).Evicted, 5_000-4_096)
 }
 
 // hostOf returns a settled host of another epoch with all of these targets.
