--- a/internal/controld/spread.go
+++ b/internal/controld/spread.go
@@ -38,12 +38,12 @@
 }
 
 // spread returns what this host knows of the subscribers of all hosts.
-func (d *directory) spread() membership.Spread {
+func (d *directory) spread() membership.Rebalancer {
 	own := d.subscribers.count()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	s := membership.Spread{Own: own, Complete: d.dir.Complete(now)}
+	s := membership.Rebalancer{Own: own, Complete: d.dir.Complete(now)}
 	for name, h := range d.hosts {
 		s.Others = append(s.Others, membership.HostLoad{Name: name, Subscribers: h.subscribers, Age: now - h.heardAt})
 	}
--- a/membership/spread.go
+++ b/membership/spread.go
@@ -26,9 +26,9 @@
 	Age time.Duration
 }
 
-// Spread is what a control host knows when it decides whether a subscriber is
+// Rebalancer is what a control host knows when it decides whether a subscriber is
 // to move to another one.
-type Spread struct {
+type Rebalancer struct {
 	// Own is the number of its own subscribers.
 	Own int
 	// Complete tells whether its directory is settled.
@@ -55,7 +55,7 @@
 // or nobody and why. A host lets one go if it is over the mean and either itself
 // well over it or another host well below, to the host that has least; so moves
 // end, also while figures are some seconds old.
-func (s *Spread) Decide() (to string, reason SpreadReason) {
+func (s *Rebalancer) Decide() (to string, reason SpreadReason) {
 	if !s.Complete {
 		return "", SpreadUnsettled
 	}
@@ -76,7 +76,7 @@
 }
 
 // uneven reports whether this host is to let a subscriber go at all.
-func (s *Spread) uneven(others []HostLoad, least int) bool {
+func (s *Rebalancer) uneven(others []HostLoad, least int) bool {
 	hosts, sum := len(others)+1, s.Own
 	for _, h := range others {
 		sum += h.Subscribers
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -23,24 +23,24 @@
 	stale[0].Age = membership.DefaultLease + 1
 	tests := []struct {
 		name   string
-		spread membership.Spread
+		spread membership.Rebalancer
 		to     string
 		reason membership.SpreadReason
 	}{
-		{"a host came back", membership.Spread{Own: 100, Complete: true, Others: others(100, 0)}, "c3", membership.SpreadMoves},
-		{"the least one, by name", membership.Spread{Own: 100, Complete: true, Others: others(7, 5, 5)}, "c3", membership.SpreadMoves},
-		{"just over", membership.Spread{Own: 39, Complete: true, Others: others(11)}, "", membership.SpreadWithin},
-		{"one more", membership.Spread{Own: 40, Complete: true, Others: others(10)}, "c2", membership.SpreadMoves},
-		{"a host came back to many", membership.Spread{Own: 107, Complete: true, Others: others(107, 107, 107, 107, 107, 107, 0)}, "c8", membership.SpreadMoves},
-		{"not over the mean", membership.Spread{Own: 80, Complete: true, Others: others(107, 107, 107, 0)}, "", membership.SpreadWithin},
-		{"few subscribers", membership.Spread{Own: 10, Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
-		{"none at all", membership.Spread{Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
-		{"less than the others", membership.Spread{Own: 10, Complete: true, Others: others(90)}, "", membership.SpreadWithin},
-		{"has just started", membership.Spread{Own: 100, Others: others(0)}, "", membership.SpreadUnsettled},
-		{"no other", membership.Spread{Own: 100, Complete: true}, "", membership.SpreadAlone},
-		{"others are silent", membership.Spread{Own: 100, Complete: true, Others: stale}, "", membership.SpreadAlone},
-		{"one moved just now", membership.Spread{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Pause: 2}, "", membership.SpreadPauses},
-		{"the pause is over", membership.Spread{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Pause: 2}, "c2", membership.SpreadMoves},
+		{"a host came back", membership.Rebalancer{Own: 100, Complete: true, Others: others(100, 0)}, "c3", membership.SpreadMoves},
+		{"the least one, by name", membership.Rebalancer{Own: 100, Complete: true, Others: others(7, 5, 5)}, "c3", membership.SpreadMoves},
+		{"just over", membership.Rebalancer{Own: 39, Complete: true, Others: others(11)}, "", membership.SpreadWithin},
+		{"one more", membership.Rebalancer{Own: 40, Complete: true, Others: others(10)}, "c2", membership.SpreadMoves},
+		{"a host came back to many", membership.Rebalancer{Own: 107, Complete: true, Others: others(107, 107, 107, 107, 107, 107, 0)}, "c8", membership.SpreadMoves},
+		{"not over the mean", membership.Rebalancer{Own: 80, Complete: true, Others: others(107, 107, 107, 0)}, "", membership.SpreadWithin},
+		{"few subscribers", membership.Rebalancer{Own: 10, Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
+		{"none at all", membership.Rebalancer{Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
+		{"less than the others", membership.Rebalancer{Own: 10, Complete: true, Others: others(90)}, "", membership.SpreadWithin},
+		{"has just started", membership.Rebalancer{Own: 100, Others: others(0)}, "", membership.SpreadUnsettled},
+		{"no other", membership.Rebalancer{Own: 100, Complete: true}, "", membership.SpreadAlone},
+		{"others are silent", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.SpreadAlone},
+		{"one moved just now", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Pause: 2}, "", membership.SpreadPauses},
+		{"the pause is over", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Pause: 2}, "c2", membership.SpreadMoves},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	}
 	moved := false
 	for i := range f.counts {
-		s := membership.Spread{Own: f.counts[i], Complete: true}
+		s := membership.Rebalancer{Own: f.counts[i], Complete: true}
 		for j, told := range f.told {
 			if j != i {
 				s.Others = append(s.Others, membership.HostLoad{Name: fmt.Sprintf("%03d", j), Subscribers: told})
