--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -15,9 +15,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// Hear takes in a report of the backend server. When it returns, what the report
+// HandleReport takes in a report of the backend server. When it returns, what the report
 // says is in force here: no opening packet reaches one that leaves.
-func (a *Agent) Hear(r incarnation.Report) incarnation.Result {
+func (a *Agent) HandleReport(r incarnation.Report) incarnation.Result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before, known := a.tracker.Current()
