--- a/voters/voters.go
+++ b/voters/voters.go
@@ -73,8 +73,8 @@
 
 // Limits bound what Next does.
 type Limits struct {
-	// Most is how many voters there may be.
-	Most int
+	// VoterLimit is how many voters there may be.
+	VoterLimit int
 	// Least is how many voters have to answer before one that is silent is taken
 	// out: as many as the group needs for the losses that it is to bear.
 	Least int
@@ -115,7 +115,7 @@
 	switch {
 	case len(candidates) == 0:
 		return Change{Reason: waits}
-	case Count(members) >= l.Most:
+	case Count(members) >= l.VoterLimit:
 		return Change{Reason: ReasonFull}
 	}
 	if next := spread(candidates, members, l); next != nil {
