--- a/internal/controld/members.go
+++ b/internal/controld/members.go
@@ -71,9 +71,9 @@
 func (d *Daemon) memberLimits() voters.Limits {
 	r := d.settings.GetReplica()
 	return voters.Limits{
-		VoterLimit: raft.MaxVoters,
-		Least:      int(r.GetLeastVoters()),
-		GoneAfter:  cmp.Or(time.Duration(r.GetGoneAfterMs())*time.Millisecond, defaultGoneAfter),
+		VoterLimit:      raft.MaxVoters,
+		MinActiveVoters: int(r.GetLeastVoters()),
+		GoneAfter:       cmp.Or(time.Duration(r.GetGoneAfterMs())*time.Millisecond, defaultGoneAfter),
 	}
 }
 
--- a/voters/spread.go
+++ b/voters/spread.go
@@ -57,7 +57,7 @@
 			best = &candidates[i]
 		}
 	}
-	if best == nil || votes.answering < l.Least || !votes.bearsLoss() {
+	if best == nil || votes.answering < l.MinActiveVoters || !votes.bearsLoss() {
 		return best
 	}
 	votes.all++
--- a/voters/spread_test.go
+++ b/voters/spread_test.go
@@ -46,7 +46,7 @@
 		}, promoted("d")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(voters.Next(tt.members, voters.Limits{VoterLimit: 7, Least: 3}), tt.want)
+			is.New(t).Equal(voters.Next(tt.members, voters.Limits{VoterLimit: 7, MinActiveVoters: 3}), tt.want)
 		})
 	}
 }
@@ -57,7 +57,7 @@
 // quorum with it.
 func TestSpreadProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := voters.Limits{VoterLimit: 7, Least: rapid.SampledFrom([]int{3, 5}).Draw(t, "least")}
+		limits := voters.Limits{VoterLimit: 7, MinActiveVoters: rapid.SampledFrom([]int{3, 5}).Draw(t, "least")}
 		domains := rapid.SliceOfN(rapid.IntRange(1, 4), 1, 6).Draw(t, "hosts in each domain")
 		var members []voters.Member
 		most, all := 0, 0
@@ -80,7 +80,7 @@
 			}
 		}
 		count := voters.Count(members)
-		if count < min(all, limits.Least) || count > limits.VoterLimit {
+		if count < min(all, limits.MinActiveVoters) || count > limits.VoterLimit {
 			t.Fatalf("%d voters of %d hosts", count, all)
 		}
 		if len(domains) < 3 || 2*most >= all {
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -75,9 +75,9 @@
 type Limits struct {
 	// VoterLimit is how many voters there may be.
 	VoterLimit int
-	// Least is how many voters have to answer before one that is silent is taken
+	// MinActiveVoters is how many voters have to answer before one that is silent is taken
 	// out: as many as the group needs for the losses that it is to bear.
-	Least int
+	MinActiveVoters int
 	// GoneAfter is how long a member is silent before it is taken out.
 	GoneAfter time.Duration
 }
@@ -174,7 +174,7 @@
 		if m.Active || m.Silent < l.GoneAfter {
 			continue
 		}
-		if m.Learner || answering >= l.Least {
+		if m.Learner || answering >= l.MinActiveVoters {
 			return m.Replica, true
 		}
 	}
