--- a/internal/controld/members.go
+++ b/internal/controld/members.go
@@ -73,7 +73,7 @@
 	return voters.Limits{
 		VoterLimit:      raft.MaxVoters,
 		MinActiveVoters: int(r.GetLeastVoters()),
-		GoneAfter:       cmp.Or(time.Duration(r.GetGoneAfterMs())*time.Millisecond, defaultGoneAfter),
+		RemoveAfter:     cmp.Or(time.Duration(r.GetGoneAfterMs())*time.Millisecond, defaultGoneAfter),
 	}
 }
 
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -78,8 +78,8 @@
 	// MinActiveVoters is how many voters have to answer before one that is silent is taken
 	// out: as many as the group needs for the losses that it is to bear.
 	MinActiveVoters int
-	// GoneAfter is how long a member is silent before it is taken out.
-	GoneAfter time.Duration
+	// RemoveAfter is how long a member is silent before it is taken out.
+	RemoveAfter time.Duration
 }
 
 // Next returns the next change of the members, at most one.
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, m := range members {
-		if m.Active || m.Silent < l.GoneAfter {
+		if m.Active || m.Silent < l.RemoveAfter {
 			continue
 		}
 		if m.Learner || answering >= l.MinActiveVoters {
