--- a/voters/serving.go
+++ b/voters/serving.go
@@ -10,8 +10,8 @@
 
 // ServingLimits bound how many members serve subscribers.
 type ServingLimits struct {
-	// Least is how many members have to serve, however few the subscribers are.
-	Least int
+	// MinServing is how many members have to serve, however few the subscribers are.
+	MinServing int
 	// PerHost is how many subscribers one member is to serve at most.
 	PerHost int
 }
@@ -31,7 +31,7 @@
 // and a copy of all that changes, so it is taken in for its service alone.
 func Lacks(s Supply, l ServingLimits) (bool, Reason) {
 	switch {
-	case s.Serving < l.Least:
+	case s.Serving < l.MinServing:
 		return true, ReasonFewServe
 	case s.Subscribers > s.Serving*l.PerHost:
 		return true, ReasonManySubscribers
