--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -267,7 +267,7 @@
 	if links == 0 {
 		links = link.DefaultMaxConnections
 	}
-	return voters.ServingLimits{MinServing: int(r.GetLeastVoters())/2 + 1, PerHost: links / linksPerSubscriber}
+	return voters.ServingLimits{MinServing: int(r.GetLeastVoters())/2 + 1, MaxSubscribersPerMember: links / linksPerSubscriber}
 }
 
 // servingHosts lists the link addresses of the members of the configuration's group.
--- a/voters/serving.go
+++ b/voters/serving.go
@@ -12,8 +12,8 @@
 type ServingLimits struct {
 	// MinServing is how many members have to serve, however few the subscribers are.
 	MinServing int
-	// PerHost is how many subscribers one member is to serve at most.
-	PerHost int
+	// MaxSubscribersPerMember is how many subscribers one member is to serve at most.
+	MaxSubscribersPerMember int
 }
 
 // Reasons why a host that keeps no log becomes a member, or stands by.
@@ -33,7 +33,7 @@
 	switch {
 	case s.Serving < l.MinServing:
 		return true, ReasonFewServe
-	case s.Subscribers > s.Serving*l.PerHost:
+	case s.Subscribers > s.Serving*l.MaxSubscribersPerMember:
 		return true, ReasonManySubscribers
 	}
 	return false, ReasonEnough
--- a/voters/serving_test.go
+++ b/voters/serving_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLacks(t *testing.T) {
-	limits := voters.ServingLimits{MinServing: 3, PerHost: 1000}
+	limits := voters.ServingLimits{MinServing: 3, MaxSubscribersPerMember: 1000}
 	for _, tt := range []struct {
 		name   string
 		supply voters.Supply
