--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -252,9 +252,9 @@
 	}
 }
 
-func (d *Daemon) supply(members []voters.Member) voters.Supply {
+func (d *Daemon) supply(members []voters.Member) voters.ServingLoad {
 	spread := d.directory.spread()
-	s := voters.Supply{Serving: voters.Answering(members), Subscribers: spread.Own}
+	s := voters.ServingLoad{Serving: voters.Answering(members), Subscribers: spread.Own}
 	for _, other := range spread.Others {
 		s.Subscribers += other.Subscribers
 	}
--- a/voters/serving.go
+++ b/voters/serving.go
@@ -1,7 +1,7 @@
 package voters
 
-// Supply is what a group has to serve its subscribers with, as its leader sees it.
-type Supply struct {
+// ServingLoad is what a group has to serve its subscribers with, as its leader sees it.
+type ServingLoad struct {
 	// Serving is how many members answer, learners included.
 	Serving int
 	// Subscribers is how many processes follow these members.
@@ -29,7 +29,7 @@
 // Lacks reports whether another member is needed that serves subscribers. A host that
 // keeps no log adds nothing to what a group can lose: it costs each other member a link
 // and a copy of all that changes, so it is taken in for its service alone.
-func Lacks(s Supply, l ServingLimits) (bool, Reason) {
+func Lacks(s ServingLoad, l ServingLimits) (bool, Reason) {
 	switch {
 	case s.Serving < l.MinServing:
 		return true, ReasonFewServe
--- a/voters/serving_test.go
+++ b/voters/serving_test.go
@@ -13,15 +13,15 @@
 	limits := voters.ServingLimits{MinServing: 3, MaxSubscribersPerMember: 1000}
 	for _, tt := range []struct {
 		name   string
-		supply voters.Supply
+		supply voters.ServingLoad
 		lacks  bool
 		reason voters.Reason
 	}{
-		{"no subscriber", voters.Supply{Serving: 3}, false, voters.ReasonEnough},
-		{"as many as the members are to serve", voters.Supply{Serving: 7, Subscribers: 7000}, false, voters.ReasonEnough},
-		{"one more", voters.Supply{Serving: 7, Subscribers: 7001}, true, voters.ReasonManySubscribers},
-		{"the largest fleet", voters.Supply{Serving: 14, Subscribers: 14_000}, false, voters.ReasonEnough},
-		{"few answer", voters.Supply{Serving: 2, Subscribers: 10}, true, voters.ReasonFewServe},
+		{"no subscriber", voters.ServingLoad{Serving: 3}, false, voters.ReasonEnough},
+		{"as many as the members are to serve", voters.ServingLoad{Serving: 7, Subscribers: 7000}, false, voters.ReasonEnough},
+		{"one more", voters.ServingLoad{Serving: 7, Subscribers: 7001}, true, voters.ReasonManySubscribers},
+		{"the largest fleet", voters.ServingLoad{Serving: 14, Subscribers: 14_000}, false, voters.ReasonEnough},
+		{"few answer", voters.ServingLoad{Serving: 2, Subscribers: 10}, true, voters.ReasonFewServe},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
