--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -245,7 +245,7 @@
 
 // noteSupply follows whether the members serve all subscribers. The leader alone knows.
 func (d *Daemon) noteSupply(members []voters.Member) {
-	lacking, reason := voters.Lacks(d.supply(members), d.servingLimits())
+	lacking, reason := voters.NeedsServingMember(d.supply(members), d.servingLimits())
 	if d.lack.note(lacking, time.Now()) {
 		d.log.Info("members that serve", zap.Bool("lacking", lacking), zap.String("reason", string(reason)),
 			zap.Int("answering", voters.Answering(members)))
--- a/voters/serving.go
+++ b/voters/serving.go
@@ -26,10 +26,10 @@
 	ReasonManySubscribers Reason = "many_subscribers"
 )
 
-// Lacks reports whether another member is needed that serves subscribers. A host that
+// NeedsServingMember reports whether another member is needed that serves subscribers. A host that
 // keeps no log adds nothing to what a group can lose: it costs each other member a link
 // and a copy of all that changes, so it is taken in for its service alone.
-func Lacks(s ServingLoad, l ServingLimits) (bool, Reason) {
+func NeedsServingMember(s ServingLoad, l ServingLimits) (bool, Reason) {
 	switch {
 	case s.Serving < l.MinServing:
 		return true, ReasonFewServe
--- a/voters/serving_test.go
+++ b/voters/serving_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			lacks, reason := voters.Lacks(tt.supply, limits)
+			lacks, reason := voters.NeedsServingMember(tt.supply, limits)
 			is.Equal(lacks, tt.lacks)
 			is.Equal(reason, tt.reason)
 		})
