--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -248,13 +248,13 @@
 	lacking, reason := voters.NeedsServingMember(d.supply(members), d.servingLimits())
 	if d.lack.note(lacking, time.Now()) {
 		d.log.Info("members that serve", zap.Bool("lacking", lacking), zap.String("reason", string(reason)),
-			zap.Int("answering", voters.Answering(members)))
+			zap.Int("answering", voters.CountActive(members)))
 	}
 }
 
 func (d *Daemon) supply(members []voters.Member) voters.ServingLoad {
 	spread := d.directory.spread()
-	s := voters.ServingLoad{Serving: voters.Answering(members), Subscribers: spread.Own}
+	s := voters.ServingLoad{Serving: voters.CountActive(members), Subscribers: spread.Own}
 	for _, other := range spread.Others {
 		s.Subscribers += other.Subscribers
 	}
--- a/voters/serving.go
+++ b/voters/serving.go
@@ -39,8 +39,8 @@
 	return false, ReasonEnough
 }
 
-// Answering returns the number of members that answer.
-func Answering(members []Member) int {
+// CountActive returns the number of members that answer.
+func CountActive(members []Member) int {
 	count := 0
 	for _, m := range members {
 		if m.Active {
--- a/voters/serving_test.go
+++ b/voters/serving_test.go
@@ -34,5 +34,5 @@
 
 func TestAnswering(t *testing.T) {
 	members := []voters.Member{voter("a", 1), silent(voter("b", 1)), learner("c", 1), away(learner("d", 1), time.Hour)}
-	is.New(t).Equal(voters.Answering(members), 2)
+	is.New(t).Equal(voters.CountActive(members), 2)
 }
