--- a/internal/controld/members.go
+++ b/internal/controld/members.go
@@ -125,5 +125,5 @@
 	if least <= 1 || time.Since(d.began) > votersPatience {
 		return true
 	}
-	return voters.Count(membersOf(d.replicas[controlpb.Group_GROUP_CONFIG].Status())) >= least
+	return voters.CountVoters(membersOf(d.replicas[controlpb.Group_GROUP_CONFIG].Status())) >= least
 }
--- a/voters/spread_test.go
+++ b/voters/spread_test.go
@@ -79,7 +79,7 @@
 				}
 			}
 		}
-		count := voters.Count(members)
+		count := voters.CountVoters(members)
 		if count < min(all, limits.MinActiveVoters) || count > limits.VoterLimit {
 			t.Fatalf("%d voters of %d hosts", count, all)
 		}
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -115,7 +115,7 @@
 	switch {
 	case len(candidates) == 0:
 		return Change{Reason: waits}
-	case Count(members) >= l.VoterLimit:
+	case CountVoters(members) >= l.VoterLimit:
 		return Change{Reason: ReasonFull}
 	}
 	if next := spread(candidates, members, l); next != nil {
@@ -134,8 +134,8 @@
 	})
 }
 
-// Count returns the number of voters.
-func Count(members []Member) int {
+// CountVoters returns the number of voters.
+func CountVoters(members []Member) int {
 	count := 0
 	for _, m := range members {
 		if !m.Learner {
