--- a/internal/controld/members.go
+++ b/internal/controld/members.go
@@ -46,7 +46,7 @@
 	if group == controlpb.Group_GROUP_CONFIG {
 		d.noteSupply(members)
 	}
-	change := voters.Next(members, d.memberLimits())
+	change := voters.NextChange(members, d.memberLimits())
 	if change.Kind == voters.None {
 		return
 	}
--- a/voters/spread_test.go
+++ b/voters/spread_test.go
@@ -46,7 +46,7 @@
 		}, promoted("d")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(voters.Next(tt.members, voters.Limits{VoterLimit: 7, MinActiveVoters: 3}), tt.want)
+			is.New(t).Equal(voters.NextChange(tt.members, voters.Limits{VoterLimit: 7, MinActiveVoters: 3}), tt.want)
 		})
 	}
 }
@@ -69,7 +69,7 @@
 		}
 		members = rapid.Permutation(members).Draw(t, "order")
 		for range members {
-			change := voters.Next(members, limits)
+			change := voters.NextChange(members, limits)
 			if change.Kind != voters.Promote {
 				break
 			}
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -82,14 +82,14 @@
 	RemoveAfter time.Duration
 }
 
-// Next returns the next change of the members, at most one.
+// NextChange returns the next change of the members, at most one.
 //
 // Removing a replaced replica comes first: its vote counts towards the quorum
 // but can never be given, so until it is gone the group bears one loss less. The
 // same holds for a host that is gone for good, which nothing tells from one that
 // is away for long: once enough others answer, it is taken out. Hosts that went one
 // by one, each replaced at another address, would otherwise take the quorum with them.
-func Next(members []Member, l Limits) Change {
+func NextChange(members []Member, l Limits) Change {
 	if former, found := replaced(members); found {
 		return Change{Kind: Remove, Replica: former, Reason: ReasonReplaced}
 	}
--- a/voters/voters_test.go
+++ b/voters/voters_test.go
@@ -85,7 +85,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(voters.Next(tt.members, voters.Limits{VoterLimit: 5, MinActiveVoters: 3, RemoveAfter: 15 * time.Second}), tt.want)
+			is.Equal(voters.NextChange(tt.members, voters.Limits{VoterLimit: 5, MinActiveVoters: 3, RemoveAfter: 15 * time.Second}), tt.want)
 		})
 	}
 }
