--- a/internal/controld/silence.go
+++ b/internal/controld/silence.go
@@ -29,7 +29,7 @@
 			since = now
 		}
 		there[m.Replica] = since
-		members[i].Silent = now.Sub(since)
+		members[i].InactiveFor = now.Sub(since)
 	}
 	s.since = there
 	return members
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -23,8 +23,8 @@
 	Transient bool
 	// Active: it answered the leader lately. Silent is how long it has not, as far
 	// as the leader knows.
-	Active bool
-	Silent time.Duration
+	Active      bool
+	InactiveFor time.Duration
 	// CaughtUp: its vote would hold up no commit.
 	CaughtUp bool
 }
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, m := range members {
-		if m.Active || m.Silent < l.RemoveAfter {
+		if m.Active || m.InactiveFor < l.RemoveAfter {
 			continue
 		}
 		if m.Learner || answering >= l.MinActiveVoters {
--- a/voters/voters_test.go
+++ b/voters/voters_test.go
@@ -26,7 +26,7 @@
 
 // away is a member that has been silent for a time.
 func away(m voters.Member, silent time.Duration) voters.Member {
-	m.Active, m.Silent = false, silent
+	m.Active, m.InactiveFor = false, silent
 	return m
 }
 
