--- a/voters/voters.go
+++ b/voters/voters.go
@@ -49,8 +49,8 @@
 const (
 	// ReasonReplaced: another replica of the same name answers.
 	ReasonReplaced Reason = "replaced"
-	// ReasonGone: a member has been silent for too long.
-	ReasonGone Reason = "gone"
+	// ReasonUnreachable: a member has been silent for too long.
+	ReasonUnreachable Reason = "gone"
 	// ReasonCaughtUp: a learner has the log.
 	ReasonCaughtUp Reason = "caught_up"
 	// ReasonSettled: there is nothing to change.
@@ -94,7 +94,7 @@
 		return Change{Kind: Remove, Replica: former, Reason: ReasonReplaced}
 	}
 	if silent, found := gone(members, l); found {
-		return Change{Kind: Remove, Replica: silent, Reason: ReasonGone}
+		return Change{Kind: Remove, Replica: silent, Reason: ReasonUnreachable}
 	}
 	return promote(members, l)
 }
