--- a/voters/voters.go
+++ b/voters/voters.go
@@ -53,8 +53,8 @@
 	ReasonUnreachable Reason = "gone"
 	// ReasonCaughtUp: a learner has the log.
 	ReasonCaughtUp Reason = "caught_up"
-	// ReasonSettled: there is nothing to change.
-	ReasonSettled Reason = "settled"
+	// ReasonNoChange: there is nothing to change.
+	ReasonNoChange Reason = "settled"
 	// ReasonFormerVotes: a learner could vote, but its host's former replica does so far.
 	ReasonFormerVotes Reason = "former_votes"
 	// ReasonUneven: a learner could vote, but then the loss of its failure domain would
@@ -101,7 +101,7 @@
 
 // promote returns the next vote to be given.
 func promote(members []Member, l Limits) Change {
-	waits := ReasonSettled
+	waits := ReasonNoChange
 	var candidates []Member
 	for _, m := range members {
 		switch {
