--- a/voters/voters.go
+++ b/voters/voters.go
@@ -55,8 +55,8 @@
 	ReasonCaughtUp Reason = "caught_up"
 	// ReasonNoChange: there is nothing to change.
 	ReasonNoChange Reason = "settled"
-	// ReasonFormerVotes: a learner could vote, but its host's former replica does so far.
-	ReasonFormerVotes Reason = "former_votes"
+	// ReasonPreviousIncarnationVotes: a learner could vote, but its host's former replica does so far.
+	ReasonPreviousIncarnationVotes Reason = "former_votes"
 	// ReasonUneven: a learner could vote, but then the loss of its failure domain would
 	// take the quorum.
 	ReasonUneven Reason = "uneven"
@@ -107,7 +107,7 @@
 		switch {
 		case !promotable(m):
 		case formerVotes(members, m.Replica):
-			waits = ReasonFormerVotes
+			waits = ReasonPreviousIncarnationVotes
 		default:
 			candidates = append(candidates, m)
 		}
--- a/voters/voters_test.go
+++ b/voters/voters_test.go
@@ -55,7 +55,7 @@
 		{"silent learner", []voters.Member{voter("a", 1), silent(learner("d", 1))},
 			voters.Change{Reason: voters.ReasonNoChange}},
 		{"lost disk, and a new leader that takes all for active", []voters.Member{voter("a", 1), voter("b", 1), voter("c", 1), learner("a", 2)},
-			voters.Change{Reason: voters.ReasonFormerVotes}},
+			voters.Change{Reason: voters.ReasonPreviousIncarnationVotes}},
 		{"the same beside another learner", []voters.Member{voter("a", 1), voter("b", 1), voter("c", 1), learner("a", 2), learner("d", 1)},
 			voters.Change{Kind: voters.Promote, Replica: voters.Replica{Name: "d", Incarnation: 1}, Reason: voters.ReasonCaughtUp}},
 		{"log in memory", []voters.Member{voter("a", 1), transient(learner("d", 1))},
