--- a/voters/spread_test.go
+++ b/voters/spread_test.go
@@ -31,7 +31,7 @@
 		}, promoted("c")},
 		"enough voters, and one more would let a domain take the quorum": {[]voters.Member{
 			in("x", voter("a", 1)), in("y", voter("b", 1)), in("z", voter("c", 1)), in("x", learner("d", 1)),
-		}, voters.Change{Reason: voters.ReasonUneven}},
+		}, voters.Change{Reason: voters.ReasonDomainImbalance}},
 		"too few voters: losses of hosts come first": {[]voters.Member{
 			in("x", voter("a", 1)), in("y", voter("b", 1)), in("x", learner("d", 1)),
 		}, promoted("d")},
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -57,9 +57,9 @@
 	ReasonNoChange Reason = "settled"
 	// ReasonPreviousIncarnationVotes: a learner could vote, but its host's former replica does so far.
 	ReasonPreviousIncarnationVotes Reason = "former_votes"
-	// ReasonUneven: a learner could vote, but then the loss of its failure domain would
+	// ReasonDomainImbalance: a learner could vote, but then the loss of its failure domain would
 	// take the quorum.
-	ReasonUneven Reason = "uneven"
+	ReasonDomainImbalance Reason = "uneven"
 	// ReasonFull: a learner could vote, but there are as many voters as may be.
 	ReasonFull Reason = "full"
 )
@@ -121,7 +121,7 @@
 	if next := spread(candidates, members, l); next != nil {
 		return Change{Kind: Promote, Replica: next.Replica, Reason: ReasonCaughtUp}
 	}
-	return Change{Reason: ReasonUneven}
+	return Change{Reason: ReasonDomainImbalance}
 }
 
 // formerVotes reports whether a former replica of a host still has its vote. A leader that
