--- a/voters/voters.go
+++ b/voters/voters.go
@@ -60,8 +60,8 @@
 	// ReasonDomainImbalance: a learner could vote, but then the loss of its failure domain would
 	// take the quorum.
 	ReasonDomainImbalance Reason = "uneven"
-	// ReasonFull: a learner could vote, but there are as many voters as may be.
-	ReasonFull Reason = "full"
+	// ReasonMaxVoters: a learner could vote, but there are as many voters as may be.
+	ReasonMaxVoters Reason = "full"
 )
 
 // Change is one change of the members.
@@ -116,7 +116,7 @@
 	case len(candidates) == 0:
 		return Change{Reason: waits}
 	case CountVoters(members) >= l.VoterLimit:
-		return Change{Reason: ReasonFull}
+		return Change{Reason: ReasonMaxVoters}
 	}
 	if next := spread(candidates, members, l); next != nil {
 		return Change{Kind: Promote, Replica: next.Replica, Reason: ReasonCaughtUp}
--- a/voters/voters_test.go
+++ b/voters/voters_test.go
@@ -81,7 +81,7 @@
 		{"gone learner", []voters.Member{voter("a", 1), voter("b", 1), away(learner("c", 1), time.Hour)},
 			voters.Change{Kind: voters.Remove, Replica: voters.Replica{Name: "c", Incarnation: 1}, Reason: voters.ReasonUnreachable}},
 		{"as many as may be", []voters.Member{voter("a", 1), voter("b", 1), voter("c", 1), voter("d", 1), voter("e", 1), learner("f", 1)},
-			voters.Change{Reason: voters.ReasonFull}},
+			voters.Change{Reason: voters.ReasonMaxVoters}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
