--- a/voters/serving.go
+++ b/voters/serving.go
@@ -18,8 +18,8 @@
 
 // Reasons why a host that keeps no log becomes a member, or stands by.
 const (
-	// ReasonEnough: the members that keep their log serve all subscribers.
-	ReasonEnough Reason = "enough"
+	// ReasonSufficient: the members that keep their log serve all subscribers.
+	ReasonSufficient Reason = "enough"
 	// ReasonFewServe: too few members answer.
 	ReasonFewServe Reason = "few_serve"
 	// ReasonManySubscribers: the members have more subscribers than they are to serve.
@@ -36,7 +36,7 @@
 	case s.Subscribers > s.Serving*l.MaxSubscribersPerMember:
 		return true, ReasonManySubscribers
 	}
-	return false, ReasonEnough
+	return false, ReasonSufficient
 }
 
 // CountActive returns the number of members that answer.
--- a/voters/serving_test.go
+++ b/voters/serving_test.go
@@ -17,10 +17,10 @@
 		lacks  bool
 		reason voters.Reason
 	}{
-		{"no subscriber", voters.ServingLoad{Serving: 3}, false, voters.ReasonEnough},
-		{"as many as the members are to serve", voters.ServingLoad{Serving: 7, Subscribers: 7000}, false, voters.ReasonEnough},
+		{"no subscriber", voters.ServingLoad{Serving: 3}, false, voters.ReasonSufficient},
+		{"as many as the members are to serve", voters.ServingLoad{Serving: 7, Subscribers: 7000}, false, voters.ReasonSufficient},
 		{"one more", voters.ServingLoad{Serving: 7, Subscribers: 7001}, true, voters.ReasonManySubscribers},
-		{"the largest fleet", voters.ServingLoad{Serving: 14, Subscribers: 14_000}, false, voters.ReasonEnough},
+		{"the largest fleet", voters.ServingLoad{Serving: 14, Subscribers: 14_000}, false, voters.ReasonSufficient},
 		{"few answer", voters.ServingLoad{Serving: 2, Subscribers: 10}, true, voters.ReasonFewServe},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
