--- a/voters/serving.go
+++ b/voters/serving.go
@@ -20,8 +20,8 @@
 const (
 	// ReasonSufficient: the members that keep their log serve all subscribers.
 	ReasonSufficient Reason = "enough"
-	// ReasonFewServe: too few members answer.
-	ReasonFewServe Reason = "few_serve"
+	// ReasonTooFewServing: too few members answer.
+	ReasonTooFewServing Reason = "few_serve"
 	// ReasonManySubscribers: the members have more subscribers than they are to serve.
 	ReasonManySubscribers Reason = "many_subscribers"
 )
@@ -32,7 +32,7 @@
 func NeedsServingMember(s ServingLoad, l ServingLimits) (bool, Reason) {
 	switch {
 	case s.Serving < l.MinServing:
-		return true, ReasonFewServe
+		return true, ReasonTooFewServing
 	case s.Subscribers > s.Serving*l.MaxSubscribersPerMember:
 		return true, ReasonManySubscribers
 	}
