--- a/voters/serving.go
+++ b/voters/serving.go
@@ -22,8 +22,8 @@
 	ReasonSufficient Reason = "enough"
 	// ReasonTooFewServing: too few members answer.
 	ReasonTooFewServing Reason = "few_serve"
-	// ReasonManySubscribers: the members have more subscribers than they are to serve.
-	ReasonManySubscribers Reason = "many_subscribers"
+	// ReasonTooManySubscribers: the members have more subscribers than they are to serve.
+	ReasonTooManySubscribers Reason = "many_subscribers"
 )
 
 // NeedsServingMember reports whether another member is needed that serves subscribers. A host that
@@ -34,7 +34,7 @@
 	case s.Serving < l.MinServing:
 		return true, ReasonTooFewServing
 	case s.Subscribers > s.Serving*l.MaxSubscribersPerMember:
-		return true, ReasonManySubscribers
+		return true, ReasonTooManySubscribers
 	}
 	return false, ReasonSufficient
 }
--- a/voters/serving_test.go
+++ b/voters/serving_test.go
@@ -19,7 +19,7 @@
 	}{
 		{"no subscriber", voters.ServingLoad{Serving: 3}, false, voters.ReasonSufficient},
 		{"as many as the members are to serve", voters.ServingLoad{Serving: 7, Subscribers: 7000}, false, voters.ReasonSufficient},
-		{"one more", voters.ServingLoad{Serving: 7, Subscribers: 7001}, true, voters.ReasonManySubscribers},
+		{"one more", voters.ServingLoad{Serving: 7, Subscribers: 7001}, true, voters.ReasonTooManySubscribers},
 		{"the largest fleet", voters.ServingLoad{Serving: 14, Subscribers: 14_000}, false, voters.ReasonSufficient},
 		{"few answer", voters.ServingLoad{Serving: 2, Subscribers: 10}, true, voters.ReasonTooFewServing},
 	} {
