--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -55,7 +55,7 @@
 		members.Members = append(members.Members, &raftpb.Member{Id: r.ID(), Address: name})
 	}
 	for _, r := range replicas {
-		_ = r.Form(b.Context(), members) // may be formed by a message already
+		_ = r.Bootstrap(b.Context(), members) // may be formed by a message already
 	}
 	for {
 		for i, r := range replicas {
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -128,7 +128,7 @@
 	}
 	t.Cleanup(c.closeAll)
 	for _, h := range c.hosts {
-		err := h.replica.Form(t.Context(), members)
+		err := h.replica.Bootstrap(t.Context(), members)
 		// One that a member formed before has reached already is formed.
 		if err != nil && !errors.Is(err, ErrFormed) {
 			t.Fatal(err)
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -18,10 +18,10 @@
 	foundingTerm  uint64 = 1
 )
 
-// Form makes the replica a first member of a new group. Every member must be
+// Bootstrap makes the replica a first member of a new group. Every member must be
 // given the same list, with the identities of all of them, and none may have
 // belonged to a group before; ErrFormed says that this one has.
-func (r *Replica) Form(ctx context.Context, members *raftpb.Membership) error {
+func (r *Replica) Bootstrap(ctx context.Context, members *raftpb.Membership) error {
 	members = proto.CloneOf(members)
 	_, err := r.do(ctx, newRequest(0, func(q *request) { r.startForm(q, members) }))
 	return err
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -24,9 +24,9 @@
 	is.True(errors.Is(err, ErrNoLeader))
 	is.True(errors.Is(r.ReadBarrier(t.Context()), ErrNoLeader))
 	other := &raftpb.Membership{Members: []*raftpb.Member{{Id: &raftpb.ReplicaID{Name: "b", Incarnation: 1}}}}
-	is.True(errors.Is(r.Form(t.Context(), other), ErrMembership))
+	is.True(errors.Is(r.Bootstrap(t.Context(), other), ErrMembership))
 	learner := &raftpb.Membership{Members: []*raftpb.Member{{Id: r.ID(), Learner: true}}}
-	is.True(errors.Is(r.Form(t.Context(), learner), ErrMembership)) // no voter
+	is.True(errors.Is(r.Bootstrap(t.Context(), learner), ErrMembership)) // no voter
 	is.NoErr(r.Close())
 	_, err = r.Propose(t.Context(), []byte("x"))
 	is.True(errors.Is(err, ErrClosed))
@@ -37,10 +37,10 @@
 	c := newCluster(t, 1, Options{})
 	h := c.hosts[0]
 	members := &raftpb.Membership{Members: []*raftpb.Member{{Id: h.replica.ID()}}}
-	is.True(errors.Is(h.replica.Form(t.Context(), members), ErrFormed))
+	is.True(errors.Is(h.replica.Bootstrap(t.Context(), members), ErrFormed))
 	c.kill(h)
 	c.start(h)
-	is.True(errors.Is(h.replica.Form(t.Context(), members), ErrFormed))
+	is.True(errors.Is(h.replica.Bootstrap(t.Context(), members), ErrFormed))
 }
 
 func TestResultsAreThoseOfApply(t *testing.T) {
