--- a/internal/controld/found.go
+++ b/internal/controld/found.go
@@ -363,7 +363,7 @@
 	ctx, cancel := context.WithTimeout(d.ctx, proposeTimeout)
 	defer cancel()
 	err := d.replicas[group].Bootstrap(ctx, m)
-	if err != nil && !errors.Is(err, replica.ErrFormed) {
+	if err != nil && !errors.Is(err, replica.ErrAlreadyBootstrapped) {
 		d.log.Warn("cannot form the group", zap.String("group", groupName(group)), zap.Error(err))
 		return
 	}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -130,7 +130,7 @@
 	for _, h := range c.hosts {
 		err := h.replica.Bootstrap(t.Context(), members)
 		// One that a member formed before has reached already is formed.
-		if err != nil && !errors.Is(err, ErrFormed) {
+		if err != nil && !errors.Is(err, ErrAlreadyBootstrapped) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -18,8 +18,8 @@
 	// ErrCommand: the command was certainly not replicated, because it is
 	// empty or too large.
 	ErrCommand = errors.New("command refused")
-	// ErrFormed: the folder already holds the state of a group.
-	ErrFormed = errors.New("replica already belongs to a group")
+	// ErrAlreadyBootstrapped: the folder already holds the state of a group.
+	ErrAlreadyBootstrapped = errors.New("replica already belongs to a group")
 	// ErrMembership: the change of members cannot be made now and was
 	// certainly not made.
 	ErrMembership = errors.New("membership change refused")
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -30,7 +30,7 @@
 func (r *Replica) startForm(q *request, members *raftpb.Membership) {
 	status := r.node.Status()
 	if status.Membership != nil || status.LastIndex > 0 {
-		r.finish(q, nil, ErrFormed)
+		r.finish(q, nil, ErrAlreadyBootstrapped)
 		return
 	}
 	if findMember(members, r.id) == nil {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -37,10 +37,10 @@
 	c := newCluster(t, 1, Options{})
 	h := c.hosts[0]
 	members := &raftpb.Membership{Members: []*raftpb.Member{{Id: h.replica.ID()}}}
-	is.True(errors.Is(h.replica.Bootstrap(t.Context(), members), ErrFormed))
+	is.True(errors.Is(h.replica.Bootstrap(t.Context(), members), ErrAlreadyBootstrapped))
 	c.kill(h)
 	c.start(h)
-	is.True(errors.Is(h.replica.Bootstrap(t.Context(), members), ErrFormed))
+	is.True(errors.Is(h.replica.Bootstrap(t.Context(), members), ErrAlreadyBootstrapped))
 }
 
 func TestResultsAreThoseOfApply(t *testing.T) {
