--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -310,7 +310,7 @@
 	var groups conc.WaitGroup
 	for _, opened := range d.replicas {
 		groups.Go(func() {
-			if err := opened.HandOver(context.Background()); err != nil {
+			if err := opened.MoveLeadership(context.Background()); err != nil {
 				d.log.Info("leadership not handed over", zap.Error(err))
 			}
 		})
--- a/internal/replica/handover.go
+++ b/internal/replica/handover.go
@@ -15,11 +15,11 @@
 // that the others elect a leader as if this one had failed.
 const handOverElections = 2
 
-// HandOver passes the leadership on and returns once another replica leads. The
+// MoveLeadership passes the leadership on and returns once another replica leads. The
 // replica goes on as a follower, so that commands that were proposed here are
 // still answered. It returns nil at once if this replica does not lead or is
 // closed; ErrNoLeader, if nobody took over.
-func (r *Replica) HandOver(ctx context.Context) error {
+func (r *Replica) MoveLeadership(ctx context.Context) error {
 	return r.handOver(ctx, func() error { return r.node.TransferLeadership() })
 }
 
--- a/internal/replica/handover_test.go
+++ b/internal/replica/handover_test.go
@@ -47,11 +47,11 @@
 func TestHandOverNeedsAnother(t *testing.T) {
 	is := is.New(t)
 	alone, h := newLedCluster(t, 1, Options{})
-	is.True(errors.Is(h.replica.HandOver(t.Context()), ErrNoLeader))
+	is.True(errors.Is(h.replica.MoveLeadership(t.Context()), ErrNoLeader))
 	alone.propose(h, "goes on")
 	is.NoErr(alone.detach(h).Close())
 
 	c, leader := newLedCluster(t, 3, Options{})
-	is.NoErr(others(c, leader)[0].replica.HandOver(t.Context())) // it does not lead
+	is.NoErr(others(c, leader)[0].replica.MoveLeadership(t.Context())) // it does not lead
 	is.Equal(c.leader(), leader)
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -155,7 +155,7 @@
 // is free. Proposals that wait get ErrUnknown. The error is that of Err, or of
 // closing the log.
 func (r *Replica) Close() error {
-	if err := r.HandOver(context.Background()); err != nil {
+	if err := r.MoveLeadership(context.Background()); err != nil {
 		r.log.Info("closed as the leader", zap.Error(err))
 	}
 	return r.halt()
