--- a/internal/controld/lead.go
+++ b/internal/controld/lead.go
@@ -94,7 +94,7 @@
 	if to.GetName() != peer.Name {
 		return h.fault(refusedSender, controlpb.FaultKind_FAULT_NOT_DONE, "another host should lead the group")
 	}
-	if err := r.HandOverTo(ctx, to); err != nil {
+	if err := r.MoveLeadershipTo(ctx, to); err != nil {
 		return h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, err.Error())
 	}
 	return done()
--- a/internal/replica/handover.go
+++ b/internal/replica/handover.go
@@ -23,9 +23,9 @@
 	return r.handOver(ctx, func() error { return r.node.TransferLeadership() })
 }
 
-// HandOverTo is HandOver to one voter. ErrNoLeader also says that this one was
+// MoveLeadershipTo is HandOver to one voter. ErrNoLeader also says that this one was
 // not heard lately.
-func (r *Replica) HandOverTo(ctx context.Context, to *raftpb.ReplicaID) error {
+func (r *Replica) MoveLeadershipTo(ctx context.Context, to *raftpb.ReplicaID) error {
 	return r.handOver(ctx, func() error { return r.node.TransferLeadershipTo(to) })
 }
 
