--- a/internal/controld/agree.go
+++ b/internal/controld/agree.go
@@ -67,7 +67,7 @@
 func (d *Daemon) configure(ctx context.Context, group controlpb.Group, c *grantpb.Configure) error {
 	command, err := proto.Marshal(&grantpb.Command{Body: &grantpb.Command_Configure{Configure: c}})
 	if err != nil {
-		return errors.Wrap(replica.ErrCommand, err.Error())
+		return errors.Wrap(replica.ErrInvalidCommand, err.Error())
 	}
 	data, err := d.replicas[group].Propose(ctx, command)
 	if err != nil {
@@ -78,7 +78,7 @@
 		return errors.Wrap(replica.ErrUnknown, err.Error())
 	}
 	if !result.GetTaken() {
-		return errors.Wrapf(replica.ErrCommand, "refused by %s", groupName(group))
+		return errors.Wrapf(replica.ErrInvalidCommand, "refused by %s", groupName(group))
 	}
 	return nil
 }
--- a/internal/controld/internal_test.go
+++ b/internal/controld/internal_test.go
@@ -116,7 +116,7 @@
 	is.Equal(proposeStatus(nil), controlpb.ProposeStatus_PROPOSE_OK)
 	is.Equal(proposeStatus(replica.ErrNoLeader), controlpb.ProposeStatus_PROPOSE_NO_LEADER)
 	is.Equal(proposeStatus(replica.ErrBusy), controlpb.ProposeStatus_PROPOSE_BUSY)
-	is.Equal(proposeStatus(replica.ErrCommand), controlpb.ProposeStatus_PROPOSE_BUSY)
+	is.Equal(proposeStatus(replica.ErrInvalidCommand), controlpb.ProposeStatus_PROPOSE_BUSY)
 	is.Equal(proposeStatus(replica.ErrClosed), controlpb.ProposeStatus_PROPOSE_NO_LEADER)
 	is.Equal(proposeStatus(errors.Join(replica.ErrUnknown, replica.ErrNoLeader)), controlpb.ProposeStatus_PROPOSE_UNKNOWN)
 	is.Equal(proposeStatus(context.DeadlineExceeded), controlpb.ProposeStatus_PROPOSE_UNKNOWN)
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -15,9 +15,9 @@
 	// ErrClosed: the command was certainly not replicated, because the
 	// replica was closed or had failed before.
 	ErrClosed = errors.New("replica is closed")
-	// ErrCommand: the command was certainly not replicated, because it is
+	// ErrInvalidCommand: the command was certainly not replicated, because it is
 	// empty or too large.
-	ErrCommand = errors.New("command refused")
+	ErrInvalidCommand = errors.New("command refused")
 	// ErrAlreadyBootstrapped: the folder already holds the state of a group.
 	ErrAlreadyBootstrapped = errors.New("replica already belongs to a group")
 	// ErrMembership: the change of members cannot be made now and was
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -55,7 +55,7 @@
 		return nil
 	}
 	r.metrics.command.Inc(1)
-	return errors.Wrapf(ErrCommand, "%d bytes, want 1 to %d", len(command), r.opts.MaxCommandBytes)
+	return errors.Wrapf(ErrInvalidCommand, "%d bytes, want 1 to %d", len(command), r.opts.MaxCommandBytes)
 }
 
 // ReadBarrier returns once the state machine here holds everything that was
@@ -137,7 +137,7 @@
 	case errors.Is(err, ErrUnknown):
 	case errors.Is(err, ErrNoLeader), errors.Is(err, ErrClosed):
 		status = controlpb.ProposeStatus_PROPOSE_NO_LEADER
-	case errors.Is(err, ErrBusy), errors.Is(err, ErrCommand):
+	case errors.Is(err, ErrBusy), errors.Is(err, ErrInvalidCommand):
 		status = controlpb.ProposeStatus_PROPOSE_BUSY
 	}
 	return &controlpb.ProposeReply{Result: result, Status: status}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -61,11 +61,11 @@
 	c := newCluster(t, 1, Options{MaxCommandBytes: 4})
 	r := c.leader().replica
 	_, err := r.Propose(t.Context(), nil)
-	is.True(errors.Is(err, ErrCommand))
+	is.True(errors.Is(err, ErrInvalidCommand))
 	_, err = r.Propose(t.Context(), []byte("12345"))
-	is.True(errors.Is(err, ErrCommand))
+	is.True(errors.Is(err, ErrInvalidCommand))
 	_, err = r.ProposeLocal(t.Context(), []byte("12345"))
-	is.True(errors.Is(err, ErrCommand))
+	is.True(errors.Is(err, ErrInvalidCommand))
 	_, err = r.Propose(t.Context(), []byte("1234"))
 	is.NoErr(err)
 }
