--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -236,13 +236,13 @@
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	result, err := r.ProposeLocal(ctx, p.GetCommand())
-	reply := replica.Reply(result, err)
+	reply := replica.NewProposeReply(result, err)
 	return &controlpb.Response{Body: &controlpb.Response_Propose{Propose: reply}}
 }
 
 // proposeStatus sorts an error of a replica.
 func proposeStatus(err error) controlpb.ProposeStatus {
-	return replica.Reply(nil, err).GetStatus()
+	return replica.NewProposeReply(nil, err).GetStatus()
 }
 
 // replicate runs a command of an agent and decodes its result. On failure it
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -289,7 +289,7 @@
 	if r == nil {
 		return nil, ErrNoLeader // not sent
 	}
-	reply := Reply(r.ProposeLocal(ctx, command))
+	reply := NewProposeReply(r.ProposeLocal(ctx, command))
 	if f.cluster.reach(leader.GetAddress(), f.from) == nil {
 		return nil, errLost
 	}
--- a/internal/replica/group_test.go
+++ b/internal/replica/group_test.go
@@ -395,11 +395,11 @@
 
 func TestReplyKeepsWhatIsCertain(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Reply(nil, nil).Status, controlpb.ProposeStatus_PROPOSE_OK)
-	is.Equal(Reply(nil, ErrNoLeader).Status, controlpb.ProposeStatus_PROPOSE_NO_LEADER)
-	is.Equal(Reply(nil, ErrClosed).Status, controlpb.ProposeStatus_PROPOSE_NO_LEADER)
-	is.Equal(Reply(nil, ErrBusy).Status, controlpb.ProposeStatus_PROPOSE_BUSY)
-	is.Equal(Reply(nil, ErrUnknown).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
-	is.Equal(Reply(nil, errLost).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
-	is.Equal(Reply(nil, errors.Join(ErrUnknown, ErrBusy)).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
+	is.Equal(NewProposeReply(nil, nil).Status, controlpb.ProposeStatus_PROPOSE_OK)
+	is.Equal(NewProposeReply(nil, ErrNoLeader).Status, controlpb.ProposeStatus_PROPOSE_NO_LEADER)
+	is.Equal(NewProposeReply(nil, ErrClosed).Status, controlpb.ProposeStatus_PROPOSE_NO_LEADER)
+	is.Equal(NewProposeReply(nil, ErrBusy).Status, controlpb.ProposeStatus_PROPOSE_BUSY)
+	is.Equal(NewProposeReply(nil, ErrUnknown).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
+	is.Equal(NewProposeReply(nil, errLost).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
+	is.Equal(NewProposeReply(nil, errors.Join(ErrUnknown, ErrBusy)).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -128,8 +128,8 @@
 	return ErrUnknown
 }
 
-// Reply returns what ProposeLocal's result says to the replica that forwarded.
-func Reply(result []byte, err error) *controlpb.ProposeReply {
+// NewProposeReply returns what ProposeLocal's result says to the replica that forwarded.
+func NewProposeReply(result []byte, err error) *controlpb.ProposeReply {
 	status := controlpb.ProposeStatus_PROPOSE_UNKNOWN
 	switch {
 	case err == nil:
