--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -207,7 +207,7 @@
 		if s.Leader == nil || s.Leading() {
 			continue
 		}
-		address := h.peers.addressOf(h.replicas[group].MemberOf(s.Leader))
+		address := h.peers.addressOf(h.replicas[group].MemberByID(s.Leader))
 		far := h.peers.get(address)
 		if far == nil || asked[address] {
 			continue
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -183,9 +183,9 @@
 	return texts
 }
 
-// MemberOf returns the member of that identity, or one with the configured
+// MemberByID returns the member of that identity, or one with the configured
 // address.
-func (r *Replica) MemberOf(id *raftpb.ReplicaID) *raftpb.Member { return r.memberOf(r.Status(), id) }
+func (r *Replica) MemberByID(id *raftpb.ReplicaID) *raftpb.Member { return r.memberOf(r.Status(), id) }
 
 // memberOf returns the member of a status, or one with the configured address.
 func (r *Replica) memberOf(status Status, id *raftpb.ReplicaID) *raftpb.Member {
