--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -286,7 +286,7 @@
 // known: agents that come while one is elected would all ask again later.
 func (h *handler) proposeSoon(ctx context.Context, group controlpb.Group, command []byte) ([]byte, error) {
 	r := h.replicas[group]
-	return insist(ctx, r.AwaitLeader, func() ([]byte, error) { return r.Propose(ctx, command) })
+	return insist(ctx, r.WaitForLeader, func() ([]byte, error) { return r.Propose(ctx, command) })
 }
 
 // insist proposes until that is not refused for want of a leader, for as long as a caller
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -86,8 +86,8 @@
 	return p.status, p.changed
 }
 
-// AwaitLeader waits until a leader is known. It reports whether there is one.
-func (r *Replica) AwaitLeader(ctx context.Context) bool {
+// WaitForLeader waits until a leader is known. It reports whether there is one.
+func (r *Replica) WaitForLeader(ctx context.Context) bool {
 	for {
 		status, changed := r.Watch()
 		if status.Leader != nil {
