--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -237,19 +237,19 @@
 		fs = wal.NewMemory()
 	}
 	opened, err := replica.Open(replica.Options{
-		FS:              fs,
-		Folder:          filepath.Join(d.settings.GetReplica().GetDataFolder(), groupName(group)),
-		Name:            d.name,
-		Group:           group,
-		StateMachine:    d.machine(group),
-		Transport:       d.peers,
-		Forwarder:       d.peers,
-		TickInterval:    tick,
-		WaitForRoom:     d.settings.GetReplica().GetAutomaticMembers(),
-		SnapshotEntries: entries,
-		SnapshotBytes:   int(d.settings.GetReplica().GetSnapshotBytes()),
-		Log:             d.log.With(zap.String("group", groupName(group))),
-		Scope:           d.scope.Tagged(map[string]string{"group": groupName(group)}),
+		FS:               fs,
+		Folder:           filepath.Join(d.settings.GetReplica().GetDataFolder(), groupName(group)),
+		Name:             d.name,
+		Group:            group,
+		StateMachine:     d.machine(group),
+		Transport:        d.peers,
+		Forwarder:        d.peers,
+		TickInterval:     tick,
+		WaitForDiskSpace: d.settings.GetReplica().GetAutomaticMembers(),
+		SnapshotEntries:  entries,
+		SnapshotBytes:    int(d.settings.GetReplica().GetSnapshotBytes()),
+		Log:              d.log.With(zap.String("group", groupName(group))),
+		Scope:            d.scope.Tagged(map[string]string{"group": groupName(group)}),
 	})
 	if err != nil {
 		return err
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -101,9 +101,9 @@
 	MaxProposals int
 	// MaxCommandBytes bounds the size of one command.
 	MaxCommandBytes int
-	// WaitForRoom keeps the replica when its disk has no room: it leaves the group's
+	// WaitForDiskSpace keeps the replica when its disk has no room: it leaves the group's
 	// work to the others until there is some. Without it the replica fails.
-	WaitForRoom bool
+	WaitForDiskSpace bool
 	// Seed feeds the choice of election timeouts. Zero means a random one.
 	Seed uint64
 	// FS is the file system of Folder. Nil means that of the operating system.
--- a/internal/replica/room_test.go
+++ b/internal/replica/room_test.go
@@ -11,7 +11,7 @@
 // itself, with all that was acknowledged meanwhile and before.
 func TestDiskWithoutRoom(t *testing.T) {
 	is := is.New(t)
-	c, old := newLedCluster(t, 3, Options{WaitForRoom: true})
+	c, old := newLedCluster(t, 3, Options{WaitForDiskSpace: true})
 	c.propose(old, "before")
 	old.disk.fill(true)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -30,7 +30,7 @@
 // The disk is full from the moment when a follower is to write.
 func TestFollowerWithoutRoom(t *testing.T) {
 	is := is.New(t)
-	c, leader := newLedCluster(t, 3, Options{WaitForRoom: true, SnapshotEntries: 5})
+	c, leader := newLedCluster(t, 3, Options{WaitForDiskSpace: true, SnapshotEntries: 5})
 	var follower *host
 	for _, h := range c.hosts {
 		if h != leader {
