--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -111,7 +111,7 @@
 	machine := what.machine()
 	began := time.Now()
 	opened, err := replica.Open(replica.Options{
-		Folder: folder, Name: replicaName, Group: what.group, StateMachine: machine, SnapshotEntries: noSnapshot,
+		DataDir: folder, Name: replicaName, Group: what.group, StateMachine: machine, SnapshotEntries: noSnapshot,
 	})
 	took := time.Since(began)
 	if err != nil {
--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -238,7 +238,7 @@
 	}
 	opened, err := replica.Open(replica.Options{
 		FS:               fs,
-		Folder:           filepath.Join(d.settings.GetReplica().GetDataFolder(), groupName(group)),
+		DataDir:          filepath.Join(d.settings.GetReplica().GetDataFolder(), groupName(group)),
 		Name:             d.name,
 		Group:            group,
 		StateMachine:     d.machine(group),
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -44,7 +44,7 @@
 	for _, name := range hostNames[:size] {
 		scope := tally.NewTestScope("", nil)
 		r, err := Open(Options{
-			Folder: filepath.Join(b.TempDir(), name), Name: name, Scope: scope,
+			DataDir: filepath.Join(b.TempDir(), name), Name: name, Scope: scope,
 			StateMachine: &counterMachine{}, Transport: network, Addresses: map[string]string{"a": "a", "b": "b", "c": "c"},
 		})
 		must(b, err)
@@ -137,7 +137,7 @@
 	for range b.N {
 		begin := time.Now()
 		*machine = counterMachine{}
-		r, err := Open(Options{Folder: folder, Name: "a", StateMachine: machine, SnapshotEntries: 1 << 40})
+		r, err := Open(Options{DataDir: folder, Name: "a", StateMachine: machine, SnapshotEntries: 1 << 40})
 		must(b, err)
 		worst = max(worst, time.Since(begin))
 		b.StopTimer()
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -146,7 +146,7 @@
 
 func (c *cluster) options(h *host) Options {
 	o := c.opts
-	o.Folder, o.Name, o.FS, o.StateMachine = h.folder, h.name, h.disk, h.journal
+	o.DataDir, o.Name, o.FS, o.StateMachine = h.folder, h.name, h.disk, h.journal
 	o.Transport = &transport{cluster: c, from: h.name}
 	o.Forwarder = &forwarder{cluster: c, from: h.name}
 	o.Scope = h.scope
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -64,9 +64,9 @@
 
 // Options configures a Replica.
 type Options struct {
-	// Folder holds the durable state of this replica in this group and
+	// DataDir holds the durable state of this replica in this group and
 	// nothing else. It is made if it does not exist.
-	Folder string
+	DataDir string
 	// Name is the replica's name. A folder made under another one is refused.
 	Name string
 	// Group names the replicated log.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -61,7 +61,7 @@
 	if opts.StateMachine == nil {
 		return nil, errors.New("replica needs a state machine")
 	}
-	log, state, err := wal.Open(opts.Folder, wal.Options{Name: opts.Name, FS: opts.FS})
+	log, state, err := wal.Open(opts.DataDir, wal.Options{Name: opts.Name, FS: opts.FS})
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -17,7 +17,7 @@
 
 func TestUnformedReplicaRefuses(t *testing.T) {
 	is := is.New(t)
-	r, err := Open(Options{Folder: t.TempDir(), Name: "a", StateMachine: &journal{}})
+	r, err := Open(Options{DataDir: t.TempDir(), Name: "a", StateMachine: &journal{}})
 	is.NoErr(err)
 	is.True(!r.Status().Formed)
 	_, err = r.Propose(t.Context(), []byte("x"))
--- a/internal/replica/room.go
+++ b/internal/replica/room.go
@@ -41,7 +41,7 @@
 			continue
 		case <-ticker.C:
 		}
-		log, state, err := wal.Open(r.opts.Folder, wal.Options{Name: r.opts.Name, FS: r.opts.FS})
+		log, state, err := wal.Open(r.opts.DataDir, wal.Options{Name: r.opts.Name, FS: r.opts.FS})
 		if errors.Is(err, wal.ErrFull) {
 			continue
 		}
