--- a/internal/replica/room.go
+++ b/internal/replica/room.go
@@ -17,7 +17,7 @@
 // refused for want of it. After a failed sync it may not, since what was lost then may
 // still be read until the host loses power.
 func (r *Replica) lacksRoom() bool {
-	return r.opts.WaitForDiskSpace && errors.Is(r.failure, wal.ErrFull) && !errors.Is(r.failure, wal.ErrSync)
+	return r.opts.WaitForDiskSpace && errors.Is(r.failure, wal.ErrNoSpace) && !errors.Is(r.failure, wal.ErrSync)
 }
 
 // awaitRoom opens the log again once that is possible. Until then the replica takes no
@@ -42,7 +42,7 @@
 		case <-ticker.C:
 		}
 		log, state, err := wal.Open(r.opts.DataDir, wal.Options{Name: r.opts.Name, FS: r.opts.FS})
-		if errors.Is(err, wal.ErrFull) {
+		if errors.Is(err, wal.ErrNoSpace) {
 			continue
 		}
 		if err != nil {
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -10,9 +10,9 @@
 	ErrLocked = errors.New("data folder is in use by another process")
 	// ErrUnwritable: the folder cannot be written to.
 	ErrUnwritable = errors.New("data folder is not writable")
-	// ErrFull: the file system of the folder has no room left, or the process may
+	// ErrNoSpace: the file system of the folder has no room left, or the process may
 	// not make its files longer.
-	ErrFull = errors.New("no space left for the data folder")
+	ErrNoSpace = errors.New("no space left for the data folder")
 	// ErrSync: a sync failed, so that what was written before may be lost though it
 	// can be read.
 	ErrSync = errors.New("sync failed")
--- a/internal/wal/fault_test.go
+++ b/internal/wal/fault_test.go
@@ -24,7 +24,7 @@
 		{"failed sync", func(f *faultFS) { f.failSync = errDisk }, errDisk},
 		{"failed write", func(f *faultFS) { f.failWrite = errDisk }, errDisk},
 		{"short write", func(f *faultFS) { f.short = true }, io.ErrShortWrite},
-		{"full disk", func(f *faultFS) { f.failWrite = syscall.ENOSPC }, ErrFull},
+		{"full disk", func(f *faultFS) { f.failWrite = syscall.ENOSPC }, ErrNoSpace},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,8 +57,8 @@
 		fault faultFS
 		want  error
 	}{
-		{"create", faultFS{failCreate: syscall.ENOSPC}, ErrFull},
-		{"write", faultFS{failWrite: syscall.ENOSPC}, ErrFull},
+		{"create", faultFS{failCreate: syscall.ENOSPC}, ErrNoSpace},
+		{"write", faultFS{failWrite: syscall.ENOSPC}, ErrNoSpace},
 		{"sync", faultFS{failSync: errDisk}, errDisk},
 		{"sync of the folder", faultFS{failSyncDir: errDisk}, errDisk},
 	}
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -128,7 +128,7 @@
 	err = errors.Wrapf(err, "%s %s", doing, path)
 	switch {
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT), errors.Is(err, syscall.EFBIG):
-		return errors.Join(ErrFull, err)
+		return errors.Join(ErrNoSpace, err)
 	case errors.Is(err, os.ErrPermission), errors.Is(err, syscall.EROFS), errors.Is(err, syscall.ENOTDIR):
 		return errors.Join(ErrUnwritable, err)
 	}
