--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -135,7 +135,7 @@
 		_, err = h.replica.Propose(t.Context(), []byte("x"))
 	}
 	<-h.replica.Done()
-	is.True(errors.Is(h.replica.Err(), wal.ErrUnwritable))
+	is.True(errors.Is(h.replica.Err(), wal.ErrNotWritable))
 }
 
 func TestDamagedFolderDoesNotOpen(t *testing.T) {
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -8,8 +8,8 @@
 	ErrDamaged = errors.New("data folder is damaged")
 	// ErrLocked: another process uses the folder.
 	ErrLocked = errors.New("data folder is in use by another process")
-	// ErrUnwritable: the folder cannot be written to.
-	ErrUnwritable = errors.New("data folder is not writable")
+	// ErrNotWritable: the folder cannot be written to.
+	ErrNotWritable = errors.New("data folder is not writable")
 	// ErrNoSpace: the file system of the folder has no room left, or the process may
 	// not make its files longer.
 	ErrNoSpace = errors.New("no space left for the data folder")
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -130,7 +130,7 @@
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT), errors.Is(err, syscall.EFBIG):
 		return errors.Join(ErrNoSpace, err)
 	case errors.Is(err, os.ErrPermission), errors.Is(err, syscall.EROFS), errors.Is(err, syscall.ENOTDIR):
-		return errors.Join(ErrUnwritable, err)
+		return errors.Join(ErrNotWritable, err)
 	}
 	return err
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -198,11 +198,11 @@
 	file := filepath.Join(t.TempDir(), "file")
 	is.NoErr(os.WriteFile(file, nil, 0o600))
 	_, _, err := Open(filepath.Join(file, "folder"), testOptions())
-	is.True(errors.Is(err, ErrUnwritable))
+	is.True(errors.Is(err, ErrNotWritable))
 	is.True(strings.Contains(err.Error(), file))
 
 	opts := testOptions()
 	opts.FS = &faultFS{failCreate: os.ErrPermission}
 	_, _, err = Open(t.TempDir(), opts)
-	is.True(errors.Is(err, ErrUnwritable))
+	is.True(errors.Is(err, ErrNotWritable))
 }
