--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -150,7 +150,7 @@
 	data[len(data)/2] ^= 1
 	is.NoErr(os.WriteFile(paths[0], data, 0o600))
 	_, err = Open(c.options(h))
-	is.True(errors.Is(err, wal.ErrDamaged))
+	is.True(errors.Is(err, wal.ErrCorrupted))
 }
 
 func TestFailedRestoreDoesNotOpen(t *testing.T) {
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -3,9 +3,9 @@
 import "github.com/go-faster/errors"
 
 var (
-	// ErrDamaged: acknowledged data cannot be read back. The text names the
+	// ErrCorrupted: acknowledged data cannot be read back. The text names the
 	// file and the offset in bytes.
-	ErrDamaged = errors.New("data folder is damaged")
+	ErrCorrupted = errors.New("data folder is damaged")
 	// ErrLocked: another process uses the folder.
 	ErrLocked = errors.New("data folder is in use by another process")
 	// ErrNotWritable: the folder cannot be written to.
@@ -28,5 +28,5 @@
 )
 
 func damaged(file string, offset int64, reason string) error {
-	return errors.Wrapf(ErrDamaged, "file %s, offset %d: %s", file, offset, reason)
+	return errors.Wrapf(ErrCorrupted, "file %s, offset %d: %s", file, offset, reason)
 }
--- a/internal/wal/fault_test.go
+++ b/internal/wal/fault_test.go
@@ -142,7 +142,7 @@
 		flipped[at] ^= 1 << (at % 8)
 		is.NoErr(os.WriteFile(path, flipped, 0o600))
 		_, _, err := Open(folder, testOptions())
-		is.True(errors.Is(err, ErrDamaged))
+		is.True(errors.Is(err, ErrCorrupted))
 		is.True(strings.Contains(err.Error(), path))
 		is.True(strings.Contains(err.Error(), "offset"))
 		kept, err := os.ReadFile(path)
@@ -164,7 +164,7 @@
 	data[len(data)-headerLength-1] ^= 1
 	is.NoErr(os.WriteFile(path, data, 0o600))
 	_, _, err = Open(folder, testOptions())
-	is.True(errors.Is(err, ErrDamaged))
+	is.True(errors.Is(err, ErrCorrupted))
 }
 
 // filled returns a closed folder of several segments and a snapshot.
@@ -242,7 +242,7 @@
 			folder, opts := filled(t)
 			named := c.spoil(t, folder)
 			_, _, err := Open(folder, opts)
-			is.True(errors.Is(err, ErrDamaged))
+			is.True(errors.Is(err, ErrCorrupted))
 			is.True(strings.Contains(err.Error(), named))
 		})
 	}
