--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -21,8 +21,8 @@
 	ErrFailed = errors.New("log has failed")
 	// ErrClosed: the log was closed.
 	ErrClosed = errors.New("log is closed")
-	// ErrOrder: the entries do not continue the log.
-	ErrOrder = errors.New("entries do not continue the log")
+	// ErrNotContiguous: the entries do not continue the log.
+	ErrNotContiguous = errors.New("entries do not continue the log")
 	// ErrTooLarge: one batch is larger than a record may be.
 	ErrTooLarge = errors.New("batch is too large")
 )
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -129,7 +129,7 @@
 		return nil
 	}
 	if s.Index > l.tail.last {
-		return errors.Wrapf(ErrOrder, "snapshot at %d, last entry %d", s.Index, l.tail.last)
+		return errors.Wrapf(ErrNotContiguous, "snapshot at %d, last entry %d", s.Index, l.tail.last)
 	}
 	if err := l.writeSnapshot(s); err != nil {
 		return l.fail(err)
@@ -185,7 +185,7 @@
 	floor, last := l.mark.GetIndex(), l.tail.last
 	if it.mark != nil {
 		if it.mark.Index <= floor {
-			return errors.Wrapf(ErrOrder, "snapshot at %d, have one at %d", it.mark.Index, floor)
+			return errors.Wrapf(ErrNotContiguous, "snapshot at %d, have one at %d", it.mark.Index, floor)
 		}
 		floor = it.mark.Index
 		if it.reset {
@@ -194,7 +194,7 @@
 	}
 	for _, e := range it.entries {
 		if e.Index <= floor || e.Index > last+1 {
-			return errors.Wrapf(ErrOrder, "entry %d, snapshot at %d, last entry %d", e.Index, floor, last)
+			return errors.Wrapf(ErrNotContiguous, "entry %d, snapshot at %d, last entry %d", e.Index, floor, last)
 		}
 		last = e.Index
 	}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -104,11 +104,11 @@
 	l, _ := mustOpen(t, t.TempDir(), testOptions())
 	defer func() { is.NoErr(l.Close()) }()
 	is.NoErr(l.Save(Batch{Entries: entries(1, 1, 5)}))
-	is.True(errors.Is(l.Save(Batch{Entries: entries(1, 7, 7)}), ErrOrder))
-	is.True(errors.Is(l.Compact(&raftpb.Snapshot{Index: 6, Term: 1}), ErrOrder))
+	is.True(errors.Is(l.Save(Batch{Entries: entries(1, 7, 7)}), ErrNotContiguous))
+	is.True(errors.Is(l.Compact(&raftpb.Snapshot{Index: 6, Term: 1}), ErrNotContiguous))
 	is.NoErr(l.Compact(&raftpb.Snapshot{Index: 3, Term: 1}))
-	is.True(errors.Is(l.Save(Batch{Entries: entries(1, 3, 3)}), ErrOrder)) // behind the snapshot
-	is.True(errors.Is(l.Save(Batch{Snapshot: &raftpb.Snapshot{Index: 3, Term: 1}}), ErrOrder))
+	is.True(errors.Is(l.Save(Batch{Entries: entries(1, 3, 3)}), ErrNotContiguous)) // behind the snapshot
+	is.True(errors.Is(l.Save(Batch{Snapshot: &raftpb.Snapshot{Index: 3, Term: 1}}), ErrNotContiguous))
 	is.NoErr(l.Save(Batch{Entries: entries(1, 6, 6)})) // a refused batch is not final
 }
 
