--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -28,8 +28,8 @@
 var (
 	// ErrIdentity tells that the certificate does not name this control host.
 	ErrIdentity = errors.New("certificate does not name this control host")
-	// ErrVoters tells that the initial voters are unusable.
-	ErrVoters = errors.New("initial voters are unusable")
+	// ErrInvalidVoters tells that the initial voters are unusable.
+	ErrInvalidVoters = errors.New("initial voters are unusable")
 	// ErrGrantGroups tells that this host cannot have its number of groups of
 	// grants: it is beyond the bound, or the deployment agreed on another one.
 	// In the latter case a host that is started again takes the agreed one.
--- a/internal/controld/found.go
+++ b/internal/controld/found.go
@@ -35,21 +35,21 @@
 	for _, text := range s.GetInitialVoters() {
 		name, address, _ := strings.Cut(text, "=")
 		if _, _, err := net.SplitHostPort(address); err != nil || name == "" {
-			return nil, errors.Wrapf(ErrVoters, "%q is not of the form name=ip:port", text)
+			return nil, errors.Wrapf(ErrInvalidVoters, "%q is not of the form name=ip:port", text)
 		}
 		out = append(out, voter{name: strings.TrimSpace(name), address: strings.TrimSpace(address)})
 	}
 	if !s.GetJoin() && len(out) > raft.MaxVoters {
-		return nil, errors.Wrapf(ErrVoters, "%d of them, at most %d: let the others join as learners", len(out), raft.MaxVoters)
+		return nil, errors.Wrapf(ErrInvalidVoters, "%d of them, at most %d: let the others join as learners", len(out), raft.MaxVoters)
 	}
 	slices.SortFunc(out, func(a, b voter) int { return cmp.Compare(a.name, b.name) })
 	for i := 1; i < len(out); i++ {
 		if out[i].name == out[i-1].name {
-			return nil, errors.Wrapf(ErrVoters, "%q is named twice", out[i].name)
+			return nil, errors.Wrapf(ErrInvalidVoters, "%q is named twice", out[i].name)
 		}
 	}
 	if !s.GetJoin() && !slices.ContainsFunc(out, func(v voter) bool { return v.name == self }) {
-		return nil, errors.Wrapf(ErrVoters, "%q is not among them", self)
+		return nil, errors.Wrapf(ErrInvalidVoters, "%q is not among them", self)
 	}
 	return out, nil
 }
--- a/internal/controld/internal_test.go
+++ b/internal/controld/internal_test.go
@@ -103,7 +103,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			got, err := parseVoters(&settingspb.Replica{InitialVoters: test.voters, Join: test.join, Listen: "127.0.0.1:0"}, "c2")
-			is.Equal(errors.Is(err, ErrVoters), test.fails)
+			is.Equal(errors.Is(err, ErrInvalidVoters), test.fails)
 			if !test.fails {
 				is.Equal(got, test.want)
 			}
