--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -34,9 +34,9 @@
 	// grants: it is beyond the bound, or the deployment agreed on another one.
 	// In the latter case a host that is started again takes the agreed one.
 	ErrGrantGroups = errors.New("unfit number of groups of grants")
-	// ErrStandBy tells that this host is to stand by although it votes, or although
+	// ErrInvalidStandby tells that this host is to stand by although it votes, or although
 	// its members do not follow the hosts.
-	ErrStandBy = errors.New("only a host with transient and automatic_members may stand by")
+	ErrInvalidStandby = errors.New("only a host with transient and automatic_members may stand by")
 )
 
 // Daemon is a control host.
@@ -102,7 +102,7 @@
 		return nil, errors.Wrapf(ErrGrantGroups, "%d, at most %d", asked, grant.MaxGroups)
 	}
 	if r := s.GetReplica(); r.GetStandBy() && !(r.GetTransient() && r.GetAutomaticMembers()) {
-		return nil, ErrStandBy
+		return nil, ErrInvalidStandby
 	}
 	voters, err := parseVoters(s.GetReplica(), name)
 	if err != nil {
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -184,7 +184,7 @@
 			s := d.settings("c1", t.TempDir(), false)
 			s.Replica.StandBy, s.Replica.Transient, s.Replica.AutomaticMembers = r.GetStandBy(), r.GetTransient(), r.GetAutomaticMembers()
 			_, err := controld.New(s, zap.NewNop(), tally.NoopScope)
-			is.True(errors.Is(err, controld.ErrStandBy))
+			is.True(errors.Is(err, controld.ErrInvalidStandby))
 		})
 	}
 }
