--- a/internal/controld/agree.go
+++ b/internal/controld/agree.go
@@ -55,7 +55,7 @@
 
 func (d *Daemon) reportMisfit(agreed int) {
 	select {
-	case d.misfit <- errors.Wrapf(ErrGrantGroups, "the deployment agreed on %d, this host has %d open: start it again",
+	case d.misfit <- errors.Wrapf(ErrInvalidGrantGroups, "the deployment agreed on %d, this host has %d open: start it again",
 		agreed, d.grants.count()):
 	default:
 	}
--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -30,10 +30,10 @@
 	ErrIdentity = errors.New("certificate does not name this control host")
 	// ErrInvalidVoters tells that the initial voters are unusable.
 	ErrInvalidVoters = errors.New("initial voters are unusable")
-	// ErrGrantGroups tells that this host cannot have its number of groups of
+	// ErrInvalidGrantGroups tells that this host cannot have its number of groups of
 	// grants: it is beyond the bound, or the deployment agreed on another one.
 	// In the latter case a host that is started again takes the agreed one.
-	ErrGrantGroups = errors.New("unfit number of groups of grants")
+	ErrInvalidGrantGroups = errors.New("unfit number of groups of grants")
 	// ErrInvalidStandby tells that this host is to stand by although it votes, or although
 	// its members do not follow the hosts.
 	ErrInvalidStandby = errors.New("only a host with transient and automatic_members may stand by")
@@ -99,7 +99,7 @@
 		return nil, errors.Wrapf(ErrIdentity, "host %q, certificate %s", name, id)
 	}
 	if asked := s.GetReplica().GetGrantGroups(); asked > grant.MaxGroups {
-		return nil, errors.Wrapf(ErrGrantGroups, "%d, at most %d", asked, grant.MaxGroups)
+		return nil, errors.Wrapf(ErrInvalidGrantGroups, "%d, at most %d", asked, grant.MaxGroups)
 	}
 	if r := s.GetReplica(); r.GetStandBy() && !(r.GetTransient() && r.GetAutomaticMembers()) {
 		return nil, ErrInvalidStandby
