--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -16,8 +16,8 @@
 	"eelgrasswharf.example/eelgrasswharf/voters"
 )
 
-// ErrStandsBy tells that this host is no member of the group; see StandbyError.
-var ErrStandsBy = errors.New("this control host stands by")
+// ErrStandby tells that this host is no member of the group; see StandbyError.
+var ErrStandby = errors.New("this control host stands by")
 
 // StandbyError sends a caller to a host that serves: nothing was done. It is both
 // ErrStandsBy and operator.ErrNotDone.
@@ -29,13 +29,13 @@
 // Error implements error.
 func (e *StandbyError) Error() string {
 	if e.Serves == "" {
-		return ErrStandsBy.Error() + " and knows no host that serves"
+		return ErrStandby.Error() + " and knows no host that serves"
 	}
-	return ErrStandsBy.Error() + ", " + e.Serves + " serves"
+	return ErrStandby.Error() + ", " + e.Serves + " serves"
 }
 
 // Unwrap implements the interface that errors.Is uses.
-func (e *StandbyError) Unwrap() []error { return []error{ErrStandsBy, operator.ErrNotDone} }
+func (e *StandbyError) Unwrap() []error { return []error{ErrStandby, operator.ErrNotDone} }
 
 // standby is a control host that keeps no log and is not needed as a member. It keeps
 // one link, to a host that serves, and sends everybody there.
@@ -306,7 +306,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaderPatience)
 	defer cancel()
 	hosts := (*Daemon)(h).awaitServing(ctx)
-	res := h.fault(refusedStandsBy, controlpb.FaultKind_FAULT_NOT_DONE, ErrStandsBy.Error())
+	res := h.fault(refusedStandsBy, controlpb.FaultKind_FAULT_NOT_DONE, ErrStandby.Error())
 	if len(hosts) > 0 {
 		res.GetFault().Hosts = &controlpb.ControlHosts{Addresses: hosts}
 		res.GetFault().RetryAfterMs = 0
