--- a/internal/controld/evacuation_test.go
+++ b/internal/controld/evacuation_test.go
@@ -160,5 +160,5 @@
 	_, err := d.hosts["s1"].daemon.Evacuate(testContext(t), begin(""))
 	var standsBy *controld.StandbyError
 	is.True(errors.As(err, &standsBy))
-	is.True(standsBy.Serves != "")
+	is.True(standsBy.ServingAddress != "")
 }
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -22,16 +22,16 @@
 // StandbyError sends a caller to a host that serves: nothing was done. It is both
 // ErrStandsBy and operator.ErrNotDone.
 type StandbyError struct {
-	// Serves is the link address (ip:port) of a host that serves, empty if none is known.
-	Serves string
+	// ServingAddress is the link address (ip:port) of a host that serves, empty if none is known.
+	ServingAddress string
 }
 
 // Error implements error.
 func (e *StandbyError) Error() string {
-	if e.Serves == "" {
+	if e.ServingAddress == "" {
 		return ErrStandby.Error() + " and knows no host that serves"
 	}
-	return ErrStandby.Error() + ", " + e.Serves + " serves"
+	return ErrStandby.Error() + ", " + e.ServingAddress + " serves"
 }
 
 // Unwrap implements the interface that errors.Is uses.
@@ -341,5 +341,5 @@
 	if !d.standsBy() {
 		return nil
 	}
-	return &StandbyError{Serves: d.standby.reached()}
+	return &StandbyError{ServingAddress: d.standby.reached()}
 }
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -56,7 +56,7 @@
 		eventually(d.t, name+" to stand by", func() bool {
 			var standsBy *controld.StandbyError
 			_, _, err := d.hosts[name].daemon.Document(testContext(d.t))
-			return errors.As(err, &standsBy) && standsBy.Serves != ""
+			return errors.As(err, &standsBy) && standsBy.ServingAddress != ""
 		})
 	}
 }
