--- a/internal/controld/found.go
+++ b/internal/controld/found.go
@@ -162,9 +162,9 @@
 	return hosts
 }
 
-// SetHosts names other control hosts, each "name=ip:port" (link address), that a host
+// SetSeedHosts names other control hosts, each "name=ip:port" (link address), that a host
 // asks to add it to their groups. It changes no group. Errors: ErrVoters.
-func (d *Daemon) SetHosts(hosts []string) error {
+func (d *Daemon) SetSeedHosts(hosts []string) error {
 	parsed, err := parseVoters(&settingspb.Replica{InitialVoters: hosts, Join: true}, d.name)
 	if err != nil {
 		return err
