--- a/internal/controld/routes.go
+++ b/internal/controld/routes.go
@@ -16,11 +16,11 @@
 // yet.
 var errFewVoters = errors.New("the group has too few voters yet")
 
-// Replace has the group decide on a replacement of the route table. An error for
+// ReplaceRouteTable has the group decide on a replacement of the route table. An error for
 // which errors.Is(err, operator.ErrNotDone) holds says that nothing was done;
 // after any other one the replacement may or may not come into force. A host that stands
 // by answers with a StandbyError.
-func (d *Daemon) Replace(ctx context.Context, r *configpb.Replacement) (*configpb.ReplaceOutcome, error) {
+func (d *Daemon) ReplaceRouteTable(ctx context.Context, r *configpb.Replacement) (*configpb.ReplaceOutcome, error) {
 	if err := d.standsByError(); err != nil {
 		return nil, err
 	}
