--- a/internal/controld/routes.go
+++ b/internal/controld/routes.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// Document returns the operator's document of the newest route table, as a quorum
+// RouteTableDocument returns the operator's document of the newest route table, as a quorum
 // confirms it, and its revision. Without any table the revision is 0. Errors:
 // operator.ErrNotDone, if no quorum confirms the state, or as a StandbyError.
-func (d *Daemon) Document(ctx context.Context) (document []byte, revision uint64, err error) {
+func (d *Daemon) RouteTableDocument(ctx context.Context) (document []byte, revision uint64, err error) {
 	if err := d.standsByError(); err != nil {
 		return nil, 0, err
 	}
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -55,7 +55,7 @@
 	for _, name := range names {
 		eventually(d.t, name+" to stand by", func() bool {
 			var standsBy *controld.StandbyError
-			_, _, err := d.hosts[name].daemon.Document(testContext(d.t))
+			_, _, err := d.hosts[name].daemon.RouteTableDocument(testContext(d.t))
 			return errors.As(err, &standsBy) && standsBy.ServingAddress != ""
 		})
 	}
