--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -28,8 +28,8 @@
 	// RefusalIdentity tells that the record contradicts the registration or
 	// the certificate of the agent.
 	RefusalIdentity = "the record does not match the registration"
-	// RefusalImproper tells that the record breaks a bound.
-	RefusalImproper = "the record is improper"
+	// RefusalInvalid tells that the record breaks a bound.
+	RefusalInvalid = "the record is improper"
 	// RefusalFull tells that the directory is full.
 	RefusalFull = "the directory is full"
 )
@@ -385,7 +385,7 @@
 		}
 		return refusedSuperseded, RefusalSuperseded
 	case membership.Invalid:
-		return refusedImproper, RefusalImproper
+		return refusedImproper, RefusalInvalid
 	case membership.Full:
 		return refusedFull, RefusalFull
 	}
--- a/internal/controld/roles_test.go
+++ b/internal/controld/roles_test.go
@@ -195,7 +195,7 @@
 
 	refused := map[string]func(*controlpb.TargetRecord){
 		controld.RefusalIdentity:   func(r *controlpb.TargetRecord) { r.Service++ },
-		controld.RefusalImproper:   func(r *controlpb.TargetRecord) { r.Address = "nowhere" },
+		controld.RefusalInvalid:    func(r *controlpb.TargetRecord) { r.Address = "nowhere" },
 		controld.RefusalSuperseded: func(r *controlpb.TargetRecord) { r.Incarnation = 1 },
 	}
 	next := proto.CloneOf(r)
