--- a/config/delta.go
+++ b/config/delta.go
@@ -10,8 +10,8 @@
 
 // Errors of Merge.
 var (
-	// ErrBase tells that a delta starts at another version than the one held.
-	ErrBase = errors.New("delta starts at another version")
+	// ErrBaseMismatch tells that a delta starts at another version than the one held.
+	ErrBaseMismatch = errors.New("delta starts at another version")
 	// ErrOlder tells that an update leads to an older version than the one
 	// held.
 	ErrOlder = errors.New("update leads to an older version")
@@ -53,7 +53,7 @@
 		return snapshot, nil
 	}
 	if u.GetBaseVersion() != base.GetVersion() {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	if u.GetVersion() < base.GetVersion() {
 		return nil, ErrOlder
--- a/config/machine_test.go
+++ b/config/machine_test.go
@@ -309,7 +309,7 @@
 	is := is.New(t)
 	base := &configpb.Configuration{Version: 5}
 	_, err := config.Merge(base, config.Diff(nil, &configpb.Configuration{Version: 6}))
-	is.Equal(err, config.ErrBase)
+	is.Equal(err, config.ErrBaseMismatch)
 	_, err = config.Merge(base, config.Diff(base, &configpb.Configuration{Version: 4}))
 	is.Equal(err, config.ErrOlder)
 	update := config.Diff(nil, nil)
--- a/internal/subscriber/counters.go
+++ b/internal/subscriber/counters.go
@@ -108,7 +108,7 @@
 		return "behind"
 	case errors.Is(err, errAskedToMove):
 		return "asked"
-	case errors.Is(err, config.ErrBase):
+	case errors.Is(err, config.ErrBaseMismatch):
 		return "gap"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "silent"
--- a/internal/subscriber/versions.go
+++ b/internal/subscriber/versions.go
@@ -123,7 +123,7 @@
 	switch {
 	case errors.Is(err, config.ErrOlder):
 		return "older"
-	case errors.Is(err, config.ErrBase):
+	case errors.Is(err, config.ErrBaseMismatch):
 		return "gap"
 	}
 	return "invalid"
