--- a/config/delta.go
+++ b/config/delta.go
@@ -12,9 +12,9 @@
 var (
 	// ErrBaseMismatch tells that a delta starts at another version than the one held.
 	ErrBaseMismatch = errors.New("delta starts at another version")
-	// ErrOlder tells that an update leads to an older version than the one
+	// ErrOlderVersion tells that an update leads to an older version than the one
 	// held.
-	ErrOlder = errors.New("update leads to an older version")
+	ErrOlderVersion = errors.New("update leads to an older version")
 )
 
 // Diff returns the delta that leads from one version to another in one step.
@@ -48,7 +48,7 @@
 func Merge(base *configpb.Configuration, u *controlpb.ConfigUpdate) (*configpb.Configuration, error) {
 	if snapshot := u.GetSnapshot(); snapshot != nil {
 		if snapshot.GetVersion() < base.GetVersion() {
-			return nil, ErrOlder
+			return nil, ErrOlderVersion
 		}
 		return snapshot, nil
 	}
@@ -56,7 +56,7 @@
 		return nil, ErrBaseMismatch
 	}
 	if u.GetVersion() < base.GetVersion() {
-		return nil, ErrOlder
+		return nil, ErrOlderVersion
 	}
 	if u.GetVersion() == base.GetVersion() {
 		return base, nil
--- a/config/machine_test.go
+++ b/config/machine_test.go
@@ -311,11 +311,11 @@
 	_, err := config.Merge(base, config.Diff(nil, &configpb.Configuration{Version: 6}))
 	is.Equal(err, config.ErrBaseMismatch)
 	_, err = config.Merge(base, config.Diff(base, &configpb.Configuration{Version: 4}))
-	is.Equal(err, config.ErrOlder)
+	is.Equal(err, config.ErrOlderVersion)
 	update := config.Diff(nil, nil)
 	update.Snapshot = &configpb.Configuration{Version: 3}
 	_, err = config.Merge(base, update)
-	is.Equal(err, config.ErrOlder)
+	is.Equal(err, config.ErrOlderVersion)
 	same, err := config.Merge(base, config.Diff(base, base))
 	is.NoErr(err)
 	is.Equal(same, base)
--- a/internal/subscriber/rules_test.go
+++ b/internal/subscriber/rules_test.go
@@ -117,7 +117,7 @@
 
 func TestReasons(t *testing.T) {
 	is := is.New(t)
-	is.Equal(refusalReason(config.ErrOlder), "older")
+	is.Equal(refusalReason(config.ErrOlderVersion), "older")
 	is.Equal(refusalReason(config.ErrBaseMismatch), "gap")
 	is.Equal(endReason(errBehind), "behind")
 	is.Equal(endReason(config.ErrBaseMismatch), "gap")
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -327,7 +327,7 @@
 	if first && s.versions.held() != nil {
 		close(s.candidate)
 	}
-	if errors.Is(err, config.ErrOlder) {
+	if errors.Is(err, config.ErrOlderVersion) {
 		// The control host is behind; it may catch up.
 		s.counters.refused(err)
 		s.noteVersion(u.GetVersion(), now)
--- a/internal/subscriber/versions.go
+++ b/internal/subscriber/versions.go
@@ -121,7 +121,7 @@
 // refusalReason names the reason of a refused update for its counter.
 func refusalReason(err error) string {
 	switch {
-	case errors.Is(err, config.ErrOlder):
+	case errors.Is(err, config.ErrOlderVersion):
 		return "older"
 	case errors.Is(err, config.ErrBaseMismatch):
 		return "gap"
