--- a/config/machine.go
+++ b/config/machine.go
@@ -11,8 +11,8 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// ErrState tells that a snapshot does not hold a state of this machine.
-var ErrState = errors.New("snapshot holds no configuration state")
+// ErrInvalidSnapshot tells that a snapshot does not hold a state of this machine.
+var ErrInvalidSnapshot = errors.New("snapshot holds no configuration state")
 
 // Machine is the state machine of the configuration. It is not safe for use
 // by several goroutines.
--- a/config/read.go
+++ b/config/read.go
@@ -71,10 +71,10 @@
 func (m *Machine) Restore(data []byte) error {
 	var state configpb.State
 	if err := proto.Unmarshal(data, &state); err != nil {
-		return errors.Wrap(ErrState, err.Error())
+		return errors.Wrap(ErrInvalidSnapshot, err.Error())
 	}
 	if state.GetConfiguration() == nil {
-		return ErrState
+		return ErrInvalidSnapshot
 	}
 	m.outcomes = newOutcomes()
 	for _, o := range state.GetOutcomes() {
