--- a/config/evacuation_test.go
+++ b/config/evacuation_test.go
@@ -178,10 +178,10 @@
 	m := config.New()
 	before := m.Current()
 	order(t, m, begin("", "a"))
-	part := config.Within(m.Current(), map[uint32]bool{9: true})
+	part := config.FilterServices(m.Current(), map[uint32]bool{9: true})
 	is.True(config.IsEvacuated(part, "a"))
-	u := config.Diff(config.Within(before, map[uint32]bool{9: true}), part)
-	merged, err := config.Merge(config.Within(before, nil), u)
+	u := config.Diff(config.FilterServices(before, map[uint32]bool{9: true}), part)
+	merged, err := config.Merge(config.FilterServices(before, nil), u)
 	must(t, err)
 	is.True(config.IsEvacuated(merged, "a"))
 }
--- a/config/scope.go
+++ b/config/scope.go
@@ -2,7 +2,7 @@
 
 import "eelgrasswharf.example/eelgrasswharf/api/configpb"
 
-// Within returns the part of a configuration that concerns some services, by
+// FilterServices returns the part of a configuration that concerns some services, by
 // number: a configuration of the same version with these services alone and all
 // evacuations, which agents follow, too. Its services are those of c. Retired addresses
 // and routes are left out: only entry hosts use them, and they hold all of the
@@ -10,7 +10,7 @@
 //
 // The difference of two parts leads from one to the other, whatever happened
 // to the services around them. It carries the version even if it is empty.
-func Within(c *configpb.Configuration, services map[uint32]bool) *configpb.Configuration {
+func FilterServices(c *configpb.Configuration, services map[uint32]bool) *configpb.Configuration {
 	if c == nil {
 		return nil
 	}
--- a/config/scope_test.go
+++ b/config/scope_test.go
@@ -16,12 +16,12 @@
 	c := &configpb.Configuration{Version: 7, Services: []*configpb.Service{
 		{Number: 1, Name: "lodgement"}, {Number: 2, Name: "certificates"},
 	}, Retired: []string{"192.0.2.9:443"}}
-	part := config.Within(c, map[uint32]bool{2: true})
+	part := config.FilterServices(c, map[uint32]bool{2: true})
 	is.Equal(part.GetVersion(), uint64(7))
 	is.Equal(len(part.GetServices()), 1)
 	is.Equal(part.GetServices()[0].GetName(), "certificates")
 	is.Equal(len(part.GetRetired()), 0)
-	is.Equal(config.Within(nil, nil), nil)
+	is.Equal(config.FilterServices(nil, nil), nil)
 }
 
 // TestPartFollowsByDeltas merges the deltas of a part over drawn versions in
@@ -40,10 +40,10 @@
 					next.Services = append(next.Services, &configpb.Service{Name: name, Number: number, Slots: slots})
 				}
 			}
-			u := config.Diff(config.Within(before, scope), config.Within(next, scope))
+			u := config.Diff(config.FilterServices(before, scope), config.FilterServices(next, scope))
 			merged, err := config.Merge(held, u)
 			must(t, err)
-			if !proto.Equal(merged, config.Within(next, scope)) {
+			if !proto.Equal(merged, config.FilterServices(next, scope)) {
 				t.Fatalf("held %v, want the part of %v", merged, next)
 			}
 			held, before = merged, next
--- a/internal/controld/state.go
+++ b/internal/controld/state.go
@@ -244,7 +244,7 @@
 	if !shared.touches(scope) {
 		return &controlpb.ConfigUpdate{BaseVersion: from, Version: current.GetVersion()}
 	}
-	return config.Diff(config.Within(base, scope), config.Within(current, scope))
+	return config.Diff(config.FilterServices(base, scope), config.FilterServices(current, scope))
 }
 
 func copyDelta(u *controlpb.ConfigUpdate) *controlpb.ConfigUpdate {
@@ -264,5 +264,5 @@
 	if scope == nil {
 		return c
 	}
-	return config.Within(c, scope)
+	return config.FilterServices(c, scope)
 }
