--- a/config/machine_test.go
+++ b/config/machine_test.go
@@ -172,7 +172,7 @@
 	out := submit(t, m, patch("", 0))
 	is.Equal(out.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_FINDINGS)
 	is.Equal(len(out.GetFindings()), 2)
-	is.Equal(len(config.Validate(m.Current(), patch(strings.Repeat("x", config.MaxIDLength+1), 0, put(service("a", "192.0.2.1:1"))))), 1)
+	is.Equal(len(config.ValidatePatch(m.Current(), patch(strings.Repeat("x", config.MaxIDLength+1), 0, put(service("a", "192.0.2.1:1"))))), 1)
 }
 
 func TestFindingsAreBounded(t *testing.T) {
@@ -181,7 +181,7 @@
 	for i := range ops {
 		ops[i] = remove(fmt.Sprintf("s%d", i))
 	}
-	found := config.Validate(config.New().Current(), patch("p", 0, ops...))
+	found := config.ValidatePatch(config.New().Current(), patch("p", 0, ops...))
 	is.Equal(len(found), config.MaxFindings+1)
 	is.Equal(found[config.MaxFindings].GetText(), "7 further findings")
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -11,9 +11,9 @@
 // PatchPlace is the place of a finding on a patch as a whole.
 const PatchPlace = "patch"
 
-// Validate lists every finding of a patch against cfg, each with its place.
+// ValidatePatch lists every finding of a patch against cfg, each with its place.
 // It does not look at the base version.
-func Validate(cfg *configpb.Configuration, patch *configpb.Patch) []*configpb.Finding {
+func ValidatePatch(cfg *configpb.Configuration, patch *configpb.Patch) []*configpb.Finding {
 	_, findings := rehearse(cfg, patch)
 	return findings
 }
--- a/internal/settings/patch.go
+++ b/internal/settings/patch.go
@@ -136,7 +136,7 @@
 	if len(puts.GetOperations()) == 0 {
 		return
 	}
-	for _, f := range config.Validate(&configpb.Configuration{}, puts) {
+	for _, f := range config.ValidatePatch(&configpb.Configuration{}, puts) {
 		k, set := p.keys[f.GetPlace()]
 		switch {
 		case k.faulty:
