--- a/config/routes.go
+++ b/config/routes.go
@@ -12,9 +12,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// CheckReplacement lists every finding of a replacement of the route table,
+// ValidateReplacement lists every finding of a replacement of the route table,
 // each with its place. It needs no state: a table names all that it refers to.
-func CheckReplacement(r *configpb.Replacement) []*configpb.Finding {
+func ValidateReplacement(r *configpb.Replacement) []*configpb.Finding {
 	c := &tableCheck{services: map[string]bool{}, taken: map[netip.AddrPort]string{}}
 	c.table(r)
 	return boundedFindings(c.findings)
@@ -120,7 +120,7 @@
 // resends an older one hears that it is superseded, and nothing changes.
 func (m *Machine) replace(r *configpb.Replacement) *configpb.ReplaceOutcome {
 	held := m.current.GetTable().GetRevision()
-	if findings := CheckReplacement(r); len(findings) > 0 {
+	if findings := ValidateReplacement(r); len(findings) > 0 {
 		return &configpb.ReplaceOutcome{
 			Verdict:  configpb.ReplaceVerdict_REPLACE_VERDICT_INVALID,
 			Revision: held,
