--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -11,10 +11,10 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// CheckEvacuation lists every finding of an order to evacuate, each with its place. It
+// ValidateEvacuation lists every finding of an order to evacuate, each with its place. It
 // needs no state. Whether there is such a failure domain is for the host that takes the
 // order to know: hosts come and go without the log's knowledge.
-func CheckEvacuation(o *configpb.EvacuationOrder) []*configpb.Finding {
+func ValidateEvacuation(o *configpb.EvacuationOrder) []*configpb.Finding {
 	var findings []*configpb.Finding
 	find := func(place, format string, args ...any) {
 		findings = append(findings, &configpb.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
@@ -46,7 +46,7 @@
 // evacuate decides on an order, or answers with the first decision on it: a copy that
 // comes after the next order for the same failure domain must not undo that one.
 func (m *Machine) evacuate(o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
-	if findings := CheckEvacuation(o); len(findings) > 0 {
+	if findings := ValidateEvacuation(o); len(findings) > 0 {
 		return m.evacuationOutcome(configpb.EvacuationVerdict_EVACUATION_VERDICT_INVALID, findings...)
 	}
 	if first := m.orders.find(o.GetId()); first != nil {
--- a/internal/controld/evacuation.go
+++ b/internal/controld/evacuation.go
@@ -73,7 +73,7 @@
 // checkEvacuation lists the findings of an order. One that ends an evacuation may name any
 // failure domain that is evacuated.
 func (d *Daemon) checkEvacuation(o *configpb.EvacuationOrder) []*configpb.Finding {
-	findings := config.CheckEvacuation(o)
+	findings := config.ValidateEvacuation(o)
 	name := o.GetFailureDomain()
 	if len(findings) > 0 || d.knowsDomain(name) || d.configs.isEvacuated(name) {
 		return findings
