--- a/config/bounds.go
+++ b/config/bounds.go
@@ -18,9 +18,9 @@
 	// last registration is the oldest is dropped first; its number is not
 	// used again.
 	MaxTargets = 32_768
-	// MaxNumber bounds target numbers and incarnations: connection IDs carry
+	// MaxTargetNumber bounds target numbers and incarnations: connection IDs carry
 	// 24 bits of each.
-	MaxNumber = 1<<24 - 1
+	MaxTargetNumber = 1<<24 - 1
 	// MaxServices bounds the services of a configuration.
 	MaxServices = 16_384
 	// MaxAddresses bounds the public addresses of one service.
--- a/config/machine_test.go
+++ b/config/machine_test.go
@@ -238,17 +238,17 @@
 	state := &configpb.State{
 		Configuration:     m.Current(),
 		LastServiceNumber: 1,
-		LastTargetNumber:  config.MaxNumber - 1,
+		LastTargetNumber:  config.MaxTargetNumber - 1,
 		Targets: []*configpb.TargetIdentity{{
 			Service: "a", ServiceNumber: 1, Target: "t1", Number: 5,
-			Incarnation: config.MaxNumber, Process: []byte("x"),
+			Incarnation: config.MaxTargetNumber, Process: []byte("x"),
 		}},
 	}
 	data, err := proto.Marshal(state)
 	is.NoErr(err)
 	is.NoErr(m.Restore(data))
 	moved := register(t, m, "a", "t1", "y")
-	is.Equal(moved.GetTargetNumber(), uint32(config.MaxNumber)) // a fresh number starts over
+	is.Equal(moved.GetTargetNumber(), uint32(config.MaxTargetNumber)) // a fresh number starts over
 	is.Equal(moved.GetIncarnation(), uint32(1))
 	is.Equal(register(t, m, "a", "t2", "z").GetRefusal(), config.RefusalNumbers)
 }
--- a/config/targets.go
+++ b/config/targets.go
@@ -173,8 +173,8 @@
 		next.Incarnation = held.GetIncarnation() + 1
 	}
 	// A new target, or one that has used up the incarnations of its number.
-	if next.GetNumber() == 0 || next.GetIncarnation() > MaxNumber {
-		if t.last >= MaxNumber {
+	if next.GetNumber() == 0 || next.GetIncarnation() > MaxTargetNumber {
+		if t.last >= MaxTargetNumber {
 			return nil
 		}
 		t.last++
