--- a/config/read.go
+++ b/config/read.go
@@ -37,9 +37,9 @@
 	return m.history[version-oldest]
 }
 
-// Document returns the operator's document of the route table in force, nil if
+// RouteTableDocument returns the operator's document of the route table in force, nil if
 // there is none. It must not be changed.
-func (m *Machine) Document() []byte { return m.document }
+func (m *Machine) RouteTableDocument() []byte { return m.document }
 
 // Outcome returns what became of a patch, or nil if nothing is known of it.
 func (m *Machine) Outcome(id string) *configpb.Outcome { return m.outcomes.find(id) }
--- a/internal/controld/state.go
+++ b/internal/controld/state.go
@@ -134,7 +134,7 @@
 func (s *configState) document() ([]byte, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.machine.Document(), s.machine.Current().GetTable().GetRevision()
+	return s.machine.RouteTableDocument(), s.machine.Current().GetTable().GetRevision()
 }
 
 // sinceApplied returns how long ago a version was applied here, if it is the current
