--- a/config/targets.go
+++ b/config/targets.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// Registered returns the registration that a process has, or nil.
-func (m *Machine) Registered(r *configpb.RegisterTarget) *configpb.Registration {
+// FindRegistration returns the registration that a process has, or nil.
+func (m *Machine) FindRegistration(r *configpb.RegisterTarget) *configpb.Registration {
 	service := serviceNamed(m.current, r.GetService()).GetNumber()
 	e, ok := m.targets.byKey[targetKey{service: service, name: r.GetTarget()}]
 	if !ok || !bytes.Equal(identity(e).GetProcess(), r.GetProcess()) {
--- a/internal/controld/state.go
+++ b/internal/controld/state.go
@@ -188,7 +188,7 @@
 func (s *configState) registered(r *configpb.RegisterTarget) *configpb.Registration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.machine.Registered(r)
+	return s.machine.FindRegistration(r)
 }
 
 // allTargets reports whether there is an agreed identity and heard is true for each.
