--- a/config/targets.go
+++ b/config/targets.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Targets calls visit for each agreed identity until it returns false.
-func (m *Machine) Targets(visit func(*configpb.TargetIdentity) bool) {
+// ForEachTarget calls visit for each agreed identity until it returns false.
+func (m *Machine) ForEachTarget(visit func(*configpb.TargetIdentity) bool) {
 	for e := m.targets.order.Front(); e != nil; e = e.Next() {
 		if !visit(identity(e)) {
 			return
--- a/internal/controld/state.go
+++ b/internal/controld/state.go
@@ -196,7 +196,7 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	all, any := true, false
-	s.machine.Targets(func(id *configpb.TargetIdentity) bool {
+	s.machine.ForEachTarget(func(id *configpb.TargetIdentity) bool {
 		any = true
 		all = heard(id.GetNumber(), id.GetIncarnation())
 		return all
