--- a/config/validate.go
+++ b/config/validate.go
@@ -102,12 +102,12 @@
 	if places := d.patch.GetPlaces(); i < len(places) && places[i] != "" {
 		where = places[i]
 	}
-	return Place(where, name, field)
+	return ServicePlace(where, name, field)
 }
 
-// Place is the place of a finding on a service, or a field of it, that an
+// ServicePlace is the place of a finding on a service, or a field of it, that an
 // operation puts. The operation stands at where; name and field may be empty.
-func Place(where, name, field string) string {
+func ServicePlace(where, name, field string) string {
 	if name != "" {
 		where += fmt.Sprintf(", service %q", name)
 	}
--- a/internal/settings/patch.go
+++ b/internal/settings/patch.go
@@ -207,7 +207,7 @@
 		} else {
 			p.checkServiceKey(at, k, service)
 		}
-		place := config.Place(p.place(s.line), name, fieldPath(m, k.name))
+		place := config.ServicePlace(p.place(s.line), name, fieldPath(m, k.name))
 		p.keys[place] = patchKey{at: at, line: k.line, faulty: len(p.found) > before}
 	}
 	return &configpb.Operation{Body: &configpb.Operation_PutService{PutService: service}}
