--- a/grant/machine.go
+++ b/grant/machine.go
@@ -7,8 +7,8 @@
 	"eelgrasswharf.example/eelgrasswharf/api/grantpb"
 )
 
-// ErrState tells that a snapshot does not hold a state of this machine.
-var ErrState = errors.New("snapshot holds no grant state")
+// ErrInvalidSnapshot tells that a snapshot does not hold a state of this machine.
+var ErrInvalidSnapshot = errors.New("snapshot holds no grant state")
 
 // Machine is the state machine of one group of grants. It is not safe for use
 // by several goroutines.
--- a/grant/table.go
+++ b/grant/table.go
@@ -91,7 +91,7 @@
 func (m *Machine) Restore(data []byte) error {
 	var state grantpb.State
 	if err := proto.Unmarshal(data, &state); err != nil {
-		return errors.Wrap(ErrState, err.Error())
+		return errors.Wrap(ErrInvalidSnapshot, err.Error())
 	}
 	restored := NewGroup(m.group)
 	restored.now = state.GetNowMs()
@@ -99,13 +99,13 @@
 	if state.GetTable() != nil {
 		table, err := ReadSlotTable(state.GetTable())
 		if err != nil {
-			return errors.Wrap(ErrState, err.Error())
+			return errors.Wrap(ErrInvalidSnapshot, err.Error())
 		}
 		restored.table = table
 	}
 	for _, r := range state.GetRecords() {
 		if !fits(r) {
-			return errors.Wrap(ErrState, "a record exceeds its bounds")
+			return errors.Wrap(ErrInvalidSnapshot, "a record exceeds its bounds")
 		}
 		restored.add(newRecord(r))
 	}
