--- a/grant/groups_test.go
+++ b/grant/groups_test.go
@@ -62,7 +62,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := grant.ReadSlotTable(m)
-			is.New(t).True(errors.Is(err, grant.ErrSlotTable))
+			is.New(t).True(errors.Is(err, grant.ErrInvalidSlotTable))
 		})
 	}
 }
--- a/grant/slots.go
+++ b/grant/slots.go
@@ -17,8 +17,8 @@
 	MaxGroups = 16
 )
 
-// ErrSlotTable tells that a slot table is not whole.
-var ErrSlotTable = errors.New("unusable slot table")
+// ErrInvalidSlotTable tells that a slot table is not whole.
+var ErrInvalidSlotTable = errors.New("unusable slot table")
 
 // SlotTable says which group decides on which keys. It is immutable.
 type SlotTable struct {
@@ -42,12 +42,12 @@
 func ReadSlotTable(m *grantpb.SlotTable) (*SlotTable, error) {
 	groups := m.GetGroups()
 	if groups < 1 || groups > MaxGroups || len(m.GetOwners()) != Slots {
-		return nil, errors.Wrapf(ErrSlotTable, "%d groups, %d slots", groups, len(m.GetOwners()))
+		return nil, errors.Wrapf(ErrInvalidSlotTable, "%d groups, %d slots", groups, len(m.GetOwners()))
 	}
 	t := &SlotTable{groups: int(groups)}
 	for slot, owner := range m.GetOwners() {
 		if uint32(owner) >= groups {
-			return nil, errors.Wrapf(ErrSlotTable, "slot %d of %d groups belongs to group %d", slot, groups, owner)
+			return nil, errors.Wrapf(ErrInvalidSlotTable, "slot %d of %d groups belongs to group %d", slot, groups, owner)
 		}
 		t.owners[slot] = owner
 	}
