--- a/grant/table.go
+++ b/grant/table.go
@@ -38,8 +38,8 @@
 // Len returns the number of records, held and answered.
 func (m *Machine) Len() (held, answered int) { return m.held.length, m.answered.length }
 
-// Taken returns how much of MaxRecords and of MaxBytes is taken, in percent.
-func (m *Machine) Taken() (records, memory int) {
+// Usage returns how much of MaxRecords and of MaxBytes is taken, in percent.
+func (m *Machine) Usage() (records, memory int) {
 	const whole = 100
 	return len(m.records) * whole / MaxRecords, m.bytes * whole / MaxBytes
 }
--- a/internal/controld/grants.go
+++ b/internal/controld/grants.go
@@ -76,7 +76,7 @@
 	defer s.mu.Unlock()
 	v := grantView{table: s.machine.Table(), retention: s.machine.Retention(), used: s.machine.Used()}
 	v.held, v.answered = s.machine.Len()
-	v.records, v.bytes = s.machine.Taken()
+	v.records, v.bytes = s.machine.Usage()
 	return v
 }
 
