--- a/grant/configure.go
+++ b/grant/configure.go
@@ -18,8 +18,8 @@
 	return Retention{Answered: AnsweredRetention, Held: HeldRetention}
 }
 
-// Proper reports whether the retention is within its bounds.
-func (r Retention) Proper() bool {
+// Valid reports whether the retention is within its bounds.
+func (r Retention) Valid() bool {
 	return r.Answered >= MinAnsweredRetention && r.Answered <= AnsweredRetention &&
 		r.Held >= MinHeldRetention && r.Held <= HeldRetention
 }
@@ -85,7 +85,7 @@
 		}
 	}
 	if c.GetRetention() != nil {
-		if retention = readRetention(c.GetRetention()); !retention.Proper() {
+		if retention = readRetention(c.GetRetention()); !retention.Valid() {
 			return false
 		}
 	}
--- a/internal/controld/agree.go
+++ b/internal/controld/agree.go
@@ -89,7 +89,7 @@
 		Answered: time.Duration(r.Answered) * time.Second,
 		Held:     time.Duration(r.Held) * time.Second,
 	}
-	if !keep.Proper() {
+	if !keep.Valid() {
 		return errors.Wrapf(operator.ErrNotDone, "answers are kept from %v to %v, keys without an answer from %v to %v",
 			grant.MinAnsweredRetention, grant.AnsweredRetention, grant.MinHeldRetention, grant.HeldRetention)
 	}
