--- a/grant/configure.go
+++ b/grant/configure.go
@@ -80,7 +80,7 @@
 	table, retention := m.table, m.retention
 	if c.GetTable() != nil {
 		var err error
-		if table, err = ReadSlotTable(c.GetTable()); err != nil || !m.mayTake(table) {
+		if table, err = ParseSlotTable(c.GetTable()); err != nil || !m.mayTake(table) {
 			return false
 		}
 	}
--- a/grant/groups_test.go
+++ b/grant/groups_test.go
@@ -34,7 +34,7 @@
 	for _, groups := range []int{1, 2, 3, 4, 8, grant.MaxGroups} {
 		is := is.New(t)
 		table := grant.NewSlotTable(groups)
-		read, err := grant.ReadSlotTable(table.Message())
+		read, err := grant.ParseSlotTable(table.Message())
 		is.NoErr(err)
 		is.Equal(read, table)
 		keys := make([]int, groups)
@@ -61,7 +61,7 @@
 		"many groups":   {Groups: grant.MaxGroups + 1, Owners: whole.GetOwners()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := grant.ReadSlotTable(m)
+			_, err := grant.ParseSlotTable(m)
 			is.New(t).True(errors.Is(err, grant.ErrInvalidSlotTable))
 		})
 	}
--- a/grant/slots.go
+++ b/grant/slots.go
@@ -38,8 +38,8 @@
 	return t
 }
 
-// ReadSlotTable returns the table of a message. Error: ErrSlotTable.
-func ReadSlotTable(m *grantpb.SlotTable) (*SlotTable, error) {
+// ParseSlotTable returns the table of a message. Error: ErrSlotTable.
+func ParseSlotTable(m *grantpb.SlotTable) (*SlotTable, error) {
 	groups := m.GetGroups()
 	if groups < 1 || groups > MaxGroups || len(m.GetOwners()) != Slots {
 		return nil, errors.Wrapf(ErrInvalidSlotTable, "%d groups, %d slots", groups, len(m.GetOwners()))
--- a/grant/table.go
+++ b/grant/table.go
@@ -97,7 +97,7 @@
 	restored.now = state.GetNowMs()
 	restored.retention = readRetention(state.GetRetention())
 	if state.GetTable() != nil {
-		table, err := ReadSlotTable(state.GetTable())
+		table, err := ParseSlotTable(state.GetTable())
 		if err != nil {
 			return errors.Wrap(ErrInvalidSnapshot, err.Error())
 		}
