--- a/grant/groups_test.go
+++ b/grant/groups_test.go
@@ -22,7 +22,7 @@
 func configure(t *grant.SlotTable, r *grant.Retention) *grantpb.Command {
 	c := &grantpb.Configure{}
 	if t != nil {
-		c.Table = t.Message()
+		c.Table = t.ToProto()
 	}
 	if r != nil {
 		c.Retention = r.Message()
@@ -34,7 +34,7 @@
 	for _, groups := range []int{1, 2, 3, 4, 8, grant.MaxGroups} {
 		is := is.New(t)
 		table := grant.NewSlotTable(groups)
-		read, err := grant.ParseSlotTable(table.Message())
+		read, err := grant.ParseSlotTable(table.ToProto())
 		is.NoErr(err)
 		is.Equal(read, table)
 		keys := make([]int, groups)
@@ -52,7 +52,7 @@
 }
 
 func TestUnusableSlotTables(t *testing.T) {
-	whole := grant.NewSlotTable(2).Message()
+	whole := grant.NewSlotTable(2).ToProto()
 	for name, m := range map[string]*grantpb.SlotTable{
 		"empty":         {},
 		"no groups":     {Owners: whole.GetOwners()},
--- a/grant/slots.go
+++ b/grant/slots.go
@@ -55,8 +55,8 @@
 	return t, nil
 }
 
-// Message returns the encoded form.
-func (t *SlotTable) Message() *grantpb.SlotTable {
+// ToProto returns the encoded form.
+func (t *SlotTable) ToProto() *grantpb.SlotTable {
 	return &grantpb.SlotTable{Groups: uint32(t.groups), Owners: append([]byte(nil), t.owners[:]...)}
 }
 
--- a/grant/table.go
+++ b/grant/table.go
@@ -69,7 +69,7 @@
 	}
 	rest := &grantpb.State{Released: m.released.all(), Retention: m.retention.message()}
 	if m.table != nil {
-		rest.Table = m.table.Message()
+		rest.Table = m.table.ToProto()
 	}
 	data, err = options.MarshalAppend(data, rest)
 	if err != nil {
--- a/internal/controld/agree.go
+++ b/internal/controld/agree.go
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, proposeTimeout)
 	defer cancel()
-	if err := d.configure(ctx, group, &grantpb.Configure{Table: table.Message()}); err != nil {
+	if err := d.configure(ctx, group, &grantpb.Configure{Table: table.ToProto()}); err != nil {
 		d.scope.Counter("failed_agreements").Inc(1)
 		return
 	}
