--- a/grant/configure.go
+++ b/grant/configure.go
@@ -47,11 +47,11 @@
 	if r == DefaultRetention() {
 		return nil
 	}
-	return r.Message()
+	return r.ToProto()
 }
 
-// Message returns the encoded form.
-func (r Retention) Message() *grantpb.Retention {
+// ToProto returns the encoded form.
+func (r Retention) ToProto() *grantpb.Retention {
 	return &grantpb.Retention{
 		AnsweredMs: uint64(r.Answered.Milliseconds()),
 		HeldMs:     uint64(r.Held.Milliseconds()),
--- a/grant/groups_test.go
+++ b/grant/groups_test.go
@@ -25,7 +25,7 @@
 		c.Table = t.ToProto()
 	}
 	if r != nil {
-		c.Retention = r.Message()
+		c.Retention = r.ToProto()
 	}
 	return &grantpb.Command{Body: &grantpb.Command_Configure{Configure: c}}
 }
--- a/internal/controld/agree.go
+++ b/internal/controld/agree.go
@@ -95,7 +95,7 @@
 	}
 	var first error
 	for index := range h.grants.count() {
-		err := (*Daemon)(h).configure(ctx, grantGroup(index), &grantpb.Configure{Retention: keep.Message()})
+		err := (*Daemon)(h).configure(ctx, grantGroup(index), &grantpb.Configure{Retention: keep.ToProto()})
 		first = firstError(first, err)
 	}
 	return notEverywhere(first)
