--- a/grant/groups_test.go
+++ b/grant/groups_test.go
@@ -43,7 +43,7 @@
 		}
 		for group, n := range keys {
 			is.True(n > 800 && n < 1200) // near its share of 1,000
-			owned := table.Owned(group)
+			owned := table.SlotCount(group)
 			is.True(owned == grant.Slots/groups || owned == grant.Slots/groups+1)
 		}
 	}
--- a/grant/slots.go
+++ b/grant/slots.go
@@ -66,8 +66,8 @@
 // Digest names the table in commands. It is never 0.
 func (t *SlotTable) Digest() uint64 { return t.digest }
 
-// Owned returns the number of slots of a group.
-func (t *SlotTable) Owned(group int) int {
+// SlotCount returns the number of slots of a group.
+func (t *SlotTable) SlotCount(group int) int {
 	owned := 0
 	for _, owner := range t.owners {
 		if int(owner) == group {
--- a/internal/controld/agree.go
+++ b/internal/controld/agree.go
@@ -116,7 +116,7 @@
 		return nil
 	}
 	if table := h.grants.table(); table != nil {
-		out.Slots = table.Owned(index)
+		out.Slots = table.SlotCount(index)
 	}
 	return out
 }
