--- a/grant/configure.go
+++ b/grant/configure.go
@@ -128,7 +128,7 @@
 	if digest == 0 {
 		digest = onlyGroup.digest
 	}
-	return digest == t.digest && t.Group(service, key) == m.group
+	return digest == t.digest && t.GroupOf(service, key) == m.group
 }
 
 // KeyOf returns service and key of a command that names a key.
--- a/grant/groups_test.go
+++ b/grant/groups_test.go
@@ -39,7 +39,7 @@
 		is.Equal(read, table)
 		keys := make([]int, groups)
 		for i := range 1000 * groups {
-			keys[table.Group(1, fmt.Sprintf("8b6f2c1e-%012d", i))]++
+			keys[table.GroupOf(1, fmt.Sprintf("8b6f2c1e-%012d", i))]++
 		}
 		for group, n := range keys {
 			is.True(n > 800 && n < 1200) // near its share of 1,000
@@ -124,7 +124,7 @@
 
 func keyIn(table *grant.SlotTable, group int) string {
 	for i := 0; ; i++ {
-		if key := fmt.Sprint("key-", i); table.Group(1, key) == group {
+		if key := fmt.Sprint("key-", i); table.GroupOf(1, key) == group {
 			return key
 		}
 	}
--- a/grant/slots.go
+++ b/grant/slots.go
@@ -77,8 +77,8 @@
 	return owned
 }
 
-// Group returns the group that decides on a key.
-func (t *SlotTable) Group(service uint32, key string) int {
+// GroupOf returns the group that decides on a key.
+func (t *SlotTable) GroupOf(service uint32, key string) int {
 	return int(t.owners[SlotOf(service, key)])
 }
 
--- a/internal/agentd/control.go
+++ b/internal/agentd/control.go
@@ -51,7 +51,7 @@
 	if slots == nil {
 		return 0, 1
 	}
-	return slots.Group(service, key), slots.Groups()
+	return slots.GroupOf(service, key), slots.Groups()
 }
 
 // grant has a command applied by the group of grants that its key belongs to.
--- a/internal/agentd/once_test.go
+++ b/internal/agentd/once_test.go
@@ -197,7 +197,7 @@
 	keys := map[int]string{}
 	for i := 0; len(keys) < table.Groups(); i++ {
 		key := fmt.Sprint("k", i)
-		keys[table.Group(1, key)] = key
+		keys[table.GroupOf(1, key)] = key
 	}
 	w.control.set(controlDeaf) // the link stands
 	eventually(t, "loss known", func() bool {
--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -345,7 +345,7 @@
 	result := &grantpb.Result{Decision: grantpb.Decision_DECISION_TABLE}
 	if stated := c.GetTable(); stated == 0 || stated == table.Digest() {
 		c.Table = table.Digest()
-		if fault := h.replicate(ctx, grantGroup(table.Group(service, key)), c, result); fault != nil {
+		if fault := h.replicate(ctx, grantGroup(table.GroupOf(service, key)), c, result); fault != nil {
 			return fault
 		}
 	}
--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -48,7 +48,7 @@
 	const lodgement = 1 // the first service that a deployment creates
 	table := grant.NewSlotTable(grantGroups)
 	for i := 0; ; i++ {
-		if key := fmt.Sprintf("%s-%d", name, i); table.Group(lodgement, key) == group {
+		if key := fmt.Sprintf("%s-%d", name, i); table.GroupOf(lodgement, key) == group {
 			return key
 		}
 	}
