--- a/grant/configure.go
+++ b/grant/configure.go
@@ -131,8 +131,8 @@
 	return digest == t.digest && t.GroupOf(service, key) == m.group
 }
 
-// KeyOf returns service and key of a command that names a key.
-func KeyOf(c *grantpb.Command) (service uint32, key string, named bool) {
+// CommandKey returns service and key of a command that names a key.
+func CommandKey(c *grantpb.Command) (service uint32, key string, named bool) {
 	switch body := c.GetBody().(type) {
 	case *grantpb.Command_Acquire:
 		return body.Acquire.GetService(), body.Acquire.GetKey(), true
--- a/grant/machine.go
+++ b/grant/machine.go
@@ -56,7 +56,7 @@
 }
 
 func (m *Machine) run(c *grantpb.Command) *grantpb.Result {
-	if service, key, named := KeyOf(c); named && !m.owns(c.GetTable(), service, key) {
+	if service, key, named := CommandKey(c); named && !m.owns(c.GetTable(), service, key) {
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_TABLE}
 	}
 	switch body := c.GetBody().(type) {
--- a/internal/agentd/once.go
+++ b/internal/agentd/once.go
@@ -211,7 +211,7 @@
 
 // try asks the control hosts once.
 func (o *once) try(ctx context.Context, command *grantpb.Command) (*grantpb.Result, error) {
-	service, key, _ := grant.KeyOf(command)
+	service, key, _ := grant.CommandKey(command)
 	line := o.lineOf(service, key)
 	began := line.clock.now()
 	try, cancel := context.WithTimeout(ctx, o.timing.grantTry)
--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -328,7 +328,7 @@
 
 // grant has a command of an agent applied by the group that its key belongs to.
 func (h *handler) grant(ctx context.Context, peer link.Peer, c *grantpb.Command) *controlpb.Response {
-	service, key, proper := grant.KeyOf(c)
+	service, key, proper := grant.CommandKey(c)
 	if !proper {
 		return h.fault(refusedRequest, controlpb.FaultKind_FAULT_FORBIDDEN, "an agent may not ask this")
 	}
