--- a/grant/bounds.go
+++ b/grant/bounds.go
@@ -10,9 +10,9 @@
 	// MaxBytes bounds the memory of keys and recorded bodies of a group, in
 	// bytes.
 	MaxBytes = 64 << 20
-	// MaxBody is the longest body of an answer that is recorded, in bytes. Of
+	// MaxBodyLength is the longest body of an answer that is recorded, in bytes. Of
 	// a longer one only status and content type are known.
-	MaxBody = 4 << 10
+	MaxBodyLength = 4 << 10
 	// MaxKeyLength bounds an idempotency key, in bytes.
 	MaxKeyLength = 256
 	// MaxAttemptLength bounds the identity of an attempt, in bytes.
--- a/grant/machine.go
+++ b/grant/machine.go
@@ -146,7 +146,7 @@
 
 // bounded returns the answer as it is recorded.
 func bounded(a *grantpb.Answer) *grantpb.Answer {
-	if len(a.GetBody()) > MaxBody || len(a.GetContentType()) > MaxContentType || a.GetBodyOmitted() {
+	if len(a.GetBody()) > MaxBodyLength || len(a.GetContentType()) > MaxContentType || a.GetBodyOmitted() {
 		return omitted(a)
 	}
 	return a
--- a/grant/machine_test.go
+++ b/grant/machine_test.go
@@ -91,11 +91,11 @@
 	is := is.New(t)
 	m := grant.New()
 	run(t, m, acquire("fits", "one", "d"))
-	run(t, m, complete("fits", "one", &grantpb.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), grant.MaxBody)}))
-	is.Equal(len(run(t, m, acquire("fits", "two", "d")).GetAnswer().GetBody()), grant.MaxBody)
+	run(t, m, complete("fits", "one", &grantpb.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), grant.MaxBodyLength)}))
+	is.Equal(len(run(t, m, acquire("fits", "two", "d")).GetAnswer().GetBody()), grant.MaxBodyLength)
 
 	run(t, m, acquire("long", "one", "d"))
-	long := &grantpb.Answer{Status: 201, Body: bytes.Repeat([]byte("x"), grant.MaxBody+1)}
+	long := &grantpb.Answer{Status: 201, Body: bytes.Repeat([]byte("x"), grant.MaxBodyLength+1)}
 	is.True(run(t, m, complete("long", "one", long)).GetTaken())
 	is.True(run(t, m, complete("long", "one", long)).GetTaken())
 	got := run(t, m, acquire("long", "two", "d")).GetAnswer()
@@ -144,7 +144,7 @@
 func TestFullTableStillTakesAnswers(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	body := bytes.Repeat([]byte("x"), grant.MaxBody)
+	body := bytes.Repeat([]byte("x"), grant.MaxBodyLength)
 	i := 0
 	for ; run(t, m, acquire(fmt.Sprint(i), "one", "d")).GetDecision() == grantpb.Decision_DECISION_GRANTED; i++ {
 		is.True(run(t, m, complete(fmt.Sprint(i), "one", &grantpb.Answer{Status: 200, Body: body})).GetTaken())
--- a/internal/agentd/once_test.go
+++ b/internal/agentd/once_test.go
@@ -273,7 +273,7 @@
 func TestLongAnswerIsRecordedWithoutItsBody(t *testing.T) {
 	// One that is read whole and is too long for the control hosts, and one
 	// that is too long to be read whole.
-	for _, size := range []int{grant.MaxBody + 1, 200000} {
+	for _, size := range []int{grant.MaxBodyLength + 1, 200000} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			is := is.New(t)
 			w, _, backend := oneAgent(t)
--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -322,7 +322,7 @@
 		Status:      uint32(response.StatusCode),
 		ContentType: response.Header.Get("Content-Type"),
 	}
-	if len(body) > grant.MaxBody {
+	if len(body) > grant.MaxBodyLength {
 		answer.BodyOmitted = true
 	} else {
 		answer.Body = body
