--- a/grant/bounds.go
+++ b/grant/bounds.go
@@ -19,8 +19,8 @@
 	MaxAttemptLength = 64
 	// MaxDigestLength bounds the digest of a request, in bytes.
 	MaxDigestLength = 64
-	// MaxContentType bounds the content type of a recorded answer, in bytes.
-	MaxContentType = 256
+	// MaxContentTypeLength bounds the content type of a recorded answer, in bytes.
+	MaxContentTypeLength = 256
 	// AnsweredRetention is how long an answer is kept, in logical time, unless
 	// operators set less.
 	AnsweredRetention = 24 * time.Hour
--- a/grant/machine.go
+++ b/grant/machine.go
@@ -146,7 +146,7 @@
 
 // bounded returns the answer as it is recorded.
 func bounded(a *grantpb.Answer) *grantpb.Answer {
-	if len(a.GetBody()) > MaxBodyLength || len(a.GetContentType()) > MaxContentType || a.GetBodyOmitted() {
+	if len(a.GetBody()) > MaxBodyLength || len(a.GetContentType()) > MaxContentTypeLength || a.GetBodyOmitted() {
 		return omitted(a)
 	}
 	return a
@@ -154,7 +154,7 @@
 
 func omitted(a *grantpb.Answer) *grantpb.Answer {
 	out := &grantpb.Answer{Status: a.GetStatus(), ContentType: a.GetContentType(), BodyOmitted: true}
-	if len(out.GetContentType()) > MaxContentType {
+	if len(out.GetContentType()) > MaxContentTypeLength {
 		out.ContentType = ""
 	}
 	return out
--- a/grant/record.go
+++ b/grant/record.go
@@ -57,7 +57,7 @@
 	return within(len(m.GetKey()), MaxKeyLength) &&
 		within(len(m.GetAttempt()), MaxAttemptLength) &&
 		within(len(m.GetDigest()), MaxDigestLength) &&
-		len(m.GetAnswer().GetContentType()) <= MaxContentType
+		len(m.GetAnswer().GetContentType()) <= MaxContentTypeLength
 }
 
 func fieldBytes(m *grantpb.Record) int {
