--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -147,7 +147,7 @@
 		}
 		agent := flow.EndpointOf(t.Address)
 		all = append(all, agent)
-		if t.Draining || t.Ill || agent == own || v.Evacuated(record) {
+		if t.Draining || t.Unhealthy || agent == own || v.Evacuated(record) {
 			continue
 		}
 		peers = append(peers, agent)
--- a/internal/subscriber/view.go
+++ b/internal/subscriber/view.go
@@ -73,7 +73,7 @@
 		Service:     record.GetService(),
 		Address:     address,
 		Draining:    record.GetState() == controlpb.TargetState_TARGET_STATE_DRAINING,
-		Ill:         record.GetIll(),
+		Unhealthy:   record.GetIll(),
 		Damped:      record.GetDamped(),
 	}, nil
 }
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -61,14 +61,14 @@
 	},
 	{
 		name:   "half ill is the panic threshold",
-		change: func(list []routing.Target) { list[0].Ill = true },
+		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		want:   routing.Panic,
 		target: 2, // risk still counts
 	},
 	{
 		name:   "ill below the panic threshold",
 		policy: &configpb.Policy{PanicPercent: 51},
-		change: func(list []routing.Target) { list[0].Ill = true },
+		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		want:   routing.Only,
 		target: 2,
 	},
@@ -76,15 +76,15 @@
 		name:   "all ill above any threshold",
 		policy: &configpb.Policy{PanicPercent: 1000},
 		change: func(list []routing.Target) {
-			list[0].Ill = true
-			list[1].Ill = true
+			list[0].Unhealthy = true
+			list[1].Unhealthy = true
 		},
 		want: routing.Panic,
 	},
 	{
 		name:   "the agent's own word is newer than the directory",
 		policy: &configpb.Policy{PanicPercent: 100},
-		change: func(list []routing.Target) { list[0].Ill = true },
+		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		learn:  map[uint32]routing.Report{1: {Ill: false}, 2: {Ill: true}},
 		want:   routing.Only,
 		target: 1,
@@ -93,7 +93,7 @@
 		name:   "the directory's damping outweighs the agent's word",
 		policy: &configpb.Policy{PanicPercent: 51},
 		change: func(list []routing.Target) {
-			list[0].Ill = true
+			list[0].Unhealthy = true
 			list[0].Damped = true
 		},
 		learn:  map[uint32]routing.Report{1: {Ill: false}},
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -36,7 +36,7 @@
 			Service:     service + number%3,
 			Address:     address(number),
 			Draining:    rapid.Bool().Draw(t, "draining"),
-			Ill:         rapid.Bool().Draw(t, "ill"),
+			Unhealthy:   rapid.Bool().Draw(t, "ill"),
 			Age:         time.Duration(rapid.IntRange(0, 30_000).Draw(t, "age")) * time.Millisecond,
 		})
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -85,7 +85,7 @@
 	b.inputs = append(b.inputs, input{cell: c, flags: c.flags(b.now)})
 	b.ramping = b.ramping || t.Age < b.policy.ramp
 	report, known := c.fresh(b.now)
-	ill := t.Ill
+	ill := t.Unhealthy
 	if known {
 		// The agent's own word is newer than the directory.
 		ill = report.Ill
--- a/routing/target.go
+++ b/routing/target.go
@@ -15,8 +15,8 @@
 	Address netip.AddrPort
 	// Draining: it takes no new flows.
 	Draining bool
-	// Ill: its agent holds the backend server to be ill.
-	Ill bool
+	// Unhealthy: its agent holds the backend server to be ill.
+	Unhealthy bool
 	// Damped: it flaps, and counts as ill whatever its agent says.
 	Damped bool
 	// Age is the time since its cold start.
