--- a/routing/choose.go
+++ b/routing/choose.go
@@ -178,7 +178,7 @@
 // cost weighs load against risk, see the package's comment.
 func (t *Table) cost(c *candidate, now time.Duration) uint32 {
 	risk := c.risk
-	if report, known := c.cell.fresh(now); known && report.Ill {
+	if report, known := c.cell.fresh(now); known && report.Unhealthy {
 		risk = maxRisk
 	}
 	load := t.relative(t.expected(c, now))
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -85,7 +85,7 @@
 		name:   "the agent's own word is newer than the directory",
 		policy: &configpb.Policy{PanicPercent: 100},
 		change: func(list []routing.Target) { list[0].Unhealthy = true },
-		learn:  map[uint32]routing.Report{1: {Ill: false}, 2: {Ill: true}},
+		learn:  map[uint32]routing.Report{1: {Unhealthy: false}, 2: {Unhealthy: true}},
 		want:   routing.Only,
 		target: 1,
 	},
@@ -96,7 +96,7 @@
 			list[0].Unhealthy = true
 			list[0].Damped = true
 		},
-		learn:  map[uint32]routing.Report{1: {Ill: false}},
+		learn:  map[uint32]routing.Report{1: {Unhealthy: false}},
 		want:   routing.Only,
 		target: 2,
 	},
--- a/routing/loads.go
+++ b/routing/loads.go
@@ -21,8 +21,8 @@
 	Load uint16
 	// Draining: the target takes no new flows.
 	Draining bool
-	// Ill: its agent holds the backend server to be ill.
-	Ill bool
+	// Unhealthy: its agent holds the backend server to be ill.
+	Unhealthy bool
 }
 
 // Loads holds the last report of each target of a list, and nothing of any
@@ -173,9 +173,9 @@
 		return Report{}, false
 	}
 	return Report{
-		Load:     uint16(packed & loadMask),
-		Draining: packed&packedDraining != 0,
-		Ill:      packed&packedIll != 0,
+		Load:      uint16(packed & loadMask),
+		Draining:  packed&packedDraining != 0,
+		Unhealthy: packed&packedIll != 0,
 	}, true
 }
 
@@ -184,7 +184,7 @@
 	if r.Draining {
 		packed |= packedDraining
 	}
-	if r.Ill {
+	if r.Unhealthy {
 		packed |= packedIll
 	}
 	return packed
--- a/routing/loads_test.go
+++ b/routing/loads_test.go
@@ -22,7 +22,7 @@
 	is := is.New(t)
 	list := targets(2)
 	before := routing.NewLoads(nil, list)
-	report := routing.Report{Load: 1<<16 - 1, Draining: true, Ill: true}
+	report := routing.Report{Load: 1<<16 - 1, Draining: true, Unhealthy: true}
 	is.True(before.Learn(1, 1, report, start))
 	is.True(before.Learn(2, 1, report, start))
 
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -84,9 +84,9 @@
 		for range rapid.IntRange(0, 10).Draw(t, "reports") {
 			number := rapid.Uint32Range(1, 40).Draw(t, "reporter")
 			report := routing.Report{
-				Load:     rapid.Uint16().Draw(t, "load"),
-				Draining: rapid.Bool().Draw(t, "reports draining"),
-				Ill:      rapid.Bool().Draw(t, "reports ill"),
+				Load:      rapid.Uint16().Draw(t, "load"),
+				Draining:  rapid.Bool().Draw(t, "reports draining"),
+				Unhealthy: rapid.Bool().Draw(t, "reports ill"),
 			}
 			if records := own[number]; len(records) > 0 {
 				is.True(loads.Learn(number, records[0].Incarnation, report, start))
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -26,9 +26,9 @@
 		report := func() {
 			for _, target := range list {
 				if rapid.Bool().Draw(t, "reports") {
-					r := routing.Report{Load: rapid.Uint16Range(0, 1_500).Draw(t, "load"), Ill: target.Unhealthy, Draining: target.Draining}
+					r := routing.Report{Load: rapid.Uint16Range(0, 1_500).Draw(t, "load"), Unhealthy: target.Unhealthy, Draining: target.Draining}
 					if rapid.IntRange(0, 9).Draw(t, "turns") == 0 {
-						r.Ill = !r.Ill
+						r.Unhealthy = !r.Unhealthy
 					}
 					loads.Learn(target.Number, target.Incarnation, r, now)
 				}
--- a/routing/table.go
+++ b/routing/table.go
@@ -88,7 +88,7 @@
 	ill := t.Unhealthy
 	if known {
 		// The agent's own word is newer than the directory.
-		ill = report.Ill
+		ill = report.Unhealthy
 	}
 	// The agent of a target that flaps says that it is well each time.
 	ill = ill || t.Damped
