--- a/frame/frame.go
+++ b/frame/frame.go
@@ -103,8 +103,8 @@
 	Load uint16
 	// Draining: the sender of a Reply takes no new flows.
 	Draining bool
-	// Ill: the sender of a Reply holds its backend server to be ill.
-	Ill bool
+	// Unhealthy: the sender of a Reply holds its backend server to be ill.
+	Unhealthy bool
 }
 
 // Verdict tells what came of parsing a frame.
@@ -257,7 +257,7 @@
 		Incarnation: uint24(src[offsetIncarnation:]),
 		Load:        binary.BigEndian.Uint16(src[offsetLoad:]),
 		Draining:    state&drainingBit != 0,
-		Ill:         state&illBit != 0,
+		Unhealthy:   state&illBit != 0,
 	}
 }
 
@@ -266,7 +266,7 @@
 	if h.Draining {
 		b |= drainingBit
 	}
-	if h.Ill {
+	if h.Unhealthy {
 		b |= illBit
 	}
 	return b
--- a/internal/agentd/socket.go
+++ b/internal/agentd/socket.go
@@ -258,7 +258,7 @@
 		Incarnation: s.self.incarnation,
 		Load:        state.load,
 		Draining:    state.draining,
-		Ill:         state.ill,
+		Unhealthy:   state.ill,
 	}
 	s.codecs.Load().frames.Put(buffer[:], &h)
 	n := copy(buffer[frame.HeaderLength:], p)
