--- a/internal/entryd/directory.go
+++ b/internal/entryd/directory.go
@@ -23,7 +23,7 @@
 	records  []*controlpb.TargetRecord
 	unusable int
 	services map[uint32]*members
-	loads    *routing.Loads
+	loads    *routing.LoadReports
 	started  map[life]coldStart
 	// changed has the services whose targets differ from those of the directory
 	// before; nil means all.
@@ -117,7 +117,7 @@
 		list = append(list, target)
 	}
 
-	var loads *routing.Loads
+	var loads *routing.LoadReports
 	if previous != nil {
 		loads = previous.loads
 	}
--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -22,7 +22,7 @@
 // figures and the service of each listener.
 type tables struct {
 	listeners map[netip.AddrPort]*listener
-	loads     *routing.Loads
+	loads     *routing.LoadReports
 	// current tells whether a caller may be told that there is no target.
 	current bool
 }
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -58,7 +58,7 @@
 	// agents are those of all targets of the view.
 	agents []flow.Endpoint
 	known  map[flow.Endpoint]bool
-	loads  *routing.Loads
+	loads  *routing.LoadReports
 	// firstAt is when the first targets were known, gathered that the wait for more
 	// is over.
 	firstAt  time.Time
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -37,7 +37,7 @@
 	return list
 }
 
-func build(p *configpb.Policy, list []routing.Target) (*routing.Table, *routing.Loads) {
+func build(p *configpb.Policy, list []routing.Target) (*routing.Table, *routing.LoadReports) {
 	loads := routing.NewLoads(nil, list)
 	return routing.NewTable(p, service, list, loads, start), loads
 }
--- a/routing/loads.go
+++ b/routing/loads.go
@@ -25,10 +25,10 @@
 	Unhealthy bool
 }
 
-// Loads holds the last report of each target of a list, and nothing of any
+// LoadReports holds the last report of each target of a list, and nothing of any
 // other one, so its size is bounded by the list. The set of targets is
 // immutable; reports may be learned and read concurrently without a lock.
-type Loads struct {
+type LoadReports struct {
 	cells map[uint32]*cell
 }
 
@@ -56,8 +56,8 @@
 // NewLoads returns the loads of a list of targets. Reports of incarnations
 // that previous holds as well are shared with it, so that a report learned
 // through either shows in both. Previous may be nil.
-func NewLoads(previous *Loads, targets []Target) *Loads {
-	l := &Loads{cells: make(map[uint32]*cell, len(targets))}
+func NewLoads(previous *LoadReports, targets []Target) *LoadReports {
+	l := &LoadReports{cells: make(map[uint32]*cell, len(targets))}
 	for i := range targets {
 		l.add(previous, &targets[i])
 	}
@@ -67,8 +67,8 @@
 // Change returns the loads of a list that lacks some numbers and has some
 // targets in addition or in another incarnation. Reports of all others, and of
 // incarnations that stay, are shared with l. No number may be added twice.
-func (l *Loads) Change(gone []uint32, added []Target) *Loads {
-	next := &Loads{cells: maps.Clone(l.cells)}
+func (l *LoadReports) Change(gone []uint32, added []Target) *LoadReports {
+	next := &LoadReports{cells: maps.Clone(l.cells)}
 	for _, number := range gone {
 		delete(next.cells, number)
 	}
@@ -78,7 +78,7 @@
 	return next
 }
 
-func (l *Loads) add(previous *Loads, t *Target) {
+func (l *LoadReports) add(previous *LoadReports, t *Target) {
 	if c := l.cells[t.Number]; c != nil && c.incarnation >= t.Incarnation {
 		return
 	}
@@ -89,7 +89,7 @@
 	l.cells[t.Number] = &cell{incarnation: t.Incarnation}
 }
 
-func (l *Loads) find(number, incarnation uint32) *cell {
+func (l *LoadReports) find(number, incarnation uint32) *cell {
 	if l == nil {
 		return nil
 	}
@@ -101,13 +101,13 @@
 }
 
 // Len returns the number of targets.
-func (l *Loads) Len() int {
+func (l *LoadReports) Len() int {
 	return len(l.cells)
 }
 
 // Learn keeps the report of a frame that came now, ends the silence of its sender
 // and reports whether the incarnation is on the list. It allocates nothing.
-func (l *Loads) Learn(number, incarnation uint32, r Report, now time.Duration) bool {
+func (l *LoadReports) Learn(number, incarnation uint32, r Report, now time.Duration) bool {
 	c := l.find(number, incarnation)
 	if c == nil {
 		return false
@@ -121,7 +121,7 @@
 }
 
 // Last returns the last report of an incarnation if it is not stale.
-func (l *Loads) Last(number, incarnation uint32, now time.Duration) (Report, bool) {
+func (l *LoadReports) Last(number, incarnation uint32, now time.Duration) (Report, bool) {
 	c := l.find(number, incarnation)
 	if c == nil {
 		return Report{}, false
@@ -131,7 +131,7 @@
 
 // Age returns how old the last report of an incarnation is. Known is false if there
 // is none that counts.
-func (l *Loads) Age(number, incarnation uint32, now time.Duration) (age time.Duration, known bool) {
+func (l *LoadReports) Age(number, incarnation uint32, now time.Duration) (age time.Duration, known bool) {
 	c := l.find(number, incarnation)
 	if c == nil {
 		return 0, false
@@ -145,7 +145,7 @@
 
 // Decay halves the count of unanswered flows of every target. Called about
 // once a second, it lets a target that was silent be tried again.
-func (l *Loads) Decay() {
+func (l *LoadReports) Decay() {
 	for _, c := range l.cells {
 		if n := c.unanswered.Load(); n != 0 {
 			c.unanswered.Store(n / 2)
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -14,7 +14,7 @@
 
 // answering lets the targets that are alive answer a choice and the copy for a
 // probe.
-func answering(loads *routing.Loads, choice routing.Choice, dead map[uint32]bool, now time.Duration) {
+func answering(loads *routing.LoadReports, choice routing.Choice, dead map[uint32]bool, now time.Duration) {
 	for _, number := range []uint32{choice.Target.Number, choice.Probe.Number} {
 		if !dead[number] {
 			loads.Learn(number, 1, routing.Report{}, now)
@@ -71,7 +71,7 @@
 
 // silence makes one of the targets of a list silent and returns its table, its
 // loads and a time at which it counts as silent.
-func silence(t *testing.T, p *configpb.Policy, n int, silent ...uint32) (*routing.Table, *routing.Loads, time.Duration) {
+func silence(t *testing.T, p *configpb.Policy, n int, silent ...uint32) (*routing.Table, *routing.LoadReports, time.Duration) {
 	t.Helper()
 	is := is.New(t)
 	table, loads := build(p, targets(n))
--- a/routing/table.go
+++ b/routing/table.go
@@ -45,7 +45,7 @@
 // incarnation of each target. Loads must have been made from a list that holds
 // all of these targets. A table is good for about a second: then a new one
 // takes in ages and reports. A nil policy means its defaults.
-func NewTable(p *configpb.Policy, service uint32, targets []Target, loads *Loads, now time.Duration) *Table {
+func NewTable(p *configpb.Policy, service uint32, targets []Target, loads *LoadReports, now time.Duration) *Table {
 	b := builder{policy: newPolicy(p), loads: loads, now: now}
 	for i := range targets {
 		b.add(&targets[i], service)
@@ -61,7 +61,7 @@
 // builder sorts the targets of one service into classes.
 type builder struct {
 	policy policy
-	loads  *Loads
+	loads  *LoadReports
 	now    time.Duration
 
 	well, ill, draining []candidate
--- a/routing/weights_test.go
+++ b/routing/weights_test.go
@@ -19,7 +19,7 @@
 	list     []routing.Target
 	flows    []int
 	restarts []time.Duration
-	loads    *routing.Loads
+	loads    *routing.LoadReports
 	rand     *rand.Rand
 
 	broken    int
