--- a/internal/entryd/directory.go
+++ b/internal/entryd/directory.go
@@ -121,7 +121,7 @@
 	if previous != nil {
 		loads = previous.loads
 	}
-	d.loads = routing.NewLoads(loads, list)
+	d.loads = routing.NewLoadReports(loads, list)
 	return d
 }
 
--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -85,7 +85,7 @@
 		refusedOpen: make(map[netip.AddrPort]string),
 	}
 	f.codecs.Store(c)
-	f.tables.Store(&tables{loads: routing.NewLoads(nil, nil)})
+	f.tables.Store(&tables{loads: routing.NewLoadReports(nil, nil)})
 
 	f.frameConns, f.frameAddr, err = openSockets(context.Background(), o.FrameListen, o.Workers)
 	if err != nil {
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -82,7 +82,7 @@
 
 func newPlacer(log *zap.Logger, scope tally.Scope) *placer {
 	loadAge := scope.Histogram("load_age_seconds", metrics.Durations)
-	return &placer{log: log, loadAge: loadAge, began: time.Now(), loads: routing.NewLoads(nil, nil), routes: map[flow.Endpoint]*placement.Route{}, targets: map[uint32]*serviceTargets{}}
+	return &placer{log: log, loadAge: loadAge, began: time.Now(), loads: routing.NewLoadReports(nil, nil), routes: map[flow.Endpoint]*placement.Route{}, targets: map[uint32]*serviceTargets{}}
 }
 
 // apply brings a view into force. now is the time on the flows' clock.
@@ -162,7 +162,7 @@
 	if !maps.Equal(before, p.known) {
 		p.changedAt = p.viewAt
 	}
-	p.loads = routing.NewLoads(p.loads, all)
+	p.loads = routing.NewLoadReports(p.loads, all)
 	p.targets = lists
 	p.rebuild(now)
 }
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -110,7 +110,7 @@
 			if tt.change != nil {
 				tt.change(list)
 			}
-			loads := routing.NewLoads(nil, list)
+			loads := routing.NewLoadReports(nil, list)
 			for number, report := range tt.learn {
 				is.True(loads.Learn(number, 1, report, start))
 			}
@@ -189,7 +189,7 @@
 func TestStaleReportIsIgnored(t *testing.T) {
 	is := is.New(t)
 	list := targets(2)
-	loads := routing.NewLoads(nil, list)
+	loads := routing.NewLoadReports(nil, list)
 	loads.Learn(1, 1, routing.Report{Load: 900, Draining: true}, start)
 
 	later := start + routing.MaxReportAge + time.Millisecond
@@ -205,7 +205,7 @@
 func TestIdleTargetIsNotHeldToItsLastLoad(t *testing.T) {
 	is := is.New(t)
 	list := targets(2)
-	loads := routing.NewLoads(nil, list)
+	loads := routing.NewLoadReports(nil, list)
 	loads.Learn(1, 1, routing.Report{Load: 250}, start)
 	later := start + 1100*time.Millisecond
 	loads.Learn(2, 1, routing.Report{}, later)
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -38,7 +38,7 @@
 }
 
 func build(p *configpb.Policy, list []routing.Target) (*routing.Table, *routing.LoadReports) {
-	loads := routing.NewLoads(nil, list)
+	loads := routing.NewLoadReports(nil, list)
 	return routing.NewTable(p, service, list, loads, start), loads
 }
 
--- a/routing/loads.go
+++ b/routing/loads.go
@@ -53,10 +53,10 @@
 	timeShift      = 19
 )
 
-// NewLoads returns the loads of a list of targets. Reports of incarnations
+// NewLoadReports returns the loads of a list of targets. Reports of incarnations
 // that previous holds as well are shared with it, so that a report learned
 // through either shows in both. Previous may be nil.
-func NewLoads(previous *LoadReports, targets []Target) *LoadReports {
+func NewLoadReports(previous *LoadReports, targets []Target) *LoadReports {
 	l := &LoadReports{cells: make(map[uint32]*cell, len(targets))}
 	for i := range targets {
 		l.add(previous, &targets[i])
--- a/routing/loads_test.go
+++ b/routing/loads_test.go
@@ -12,7 +12,7 @@
 
 func TestLoadsAreBoundedByTheList(t *testing.T) {
 	is := is.New(t)
-	loads := routing.NewLoads(nil, targets(3))
+	loads := routing.NewLoadReports(nil, targets(3))
 	is.True(!loads.Learn(4, 1, routing.Report{}, start)) // not on the list
 	is.True(!loads.Learn(3, 2, routing.Report{}, start)) // another incarnation
 	is.Equal(loads.Len(), 3)
@@ -21,13 +21,13 @@
 func TestReportsGoOnInTheNextList(t *testing.T) {
 	is := is.New(t)
 	list := targets(2)
-	before := routing.NewLoads(nil, list)
+	before := routing.NewLoadReports(nil, list)
 	report := routing.Report{Load: 1<<16 - 1, Draining: true, Unhealthy: true}
 	is.True(before.Learn(1, 1, report, start))
 	is.True(before.Learn(2, 1, report, start))
 
 	list[1].Incarnation = 2
-	after := routing.NewLoads(before, list)
+	after := routing.NewLoadReports(before, list)
 	got, ok := after.Last(1, 1, start)
 	is.True(ok)
 	is.Equal(got, report)
@@ -45,7 +45,7 @@
 
 func TestReportsGrowStale(t *testing.T) {
 	is := is.New(t)
-	loads := routing.NewLoads(nil, targets(1))
+	loads := routing.NewLoadReports(nil, targets(1))
 	_, ok := loads.Last(1, 1, start)
 	is.True(!ok) // none yet
 	loads.Learn(1, 1, routing.Report{}, start)
@@ -66,7 +66,7 @@
 				table.Choose(hash, start)
 				if i%100 == 0 {
 					loads.Decay()
-					next := routing.NewLoads(loads, list)
+					next := routing.NewLoadReports(loads, list)
 					routing.NewTable(nil, service, list, next, start)
 				}
 			}
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -79,7 +79,7 @@
 		policy := drawPolicy(t)
 		list := drawTargets(t)
 		own := newest(list)
-		loads := routing.NewLoads(nil, list)
+		loads := routing.NewLoadReports(nil, list)
 		reportsDraining := make(map[uint32]bool)
 		for range rapid.IntRange(0, 10).Draw(t, "reports") {
 			number := rapid.Uint32Range(1, 40).Draw(t, "reporter")
@@ -129,7 +129,7 @@
 		for i := range list {
 			list[i].Age = time.Duration(rapid.IntRange(0, 20_000).Draw(t, "age")) * time.Millisecond
 		}
-		loads := routing.NewLoads(nil, list)
+		loads := routing.NewLoadReports(nil, list)
 		for i := range list {
 			if rapid.Bool().Draw(t, "known") {
 				load := rapid.Uint16Range(0, 2000).Draw(t, "load")
@@ -207,7 +207,7 @@
 				list[0].Age = age
 				// All but the cold target are in equal use; its own load is
 				// low, so it wins every draw that it takes part in.
-				loads := routing.NewLoads(nil, list)
+				loads := routing.NewLoadReports(nil, list)
 				counts := 0
 				table := routing.NewTable(tt.policy, service, list, loads, start)
 				for _, hash := range hashes(flows) {
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -21,7 +21,7 @@
 				list[i].Age = time.Hour
 			}
 		}
-		loads := routing.NewLoads(nil, list)
+		loads := routing.NewLoadReports(nil, list)
 		now := start
 		report := func() {
 			for _, target := range list {
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -110,7 +110,7 @@
 	_, loads, later := silence(t, nil, 2, 1)
 	list := targets(2)
 	list[0].Incarnation = 2
-	table := routing.NewTable(nil, service, list, routing.NewLoads(loads, list), later)
+	table := routing.NewTable(nil, service, list, routing.NewLoadReports(loads, list), later)
 	choice, _ := table.Choose(hashes(1)[0], later)
 	is.Equal(choice.Reason, routing.Equal)
 }
--- a/routing/unheard_test.go
+++ b/routing/unheard_test.go
@@ -30,7 +30,7 @@
 			const n, flows, ramp = 8, 10_000, 10 * time.Second
 			list := targets(n)
 			list[0].Age = ramp / 4
-			loads := routing.NewLoads(nil, list)
+			loads := routing.NewLoadReports(nil, list)
 			learn := func() {
 				for number := uint32(2); number <= n; number++ {
 					loads.Learn(number, 1, routing.Report{Load: 600}, start)
--- a/routing/weights_test.go
+++ b/routing/weights_test.go
@@ -48,7 +48,7 @@
 		list:     list,
 		flows:    make([]int, len(list)),
 		restarts: make([]time.Duration, len(list)),
-		loads:    routing.NewLoads(nil, list),
+		loads:    routing.NewLoadReports(nil, list),
 		rand:     rand.New(rand.NewPCG(1, 2)),
 	}
 	for i := range f.flows {
@@ -86,7 +86,7 @@
 	for i := range f.list {
 		f.list[i].Age = now - f.restarts[i]
 	}
-	f.loads = routing.NewLoads(f.loads, f.list)
+	f.loads = routing.NewLoadReports(f.loads, f.list)
 	f.loads.Decay()
 	return routing.NewTable(p, service, f.list, f.loads, now)
 }
