--- a/internal/entryd/bench_test.go
+++ b/internal/entryd/bench_test.go
@@ -64,7 +64,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				w.frame(length, caller)
-				loads.Learn(w.header.Target, 1, routing.Report{}, r.f.now())
+				loads.Record(w.header.Target, 1, routing.Report{}, r.f.now())
 			}
 		})
 		b.Run("reply/"+strconv.Itoa(n), func(b *testing.B) {
--- a/internal/entryd/directory_test.go
+++ b/internal/entryd/directory_test.go
@@ -72,8 +72,8 @@
 			for number, r := range held {
 				if rapid.IntRange(0, 4).Draw(t, "reports") == 0 {
 					report := routing.Report{Load: uint16(number)}
-					followed.loads.Learn(number, r.GetIncarnation(), report, now)
-					whole.loads.Learn(number, r.GetIncarnation(), report, now)
+					followed.loads.Record(number, r.GetIncarnation(), report, now)
+					whole.loads.Record(number, r.GetIncarnation(), report, now)
 				}
 			}
 			if got, want := followed.contents(now), whole.contents(now); got != want {
--- a/internal/entryd/forward_test.go
+++ b/internal/entryd/forward_test.go
@@ -282,7 +282,7 @@
 		i++
 		return copy(w.buf[frame.HeaderLength:], initialPacket(fmt.Sprintf("made-up-%d", i)))
 	}
-	answered := func() { r.f.tables.Load().loads.Learn(2, 1, routing.Report{}, r.f.now()) }
+	answered := func() { r.f.tables.Load().loads.Record(2, 1, routing.Report{}, r.f.now()) }
 	r.await("silence", func() bool {
 		w.frame(next(), caller.addr()) // decides, and sends nothing
 		answered()
--- a/internal/entryd/worker.go
+++ b/internal/entryd/worker.go
@@ -160,7 +160,7 @@
 
 	t := w.f.tables.Load()
 	report := routing.Report{Load: h.Load, Draining: h.Draining, Unhealthy: h.Unhealthy}
-	t.loads.Learn(h.Target, h.Incarnation, report, w.f.now())
+	t.loads.Record(h.Target, h.Incarnation, report, w.f.now())
 	return t.outgoing(h)
 }
 
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -199,7 +199,7 @@
 func (p *placer) learn(m flow.Frame, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loads.Learn(m.Number, m.Incarnation, routing.Report{Load: m.LoadPermille, Draining: m.Draining, Unhealthy: m.Unhealthy}, now)
+	p.loads.Record(m.Number, m.Incarnation, routing.Report{Load: m.LoadPermille, Draining: m.Draining, Unhealthy: m.Unhealthy}, now)
 }
 
 // Place implements flow.Placer.
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -18,7 +18,7 @@
 			list[0].Age = time.Second
 			table, loads := build(nil, list)
 			for _, target := range list {
-				loads.Learn(target.Number, 1, routing.Report{Load: uint16(target.Number % 1000)}, start)
+				loads.Record(target.Number, 1, routing.Report{Load: uint16(target.Number % 1000)}, start)
 			}
 			hash := uint64(0)
 			b.ReportAllocs()
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -112,7 +112,7 @@
 			}
 			loads := routing.NewLoadReports(nil, list)
 			for number, report := range tt.learn {
-				is.True(loads.Learn(number, 1, report, start))
+				is.True(loads.Record(number, 1, report, start))
 			}
 			table := routing.NewTable(tt.policy, service, list, loads, start)
 			choice, ok := table.Choose(hashes(1)[0], start)
@@ -172,7 +172,7 @@
 		choice, ok := table.Choose(1, start)
 		is.True(ok)
 		is.Equal(choice.Target, routing.Picked{Number: 1, Incarnation: 2, Address: newer.Address})
-		is.True(!loads.Learn(1, 1, routing.Report{}, start)) // the old one's figures don't count
+		is.True(!loads.Record(1, 1, routing.Report{}, start)) // the old one's figures don't count
 	}
 }
 
@@ -180,7 +180,7 @@
 	is := is.New(t)
 	list := targets(7)
 	table, loads := build(nil, list)
-	loads.Learn(3, 1, routing.Report{Draining: true}, start)
+	loads.Record(3, 1, routing.Report{Draining: true}, start)
 	counts := count(t, table, hashes(1000))
 	is.Equal(counts[3], 0)
 	is.Equal(len(counts), 6)
@@ -190,7 +190,7 @@
 	is := is.New(t)
 	list := targets(2)
 	loads := routing.NewLoadReports(nil, list)
-	loads.Learn(1, 1, routing.Report{Load: 900, Draining: true}, start)
+	loads.Record(1, 1, routing.Report{Load: 900, Draining: true}, start)
 
 	later := start + routing.MaxReportAge + time.Millisecond
 	table := routing.NewTable(nil, service, list, loads, later)
@@ -206,16 +206,16 @@
 	is := is.New(t)
 	list := targets(2)
 	loads := routing.NewLoadReports(nil, list)
-	loads.Learn(1, 1, routing.Report{Load: 250}, start)
+	loads.Record(1, 1, routing.Report{Load: 250}, start)
 	later := start + 1100*time.Millisecond
-	loads.Learn(2, 1, routing.Report{}, later)
+	loads.Record(2, 1, routing.Report{}, later)
 	counts := map[uint32]int{}
 	table := routing.NewTable(nil, service, list, loads, later)
 	for _, hash := range hashes(100) {
 		choice, ok := table.Choose(hash, later)
 		is.True(ok)
 		counts[choice.Target.Number]++
-		loads.Learn(2, 1, routing.Report{}, later)
+		loads.Record(2, 1, routing.Report{}, later)
 	}
 	is.True(counts[1] > 0)
 }
@@ -223,8 +223,8 @@
 func TestBurstBetweenReportsSpreads(t *testing.T) {
 	is := is.New(t)
 	table, loads := build(nil, targets(2))
-	loads.Learn(1, 1, routing.Report{Load: 100}, start)
-	loads.Learn(2, 1, routing.Report{Load: 110}, start)
+	loads.Record(1, 1, routing.Report{Load: 100}, start)
+	loads.Record(2, 1, routing.Report{Load: 110}, start)
 	counts := count(t, table, hashes(1000))
 	// The lead of 10 per mille counts half, as the weights are equal: after
 	// five flows the costs are the same, then flows alternate.
@@ -243,12 +243,12 @@
 	silent := choose()
 	for range 100 {
 		choose()
-		loads.Learn(3-silent, 1, routing.Report{}, start) // the other one answers
+		loads.Record(3-silent, 1, routing.Report{}, start) // the other one answers
 	}
 	is.Equal(choose(), 3-silent)
 
 	loads.Decay()
-	loads.Learn(3-silent, 1, routing.Report{}, start)
+	loads.Record(3-silent, 1, routing.Report{}, start)
 	is.Equal(choose(), silent) // it is tried again
 }
 
@@ -277,6 +277,6 @@
 		table.Choose(hash, start)
 	}), 0.0)
 	is.Equal(testing.AllocsPerRun(1000, func() {
-		loads.Learn(1, 1, routing.Report{Load: 1}, start)
+		loads.Record(1, 1, routing.Report{Load: 1}, start)
 	}), 0.0)
 }
--- a/routing/loads.go
+++ b/routing/loads.go
@@ -105,9 +105,9 @@
 	return len(l.cells)
 }
 
-// Learn keeps the report of a frame that came now, ends the silence of its sender
+// Record keeps the report of a frame that came now, ends the silence of its sender
 // and reports whether the incarnation is on the list. It allocates nothing.
-func (l *LoadReports) Learn(number, incarnation uint32, r Report, now time.Duration) bool {
+func (l *LoadReports) Record(number, incarnation uint32, r Report, now time.Duration) bool {
 	c := l.find(number, incarnation)
 	if c == nil {
 		return false
--- a/routing/loads_test.go
+++ b/routing/loads_test.go
@@ -13,8 +13,8 @@
 func TestLoadsAreBoundedByTheList(t *testing.T) {
 	is := is.New(t)
 	loads := routing.NewLoadReports(nil, targets(3))
-	is.True(!loads.Learn(4, 1, routing.Report{}, start)) // not on the list
-	is.True(!loads.Learn(3, 2, routing.Report{}, start)) // another incarnation
+	is.True(!loads.Record(4, 1, routing.Report{}, start)) // not on the list
+	is.True(!loads.Record(3, 2, routing.Report{}, start)) // another incarnation
 	is.Equal(loads.Len(), 3)
 }
 
@@ -23,8 +23,8 @@
 	list := targets(2)
 	before := routing.NewLoadReports(nil, list)
 	report := routing.Report{Load: 1<<16 - 1, Draining: true, Unhealthy: true}
-	is.True(before.Learn(1, 1, report, start))
-	is.True(before.Learn(2, 1, report, start))
+	is.True(before.Record(1, 1, report, start))
+	is.True(before.Record(2, 1, report, start))
 
 	list[1].Incarnation = 2
 	after := routing.NewLoadReports(before, list)
@@ -37,7 +37,7 @@
 	is.True(!ok)
 
 	// A worker that still has the former loads reports for both.
-	is.True(before.Learn(1, 1, routing.Report{Load: 5}, start))
+	is.True(before.Record(1, 1, routing.Report{Load: 5}, start))
 	got, ok = after.Last(1, 1, start)
 	is.True(ok)
 	is.Equal(got.Load, uint16(5))
@@ -48,7 +48,7 @@
 	loads := routing.NewLoadReports(nil, targets(1))
 	_, ok := loads.Last(1, 1, start)
 	is.True(!ok) // none yet
-	loads.Learn(1, 1, routing.Report{}, start)
+	loads.Record(1, 1, routing.Report{}, start)
 	_, ok = loads.Last(1, 1, start+routing.MaxReportAge)
 	is.True(ok)
 	_, ok = loads.Last(1, 1, start+routing.MaxReportAge+time.Millisecond)
@@ -62,7 +62,7 @@
 	for worker := range 4 {
 		workers.Go(func() {
 			for i, hash := range hashes(2000) {
-				loads.Learn(uint32(1+i%7), 1, routing.Report{Load: uint16(worker)}, start)
+				loads.Record(uint32(1+i%7), 1, routing.Report{Load: uint16(worker)}, start)
 				table.Choose(hash, start)
 				if i%100 == 0 {
 					loads.Decay()
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -89,7 +89,7 @@
 				Unhealthy: rapid.Bool().Draw(t, "reports ill"),
 			}
 			if records := own[number]; len(records) > 0 {
-				is.True(loads.Learn(number, records[0].Incarnation, report, start))
+				is.True(loads.Record(number, records[0].Incarnation, report, start))
 				reportsDraining[number] = report.Draining
 			}
 		}
@@ -133,7 +133,7 @@
 		for i := range list {
 			if rapid.Bool().Draw(t, "known") {
 				load := rapid.Uint16Range(0, 2000).Draw(t, "load")
-				loads.Learn(list[i].Number, 1, routing.Report{Load: load}, start)
+				loads.Record(list[i].Number, 1, routing.Report{Load: load}, start)
 			}
 		}
 		table := routing.NewTable(drawPolicy(t), service, list, loads, start)
@@ -171,7 +171,7 @@
 			flows[choice.Target.Number]++
 			if i%every == 0 {
 				for number, f := range flows {
-					loads.Learn(number, 1, routing.Report{Load: uint16(f)}, start)
+					loads.Record(number, 1, routing.Report{Load: uint16(f)}, start)
 				}
 			}
 		}
@@ -212,9 +212,9 @@
 				table := routing.NewTable(tt.policy, service, list, loads, start)
 				for _, hash := range hashes(flows) {
 					for number := uint32(2); number <= n; number++ {
-						loads.Learn(number, 1, routing.Report{Load: 4000}, start)
+						loads.Record(number, 1, routing.Report{Load: 4000}, start)
 					}
-					loads.Learn(1, 1, routing.Report{}, start)
+					loads.Record(1, 1, routing.Report{}, start)
 					choice, _ := table.Choose(hash, start)
 					if choice.Target.Number == 1 {
 						counts++
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -30,7 +30,7 @@
 					if rapid.IntRange(0, 9).Draw(t, "turns") == 0 {
 						r.Unhealthy = !r.Unhealthy
 					}
-					loads.Learn(target.Number, target.Incarnation, r, now)
+					loads.Record(target.Number, target.Incarnation, r, now)
 				}
 			}
 		}
--- a/routing/relative_test.go
+++ b/routing/relative_test.go
@@ -21,7 +21,7 @@
 	learn := func(number uint32, more int) {
 		open[number] += more
 		load := min(open[number]*1000/capacity, math.MaxUint16)
-		loads.Learn(number, 1, routing.Report{Load: uint16(load)}, start)
+		loads.Record(number, 1, routing.Report{Load: uint16(load)}, start)
 	}
 	for _, target := range list {
 		learn(target.Number, flows*int(1+target.Number%2))
@@ -71,8 +71,8 @@
 				gap = rapid.Uint16Range(0, mean).Draw(t, "gap")
 				load = mean + gap
 			}
-			once.Learn(target.Number, 1, routing.Report{Load: load}, start)
-			many.Learn(target.Number, 1, routing.Report{Load: load * factor}, start)
+			once.Record(target.Number, 1, routing.Report{Load: load}, start)
+			many.Record(target.Number, 1, routing.Report{Load: load * factor}, start)
 		}
 		a := routing.NewTable(nil, service, list, once, start)
 		b := routing.NewTable(nil, service, list, many, start)
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -17,7 +17,7 @@
 func answering(loads *routing.LoadReports, choice routing.Choice, dead map[uint32]bool, now time.Duration) {
 	for _, number := range []uint32{choice.Target.Number, choice.Probe.Number} {
 		if !dead[number] {
-			loads.Learn(number, 1, routing.Report{}, now)
+			loads.Record(number, 1, routing.Report{}, now)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	later := start + routing.SilentAfter + 2*time.Millisecond
 	for number := uint32(1); number <= uint32(n); number++ {
 		if !slices.Contains(silent, number) {
-			loads.Learn(number, 1, routing.Report{}, later)
+			loads.Record(number, 1, routing.Report{}, later)
 		}
 	}
 	return table, loads, later
@@ -97,11 +97,11 @@
 		is.Equal(choice.Reason, routing.Silent)
 		is.True(!choice.Alternate.IsValid()) // an agent that leaves must not hand it on there
 	}
-	is.True(!loads.Learn(1, 2, routing.Report{}, later)) // of another incarnation
+	is.True(!loads.Record(1, 2, routing.Report{}, later)) // of another incarnation
 	choice, _ := table.Choose(1, later)
 	is.Equal(choice.Target.Number, uint32(2))
 
-	loads.Learn(1, 1, routing.Report{}, later)
+	loads.Record(1, 1, routing.Report{}, later)
 	is.True(count(t, table, hashes(100))[1] > 0)
 }
 
@@ -133,7 +133,7 @@
 		}
 		is.True(len(counts) > n/2)
 		for _, number := range all { // the answers are read
-			loads.Learn(number, 1, routing.Report{}, later+time.Hour)
+			loads.Record(number, 1, routing.Report{}, later+time.Hour)
 		}
 		is.Equal(len(count(t, table, hashes(1000))), n)
 	}
@@ -147,7 +147,7 @@
 		probes := 0
 		for _, hash := range hashes(100) {
 			choice, _ := table.Choose(hash, moment)
-			loads.Learn(2, 1, routing.Report{}, moment)
+			loads.Record(2, 1, routing.Report{}, moment)
 			if choice.Probe.Number != 0 {
 				is.Equal(choice.Probe, routing.Picked{Number: 1, Incarnation: 1, Address: address(1)})
 				probes++
@@ -190,7 +190,7 @@
 	for _, hash := range hashes(flows) {
 		choice, _ := table.Choose(hash, later)
 		counts[choice.Target.Number]++
-		loads.Learn(choice.Target.Number, 1, routing.Report{}, later)
+		loads.Record(choice.Target.Number, 1, routing.Report{}, later)
 	}
 	for number := uint32(1); number <= n; number++ {
 		if number <= lost {
--- a/routing/unheard_test.go
+++ b/routing/unheard_test.go
@@ -33,7 +33,7 @@
 			loads := routing.NewLoadReports(nil, list)
 			learn := func() {
 				for number := uint32(2); number <= n; number++ {
-					loads.Learn(number, 1, routing.Report{Load: 600}, start)
+					loads.Record(number, 1, routing.Report{Load: 600}, start)
 				}
 			}
 			learn()
--- a/routing/weights_test.go
+++ b/routing/weights_test.go
@@ -95,7 +95,7 @@
 	for range fleetReports {
 		i := f.rand.IntN(len(f.list))
 		load := uint16(float64(f.flows[i]) * millePerFlow)
-		f.loads.Learn(f.list[i].Number, f.list[i].Incarnation, routing.Report{Load: load}, now)
+		f.loads.Record(f.list[i].Number, f.list[i].Incarnation, routing.Report{Load: load}, now)
 	}
 }
 
