--- a/internal/entryd/directory.go
+++ b/internal/entryd/directory.go
@@ -162,7 +162,7 @@
 	next.fill(d, now, usable)
 	next.forget(gone, put, usable)
 	if len(removed)+len(added) > 0 {
-		next.loads = d.loads.Change(removed, added)
+		next.loads = d.loads.Update(removed, added)
 	}
 	return next
 }
--- a/routing/loads.go
+++ b/routing/loads.go
@@ -64,10 +64,10 @@
 	return l
 }
 
-// Change returns the loads of a list that lacks some numbers and has some
+// Update returns the loads of a list that lacks some numbers and has some
 // targets in addition or in another incarnation. Reports of all others, and of
 // incarnations that stay, are shared with l. No number may be added twice.
-func (l *LoadReports) Change(gone []uint32, added []Target) *LoadReports {
+func (l *LoadReports) Update(gone []uint32, added []Target) *LoadReports {
 	next := &LoadReports{cells: maps.Clone(l.cells)}
 	for _, number := range gone {
 		delete(next.cells, number)
