--- a/internal/entryd/directory_test.go
+++ b/internal/entryd/directory_test.go
@@ -47,7 +47,7 @@
 	for _, service := range slices.Sorted(maps.Keys(d.services)) {
 		m := d.services[service]
 		for i, target := range m.targets {
-			report, known := d.loads.Last(target.Number, target.Incarnation, now)
+			report, known := d.loads.Latest(target.Number, target.Incarnation, now)
 			out += fmt.Sprintln(target, m.started[i], report, known)
 		}
 	}
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -294,7 +294,7 @@
 	if age, known := p.loads.Age(number, incarnation, now); known {
 		p.loadAge.RecordDuration(age)
 	}
-	report, _ := p.loads.Last(number, incarnation, now)
+	report, _ := p.loads.Latest(number, incarnation, now)
 	placed := flow.Placement{Agent: flow.EndpointOf(c.Target.Address), Service: s.Hash}
 	if c.Alternate.IsValid() {
 		placed.Alternate = flow.EndpointOf(c.Alternate)
--- a/routing/loads.go
+++ b/routing/loads.go
@@ -120,8 +120,8 @@
 	return true
 }
 
-// Last returns the last report of an incarnation if it is not stale.
-func (l *LoadReports) Last(number, incarnation uint32, now time.Duration) (Report, bool) {
+// Latest returns the last report of an incarnation if it is not stale.
+func (l *LoadReports) Latest(number, incarnation uint32, now time.Duration) (Report, bool) {
 	c := l.find(number, incarnation)
 	if c == nil {
 		return Report{}, false
--- a/routing/loads_test.go
+++ b/routing/loads_test.go
@@ -28,17 +28,17 @@
 
 	list[1].Incarnation = 2
 	after := routing.NewLoadReports(before, list)
-	got, ok := after.Last(1, 1, start)
+	got, ok := after.Latest(1, 1, start)
 	is.True(ok)
 	is.Equal(got, report)
-	_, ok = after.Last(2, 2, start)
+	_, ok = after.Latest(2, 2, start)
 	is.True(!ok) // a restarted target starts without figures
-	_, ok = after.Last(2, 1, start)
+	_, ok = after.Latest(2, 1, start)
 	is.True(!ok)
 
 	// A worker that still has the former loads reports for both.
 	is.True(before.Record(1, 1, routing.Report{Load: 5}, start))
-	got, ok = after.Last(1, 1, start)
+	got, ok = after.Latest(1, 1, start)
 	is.True(ok)
 	is.Equal(got.Load, uint16(5))
 }
@@ -46,12 +46,12 @@
 func TestReportsGrowStale(t *testing.T) {
 	is := is.New(t)
 	loads := routing.NewLoadReports(nil, targets(1))
-	_, ok := loads.Last(1, 1, start)
+	_, ok := loads.Latest(1, 1, start)
 	is.True(!ok) // none yet
 	loads.Record(1, 1, routing.Report{}, start)
-	_, ok = loads.Last(1, 1, start+routing.MaxReportAge)
+	_, ok = loads.Latest(1, 1, start+routing.MaxReportAge)
 	is.True(ok)
-	_, ok = loads.Last(1, 1, start+routing.MaxReportAge+time.Millisecond)
+	_, ok = loads.Latest(1, 1, start+routing.MaxReportAge+time.Millisecond)
 	is.True(!ok)
 }
 
