--- a/internal/entryd/decide.go
+++ b/internal/entryd/decide.go
@@ -49,7 +49,7 @@
 	reason  routing.Reason
 	refused refusal
 	// probe is a target that gets a copy of the datagram, or zero.
-	probe routing.Picked
+	probe routing.TargetRef
 }
 
 // decider holds what decides on datagrams and stays the same while the
--- a/internal/entryd/worker.go
+++ b/internal/entryd/worker.go
@@ -35,7 +35,7 @@
 	buf    [bufferLength]byte
 	header frame.Header
 	// probe is a silent target that gets a copy of the datagram, or zero.
-	probe routing.Picked
+	probe routing.TargetRef
 }
 
 func (w *publicWorker) run() {
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -171,7 +171,7 @@
 		is.Equal(table.Len(), 1)
 		choice, ok := table.Choose(1, start)
 		is.True(ok)
-		is.Equal(choice.Target, routing.Picked{Number: 1, Incarnation: 2, Address: newer.Address})
+		is.Equal(choice.Target, routing.TargetRef{Number: 1, Incarnation: 2, Address: newer.Address})
 		is.True(!loads.Record(1, 1, routing.Report{}, start)) // the old one's figures don't count
 	}
 }
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -149,7 +149,7 @@
 			choice, _ := table.Choose(hash, moment)
 			loads.Record(2, 1, routing.Report{}, moment)
 			if choice.Probe.Number != 0 {
-				is.Equal(choice.Probe, routing.Picked{Number: 1, Incarnation: 1, Address: address(1)})
+				is.Equal(choice.Probe, routing.TargetRef{Number: 1, Incarnation: 1, Address: address(1)})
 				probes++
 			}
 		}
--- a/routing/table.go
+++ b/routing/table.go
@@ -188,6 +188,6 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(c.ip), c.port)
 }
 
-func (c *candidate) picked() Picked {
-	return Picked{Number: c.number, Incarnation: c.incarnation, Address: c.address()}
+func (c *candidate) picked() TargetRef {
+	return TargetRef{Number: c.number, Incarnation: c.incarnation, Address: c.address()}
 }
--- a/routing/target.go
+++ b/routing/target.go
@@ -23,21 +23,21 @@
 	Age time.Duration
 }
 
-// Picked names a chosen target.
-type Picked struct {
+// TargetRef names a chosen target.
+type TargetRef struct {
 	Number, Incarnation uint32
 	Address             netip.AddrPort
 }
 
 // Choice is the decision on one new flow.
 type Choice struct {
-	Target Picked
+	Target TargetRef
 	// Alternate is the frame address of the other candidate, or zero.
 	Alternate netip.AddrPort
 	Reason    Reason
 	// Probe is a silent target that gets a copy of the packet, or zero. Should it
 	// answer too, the caller acts on the first of the two Retries.
-	Probe Picked
+	Probe TargetRef
 }
 
 // Reason tells what decided a choice.
