--- a/internal/entryd/decide.go
+++ b/internal/entryd/decide.go
@@ -76,7 +76,7 @@
 	hash := c.hasher.Hash(caller, packet.Destination)
 	if packet.Type == quicheader.ZeroRTT {
 		// An agent drops early data, without a word.
-		choice, ok := s.table.ChooseUnanswered(hash, now)
+		choice, ok := s.table.ChooseNoReply(hash, now)
 		return first(s, choice, ok, h)
 	}
 	choice, ok := s.table.Choose(hash, now)
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -36,9 +36,9 @@
 	return c, true
 }
 
-// ChooseUnanswered is Choose for a packet that a target need not answer, so that
+// ChooseNoReply is Choose for a packet that a target need not answer, so that
 // its silence afterwards tells nothing.
-func (t *Table) ChooseUnanswered(hash uint64, now time.Duration) (Choice, bool) {
+func (t *Table) ChooseNoReply(hash uint64, now time.Duration) (Choice, bool) {
 	c, chosen, _ := t.choose(hash, now)
 	return c, chosen != nil
 }
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -170,7 +170,7 @@
 
 	table, _ = build(nil, targets(2))
 	for _, moment := range []time.Duration{start, later} {
-		choice, ok := table.ChooseUnanswered(hashes(1)[0], moment)
+		choice, ok := table.ChooseNoReply(hashes(1)[0], moment)
 		is.True(ok)
 		is.True(choice.Reason != routing.Silent)
 	}
