--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -279,7 +279,7 @@
 func (f *Forwarder) refreshTables() {
 	now := f.now()
 	for number, b := range f.built {
-		table, ok := b.service.table.Refreshed(now)
+		table, ok := b.service.table.Refresh(now)
 		switch {
 		case !ok:
 			delete(f.built, number)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -18,11 +18,11 @@
 	return packed & (packedKnown | packedDraining | packedIll)
 }
 
-// Refreshed returns what NewTable would make at a later time of the same policy,
+// Refresh returns what NewTable would make at a later time of the same policy,
 // targets and loads. It is t itself if nothing has changed, and shares the
 // candidates with t if only load figures have. It reports false if the table has
 // to be made anew: a target is on its ramp, or its agent tells of another state.
-func (t *Table) Refreshed(now time.Duration) (*Table, bool) {
+func (t *Table) Refresh(now time.Duration) (*Table, bool) {
 	if t.ramping {
 		return nil, false
 	}
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -46,7 +46,7 @@
 				report()
 			}
 			want := routing.NewTable(policy, service, list, loads, now)
-			got, ok := table.Refreshed(now)
+			got, ok := table.Refresh(now)
 			switch {
 			case !ok:
 				refused++
