--- a/internal/agentd/moving.go
+++ b/internal/agentd/moving.go
@@ -99,5 +99,5 @@
 			ill++
 		}
 	}
-	return !routing.Panics(policy, ill, all)
+	return !routing.InPanicMode(policy, ill, all)
 }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -108,10 +108,10 @@
 	return ill > 0 && ill*100 >= p.panicPercent*all
 }
 
-// Panics reports whether, by the policy of a service, so many of its serving
+// InPanicMode reports whether, by the policy of a service, so many of its serving
 // targets look ill that the signal is more likely wrong than they are. All of
 // them are then served as if they were well.
-func Panics(p *configpb.Policy, ill, all int) bool {
+func InPanicMode(p *configpb.Policy, ill, all int) bool {
 	made := newPolicy(p)
 	return made.panics(ill, all)
 }
