--- a/routing/choose.go
+++ b/routing/choose.go
@@ -54,7 +54,7 @@
 		a, b, silent = t.avoid(a, b, hash, now)
 	}
 
-	chosen, reason := a, Only
+	chosen, reason := a, OnlyCandidate
 	if b != nil {
 		chosen, reason = t.better(a, b, hash, now)
 	}
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -42,13 +42,13 @@
 	{
 		name:   "one draining",
 		change: func(list []routing.Target) { list[0].Draining = true },
-		want:   routing.Only,
+		want:   routing.OnlyCandidate,
 		target: 2,
 	},
 	{
 		name:   "one reports to be draining",
 		learn:  map[uint32]routing.Report{1: {Draining: true}},
-		want:   routing.Only,
+		want:   routing.OnlyCandidate,
 		target: 2,
 	},
 	{
@@ -69,7 +69,7 @@
 		name:   "ill below the panic threshold",
 		policy: &configpb.Policy{PanicPercent: 51},
 		change: func(list []routing.Target) { list[0].Unhealthy = true },
-		want:   routing.Only,
+		want:   routing.OnlyCandidate,
 		target: 2,
 	},
 	{
@@ -86,7 +86,7 @@
 		policy: &configpb.Policy{PanicPercent: 100},
 		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		learn:  map[uint32]routing.Report{1: {Unhealthy: false}, 2: {Unhealthy: true}},
-		want:   routing.Only,
+		want:   routing.OnlyCandidate,
 		target: 1,
 	},
 	{
@@ -97,7 +97,7 @@
 			list[0].Damped = true
 		},
 		learn:  map[uint32]routing.Report{1: {Unhealthy: false}},
-		want:   routing.Only,
+		want:   routing.OnlyCandidate,
 		target: 2,
 	},
 }
@@ -146,7 +146,7 @@
 	table, _ = build(nil, targets(1))
 	choice, ok := table.Choose(1, start)
 	is.True(ok)
-	is.Equal(choice.Reason, routing.Only)
+	is.Equal(choice.Reason, routing.OnlyCandidate)
 	is.Equal(choice.Alternate, netip.AddrPort{})
 }
 
--- a/routing/target.go
+++ b/routing/target.go
@@ -47,8 +47,8 @@
 const (
 	// NoTarget: the service has no target at all; nothing was chosen.
 	NoTarget Reason = iota
-	// Only: there was one candidate.
-	Only
+	// OnlyCandidate: there was one candidate.
+	OnlyCandidate
 	// ByHash: the policy is the hash baseline.
 	ByHash
 	// ByCost: the chosen candidate has the lower cost or load.
@@ -74,7 +74,7 @@
 	switch r {
 	case NoTarget:
 		return "no_target"
-	case Only:
+	case OnlyCandidate:
 		return "only"
 	case ByHash:
 		return "hash"
