--- a/routing/choose.go
+++ b/routing/choose.go
@@ -171,7 +171,7 @@
 	case costB < costA:
 		return b, ByCost
 	default:
-		return a, Equal
+		return a, EqualCost
 	}
 }
 
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -25,7 +25,7 @@
 }
 
 var reasonCases = []reasonCase{
-	{name: "equal", want: routing.Equal},
+	{name: "equal", want: routing.EqualCost},
 	{name: "hash", policy: hashPolicy, want: routing.ByHash},
 	{
 		name:   "lower load",
@@ -36,7 +36,7 @@
 	{
 		name:   "no figure counts as average",
 		learn:  map[uint32]routing.Report{1: {Load: 500}},
-		want:   routing.Equal,
+		want:   routing.EqualCost,
 		target: 0,
 	},
 	{
@@ -197,7 +197,7 @@
 	is.Equal(table.Len(), 2)
 	choice, ok := table.Choose(1, later)
 	is.True(ok)
-	is.Equal(choice.Reason, routing.Equal)
+	is.Equal(choice.Reason, routing.EqualCost)
 }
 
 // TestIdleTargetIsNotHeldToItsLastLoad has one target answer all the time. The
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -112,7 +112,7 @@
 	list[0].Incarnation = 2
 	table := routing.NewTable(nil, service, list, routing.NewLoadReports(loads, list), later)
 	choice, _ := table.Choose(hashes(1)[0], later)
-	is.Equal(choice.Reason, routing.Equal)
+	is.Equal(choice.Reason, routing.EqualCost)
 }
 
 // TestWhereAllAreSilentNoneIs is a host whose own way is cut, or one that thaws:
--- a/routing/target.go
+++ b/routing/target.go
@@ -53,8 +53,8 @@
 	ByHash
 	// ByCost: the chosen candidate has the lower cost or load.
 	ByCost
-	// Equal: the candidates cost the same, the hash decided.
-	Equal
+	// EqualCost: the candidates cost the same, the hash decided.
+	EqualCost
 	// Ramp: the other candidate is within its ramp and sat this draw out.
 	Ramp
 	// Panic: so many targets look ill that the signal is ignored.
@@ -80,7 +80,7 @@
 		return "hash"
 	case ByCost:
 		return "cost"
-	case Equal:
+	case EqualCost:
 		return "equal"
 	case Ramp:
 		return "ramp"
