--- a/routing/choose.go
+++ b/routing/choose.go
@@ -59,7 +59,7 @@
 		chosen, reason = t.better(a, b, hash, now)
 	}
 	if silent != nil {
-		reason = Silent
+		reason = Unresponsive
 	}
 	if t.whole != NoTarget {
 		reason = t.whole
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -56,7 +56,7 @@
 				first[number] = now
 			}
 			if probe := choice.Probe.Number; probe != 0 {
-				is.Equal(choice.Reason, routing.Silent)
+				is.Equal(choice.Reason, routing.Unresponsive)
 				is.True(dead[probe])
 				is.True(now-max(first[probe], probed[probe]) >= routing.ProbePeriod)
 				probed[probe] = now
@@ -94,7 +94,7 @@
 	for _, hash := range hashes(20) {
 		choice, _ := table.Choose(hash, later)
 		is.Equal(choice.Target.Number, uint32(2))
-		is.Equal(choice.Reason, routing.Silent)
+		is.Equal(choice.Reason, routing.Unresponsive)
 		is.True(!choice.Alternate.IsValid()) // an agent that leaves must not hand it on there
 	}
 	is.True(!loads.Record(1, 2, routing.Report{}, later)) // of another incarnation
@@ -128,7 +128,7 @@
 		counts := make(map[uint32]int)
 		for _, hash := range hashes(1000) {
 			choice, _ := table.Choose(hash, later+time.Hour)
-			is.True(choice.Reason != routing.Silent)
+			is.True(choice.Reason != routing.Unresponsive)
 			counts[choice.Target.Number]++
 		}
 		is.True(len(counts) > n/2)
@@ -172,7 +172,7 @@
 	for _, moment := range []time.Duration{start, later} {
 		choice, ok := table.ChooseNoReply(hashes(1)[0], moment)
 		is.True(ok)
-		is.True(choice.Reason != routing.Silent)
+		is.True(choice.Reason != routing.Unresponsive)
 	}
 }
 
--- a/routing/target.go
+++ b/routing/target.go
@@ -61,9 +61,9 @@
 	Panic
 	// LastResort: all targets are draining, one of them has to pass it on.
 	LastResort
-	// Silent: a drawn candidate has not answered for a while, and one that is
+	// Unresponsive: a drawn candidate has not answered for a while, and one that is
 	// not silent was taken in its place.
-	Silent
+	Unresponsive
 
 	// ReasonCount is the number of reasons.
 	ReasonCount
@@ -88,7 +88,7 @@
 		return "panic"
 	case LastResort:
 		return "last_resort"
-	case Silent:
+	case Unresponsive:
 		return "silent"
 	default:
 		return "invalid"
