--- a/routing/silence.go
+++ b/routing/silence.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// SilentAfter is the time without any frame from a target, since a first
+	// UnresponsiveAfter is the time without any frame from a target, since a first
 	// packet that it had to answer at once, from which it counts as silent. A
 	// round trip between two regions takes below 300 ms, the rest is for hosts
 	// that are busy. A caller that sends again 600 ms after its first packet, as
 	// after two doubled pauses of 200 ms, is already served by another target.
-	SilentAfter = 500 * time.Millisecond
+	UnresponsiveAfter = 500 * time.Millisecond
 	// ProbePeriod is the least time between two probes of a silent target, and
 	// between the packet that it did not answer and the first probe.
 	ProbePeriod = time.Second
@@ -102,7 +102,7 @@
 // silent reports whether nothing came from the target for too long.
 func (c *cell) silent(now time.Duration) bool {
 	since := c.waiting.Load()
-	return since != 0 && stamp(now)-since > SilentAfter.Milliseconds()
+	return since != 0 && stamp(now)-since > UnresponsiveAfter.Milliseconds()
 }
 
 // takeProbe reports whether a silent target is to be probed now. Of several
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -51,7 +51,7 @@
 			is.True(ok)
 			number := choice.Target.Number
 			since, sent := first[number]
-			is.True(!sent || now-since <= routing.SilentAfter) // not to a silent one
+			is.True(!sent || now-since <= routing.UnresponsiveAfter) // not to a silent one
 			if dead[number] && !sent {
 				first[number] = now
 			}
@@ -79,7 +79,7 @@
 		_, ok := table.Choose(hash, start)
 		is.True(ok)
 	}
-	later := start + routing.SilentAfter + 2*time.Millisecond
+	later := start + routing.UnresponsiveAfter + 2*time.Millisecond
 	for number := uint32(1); number <= uint32(n); number++ {
 		if !slices.Contains(silent, number) {
 			loads.Record(number, 1, routing.Report{}, later)
