--- a/routing/silence.go
+++ b/routing/silence.go
@@ -13,9 +13,9 @@
 	// that are busy. A caller that sends again 600 ms after its first packet, as
 	// after two doubled pauses of 200 ms, is already served by another target.
 	UnresponsiveAfter = 500 * time.Millisecond
-	// ProbePeriod is the least time between two probes of a silent target, and
+	// ProbeInterval is the least time between two probes of a silent target, and
 	// between the packet that it did not answer and the first probe.
-	ProbePeriod = time.Second
+	ProbeInterval = time.Second
 	// maxRedraws bounds the draws in place of silent candidates.
 	maxRedraws = 8
 )
@@ -110,5 +110,5 @@
 func (c *cell) takeProbe(now time.Duration) bool {
 	last := c.probed.Load()
 	pause := stamp(now) - max(last, c.waiting.Load())
-	return pause >= ProbePeriod.Milliseconds() && c.probed.CompareAndSwap(last, stamp(now))
+	return pause >= ProbeInterval.Milliseconds() && c.probed.CompareAndSwap(last, stamp(now))
 }
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -58,7 +58,7 @@
 			if probe := choice.Probe.Number; probe != 0 {
 				is.Equal(choice.Reason, routing.Unresponsive)
 				is.True(dead[probe])
-				is.True(now-max(first[probe], probed[probe]) >= routing.ProbePeriod)
+				is.True(now-max(first[probe], probed[probe]) >= routing.ProbeInterval)
 				probed[probe] = now
 			}
 			answering(loads, choice, dead, now)
@@ -143,7 +143,7 @@
 func TestOneWorkerProbes(t *testing.T) {
 	is := is.New(t)
 	table, loads, _ := silence(t, nil, 2, 1)
-	for _, moment := range []time.Duration{start + routing.ProbePeriod, start + 2*routing.ProbePeriod} {
+	for _, moment := range []time.Duration{start + routing.ProbeInterval, start + 2*routing.ProbeInterval} {
 		probes := 0
 		for _, hash := range hashes(100) {
 			choice, _ := table.Choose(hash, moment)
