--- a/internal/agentd/flows.go
+++ b/internal/agentd/flows.go
@@ -63,7 +63,7 @@
 			t.flows[key] = f
 		}
 	}
-	f.path.Heard(entry, now)
+	f.path.RecordReceived(entry, now)
 	f.heard = now
 	return f
 }
--- a/returnpath/path.go
+++ b/returnpath/path.go
@@ -28,9 +28,9 @@
 	since time.Duration
 }
 
-// Heard records that a datagram of the flow came through the entry host. now
+// RecordReceived records that a datagram of the flow came through the entry host. now
 // is the time on any monotonic scale.
-func (p *Path) Heard(entry netip.AddrPort, now time.Duration) {
+func (p *Path) RecordReceived(entry netip.AddrPort, now time.Duration) {
 	p.silent = 0
 	p.moves = 0
 	p.since = now
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -23,7 +23,7 @@
 	_, _, ok := p.Next(0)
 	is.True(!ok) // nothing heard yet
 	for n := range 6 {
-		p.Heard(host(n), time.Duration(n))
+		p.RecordReceived(host(n), time.Duration(n))
 	}
 	entry, exhausted, ok := p.Next(10)
 	is.True(ok)
@@ -34,8 +34,8 @@
 func TestPathMovesOnWhenSilent(t *testing.T) {
 	is := is.New(t)
 	var p returnpath.Path
-	p.Heard(host(1), 0)
-	p.Heard(host(2), 0)
+	p.RecordReceived(host(1), 0)
+	p.RecordReceived(host(2), 0)
 	for range returnpath.SilentDatagrams {
 		entry, _, _ := p.Next(time.Millisecond)
 		is.Equal(entry, host(2))
@@ -50,7 +50,7 @@
 	}
 	_, exhausted, _ = p.Next(2 * returnpath.SilentTime)
 	is.True(exhausted) // both were tried in vain
-	p.Heard(host(1), 2*returnpath.SilentTime)
+	p.RecordReceived(host(1), 2*returnpath.SilentTime)
 	entry, exhausted, _ = p.Next(2 * returnpath.SilentTime)
 	is.Equal(entry, host(1))
 	is.True(!exhausted)
@@ -67,7 +67,7 @@
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(t, "hear") {
 				last = host(rapid.IntRange(0, 8).Draw(t, "host"))
-				p.Heard(last, now)
+				p.RecordReceived(last, now)
 				heard[last] = true
 				justHeard = true
 				continue
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	var p returnpath.Path
 	for n := range returnpath.Depth {
-		p.Heard(host(n), 0)
+		p.RecordReceived(host(n), 0)
 	}
 	tried := map[netip.AddrPort]bool{}
 	now := time.Duration(0)
@@ -125,7 +125,7 @@
 	is := is.New(t)
 	var p returnpath.Path
 	for n := range returnpath.Depth {
-		p.Heard(host(n), 0)
+		p.RecordReceived(host(n), 0)
 	}
 	for range returnpath.SilentDatagrams {
 		p.Next(0)
@@ -138,7 +138,7 @@
 		tried[entry] = true
 	}
 	is.Equal(len(tried), returnpath.Depth)
-	p.Heard(host(9), returnpath.SilentTime)
+	p.RecordReceived(host(9), returnpath.SilentTime)
 	for range 2 * returnpath.SilentDatagrams {
 		entry, exhausted, _ := p.Next(returnpath.SilentTime)
 		is.Equal(entry, host(9)) // heard again: it stays
