--- a/internal/agentd/flows.go
+++ b/internal/agentd/flows.go
@@ -55,7 +55,7 @@
 func (t *flowTable) heard(key flowKey, entry netip.AddrPort, now time.Duration, established bool) *flow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.recent.Heard(entry, now)
+	t.recent.RecordReceived(entry, now)
 	f, known := t.flows[key]
 	if !known {
 		f = newFlow(key)
--- a/returnpath/recent.go
+++ b/returnpath/recent.go
@@ -29,8 +29,8 @@
 	return &Recent{heard: make(map[netip.AddrPort]time.Duration, RecentHosts)}
 }
 
-// Heard records that a frame came from the entry host.
-func (r *Recent) Heard(entry netip.AddrPort, now time.Duration) {
+// RecordReceived records that a frame came from the entry host.
+func (r *Recent) RecordReceived(entry netip.AddrPort, now time.Duration) {
 	if _, known := r.heard[entry]; known {
 		r.heard[entry] = now
 		return
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -104,7 +104,7 @@
 	is := is.New(t)
 	r := returnpath.NewRecent()
 	for n := range 3 * returnpath.RecentHosts {
-		r.Heard(host(n), time.Duration(n))
+		r.RecordReceived(host(n), time.Duration(n))
 	}
 	is.Equal(r.Len(), returnpath.RecentHosts)
 	seen := map[netip.AddrPort]bool{}
@@ -150,11 +150,11 @@
 	is := is.New(t)
 	r := returnpath.NewRecent()
 	for n := range 4 {
-		r.Heard(host(n), 0)
+		r.RecordReceived(host(n), 0)
 	}
 	const later = 2 * returnpath.FreshAge
-	r.Heard(host(8), later)
-	r.Heard(host(9), later)
+	r.RecordReceived(host(8), later)
+	r.RecordReceived(host(9), later)
 	got := map[netip.AddrPort]bool{}
 	for range 10 {
 		entry, ok := r.Next(later)
