--- a/returnpath/path.go
+++ b/returnpath/path.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// Depth is the number of entry hosts that a flow remembers.
-	Depth = 4
+	// MaxPathHosts is the number of entry hosts that a flow remembers.
+	MaxPathHosts = 4
 	// SilentDatagrams is the number of datagrams sent with nothing heard
 	// after which a flow may move to its next entry host.
 	SilentDatagrams = 4
@@ -20,7 +20,7 @@
 // next in front. The zero value is empty. It is not safe for use by several
 // goroutines at once.
 type Path struct {
-	hosts  [Depth]netip.AddrPort
+	hosts  [MaxPathHosts]netip.AddrPort
 	count  uint8
 	silent uint16
 	// moves counts how often the path moved on since it last heard anything.
@@ -75,10 +75,10 @@
 			break
 		}
 	}
-	if at == int(p.count) && p.count < Depth {
+	if at == int(p.count) && p.count < MaxPathHosts {
 		p.count++
 	}
-	at = min(at, Depth-1)
+	at = min(at, MaxPathHosts-1)
 	copy(p.hosts[1:at+1], p.hosts[:at])
 	p.hosts[0] = entry
 }
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -87,17 +87,17 @@
 func TestPathTriesEveryHostInTurn(t *testing.T) {
 	is := is.New(t)
 	var p returnpath.Path
-	for n := range returnpath.Depth {
+	for n := range returnpath.MaxPathHosts {
 		p.RecordReceived(host(n), 0)
 	}
 	tried := map[netip.AddrPort]bool{}
 	now := time.Duration(0)
-	for range returnpath.Depth * (returnpath.SilentDatagrams + 1) {
+	for range returnpath.MaxPathHosts * (returnpath.SilentDatagrams + 1) {
 		now += returnpath.SilentTime
 		entry, _, _ := p.Next(now)
 		tried[entry] = true
 	}
-	is.Equal(len(tried), returnpath.Depth)
+	is.Equal(len(tried), returnpath.MaxPathHosts)
 }
 
 func TestRecentIsBoundedAndForgets(t *testing.T) {
@@ -124,20 +124,20 @@
 func TestSilentPathTriesAnotherEntryHostEachTime(t *testing.T) {
 	is := is.New(t)
 	var p returnpath.Path
-	for n := range returnpath.Depth {
+	for n := range returnpath.MaxPathHosts {
 		p.RecordReceived(host(n), 0)
 	}
 	for range returnpath.SilentDatagrams {
 		p.Next(0)
 	}
 	tried := map[netip.AddrPort]bool{}
-	for n := range returnpath.Depth {
+	for n := range returnpath.MaxPathHosts {
 		entry, exhausted, ok := p.Next(returnpath.SilentTime)
 		is.True(ok)
-		is.Equal(exhausted, n == returnpath.Depth-1)
+		is.Equal(exhausted, n == returnpath.MaxPathHosts-1)
 		tried[entry] = true
 	}
-	is.Equal(len(tried), returnpath.Depth)
+	is.Equal(len(tried), returnpath.MaxPathHosts)
 	p.RecordReceived(host(9), returnpath.SilentTime)
 	for range 2 * returnpath.SilentDatagrams {
 		entry, exhausted, _ := p.Next(returnpath.SilentTime)
