--- a/returnpath/path.go
+++ b/returnpath/path.go
@@ -8,9 +8,9 @@
 const (
 	// MaxPathHosts is the number of entry hosts that a flow remembers.
 	MaxPathHosts = 4
-	// SilentDatagrams is the number of datagrams sent with nothing heard
+	// FailoverDatagrams is the number of datagrams sent with nothing heard
 	// after which a flow may move to its next entry host.
-	SilentDatagrams = 4
+	FailoverDatagrams = 4
 	// SilentTime must also have passed since the last datagram was heard: a
 	// burst within one round trip is no sign of a dead path.
 	SilentTime = 150 * time.Millisecond
@@ -47,10 +47,10 @@
 	if p.count == 0 {
 		return netip.AddrPort{}, true, false
 	}
-	if p.silent >= SilentDatagrams && now-p.since >= SilentTime {
+	if p.silent >= FailoverDatagrams && now-p.since >= SilentTime {
 		p.rotate()
 	}
-	if p.silent < SilentDatagrams {
+	if p.silent < FailoverDatagrams {
 		p.silent++
 	}
 	return p.hosts[0], p.moves >= uint16(p.count), true
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -36,7 +36,7 @@
 	var p returnpath.Path
 	p.RecordReceived(host(1), 0)
 	p.RecordReceived(host(2), 0)
-	for range returnpath.SilentDatagrams {
+	for range returnpath.FailoverDatagrams {
 		entry, _, _ := p.Next(time.Millisecond)
 		is.Equal(entry, host(2))
 	}
@@ -45,7 +45,7 @@
 	entry, exhausted, _ := p.Next(returnpath.SilentTime)
 	is.Equal(entry, host(1))
 	is.True(!exhausted)
-	for range returnpath.SilentDatagrams {
+	for range returnpath.FailoverDatagrams {
 		p.Next(returnpath.SilentTime)
 	}
 	_, exhausted, _ = p.Next(2 * returnpath.SilentTime)
@@ -92,7 +92,7 @@
 	}
 	tried := map[netip.AddrPort]bool{}
 	now := time.Duration(0)
-	for range returnpath.MaxPathHosts * (returnpath.SilentDatagrams + 1) {
+	for range returnpath.MaxPathHosts * (returnpath.FailoverDatagrams + 1) {
 		now += returnpath.SilentTime
 		entry, _, _ := p.Next(now)
 		tried[entry] = true
@@ -127,7 +127,7 @@
 	for n := range returnpath.MaxPathHosts {
 		p.RecordReceived(host(n), 0)
 	}
-	for range returnpath.SilentDatagrams {
+	for range returnpath.FailoverDatagrams {
 		p.Next(0)
 	}
 	tried := map[netip.AddrPort]bool{}
@@ -139,7 +139,7 @@
 	}
 	is.Equal(len(tried), returnpath.MaxPathHosts)
 	p.RecordReceived(host(9), returnpath.SilentTime)
-	for range 2 * returnpath.SilentDatagrams {
+	for range 2 * returnpath.FailoverDatagrams {
 		entry, exhausted, _ := p.Next(returnpath.SilentTime)
 		is.Equal(entry, host(9)) // heard again: it stays
 		is.True(!exhausted)
