--- a/returnpath/path.go
+++ b/returnpath/path.go
@@ -11,9 +11,9 @@
 	// FailoverDatagrams is the number of datagrams sent with nothing heard
 	// after which a flow may move to its next entry host.
 	FailoverDatagrams = 4
-	// SilentTime must also have passed since the last datagram was heard: a
+	// FailoverTimeout must also have passed since the last datagram was heard: a
 	// burst within one round trip is no sign of a dead path.
-	SilentTime = 150 * time.Millisecond
+	FailoverTimeout = 150 * time.Millisecond
 )
 
 // Path holds the entry hosts that one flow was heard through, the one to use
@@ -47,7 +47,7 @@
 	if p.count == 0 {
 		return netip.AddrPort{}, true, false
 	}
-	if p.silent >= FailoverDatagrams && now-p.since >= SilentTime {
+	if p.silent >= FailoverDatagrams && now-p.since >= FailoverTimeout {
 		p.rotate()
 	}
 	if p.silent < FailoverDatagrams {
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -42,16 +42,16 @@
 	}
 	entry, _, _ := p.Next(time.Millisecond)
 	is.Equal(entry, host(2)) // a burst within one round trip does not move it
-	entry, exhausted, _ := p.Next(returnpath.SilentTime)
+	entry, exhausted, _ := p.Next(returnpath.FailoverTimeout)
 	is.Equal(entry, host(1))
 	is.True(!exhausted)
 	for range returnpath.FailoverDatagrams {
-		p.Next(returnpath.SilentTime)
+		p.Next(returnpath.FailoverTimeout)
 	}
-	_, exhausted, _ = p.Next(2 * returnpath.SilentTime)
+	_, exhausted, _ = p.Next(2 * returnpath.FailoverTimeout)
 	is.True(exhausted) // both were tried in vain
-	p.RecordReceived(host(1), 2*returnpath.SilentTime)
-	entry, exhausted, _ = p.Next(2 * returnpath.SilentTime)
+	p.RecordReceived(host(1), 2*returnpath.FailoverTimeout)
+	entry, exhausted, _ = p.Next(2 * returnpath.FailoverTimeout)
 	is.Equal(entry, host(1))
 	is.True(!exhausted)
 }
@@ -93,7 +93,7 @@
 	tried := map[netip.AddrPort]bool{}
 	now := time.Duration(0)
 	for range returnpath.MaxPathHosts * (returnpath.FailoverDatagrams + 1) {
-		now += returnpath.SilentTime
+		now += returnpath.FailoverTimeout
 		entry, _, _ := p.Next(now)
 		tried[entry] = true
 	}
@@ -132,15 +132,15 @@
 	}
 	tried := map[netip.AddrPort]bool{}
 	for n := range returnpath.MaxPathHosts {
-		entry, exhausted, ok := p.Next(returnpath.SilentTime)
+		entry, exhausted, ok := p.Next(returnpath.FailoverTimeout)
 		is.True(ok)
 		is.Equal(exhausted, n == returnpath.MaxPathHosts-1)
 		tried[entry] = true
 	}
 	is.Equal(len(tried), returnpath.MaxPathHosts)
-	p.RecordReceived(host(9), returnpath.SilentTime)
+	p.RecordReceived(host(9), returnpath.FailoverTimeout)
 	for range 2 * returnpath.FailoverDatagrams {
-		entry, exhausted, _ := p.Next(returnpath.SilentTime)
+		entry, exhausted, _ := p.Next(returnpath.FailoverTimeout)
 		is.Equal(entry, host(9)) // heard again: it stays
 		is.True(!exhausted)
 	}
