--- a/returnpath/recent.go
+++ b/returnpath/recent.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// RecentHosts bounds the entry hosts that a host remembers.
-	RecentHosts = 64
+	// MaxRecentHosts bounds the entry hosts that a host remembers.
+	MaxRecentHosts = 64
 	// RecentAge is the age after which an entry host is no longer offered.
 	RecentAge = 30 * time.Second
 	// FreshAge is the age up to which an entry host goes before older ones:
@@ -26,7 +26,7 @@
 
 // NewRecent returns an empty list.
 func NewRecent() *Recent {
-	return &Recent{heard: make(map[netip.AddrPort]time.Duration, RecentHosts)}
+	return &Recent{heard: make(map[netip.AddrPort]time.Duration, MaxRecentHosts)}
 }
 
 // RecordReceived records that a frame came from the entry host.
@@ -35,7 +35,7 @@
 		r.heard[entry] = now
 		return
 	}
-	if len(r.order) >= RecentHosts {
+	if len(r.order) >= MaxRecentHosts {
 		r.evictOldest()
 	}
 	r.heard[entry] = now
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -103,18 +103,18 @@
 func TestRecentIsBoundedAndForgets(t *testing.T) {
 	is := is.New(t)
 	r := returnpath.NewRecent()
-	for n := range 3 * returnpath.RecentHosts {
+	for n := range 3 * returnpath.MaxRecentHosts {
 		r.RecordReceived(host(n), time.Duration(n))
 	}
-	is.Equal(r.Len(), returnpath.RecentHosts)
+	is.Equal(r.Len(), returnpath.MaxRecentHosts)
 	seen := map[netip.AddrPort]bool{}
-	for range returnpath.RecentHosts {
+	for range returnpath.MaxRecentHosts {
 		entry, ok := r.Next(time.Second)
 		is.True(ok)
 		seen[entry] = true
 	}
-	is.Equal(len(seen), returnpath.RecentHosts) // takes turns
-	is.True(!seen[host(0)])                     // the oldest fell out
+	is.Equal(len(seen), returnpath.MaxRecentHosts) // takes turns
+	is.True(!seen[host(0)])                        // the oldest fell out
 	_, ok := r.Next(returnpath.RecentAge + time.Minute)
 	is.True(!ok) // all too old
 }
