--- a/internal/agentd/flows.go
+++ b/internal/agentd/flows.go
@@ -41,7 +41,7 @@
 type flowTable struct {
 	mu     sync.Mutex
 	flows  map[flowKey]*flow
-	recent *returnpath.Recent
+	recent *returnpath.RecentHosts
 	limit  int
 }
 
--- a/returnpath/recent.go
+++ b/returnpath/recent.go
@@ -15,22 +15,22 @@
 	FreshAge = time.Second
 )
 
-// Recent holds the entry hosts that any flow was heard through lately. It is
+// RecentHosts holds the entry hosts that any flow was heard through lately. It is
 // the last resort of a flow whose own entry hosts all went silent. It is not
 // safe for use by several goroutines at once.
-type Recent struct {
+type RecentHosts struct {
 	heard map[netip.AddrPort]time.Duration
 	order []netip.AddrPort
 	next  int
 }
 
 // NewRecent returns an empty list.
-func NewRecent() *Recent {
-	return &Recent{heard: make(map[netip.AddrPort]time.Duration, MaxRecentHosts)}
+func NewRecent() *RecentHosts {
+	return &RecentHosts{heard: make(map[netip.AddrPort]time.Duration, MaxRecentHosts)}
 }
 
 // RecordReceived records that a frame came from the entry host.
-func (r *Recent) RecordReceived(entry netip.AddrPort, now time.Duration) {
+func (r *RecentHosts) RecordReceived(entry netip.AddrPort, now time.Duration) {
 	if _, known := r.heard[entry]; known {
 		r.heard[entry] = now
 		return
@@ -44,14 +44,14 @@
 
 // Next returns one entry host heard within FreshAge, or else within RecentAge,
 // another one each time.
-func (r *Recent) Next(now time.Duration) (netip.AddrPort, bool) {
+func (r *RecentHosts) Next(now time.Duration) (netip.AddrPort, bool) {
 	if entry, ok := r.within(FreshAge, now); ok {
 		return entry, true
 	}
 	return r.within(RecentAge, now)
 }
 
-func (r *Recent) within(age, now time.Duration) (netip.AddrPort, bool) {
+func (r *RecentHosts) within(age, now time.Duration) (netip.AddrPort, bool) {
 	for range r.order {
 		r.next = (r.next + 1) % len(r.order)
 		entry := r.order[r.next]
@@ -63,11 +63,11 @@
 }
 
 // Len returns the number of entry hosts remembered.
-func (r *Recent) Len() int {
+func (r *RecentHosts) Len() int {
 	return len(r.order)
 }
 
-func (r *Recent) evictOldest() {
+func (r *RecentHosts) evictOldest() {
 	oldest := 0
 	for i, entry := range r.order {
 		if r.heard[entry] < r.heard[r.order[oldest]] {
