--- a/internal/agentd/flows.go
+++ b/internal/agentd/flows.go
@@ -46,7 +46,7 @@
 }
 
 func newFlowTable(limit int) *flowTable {
-	return &flowTable{flows: make(map[flowKey]*flow), recent: returnpath.NewRecent(), limit: limit}
+	return &flowTable{flows: make(map[flowKey]*flow), recent: returnpath.NewRecentHosts(), limit: limit}
 }
 
 // heard records a frame and returns the flow it belongs to. A frame that may
--- a/returnpath/recent.go
+++ b/returnpath/recent.go
@@ -24,8 +24,8 @@
 	next  int
 }
 
-// NewRecent returns an empty list.
-func NewRecent() *RecentHosts {
+// NewRecentHosts returns an empty list.
+func NewRecentHosts() *RecentHosts {
 	return &RecentHosts{heard: make(map[netip.AddrPort]time.Duration, MaxRecentHosts)}
 }
 
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -102,7 +102,7 @@
 
 func TestRecentIsBoundedAndForgets(t *testing.T) {
 	is := is.New(t)
-	r := returnpath.NewRecent()
+	r := returnpath.NewRecentHosts()
 	for n := range 3 * returnpath.MaxRecentHosts {
 		r.RecordReceived(host(n), time.Duration(n))
 	}
@@ -148,7 +148,7 @@
 
 func TestRecentPrefersFreshEntryHosts(t *testing.T) {
 	is := is.New(t)
-	r := returnpath.NewRecent()
+	r := returnpath.NewRecentHosts()
 	for n := range 4 {
 		r.RecordReceived(host(n), 0)
 	}
