--- a/returnpath/recent.go
+++ b/returnpath/recent.go
@@ -8,8 +8,8 @@
 const (
 	// MaxRecentHosts bounds the entry hosts that a host remembers.
 	MaxRecentHosts = 64
-	// RecentAge is the age after which an entry host is no longer offered.
-	RecentAge = 30 * time.Second
+	// MaxRecentAge is the age after which an entry host is no longer offered.
+	MaxRecentAge = 30 * time.Second
 	// FreshAge is the age up to which an entry host goes before older ones:
 	// one that died was heard before those that took its place.
 	FreshAge = time.Second
@@ -48,7 +48,7 @@
 	if entry, ok := r.within(FreshAge, now); ok {
 		return entry, true
 	}
-	return r.within(RecentAge, now)
+	return r.within(MaxRecentAge, now)
 }
 
 func (r *RecentHosts) within(age, now time.Duration) (netip.AddrPort, bool) {
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -115,7 +115,7 @@
 	}
 	is.Equal(len(seen), returnpath.MaxRecentHosts) // takes turns
 	is.True(!seen[host(0)])                        // the oldest fell out
-	_, ok := r.Next(returnpath.RecentAge + time.Minute)
+	_, ok := r.Next(returnpath.MaxRecentAge + time.Minute)
 	is.True(!ok) // all too old
 }
 
@@ -164,6 +164,6 @@
 	is.Equal(got, map[netip.AddrPort]bool{host(8): true, host(9): true})
 	_, ok := r.Next(later + 2*returnpath.FreshAge) // none is fresh: the others
 	is.True(ok)
-	_, ok = r.Next(later + 2*returnpath.RecentAge)
+	_, ok = r.Next(later + 2*returnpath.MaxRecentAge)
 	is.True(!ok)
 }
