--- a/returnpath/recent.go
+++ b/returnpath/recent.go
@@ -10,9 +10,9 @@
 	MaxRecentHosts = 64
 	// MaxRecentAge is the age after which an entry host is no longer offered.
 	MaxRecentAge = 30 * time.Second
-	// FreshAge is the age up to which an entry host goes before older ones:
+	// PreferredAge is the age up to which an entry host goes before older ones:
 	// one that died was heard before those that took its place.
-	FreshAge = time.Second
+	PreferredAge = time.Second
 )
 
 // RecentHosts holds the entry hosts that any flow was heard through lately. It is
@@ -45,7 +45,7 @@
 // Next returns one entry host heard within FreshAge, or else within RecentAge,
 // another one each time.
 func (r *RecentHosts) Next(now time.Duration) (netip.AddrPort, bool) {
-	if entry, ok := r.within(FreshAge, now); ok {
+	if entry, ok := r.within(PreferredAge, now); ok {
 		return entry, true
 	}
 	return r.within(MaxRecentAge, now)
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -152,7 +152,7 @@
 	for n := range 4 {
 		r.RecordReceived(host(n), 0)
 	}
-	const later = 2 * returnpath.FreshAge
+	const later = 2 * returnpath.PreferredAge
 	r.RecordReceived(host(8), later)
 	r.RecordReceived(host(9), later)
 	got := map[netip.AddrPort]bool{}
@@ -162,7 +162,7 @@
 		got[entry] = true
 	}
 	is.Equal(got, map[netip.AddrPort]bool{host(8): true, host(9): true})
-	_, ok := r.Next(later + 2*returnpath.FreshAge) // none is fresh: the others
+	_, ok := r.Next(later + 2*returnpath.PreferredAge) // none is fresh: the others
 	is.True(ok)
 	_, ok = r.Next(later + 2*returnpath.MaxRecentAge)
 	is.True(!ok)
