--- a/connid/connid.go
+++ b/connid/connid.go
@@ -119,7 +119,7 @@
 // with all of them. It returns ErrNoSecrets, ErrSecretID or
 // ErrDuplicateSecret, wrapped, if the list can't be used.
 func NewCodec(secrets []Secret) (*Codec, error) {
-	if err := CheckSecrets(secrets); err != nil {
+	if err := ValidateSecrets(secrets); err != nil {
 		return nil, err
 	}
 
--- a/connid/secret.go
+++ b/connid/secret.go
@@ -50,9 +50,9 @@
 	return block, nil
 }
 
-// CheckSecrets reports why a list of secrets can't be used: it is empty, an
+// ValidateSecrets reports why a list of secrets can't be used: it is empty, an
 // ID is out of range or given twice.
-func CheckSecrets(secrets []Secret) error {
+func ValidateSecrets(secrets []Secret) error {
 	if len(secrets) == 0 {
 		return ErrNoSecrets
 	}
--- a/frame/frame.go
+++ b/frame/frame.go
@@ -163,7 +163,7 @@
 // all of them. It returns an error of connid.CheckSecrets if the list can't be
 // used.
 func NewCodec(secrets []connid.Secret) (*Codec, error) {
-	if err := connid.CheckSecrets(secrets); err != nil {
+	if err := connid.ValidateSecrets(secrets); err != nil {
 		return nil, err
 	}
 
