--- a/connid/connid.go
+++ b/connid/connid.go
@@ -29,8 +29,8 @@
 	purposeTag   = "eelgrasswharf connection ID tag"
 )
 
-// ErrTarget tells that a target does not fit into a connection ID.
-var ErrTarget = errors.New("target does not fit into a connection ID")
+// ErrInvalidTarget tells that a target does not fit into a connection ID.
+var ErrInvalidTarget = errors.New("target does not fit into a connection ID")
 
 // Target is what a connection ID names.
 type Target struct {
@@ -45,16 +45,16 @@
 // Validate returns ErrTarget, wrapped, if a codec can't encode t.
 func (t Target) Validate() error {
 	if !t.Address.Addr().Unmap().Is4() {
-		return errors.Wrapf(ErrTarget, "address %v is not IPv4", t.Address)
+		return errors.Wrapf(ErrInvalidTarget, "address %v is not IPv4", t.Address)
 	}
 	if t.Address.Addr().Unmap().IsUnspecified() || t.Address.Port() == 0 {
-		return errors.Wrapf(ErrTarget, "address %v is incomplete", t.Address)
+		return errors.Wrapf(ErrInvalidTarget, "address %v is incomplete", t.Address)
 	}
 	if t.Number > MaxNumber {
-		return errors.Wrapf(ErrTarget, "number %d", t.Number)
+		return errors.Wrapf(ErrInvalidTarget, "number %d", t.Number)
 	}
 	if t.Incarnation > MaxNumber {
-		return errors.Wrapf(ErrTarget, "incarnation %d", t.Incarnation)
+		return errors.Wrapf(ErrInvalidTarget, "incarnation %d", t.Incarnation)
 	}
 	return nil
 }
--- a/connid/connid_test.go
+++ b/connid/connid_test.go
@@ -119,7 +119,7 @@
 	c := codec(t, secret(0, 1))
 	for _, address := range []string{"[2001:db8::1]:443", "0.0.0.0:443", "10.0.0.1:0"} {
 		target := connid.Target{Address: netip.MustParseAddrPort(address)}
-		is.True(errors.Is(target.Validate(), connid.ErrTarget))
+		is.True(errors.Is(target.Validate(), connid.ErrInvalidTarget))
 		id := c.Encode(target, 1, 0)
 		_, verdict := c.Decode(id[:])
 		is.Equal(verdict, connid.NoAddress)
@@ -131,8 +131,8 @@
 	number, incarnation := sample, sample
 	number.Number = connid.MaxNumber + 1
 	incarnation.Incarnation = connid.MaxNumber + 1
-	is.True(errors.Is(number.Validate(), connid.ErrTarget))
-	is.True(errors.Is(incarnation.Validate(), connid.ErrTarget))
+	is.True(errors.Is(number.Validate(), connid.ErrInvalidTarget))
+	is.True(errors.Is(incarnation.Validate(), connid.ErrInvalidTarget))
 }
 
 func TestNewCodecChecksSecrets(t *testing.T) {
