--- a/connid/connid_test.go
+++ b/connid/connid_test.go
@@ -140,7 +140,7 @@
 	_, err := connid.NewCodec(nil)
 	is.True(errors.Is(err, connid.ErrNoSecrets))
 	_, err = connid.NewCodec([]connid.Secret{secret(8, 1)})
-	is.True(errors.Is(err, connid.ErrSecretID))
+	is.True(errors.Is(err, connid.ErrInvalidSecretID))
 	_, err = connid.NewCodec([]connid.Secret{secret(1, 1), secret(1, 2)})
 	is.True(errors.Is(err, connid.ErrDuplicateSecret))
 }
--- a/connid/secret.go
+++ b/connid/secret.go
@@ -22,7 +22,7 @@
 // Errors of the secrets given to a codec.
 var (
 	ErrNoSecrets       = errors.New("no secrets")
-	ErrSecretID        = errors.New("secret ID out of range")
+	ErrInvalidSecretID = errors.New("secret ID out of range")
 	ErrDuplicateSecret = errors.New("secret ID given twice")
 )
 
@@ -60,7 +60,7 @@
 	var seen [MaxSecretID + 1]bool
 	for _, s := range secrets {
 		if s.ID > MaxSecretID {
-			return errors.Wrapf(ErrSecretID, "secret %d", s.ID)
+			return errors.Wrapf(ErrInvalidSecretID, "secret %d", s.ID)
 		}
 		if seen[s.ID] {
 			return errors.Wrapf(ErrDuplicateSecret, "secret %d", s.ID)
