--- a/internal/agentd/flow_test.go
+++ b/internal/agentd/flow_test.go
@@ -66,7 +66,7 @@
 // firstPacket begins like a QUIC Initial with a connection ID of 8 bytes.
 func firstPacket() []byte {
 	packet := []byte{0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8, 0}
-	return append(packet, make([]byte, quicheader.MinFirstDatagram)...)
+	return append(packet, make([]byte, quicheader.MinInitialSize)...)
 }
 
 func TestMisdirectedFramesAreRefusedAndDisturbNobody(t *testing.T) {
--- a/internal/entryd/decide.go
+++ b/internal/entryd/decide.go
@@ -94,7 +94,7 @@
 	}
 
 	// A packet with early data may be short: it comes along with an Initial.
-	if packet.Type != quicheader.ZeroRTT && length < quicheader.MinFirstDatagram {
+	if packet.Type != quicheader.ZeroRTT && length < quicheader.MinInitialSize {
 		return shortFirst
 	}
 	if len(packet.Destination) < quicheader.MinFirstID {
--- a/internal/entryd/helpers_test.go
+++ b/internal/entryd/helpers_test.go
@@ -217,7 +217,7 @@
 	packet := []byte{first, 0, 0, 0, 1, byte(len(id))}
 	packet = append(packet, id...)
 	packet = append(packet, 0)
-	return append(packet, bytes.Repeat([]byte{0xaa}, quicheader.MinFirstDatagram-len(packet))...)
+	return append(packet, bytes.Repeat([]byte{0xaa}, quicheader.MinInitialSize-len(packet))...)
 }
 
 func initialPacket(id string) []byte {
--- a/internal/entryd/quic_test.go
+++ b/internal/entryd/quic_test.go
@@ -39,5 +39,5 @@
 	packet, ok := quicheader.Parse(datagram, connid.Length)
 	is.True(ok)
 	is.Equal(packet.Type, quicheader.Initial)
-	is.True(len(datagram) >= quicheader.MinFirstDatagram)
+	is.True(len(datagram) >= quicheader.MinInitialSize)
 }
--- a/internal/link/filter.go
+++ b/internal/link/filter.go
@@ -91,7 +91,7 @@
 		return faultVersion
 	case datagram[0]&fixedBit == 0:
 		return faultNotQUIC
-	case header.Type == quicheader.Initial && len(datagram) < quicheader.MinFirstDatagram:
+	case header.Type == quicheader.Initial && len(datagram) < quicheader.MinInitialSize:
 		return faultShortFirst
 	}
 	return noFault
--- a/quicheader/quicheader.go
+++ b/quicheader/quicheader.go
@@ -4,9 +4,9 @@
 
 // Sizes that the protocol fixes.
 const (
-	// MinFirstDatagram is the least length in bytes of a datagram with an
+	// MinInitialSize is the least length in bytes of a datagram with an
 	// Initial packet of a caller (RFC 9000, 14.1).
-	MinFirstDatagram = 1200
+	MinInitialSize = 1200
 	// MinFirstID is the least length in bytes of the destination connection
 	// ID that a caller makes up for its first packet (RFC 9000, 7.2).
 	MinFirstID = 8
