--- a/internal/entryd/decide.go
+++ b/internal/entryd/decide.go
@@ -97,7 +97,7 @@
 	if packet.Type != quicheader.ZeroRTT && length < quicheader.MinInitialSize {
 		return shortFirst
 	}
-	if len(packet.Destination) < quicheader.MinFirstID {
+	if len(packet.Destination) < quicheader.MinInitialIDLength {
 		return shortFirst
 	}
 	return accepted
--- a/quicheader/quicheader.go
+++ b/quicheader/quicheader.go
@@ -7,9 +7,9 @@
 	// MinInitialSize is the least length in bytes of a datagram with an
 	// Initial packet of a caller (RFC 9000, 14.1).
 	MinInitialSize = 1200
-	// MinFirstID is the least length in bytes of the destination connection
+	// MinInitialIDLength is the least length in bytes of the destination connection
 	// ID that a caller makes up for its first packet (RFC 9000, 7.2).
-	MinFirstID = 8
+	MinInitialIDLength = 8
 )
 
 // Layout of the invariant header.
