--- a/internal/agentd/socket.go
+++ b/internal/agentd/socket.go
@@ -164,7 +164,7 @@
 		return reason.FrameService
 	}
 	header, ok := quicheader.Parse(datagram, connid.Length)
-	if !ok || !header.Type.MayOpen() {
+	if !ok || !header.Type.MayOpenConnection() {
 		return reason.FrameConnectionID
 	}
 	return reason.None
--- a/quicheader/quicheader.go
+++ b/quicheader/quicheader.go
@@ -73,10 +73,10 @@
 	}
 }
 
-// MayOpen reports whether a packet of this type may belong to a connection
+// MayOpenConnection reports whether a packet of this type may belong to a connection
 // that no server has answered yet, so that its destination connection ID is
 // one the caller made up.
-func (t Type) MayOpen() bool {
+func (t Type) MayOpenConnection() bool {
 	return t == Initial || t == ZeroRTT || t == UnknownVersion
 }
 
--- a/quicheader/quicheader_test.go
+++ b/quicheader/quicheader_test.go
@@ -53,7 +53,7 @@
 			h, ok := quicheader.Parse(long(tt.first, tt.version, []byte("destination"), []byte("source")), idLength)
 			is.True(ok)
 			is.Equal(h.Type, tt.want)
-			is.Equal(h.Type.MayOpen(), tt.mayOpen)
+			is.Equal(h.Type.MayOpenConnection(), tt.mayOpen)
 			is.Equal(h.Version, tt.version)
 			is.Equal(string(h.Destination), "destination")
 			is.Equal(string(h.Source), "source")
@@ -69,7 +69,7 @@
 	h, ok := quicheader.Parse(append(datagram, "payload"...), idLength)
 	is.True(ok)
 	is.Equal(h.Type, quicheader.Short)
-	is.True(!h.Type.MayOpen())
+	is.True(!h.Type.MayOpenConnection())
 	is.Equal(h.Destination, id)
 
 	_, ok = quicheader.Parse(datagram[:idLength], idLength)
