--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -238,7 +238,7 @@
 		f.log.Info("configuration in force", zap.Uint64("version", v.Config.GetVersion()))
 	}
 	f.view = v
-	if !v.Current {
+	if !v.Complete {
 		f.doubt()
 	}
 	f.directory = directoryFrom(f.directory, v.Targets, f.now(), f.usable)
@@ -320,7 +320,7 @@
 			l.service.Store(s)
 		}
 	}
-	f.tables.Store(&tables{listeners: listeners, loads: f.directory.loads, current: f.view.Current})
+	f.tables.Store(&tables{listeners: listeners, loads: f.directory.loads, current: f.view.Complete})
 	f.countCandidates()
 }
 
@@ -384,7 +384,7 @@
 		}
 	}
 
-	f.tables.Store(&tables{listeners: after, loads: f.directory.loads, current: f.view.Current})
+	f.tables.Store(&tables{listeners: after, loads: f.directory.loads, current: f.view.Complete})
 	f.counters.openAddresses.Update(float64(len(after)))
 	f.dropUnused()
 	f.countCandidates()
--- a/internal/entryd/options.go
+++ b/internal/entryd/options.go
@@ -36,10 +36,10 @@
 type View struct {
 	Config  *configpb.Configuration
 	Targets []*controlpb.TargetRecord
-	// Current tells that Targets are all that the control hosts know of now.
+	// Complete tells that Targets are all that the control hosts know of now.
 	// Without it a service may have targets that this host does not know of,
 	// and other entry hosts may.
-	Current bool
+	Complete bool
 }
 
 // Options of a Forwarder.
--- a/internal/entryd/refuser_test.go
+++ b/internal/entryd/refuser_test.go
@@ -34,7 +34,7 @@
 }
 
 func current(v *View) *View {
-	v.Current = true
+	v.Complete = true
 	return v
 }
 
@@ -93,9 +93,9 @@
 // that there is none.
 func TestViewIsCurrentOnlyIfTheDirectoryIsWhole(t *testing.T) {
 	is := is.New(t)
-	is.True(viewFrom(&subscriber.View{DirectoryWhole: true}, false).Current)
-	is.True(!viewFrom(&subscriber.View{DirectoryWhole: true}, true).Current)
-	is.True(!viewFrom(&subscriber.View{Connected: true}, false).Current)
+	is.True(viewFrom(&subscriber.View{DirectoryWhole: true}, false).Complete)
+	is.True(!viewFrom(&subscriber.View{DirectoryWhole: true}, true).Complete)
+	is.True(!viewFrom(&subscriber.View{Connected: true}, false).Complete)
 }
 
 // Only a whole Initial packet is answered.
@@ -189,7 +189,7 @@
 	}{{"refused", true}, {"silent", false}} {
 		b.Run(bb.name, func(b *testing.B) {
 			v := view(1, services(serviceAt(lodgement, publicOne)))
-			v.Current = bb.current
+			v.Complete = bb.current
 			r.apply(v)
 			for b.Loop() {
 				if err := r.dial(newSocket(b), publicOne); isRefused(err) != bb.current {
