--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "frame address")
 	}
-	f.refuser, err = newRefuser(f.counters, o.Refusals)
+	f.refuser, err = newRefuser(f.counters, o.MaxRefusalsPerSecond)
 	if err != nil {
 		closeAll(f.frameConns)
 		return nil, err
--- a/internal/entryd/options.go
+++ b/internal/entryd/options.go
@@ -57,9 +57,9 @@
 	Workers int
 	// Secrets for connection IDs and frames; the first one encodes.
 	Secrets []connid.Secret
-	// Refusals is how many callers a second are told that their service has no
+	// MaxRefusalsPerSecond is how many callers a second are told that their service has no
 	// target. Default 1000.
-	Refusals int
+	MaxRefusalsPerSecond int
 	// Refresh is the time between two rebuilds of the tables. Default 1 s.
 	Refresh time.Duration
 	// Pause is the least time between two views that are applied. Default
@@ -113,8 +113,8 @@
 	if o.Workers <= 0 {
 		o.Workers = defaultWorkers
 	}
-	if o.Refusals <= 0 {
-		o.Refusals = defaultRefusals
+	if o.MaxRefusalsPerSecond <= 0 {
+		o.MaxRefusalsPerSecond = defaultRefusals
 	}
 	if o.Refresh <= 0 {
 		o.Refresh = defaultRefresh
--- a/internal/entryd/refuser_test.go
+++ b/internal/entryd/refuser_test.go
@@ -138,7 +138,7 @@
 // as the worker sees it.
 func BenchmarkNoTarget(b *testing.B) {
 	o := testOptions()
-	o.Refusals = 1 << 30
+	o.MaxRefusalsPerSecond = 1 << 30
 	r := start(b, o)
 	r.apply(current(view(1, services(serviceAt(lodgement, publicOne)))))
 	first := firstDatagram(b)
