--- a/internal/entryd/bench_test.go
+++ b/internal/entryd/bench_test.go
@@ -231,7 +231,7 @@
 // quietOptions rebuild nothing while memory is measured.
 func quietOptions() Options {
 	o := testOptions()
-	o.Refresh = time.Hour
+	o.RefreshInterval = time.Hour
 	o.Log = zap.NewNop()
 	return o
 }
--- a/internal/entryd/forward_test.go
+++ b/internal/entryd/forward_test.go
@@ -82,7 +82,7 @@
 func TestAlternateIsNamed(t *testing.T) {
 	is := is.New(t)
 	o := testOptions()
-	o.Refresh = time.Hour // counts of unanswered flows stay
+	o.RefreshInterval = time.Hour // counts of unanswered flows stay
 	r := start(t, o)
 	one, two, caller := newSocket(t), newSocket(t), newSocket(t)
 	r.apply(view(1, services(serviceAt(lodgement, publicOne)),
--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -161,7 +161,7 @@
 }
 
 func (f *Forwarder) loop(ctx context.Context) error {
-	ticker := time.NewTicker(f.options.Refresh)
+	ticker := time.NewTicker(f.options.RefreshInterval)
 	defer ticker.Stop()
 	pause := time.NewTimer(f.options.Pause)
 	defer pause.Stop()
--- a/internal/entryd/options.go
+++ b/internal/entryd/options.go
@@ -60,8 +60,8 @@
 	// MaxRefusalsPerSecond is how many callers a second are told that their service has no
 	// target. Default 1000.
 	MaxRefusalsPerSecond int
-	// Refresh is the time between two rebuilds of the tables. Default 1 s.
-	Refresh time.Duration
+	// RefreshInterval is the time between two rebuilds of the tables. Default 1 s.
+	RefreshInterval time.Duration
 	// Pause is the least time between two views that are applied. Default
 	// 100 ms.
 	Pause time.Duration
@@ -116,8 +116,8 @@
 	if o.MaxRefusalsPerSecond <= 0 {
 		o.MaxRefusalsPerSecond = defaultRefusals
 	}
-	if o.Refresh <= 0 {
-		o.Refresh = defaultRefresh
+	if o.RefreshInterval <= 0 {
+		o.RefreshInterval = defaultRefresh
 	}
 	if o.Pause <= 0 {
 		o.Pause = defaultPause
