--- a/internal/entryd/change_test.go
+++ b/internal/entryd/change_test.go
@@ -50,7 +50,7 @@
 func TestNewestOfManyViewsIsApplied(t *testing.T) {
 	is := is.New(t)
 	o := testOptions()
-	o.Pause = 50 * time.Millisecond
+	o.MinApplyInterval = 50 * time.Millisecond
 	r := start(t, o)
 	const last = 500
 	for version := uint64(1); version <= last; version++ {
--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -163,7 +163,7 @@
 func (f *Forwarder) loop(ctx context.Context) error {
 	ticker := time.NewTicker(f.options.RefreshInterval)
 	defer ticker.Stop()
-	pause := time.NewTimer(f.options.Pause)
+	pause := time.NewTimer(f.options.MinApplyInterval)
 	defer pause.Stop()
 
 	// wake is nil during the pause after a view was applied.
@@ -177,7 +177,7 @@
 		case <-wake:
 			f.apply(ctx, f.pending.Swap(nil))
 			wake = nil
-			pause.Reset(f.options.Pause)
+			pause.Reset(f.options.MinApplyInterval)
 		case <-pause.C:
 			wake = f.wake
 		case <-ticker.C:
--- a/internal/entryd/helpers_test.go
+++ b/internal/entryd/helpers_test.go
@@ -45,14 +45,14 @@
 
 func testOptions() Options {
 	return Options{
-		PublicIP:        loopback,
-		FreePorts:       true,
-		FrameListen:     netip.AddrPortFrom(loopback, 0),
-		AgentNetworks:   []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-		Secrets:         oneSecret,
-		RefreshInterval: 20 * time.Millisecond,
-		Pause:           time.Nanosecond,
-		Log:             zap.NewNop(),
+		PublicIP:         loopback,
+		FreePorts:        true,
+		FrameListen:      netip.AddrPortFrom(loopback, 0),
+		AgentNetworks:    []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
+		Secrets:          oneSecret,
+		RefreshInterval:  20 * time.Millisecond,
+		MinApplyInterval: time.Nanosecond,
+		Log:              zap.NewNop(),
 	}
 }
 
--- a/internal/entryd/options.go
+++ b/internal/entryd/options.go
@@ -62,9 +62,9 @@
 	MaxRefusalsPerSecond int
 	// RefreshInterval is the time between two rebuilds of the tables. Default 1 s.
 	RefreshInterval time.Duration
-	// Pause is the least time between two views that are applied. Default
+	// MinApplyInterval is the least time between two views that are applied. Default
 	// 100 ms.
-	Pause time.Duration
+	MinApplyInterval time.Duration
 
 	Log   *zap.Logger
 	Scope tally.Scope
@@ -119,8 +119,8 @@
 	if o.RefreshInterval <= 0 {
 		o.RefreshInterval = defaultRefresh
 	}
-	if o.Pause <= 0 {
-		o.Pause = defaultPause
+	if o.MinApplyInterval <= 0 {
+		o.MinApplyInterval = defaultPause
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
