--- a/internal/entryd/daemon.go
+++ b/internal/entryd/daemon.go
@@ -19,7 +19,7 @@
 // Errors of the settings of a daemon.
 var (
 	ErrNoControlHosts = errors.New("no control hosts: there would be no configuration")
-	ErrRole           = errors.New("certificate is not that of an entry host")
+	ErrWrongRole      = errors.New("certificate is not that of an entry host")
 )
 
 // Daemon is an entry host: a Forwarder fed by a subscription to the control
@@ -49,7 +49,7 @@
 		return nil, errors.Wrap(err, "keys")
 	}
 	if role := creds.Identity().Role; role != keys.RoleEntry {
-		return nil, errors.Wrapf(ErrRole, "role %q", role)
+		return nil, errors.Wrapf(ErrWrongRole, "role %q", role)
 	}
 
 	o.Secrets = dataSecrets(creds)
--- a/internal/entryd/daemon_test.go
+++ b/internal/entryd/daemon_test.go
@@ -201,5 +201,5 @@
 	is.True(check(func(s *settingspb.EntrySettings) { s.Keys = nil }) != nil)
 	is.True(errors.Is(check(func(s *settingspb.EntrySettings) {
 		s.Keys = keySettings(issue(t, dir, keys.RoleControl, "control-1"))
-	}), ErrRole))
+	}), ErrWrongRole))
 }
