--- a/internal/subscriber/fixture_test.go
+++ b/internal/subscriber/fixture_test.go
@@ -240,10 +240,10 @@
 	scope := tally.NewTestScope("", nil)
 	rec := &recorder{}
 	opts := Options{
-		Client:   c,
-		Scope:    scope,
-		OnView:   rec.onView,
-		AskDelay: 10 * time.Millisecond,
+		Client:     c,
+		Scope:      scope,
+		OnView:     rec.onView,
+		QueryDelay: 10 * time.Millisecond,
 		// Long enough that a test which reaches it has failed.
 		UnconfirmedWait: testLimit,
 		RetryMin:        5 * time.Millisecond,
--- a/internal/subscriber/settle.go
+++ b/internal/subscriber/settle.go
@@ -30,7 +30,7 @@
 	if !s.awaitCandidate() {
 		return
 	}
-	pause := s.opts.AskDelay
+	pause := s.opts.QueryDelay
 	for {
 		_ = sleep.For(s.ctx, jitter(r, pause))
 		if s.ctx.Err() != nil || s.settled() {
@@ -39,7 +39,7 @@
 		s.learn(s.ask())
 		s.actUnconfirmed(time.Now())
 		pause = min(2*pause, s.opts.RetryMax)
-		pause = min(pause, max(s.untilUnconfirmed(time.Now()), s.opts.AskDelay))
+		pause = min(pause, max(s.untilUnconfirmed(time.Now()), s.opts.QueryDelay))
 	}
 }
 
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -67,11 +67,11 @@
 	FailureDomains []string
 	// FailureDomain is told to the control host.
 	FailureDomain string
-	// AskDelay is how long after an unconfirmed version a confirmation is
+	// QueryDelay is how long after an unconfirmed version a confirmation is
 	// waited for before every control host is asked, and the least pause
 	// between two rounds of asking. Control hosts try again to confirm a
 	// version after a second.
-	AskDelay time.Duration
+	QueryDelay time.Duration
 	// AskTimeout bounds one round of asking.
 	AskTimeout time.Duration
 	// UnconfirmedWait is how long after its arrival an unconfirmed version may
@@ -102,7 +102,7 @@
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	o.AskDelay = cmp.Or(o.AskDelay, DefaultAskDelay)
+	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultAskDelay)
 	o.AskTimeout = cmp.Or(o.AskTimeout, DefaultAskTimeout)
 	o.UnconfirmedWait = cmp.Or(o.UnconfirmedWait, DefaultUnconfirmedWait)
 	o.SilenceLimit = cmp.Or(o.SilenceLimit, DefaultSilenceLimit)
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -15,7 +15,7 @@
 	d := newDeployment(t)
 	h := newControlHost(configuration(3), true)
 	c := d.client(d.listen(anyPort, h))
-	s, scope, _ := start(t, c, func(o *Options) { o.AskDelay = testLimit })
+	s, scope, _ := start(t, c, func(o *Options) { o.QueryDelay = testLimit })
 	awaitReady(t, s)
 	is.Equal(s.View().Config.GetVersion(), uint64(3))
 	is.True(s.View().Connected)
