--- a/internal/subscriber/settle.go
+++ b/internal/subscriber/settle.go
@@ -61,7 +61,7 @@
 
 // ask queries the newest version of every control host that can be reached.
 func (s *Subscriber) ask() []answer {
-	ctx, cancel := context.WithTimeout(s.ctx, s.opts.AskTimeout)
+	ctx, cancel := context.WithTimeout(s.ctx, s.opts.QueryTimeout)
 	defer cancel()
 	s.counters.asked.Inc(1)
 	req := &controlpb.Request{Body: &controlpb.Request_Version{Version: &controlpb.VersionQuery{}}}
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -72,8 +72,8 @@
 	// between two rounds of asking. Control hosts try again to confirm a
 	// version after a second.
 	QueryDelay time.Duration
-	// AskTimeout bounds one round of asking.
-	AskTimeout time.Duration
+	// QueryTimeout bounds one round of asking.
+	QueryTimeout time.Duration
 	// UnconfirmedWait is how long after its arrival an unconfirmed version may
 	// be acted on by a process that has acted on none.
 	UnconfirmedWait time.Duration
@@ -103,7 +103,7 @@
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultAskDelay)
-	o.AskTimeout = cmp.Or(o.AskTimeout, DefaultAskTimeout)
+	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultAskTimeout)
 	o.UnconfirmedWait = cmp.Or(o.UnconfirmedWait, DefaultUnconfirmedWait)
 	o.SilenceLimit = cmp.Or(o.SilenceLimit, DefaultSilenceLimit)
 	o.BehindLimit = cmp.Or(o.BehindLimit, DefaultBehindLimit)
