--- a/internal/subscriber/fixture_test.go
+++ b/internal/subscriber/fixture_test.go
@@ -245,10 +245,10 @@
 		OnView:     rec.onView,
 		QueryDelay: 10 * time.Millisecond,
 		// Long enough that a test which reaches it has failed.
-		UnconfirmedWait: testLimit,
-		RetryMin:        5 * time.Millisecond,
-		RetryMax:        20 * time.Millisecond,
-		Rand:            rand.New(rand.NewPCG(7, 8)),
+		UnconfirmedDelay: testLimit,
+		RetryMin:         5 * time.Millisecond,
+		RetryMax:         20 * time.Millisecond,
+		Rand:             rand.New(rand.NewPCG(7, 8)),
 	}
 	if change != nil {
 		change(&opts)
--- a/internal/subscriber/settle.go
+++ b/internal/subscriber/settle.go
@@ -98,13 +98,13 @@
 func (s *Subscriber) actUnconfirmed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.versions.ready() || !s.versions.settleUnconfirmed(now, s.opts.UnconfirmedWait) {
+	if s.versions.ready() || !s.versions.settleUnconfirmed(now, s.opts.UnconfirmedDelay) {
 		return
 	}
 	s.counters.unconfirmed.Inc(1)
 	s.opts.Log.Warn("no quorum confirmed the first version",
 		zap.Uint64("version", s.versions.acted.GetVersion()),
-		zap.Duration("waited", s.opts.UnconfirmedWait))
+		zap.Duration("waited", s.opts.UnconfirmedDelay))
 	s.publish()
 }
 
@@ -115,5 +115,5 @@
 	if s.versions.candidate == nil {
 		return s.opts.RetryMax
 	}
-	return s.versions.candidateSince.Add(s.opts.UnconfirmedWait).Sub(now)
+	return s.versions.candidateSince.Add(s.opts.UnconfirmedDelay).Sub(now)
 }
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -74,9 +74,9 @@
 	QueryDelay time.Duration
 	// QueryTimeout bounds one round of asking.
 	QueryTimeout time.Duration
-	// UnconfirmedWait is how long after its arrival an unconfirmed version may
+	// UnconfirmedDelay is how long after its arrival an unconfirmed version may
 	// be acted on by a process that has acted on none.
-	UnconfirmedWait time.Duration
+	UnconfirmedDelay time.Duration
 	// SilenceLimit ends a subscription on which nothing arrives.
 	SilenceLimit time.Duration
 	// BehindLimit is how long a control host may be behind the version acted
@@ -104,7 +104,7 @@
 	}
 	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultAskDelay)
 	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultAskTimeout)
-	o.UnconfirmedWait = cmp.Or(o.UnconfirmedWait, DefaultUnconfirmedWait)
+	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedWait)
 	o.SilenceLimit = cmp.Or(o.SilenceLimit, DefaultSilenceLimit)
 	o.BehindLimit = cmp.Or(o.BehindLimit, DefaultBehindLimit)
 	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -47,7 +47,7 @@
 	h := newControlHost(configuration(3), false)
 	const wait = 300 * time.Millisecond
 	begun := time.Now()
-	s, scope, _ := start(t, d.client(d.listen(anyPort, h)), func(o *Options) { o.UnconfirmedWait = wait })
+	s, scope, _ := start(t, d.client(d.listen(anyPort, h)), func(o *Options) { o.UnconfirmedDelay = wait })
 	awaitReady(t, s)
 	is.True(time.Since(begun) >= wait) // not a bar: it can only be later
 	is.Equal(count(scope, metricUnconfirmed, ""), int64(1))
@@ -80,7 +80,7 @@
 		if first == 1 {
 			c.Move(a.Addr().String())
 		}
-		s, scope, rec := start(t, c, func(o *Options) { o.UnconfirmedWait = 100 * time.Millisecond })
+		s, scope, rec := start(t, c, func(o *Options) { o.UnconfirmedDelay = 100 * time.Millisecond })
 		awaitReady(t, s)
 		is.Equal(s.View().Config.GetVersion(), uint64(9))
 		is.Equal(count(scope, metricUnconfirmed, ""), int64(1))
