--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -77,8 +77,8 @@
 	// UnconfirmedDelay is how long after its arrival an unconfirmed version may
 	// be acted on by a process that has acted on none.
 	UnconfirmedDelay time.Duration
-	// SilenceLimit ends a subscription on which nothing arrives.
-	SilenceLimit time.Duration
+	// ReceiveTimeout ends a subscription on which nothing arrives.
+	ReceiveTimeout time.Duration
 	// BehindLimit is how long a control host may be behind the version acted
 	// on before the subscriber leaves it for another one.
 	BehindLimit time.Duration
@@ -105,7 +105,7 @@
 	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultAskDelay)
 	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultAskTimeout)
 	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedWait)
-	o.SilenceLimit = cmp.Or(o.SilenceLimit, DefaultSilenceLimit)
+	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultSilenceLimit)
 	o.BehindLimit = cmp.Or(o.BehindLimit, DefaultBehindLimit)
 	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
 	o.RetryMin = cmp.Or(o.RetryMin, DefaultRetryMin)
@@ -214,7 +214,7 @@
 	defer cancel()
 	defer stream.Close()
 	for {
-		if err := stream.SetReceiveDeadline(time.Now().Add(s.opts.SilenceLimit)); err != nil {
+		if err := stream.SetReceiveDeadline(time.Now().Add(s.opts.ReceiveTimeout)); err != nil {
 			return received, err
 		}
 		u, err := stream.Receive()
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -213,7 +213,7 @@
 func TestSilentSubscriptionIsLeft(t *testing.T) {
 	d := newDeployment(t)
 	h := newControlHost(configuration(1), true)
-	s, scope, _ := start(t, d.client(d.listen(anyPort, h)), func(o *Options) { o.SilenceLimit = time.Millisecond })
+	s, scope, _ := start(t, d.client(d.listen(anyPort, h)), func(o *Options) { o.ReceiveTimeout = time.Millisecond })
 	eventually(t, "silence noticed", func() bool { return count(scope, metricEndedSubscriptions, "silent") > 0 })
 	s.Close()
 }
