--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -79,9 +79,9 @@
 	UnconfirmedDelay time.Duration
 	// ReceiveTimeout ends a subscription on which nothing arrives.
 	ReceiveTimeout time.Duration
-	// BehindLimit is how long a control host may be behind the version acted
+	// MaxLagTime is how long a control host may be behind the version acted
 	// on before the subscriber leaves it for another one.
-	BehindLimit time.Duration
+	MaxLagTime time.Duration
 	// ReportPeriod is the time between reports of the version acted on; a new
 	// version is reported at once.
 	ReportPeriod time.Duration
@@ -106,7 +106,7 @@
 	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultAskTimeout)
 	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedWait)
 	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultSilenceLimit)
-	o.BehindLimit = cmp.Or(o.BehindLimit, DefaultBehindLimit)
+	o.MaxLagTime = cmp.Or(o.MaxLagTime, DefaultBehindLimit)
 	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
 	o.RetryMin = cmp.Or(o.RetryMin, DefaultRetryMin)
 	o.RetryMax = cmp.Or(o.RetryMax, DefaultRetryMax)
@@ -297,7 +297,7 @@
 		s.opts.Client.Move(u.GetMove().GetAddress())
 		return errAskedToMove
 	}
-	if !s.behindSince.IsZero() && now.Sub(s.behindSince) >= s.opts.BehindLimit {
+	if !s.behindSince.IsZero() && now.Sub(s.behindSince) >= s.opts.MaxLagTime {
 		s.behindSince = time.Time{}
 		s.opts.Client.Move("")
 		return errBehind
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -116,7 +116,7 @@
 	h := newControlHost(configuration(9), true)
 	server := d.listen(anyPort, h)
 	c := d.client(server)
-	s, scope, rec := start(t, c, func(o *Options) { o.BehindLimit = testLimit })
+	s, scope, rec := start(t, c, func(o *Options) { o.MaxLagTime = testLimit })
 	awaitReady(t, s)
 	is.NoErr(server.Close())
 	eventually(t, "cut off", func() bool { return !s.View().Connected })
@@ -141,7 +141,7 @@
 	a, b := d.listen(anyPort, one), d.listen(anyPort, two)
 	hosts := map[string]*controlHost{a.Addr().String(): one, b.Addr().String(): two}
 	c := d.client(a, b)
-	s, scope, rec := start(t, c, func(o *Options) { o.BehindLimit = 50 * time.Millisecond })
+	s, scope, rec := start(t, c, func(o *Options) { o.MaxLagTime = 50 * time.Millisecond })
 	awaitReady(t, s)
 	first := c.Address()
 	hosts[first].set(func() { hosts[first].config = configuration(7) })
