--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -22,7 +22,7 @@
 
 // Defaults of Options.
 const (
-	DefaultAskDelay        = 1500 * time.Millisecond
+	DefaultQueryDelay      = 1500 * time.Millisecond
 	DefaultAskTimeout      = 3 * time.Second
 	DefaultUnconfirmedWait = 5 * time.Second
 	DefaultSilenceLimit    = 3 * link.SubscriptionHeartbeat
@@ -102,7 +102,7 @@
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultAskDelay)
+	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultQueryDelay)
 	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultAskTimeout)
 	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedWait)
 	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultSilenceLimit)
