--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -23,7 +23,7 @@
 // Defaults of Options.
 const (
 	DefaultQueryDelay      = 1500 * time.Millisecond
-	DefaultAskTimeout      = 3 * time.Second
+	DefaultQueryTimeout    = 3 * time.Second
 	DefaultUnconfirmedWait = 5 * time.Second
 	DefaultSilenceLimit    = 3 * link.SubscriptionHeartbeat
 	DefaultBehindLimit     = 10 * time.Second
@@ -103,7 +103,7 @@
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultQueryDelay)
-	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultAskTimeout)
+	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultQueryTimeout)
 	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedWait)
 	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultSilenceLimit)
 	o.MaxLagTime = cmp.Or(o.MaxLagTime, DefaultBehindLimit)
