--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -22,14 +22,14 @@
 
 // Defaults of Options.
 const (
-	DefaultQueryDelay      = 1500 * time.Millisecond
-	DefaultQueryTimeout    = 3 * time.Second
-	DefaultUnconfirmedWait = 5 * time.Second
-	DefaultSilenceLimit    = 3 * link.SubscriptionHeartbeat
-	DefaultBehindLimit     = 10 * time.Second
-	DefaultReportPeriod    = 5 * time.Second
-	DefaultRetryMin        = 100 * time.Millisecond
-	DefaultRetryMax        = 5 * time.Second
+	DefaultQueryDelay       = 1500 * time.Millisecond
+	DefaultQueryTimeout     = 3 * time.Second
+	DefaultUnconfirmedDelay = 5 * time.Second
+	DefaultSilenceLimit     = 3 * link.SubscriptionHeartbeat
+	DefaultBehindLimit      = 10 * time.Second
+	DefaultReportPeriod     = 5 * time.Second
+	DefaultRetryMin         = 100 * time.Millisecond
+	DefaultRetryMax         = 5 * time.Second
 )
 
 // errBehind ends a subscription to a control host that serves an older version
@@ -104,7 +104,7 @@
 	}
 	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultQueryDelay)
 	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultQueryTimeout)
-	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedWait)
+	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedDelay)
 	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultSilenceLimit)
 	o.MaxLagTime = cmp.Or(o.MaxLagTime, DefaultBehindLimit)
 	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
