--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -25,7 +25,7 @@
 	DefaultQueryDelay       = 1500 * time.Millisecond
 	DefaultQueryTimeout     = 3 * time.Second
 	DefaultUnconfirmedDelay = 5 * time.Second
-	DefaultSilenceLimit     = 3 * link.SubscriptionHeartbeat
+	DefaultReceiveTimeout   = 3 * link.SubscriptionHeartbeat
 	DefaultBehindLimit      = 10 * time.Second
 	DefaultReportPeriod     = 5 * time.Second
 	DefaultRetryMin         = 100 * time.Millisecond
@@ -105,7 +105,7 @@
 	o.QueryDelay = cmp.Or(o.QueryDelay, DefaultQueryDelay)
 	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultQueryTimeout)
 	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedDelay)
-	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultSilenceLimit)
+	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultReceiveTimeout)
 	o.MaxLagTime = cmp.Or(o.MaxLagTime, DefaultBehindLimit)
 	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
 	o.RetryMin = cmp.Or(o.RetryMin, DefaultRetryMin)
