--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -26,7 +26,7 @@
 	DefaultQueryTimeout     = 3 * time.Second
 	DefaultUnconfirmedDelay = 5 * time.Second
 	DefaultReceiveTimeout   = 3 * link.SubscriptionHeartbeat
-	DefaultBehindLimit      = 10 * time.Second
+	DefaultMaxLagTime       = 10 * time.Second
 	DefaultReportPeriod     = 5 * time.Second
 	DefaultRetryMin         = 100 * time.Millisecond
 	DefaultRetryMax         = 5 * time.Second
@@ -106,7 +106,7 @@
 	o.QueryTimeout = cmp.Or(o.QueryTimeout, DefaultQueryTimeout)
 	o.UnconfirmedDelay = cmp.Or(o.UnconfirmedDelay, DefaultUnconfirmedDelay)
 	o.ReceiveTimeout = cmp.Or(o.ReceiveTimeout, DefaultReceiveTimeout)
-	o.MaxLagTime = cmp.Or(o.MaxLagTime, DefaultBehindLimit)
+	o.MaxLagTime = cmp.Or(o.MaxLagTime, DefaultMaxLagTime)
 	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
 	o.RetryMin = cmp.Or(o.RetryMin, DefaultRetryMin)
 	o.RetryMax = cmp.Or(o.RetryMax, DefaultRetryMax)
