--- a/internal/entryd/refuser_test.go
+++ b/internal/entryd/refuser_test.go
@@ -93,8 +93,8 @@
 // that there is none.
 func TestViewIsCurrentOnlyIfTheDirectoryIsWhole(t *testing.T) {
 	is := is.New(t)
-	is.True(viewFrom(&subscriber.View{DirectoryWhole: true}, false).Complete)
-	is.True(!viewFrom(&subscriber.View{DirectoryWhole: true}, true).Complete)
+	is.True(viewFrom(&subscriber.View{DirectoryComplete: true}, false).Complete)
+	is.True(!viewFrom(&subscriber.View{DirectoryComplete: true}, true).Complete)
 	is.True(!viewFrom(&subscriber.View{Connected: true}, false).Complete)
 }
 
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -219,7 +219,7 @@
 	if reason != flow.ReasonNoTarget {
 		return placed, reason
 	}
-	if !p.view.DirectoryWhole {
+	if !p.view.DirectoryComplete {
 		// The control host has started a moment ago, and so may the agents have: the
 		// caller sends its packet again by itself before it gives up.
 		return flow.Placement{}, flow.ReasonNotReady
@@ -261,7 +261,7 @@
 // gathering reports whether this host may know only the first few of targets that
 // start with it. All flows would go to those, and long ones stay there.
 func (p *placer) gathering() bool {
-	if p.view.DirectoryWhole || p.gathered {
+	if p.view.DirectoryComplete || p.gathered {
 		return false
 	}
 	p.gathered = len(p.known) > 0 && time.Since(p.firstAt) >= gatherFor
@@ -381,7 +381,7 @@
 		zap.Uint64("revision", p.table.GetRevision()),
 		zap.Int("targets", len(p.view.Targets)),
 		zap.Duration("view_age", time.Since(p.viewAt)),
-		zap.Bool("whole", p.view.DirectoryWhole),
+		zap.Bool("whole", p.view.DirectoryComplete),
 	}
 }
 
@@ -394,12 +394,12 @@
 
 // whole reports whether the list of targets has all that there are. The lock is held.
 func (p *placer) whole() bool {
-	return p.view.Connected && (p.view.DirectoryWhole || time.Since(p.changedAt) > settledAfter)
+	return p.view.Connected && (p.view.DirectoryComplete || time.Since(p.changedAt) > settledAfter)
 }
 
 // ready reports whether there are routes and targets to place flows by.
 func (p *placer) ready() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.decides() && (p.view.DirectoryWhole || len(p.view.Targets) > 0)
+	return p.decides() && (p.view.DirectoryComplete || len(p.view.Targets) > 0)
 }
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -375,11 +375,11 @@
 	old := s.view.Load()
 	targets, heardAt := s.targets.Records()
 	v := &View{
-		Config:         s.versions.acted,
-		Targets:        targets,
-		Connected:      s.connected,
-		DirectoryWhole: s.connected && s.directoryWhole,
-		heardAt:        heardAt,
+		Config:            s.versions.acted,
+		Targets:           targets,
+		Connected:         s.connected,
+		DirectoryComplete: s.connected && s.directoryWhole,
+		heardAt:           heardAt,
 	}
 	s.view.Store(v)
 	s.counters.observe(v)
--- a/internal/subscriber/view.go
+++ b/internal/subscriber/view.go
@@ -21,9 +21,9 @@
 	// Connected tells whether a subscription is open. Without one the view is
 	// the last one known.
 	Connected bool
-	// DirectoryWhole tells that Targets are all that have a lease, as the
+	// DirectoryComplete tells that Targets are all that have a lease, as the
 	// control host says over an open subscription.
-	DirectoryWhole bool
+	DirectoryComplete bool
 
 	// heardAt is when each record of Targets was received.
 	heardAt []time.Time
@@ -32,7 +32,7 @@
 // NewView returns the view of an open subscription that holds a version and all targets,
 // which were heard of at a moment.
 func NewView(c *configpb.Configuration, targets []*controlpb.TargetRecord, heard time.Time) *View {
-	v := &View{Config: c, Targets: targets, Connected: true, DirectoryWhole: true}
+	v := &View{Config: c, Targets: targets, Connected: true, DirectoryComplete: true}
 	for range targets {
 		v.heardAt = append(v.heardAt, heard)
 	}
--- a/internal/subscriber/whole_test.go
+++ b/internal/subscriber/whole_test.go
@@ -16,11 +16,11 @@
 	server := d.listen(anyPort, h)
 	s, _, _ := start(t, d.client(server), nil)
 	awaitReady(t, s)
-	is.True(!s.View().DirectoryWhole) // the control host has just started
+	is.True(!s.View().DirectoryComplete) // the control host has just started
 	h.set(func() { h.whole = true })
-	eventually(t, "the list is whole", func() bool { return s.View().DirectoryWhole })
+	eventually(t, "the list is whole", func() bool { return s.View().DirectoryComplete })
 	is.Equal(len(s.View().Targets), 0)
 	is.NoErr(server.Close())
 	eventually(t, "the subscription ends", func() bool { return !s.View().Connected })
-	is.True(!s.View().DirectoryWhole)
+	is.True(!s.View().DirectoryComplete)
 }
