--- a/internal/entryd/daemon.go
+++ b/internal/entryd/daemon.go
@@ -126,7 +126,7 @@
 // know of. Targets in evacuated failure domains are left out: established flows do not
 // need the list.
 func viewFrom(v *subscriber.View, limited bool) *View {
-	return &View{Config: v.Config, Targets: v.OpenTargets(), Complete: v.DirectoryComplete && !limited}
+	return &View{Config: v.Config, Targets: v.AvailableTargets(), Complete: v.DirectoryComplete && !limited}
 }
 
 func (d *Daemon) replaceSecrets() {
--- a/internal/subscriber/view.go
+++ b/internal/subscriber/view.go
@@ -45,9 +45,9 @@
 	return config.IsEvacuated(v.Config, record.GetFailureDomain())
 }
 
-// OpenTargets returns the known targets that new flows may go to, as far as evacuations
+// AvailableTargets returns the known targets that new flows may go to, as far as evacuations
 // tell. The list must not be changed.
-func (v *View) OpenTargets() []*controlpb.TargetRecord {
+func (v *View) AvailableTargets() []*controlpb.TargetRecord {
 	if len(v.Config.GetEvacuations()) == 0 {
 		return v.Targets
 	}
