--- a/internal/agentd/connect.go
+++ b/internal/agentd/connect.go
@@ -39,7 +39,7 @@
 	Registration() *configpb.Registration
 	Update(status subscriber.Status)
 	Restarted(at time.Time)
-	AwaitAnnounced(ctx context.Context) error
+	WaitAnnounced(ctx context.Context) error
 	Close()
 }
 
--- a/internal/agentd/daemon.go
+++ b/internal/agentd/daemon.go
@@ -288,7 +288,7 @@
 func (d *Daemon) sayFarewell() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.timing.farewell)
 	defer cancel()
-	if err := d.announcer.AwaitAnnounced(ctx); err != nil {
+	if err := d.announcer.WaitAnnounced(ctx); err != nil {
 		d.log.Warn("no control host heard of the leaving", zap.Error(err))
 	}
 }
--- a/internal/agentd/fakes_test.go
+++ b/internal/agentd/fakes_test.go
@@ -225,7 +225,7 @@
 	f.restarts++
 }
 
-func (f *fakeAnnouncer) AwaitAnnounced(context.Context) error { return nil }
+func (f *fakeAnnouncer) WaitAnnounced(context.Context) error { return nil }
 
 func (f *fakeAnnouncer) Close() {}
 
--- a/internal/processtest/flap.go
+++ b/internal/processtest/flap.go
@@ -20,9 +20,9 @@
 	}
 	status := serving
 	for range turns {
-		c.must(announcer.AwaitAnnounced(ctx))
+		c.must(announcer.WaitAnnounced(ctx))
 		status.Ill = !status.Ill
 		announcer.Update(status)
 	}
-	c.must(announcer.AwaitAnnounced(ctx))
+	c.must(announcer.WaitAnnounced(ctx))
 }
--- a/internal/processtest/standins.go
+++ b/internal/processtest/standins.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for _, a := range announcers {
-		c.must(a.AwaitAnnounced(ctx))
+		c.must(a.WaitAnnounced(ctx))
 	}
 }
 
--- a/internal/subscriber/announcer.go
+++ b/internal/subscriber/announcer.go
@@ -152,9 +152,9 @@
 	a.wake()
 }
 
-// AwaitAnnounced waits until a control host has taken the status as it is
+// WaitAnnounced waits until a control host has taken the status as it is
 // now. An agent that leaves calls it after the update that says so.
-func (a *Announcer) AwaitAnnounced(ctx context.Context) error {
+func (a *Announcer) WaitAnnounced(ctx context.Context) error {
 	a.mu.Lock()
 	want := a.sequence
 	a.mu.Unlock()
--- a/internal/subscriber/announcer_test.go
+++ b/internal/subscriber/announcer_test.go
@@ -106,7 +106,7 @@
 	a.Update(draining)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	is.NoErr(a.AwaitAnnounced(ctx))
+	is.NoErr(a.WaitAnnounced(ctx))
 	h.read(func() {
 		first, last := h.announces[0], h.announces[len(h.announces)-1]
 		is.Equal(first.GetSequence(), uint64(1))
@@ -134,7 +134,7 @@
 	a, scope := startAnnouncer(t, d.client(d.listen(anyPort, h)))
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	is.NoErr(a.AwaitAnnounced(ctx))
+	is.NoErr(a.WaitAnnounced(ctx))
 	is.Equal(count(scope, metricAnnounceFailures, "announce_refused"), int64(2))
 }
 
