--- a/internal/controld/operators.go
+++ b/internal/controld/operators.go
@@ -182,7 +182,7 @@
 // notEverywhere marks a change that could not be made in each group.
 func notEverywhere(err error) error {
 	if errors.Is(err, operator.ErrNotApplied) && !errors.Is(err, operator.ErrRefused) {
-		return errors.Wrap(operator.ErrNotEverywhere, err.Error())
+		return errors.Wrap(operator.ErrPartiallyApplied, err.Error())
 	}
 	return err
 }
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -19,9 +19,9 @@
 	// ErrNotFound tells that a quorum knows of no such patch, version or
 	// member.
 	ErrNotFound = errors.New("not found")
-	// ErrNotEverywhere tells that the host knows the member and could not make
+	// ErrPartiallyApplied tells that the host knows the member and could not make
 	// the change in all groups. It is an ErrNotDone.
-	ErrNotEverywhere = errors.Wrap(ErrNotApplied, "not in all groups")
+	ErrPartiallyApplied = errors.Wrap(ErrNotApplied, "not in all groups")
 	// ErrRefused tells that the leader refused the change and will refuse it
 	// again while the members are what they are. It is an ErrNotDone.
 	ErrRefused = errors.Wrap(ErrNotApplied, "refused")
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -227,7 +227,7 @@
 		if decisive(err) {
 			return nil, partly, err
 		}
-		partly = partly || errors.Is(err, ErrNotEverywhere)
+		partly = partly || errors.Is(err, ErrPartiallyApplied)
 	}
 	return nil, partly, err
 }
@@ -310,7 +310,7 @@
 	}
 	switch f.Kind {
 	case faultNotEverywhere:
-		return errors.Wrapf(ErrNotEverywhere, "%s: %s", addr, f.Reason)
+		return errors.Wrapf(ErrPartiallyApplied, "%s: %s", addr, f.Reason)
 	case faultRefused:
 		return errors.Wrapf(ErrRefused, "%s: %s", addr, f.Reason)
 	case faultNotDone:
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -196,8 +196,8 @@
 func TestGroupsWithDifferentLeaders(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t)
-	first := &fake{answers: []error{operator.ErrNotEverywhere}, members: operator.ErrNotFound}
-	second := &fake{answers: []error{operator.ErrNotEverywhere}, members: operator.ErrNotFound}
+	first := &fake{answers: []error{operator.ErrPartiallyApplied}, members: operator.ErrNotFound}
+	second := &fake{answers: []error{operator.ErrPartiallyApplied}, members: operator.ErrNotFound}
 	c := s.client(s.serve(first).Addr().String(), s.serve(second).Addr().String(), "127.0.0.1:1")
 	status, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.NoErr(err)
@@ -213,7 +213,7 @@
 func TestChangeThatNeverSucceeds(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t)
-	f := &fake{members: operator.ErrNotEverywhere}
+	f := &fake{members: operator.ErrPartiallyApplied}
 	c := s.client(s.serve(f).Addr().String())
 	_, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrNotApplied))
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -243,7 +243,7 @@
 
 func faultOf(err error) (faultKind, int) {
 	switch {
-	case errors.Is(err, ErrNotEverywhere):
+	case errors.Is(err, ErrPartiallyApplied):
 		return faultNotEverywhere, http.StatusServiceUnavailable
 	case errors.Is(err, ErrRefused):
 		return faultRefused, http.StatusConflict
