--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -26,8 +26,8 @@
 	// CallTimeout bounds a call to one control host; it exceeds every timeout
 	// that the host itself sets.
 	CallTimeout = 15 * time.Second
-	// MaxAnswer bounds an answer, in bytes.
-	MaxAnswer = 64 << 20
+	// MaxResponse bounds an answer, in bytes.
+	MaxResponse = 64 << 20
 	// changeRounds is how often all hosts are asked again to make a change of
 	// members that some of them could not make in all groups, changePause the
 	// time between two rounds.
@@ -280,7 +280,7 @@
 		return unanswered(addr, r.method, connected.Load(), err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, MaxAnswer))
+	data, err := io.ReadAll(io.LimitReader(res.Body, MaxResponse))
 	if err != nil {
 		return unanswered(addr, r.method, true, err)
 	}
