--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -35,8 +35,8 @@
 	ReadTimeout = 2 * time.Second
 	// MemberTimeout bounds a change of members on the control host.
 	MemberTimeout = 10 * time.Second
-	// MaxBody bounds the body of a call, in bytes.
-	MaxBody = 8 << 20
+	// MaxRequestBody bounds the body of a call, in bytes.
+	MaxRequestBody = 8 << 20
 )
 
 // Handler is what the API serves.
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -213,7 +213,7 @@
 }
 
 func (s *Server) readProto(w http.ResponseWriter, r *http.Request, m proto.Message) bool {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxRequestBody))
 	if err == nil {
 		err = protojson.Unmarshal(data, m)
 	}
@@ -221,7 +221,7 @@
 }
 
 func (s *Server) readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxRequestBody))
 	d.DisallowUnknownFields()
 	return s.taken(w, d.Decode(v))
 }
