--- a/internal/cli/evacuation.go
+++ b/internal/cli/evacuation.go
@@ -143,7 +143,7 @@
 func reportEvacuations(w io.Writer, list []*configpb.Evacuation, asJSON bool) error {
 	out := []operator.EvacuationStatus{}
 	for _, e := range list {
-		out = append(out, operator.EvacuationStatusOf(e))
+		out = append(out, operator.NewEvacuationStatus(e))
 	}
 	if asJSON {
 		return writeJSON(w, out)
--- a/internal/controld/evacuation.go
+++ b/internal/controld/evacuation.go
@@ -99,7 +99,7 @@
 func evacuationStatus(c *configpb.Configuration) []operator.EvacuationStatus {
 	out := []operator.EvacuationStatus{}
 	for _, e := range c.GetEvacuations() {
-		out = append(out, operator.EvacuationStatusOf(e))
+		out = append(out, operator.NewEvacuationStatus(e))
 	}
 	return out
 }
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -115,8 +115,8 @@
 	Order string `json:"order,omitempty"`
 }
 
-// EvacuationStatusOf returns the status of an evacuation.
-func EvacuationStatusOf(e *configpb.Evacuation) EvacuationStatus {
+// NewEvacuationStatus returns the status of an evacuation.
+func NewEvacuationStatus(e *configpb.Evacuation) EvacuationStatus {
 	return EvacuationStatus{
 		FailureDomain: e.GetFailureDomain(),
 		SinceVersion:  e.GetSinceVersion(),
