--- a/internal/capacity/announce.go
+++ b/internal/capacity/announce.go
@@ -148,7 +148,7 @@
 func (d *deployment) awaitInForce(ctx context.Context) error {
 	return await(ctx, "the version in force everywhere", func() bool {
 		for _, host := range d.client.Status(ctx) {
-			if host.Err != nil || host.Status.Version < d.version || len(host.Status.Laggards) > 0 {
+			if host.Err != nil || host.Status.Version < d.version || len(host.Status.LaggingSubscribers) > 0 {
 				return false
 			}
 		}
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -51,7 +51,7 @@
 }
 
 func (f *fakeControl) Status() *operator.Status {
-	return &operator.Status{Host: "control-1", Version: 7, Laggards: []string{"entry-2"}, Evacuations: []operator.EvacuationStatus{{
+	return &operator.Status{Host: "control-1", Version: 7, LaggingSubscribers: []string{"entry-2"}, Evacuations: []operator.EvacuationStatus{{
 		FailureDomain: "dugbe", SinceVersion: 5, Since: time.Unix(1_800_000_000, 0).UTC(), Order: "works",
 	}}}
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -90,8 +90,8 @@
 		}
 	}
 	writeEvacuations(w, s.Evacuations)
-	if len(s.Laggards) > 0 {
-		fmt.Fprintf(w, "  not yet in force on: %s\n", strings.Join(s.Laggards, ", "))
+	if len(s.LaggingSubscribers) > 0 {
+		fmt.Fprintf(w, "  not yet in force on: %s\n", strings.Join(s.LaggingSubscribers, ", "))
 	}
 }
 
--- a/internal/controld/daemon_test.go
+++ b/internal/controld/daemon_test.go
@@ -296,11 +296,11 @@
 
 	status := ops.Status(testContext(t))
 	is.NoErr(status[0].Err)
-	is.Equal(status[0].Status.Laggards, []string{"entry/e1"}) // it has reported no version yet
+	is.Equal(status[0].Status.LaggingSubscribers, []string{"entry/e1"}) // it has reported no version yet
 	is.NoErr(w.stream.Send(&controlpb.Heartbeat{Version: 2}))
 	eventually(t, "the version in force in the status", func() bool {
 		s := ops.Status(testContext(t))[0].Status
-		return len(s.Laggards) == 0 && s.Subscribers[0].Version == 2 && s.Subscribers[0].FailureDomain == "dugbe"
+		return len(s.LaggingSubscribers) == 0 && s.Subscribers[0].Version == 2 && s.Subscribers[0].FailureDomain == "dugbe"
 	})
 }
 
--- a/internal/controld/follow_test.go
+++ b/internal/controld/follow_test.go
@@ -126,7 +126,7 @@
 	report(2)
 	eventually(t, "the version in force in the status", func() bool {
 		s := d.status("c1")
-		return len(s.Laggards) == 0 && s.Subscribers[0].Version == 2
+		return len(s.LaggingSubscribers) == 0 && s.Subscribers[0].Version == 2
 	})
 	d.accept(ops, patch("p3", 2, put("certificates", "192.0.2.4:443")))
 	is.Equal(len(w.awaitVersion(3).GetPut()), 1)
--- a/internal/controld/operators.go
+++ b/internal/controld/operators.go
@@ -93,7 +93,7 @@
 	for _, group := range h.groups {
 		s.Groups = append(s.Groups, h.groupStatus(group))
 	}
-	s.Subscribers, s.Laggards = h.subscribers.list(current.GetVersion())
+	s.Subscribers, s.LaggingSubscribers = h.subscribers.list(current.GetVersion())
 	for _, group := range s.Groups {
 		if group.Grants != nil {
 			s.GrantsHeld += group.Grants.Held
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -95,8 +95,8 @@
 	// Damped is how many of them take no new flow because they flap.
 	Damped      int                `json:"targets_damped"`
 	Subscribers []SubscriberStatus `json:"subscribers"`
-	// Laggards names the subscribers on which Version is not in force.
-	Laggards []string `json:"laggards"`
+	// LaggingSubscribers names the subscribers on which Version is not in force.
+	LaggingSubscribers []string `json:"laggards"`
 	// GrantsHeld and GrantsAnswered count the keys of all groups of grants.
 	GrantsHeld     int `json:"grants_held"`
 	GrantsAnswered int `json:"grants_answered"`
