--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -33,8 +33,8 @@
 	SubmitTimeout = 5 * time.Second
 	// ReadTimeout bounds a confirmed read on the control host.
 	ReadTimeout = 2 * time.Second
-	// MemberTimeout bounds a change of members on the control host.
-	MemberTimeout = 10 * time.Second
+	// MembershipTimeout bounds a change of members on the control host.
+	MembershipTimeout = 10 * time.Second
 	// MaxRequestBody bounds the body of a call, in bytes.
 	MaxRequestBody = 8 << 20
 )
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -203,7 +203,7 @@
 }
 
 func (s *Server) change(w http.ResponseWriter, r *http.Request, f func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(r.Context(), MemberTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), MembershipTimeout)
 	defer cancel()
 	if err := f(ctx); err != nil {
 		s.fault(w, err)
