--- a/admission/admission.go
+++ b/admission/admission.go
@@ -56,8 +56,8 @@
 	MaxWait time.Duration
 }
 
-// Gate counts the requests that run and wait on one backend server.
-type Gate struct {
+// Limiter counts the requests that run and wait on one backend server.
+type Limiter struct {
 	limits  Limits
 	running int
 	waiting int
@@ -65,14 +65,14 @@
 }
 
 // NewGate returns an empty gate.
-func NewGate(limits Limits) *Gate {
-	g := &Gate{}
+func NewGate(limits Limits) *Limiter {
+	g := &Limiter{}
 	g.SetLimits(limits)
 	return g
 }
 
 // SetLimits changes the limits. Requests that run or wait are not affected.
-func (g *Gate) SetLimits(limits Limits) {
+func (g *Limiter) SetLimits(limits Limits) {
 	if limits.Slots <= 0 {
 		limits.Slots = DefaultSlots
 	}
@@ -80,16 +80,16 @@
 }
 
 // Running returns the number of requests that have a slot.
-func (g *Gate) Running() int { return g.running }
+func (g *Limiter) Running() int { return g.running }
 
 // Waiting returns the number of requests in the queue.
-func (g *Gate) Waiting() int { return g.waiting }
+func (g *Limiter) Waiting() int { return g.waiting }
 
 // Slots returns the number of slots.
-func (g *Gate) Slots() int { return g.limits.Slots }
+func (g *Limiter) Slots() int { return g.limits.Slots }
 
 // Typical returns the smoothed duration of requests.
-func (g *Gate) Typical() time.Duration {
+func (g *Limiter) Typical() time.Duration {
 	if g.typical == 0 {
 		return firstGuess
 	}
@@ -97,12 +97,12 @@
 }
 
 // Load returns the requests that run or wait, in per mille of the slots.
-func (g *Gate) Load() uint32 {
+func (g *Limiter) Load() uint32 {
 	return uint32((g.running + g.waiting) * 1000 / g.limits.Slots)
 }
 
 // Arrive decides on a request that has remaining time to its deadline.
-func (g *Gate) Arrive(remaining time.Duration) Verdict {
+func (g *Limiter) Arrive(remaining time.Duration) Verdict {
 	if remaining < minUseful {
 		return g.shed(reason.DeadlineTooClose)
 	}
@@ -128,7 +128,7 @@
 
 // arriveFree decides when a slot is free. An idle backend server always gets
 // the request: without it the typical duration would never be observed again.
-func (g *Gate) arriveFree(remaining time.Duration) Verdict {
+func (g *Limiter) arriveFree(remaining time.Duration) Verdict {
 	if g.running > 0 && g.Typical() > remaining {
 		return g.shed(reason.DeadlineTooClose)
 	}
@@ -138,7 +138,7 @@
 
 // Start moves a waiting request to a free slot and reports whether there was
 // one.
-func (g *Gate) Start() bool {
+func (g *Limiter) Start() bool {
 	if g.waiting == 0 || g.running >= g.limits.Slots {
 		return false
 	}
@@ -148,14 +148,14 @@
 }
 
 // Leave removes a waiting request that gave up. It returns a shed verdict.
-func (g *Gate) Leave(why reason.Code) Verdict {
+func (g *Limiter) Leave(why reason.Code) Verdict {
 	g.waiting--
 	return g.shed(why)
 }
 
 // Done gives a slot back. took is the time that the request ran; 0 records no
 // duration, for requests that did not run to their end.
-func (g *Gate) Done(took time.Duration) {
+func (g *Limiter) Done(took time.Duration) {
 	g.running--
 	if took <= 0 {
 		return
@@ -168,7 +168,7 @@
 }
 
 // ExpectedWait returns how long one more request would wait for a slot.
-func (g *Gate) ExpectedWait() time.Duration {
+func (g *Limiter) ExpectedWait() time.Duration {
 	ahead := g.running + g.waiting + 1 - g.limits.Slots
 	if ahead <= 0 {
 		return 0
@@ -177,10 +177,10 @@
 }
 
 // ComeBack returns the time after which a refused request may be tried again.
-func (g *Gate) ComeBack() time.Duration {
+func (g *Limiter) ComeBack() time.Duration {
 	return min(max(g.ExpectedWait(), minComeBack), maxComeBack)
 }
 
-func (g *Gate) shed(why reason.Code) Verdict {
+func (g *Limiter) shed(why reason.Code) Verdict {
 	return Verdict{Action: Shed, Reason: why, ComeBack: g.ComeBack()}
 }
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -12,7 +12,7 @@
 // gate gives out the slots of the backend server in the order of arrival.
 type gate struct {
 	mu    sync.Mutex
-	state *admission.Gate
+	state *admission.Limiter
 	queue []*waiter
 	// spent is the time that requests ran or waited, added up over them, at
 	// the time changed.
