--- a/admission/admission.go
+++ b/admission/admission.go
@@ -64,8 +64,8 @@
 	typical time.Duration
 }
 
-// NewGate returns an empty gate.
-func NewGate(limits Limits) *Limiter {
+// NewLimiter returns an empty gate.
+func NewLimiter(limits Limits) *Limiter {
 	g := &Limiter{}
 	g.SetLimits(limits)
 	return g
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -17,7 +17,7 @@
 
 func TestGateRunsThenQueuesThenSheds(t *testing.T) {
 	is := is.New(t)
-	g := admission.NewGate(admission.Limits{Slots: 2, Queue: 1, MaxWait: 50 * time.Millisecond})
+	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 1, MaxWait: 50 * time.Millisecond})
 	is.Equal(g.Arrive(far).Action, admission.Run)
 	is.Equal(g.Arrive(far).Action, admission.Run)
 	is.Equal(g.Arrive(far).Action, admission.Wait)
@@ -35,7 +35,7 @@
 
 func TestGateShedsOnExpectedWait(t *testing.T) {
 	is := is.New(t)
-	g := admission.NewGate(admission.Limits{Slots: 1, Queue: 8, MaxWait: 50 * time.Millisecond})
+	g := admission.NewLimiter(admission.Limits{Slots: 1, Queue: 8, MaxWait: 50 * time.Millisecond})
 	is.Equal(g.Arrive(far).Action, admission.Run)
 	g.Done(time.Second)
 	is.Equal(g.Arrive(far).Action, admission.Run)
@@ -46,7 +46,7 @@
 
 func TestGateShedsOnDeadline(t *testing.T) {
 	is := is.New(t)
-	g := admission.NewGate(admission.Limits{Slots: 2, Queue: 8, MaxWait: time.Second})
+	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 8, MaxWait: time.Second})
 	is.Equal(g.Arrive(far).Action, admission.Run)
 	g.Done(100 * time.Millisecond)
 	is.Equal(g.Arrive(0).Reason, reason.DeadlineTooClose)
@@ -61,7 +61,7 @@
 
 func TestGateWithoutQueue(t *testing.T) {
 	is := is.New(t)
-	g := admission.NewGate(admission.Limits{})
+	g := admission.NewLimiter(admission.Limits{})
 	for range admission.DefaultSlots {
 		is.Equal(g.Arrive(far).Action, admission.Run)
 	}
@@ -72,7 +72,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
 		queue := rapid.IntRange(0, 6).Draw(t, "queue")
-		g := admission.NewGate(admission.Limits{Slots: slots, Queue: queue, MaxWait: 100 * time.Millisecond})
+		g := admission.NewLimiter(admission.Limits{Slots: slots, Queue: queue, MaxWait: 100 * time.Millisecond})
 		running, waiting := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -27,7 +27,7 @@
 }
 
 func newGate(limits admission.Limits) *gate {
-	return &gate{state: admission.NewGate(limits), changed: time.Now()}
+	return &gate{state: admission.NewLimiter(limits), changed: time.Now()}
 }
 
 func (g *gate) setLimits(limits admission.Limits) {
