--- a/admission/admission.go
+++ b/admission/admission.go
@@ -35,8 +35,8 @@
 	Shed
 )
 
-// Verdict is the decision on one request.
-type Verdict struct {
+// Decision is the decision on one request.
+type Decision struct {
 	Action Action
 	// Reason is set when the request is shed.
 	Reason reason.Code
@@ -102,7 +102,7 @@
 }
 
 // Arrive decides on a request that has remaining time to its deadline.
-func (g *Limiter) Arrive(remaining time.Duration) Verdict {
+func (g *Limiter) Arrive(remaining time.Duration) Decision {
 	if remaining < minUseful {
 		return g.shed(reason.DeadlineTooClose)
 	}
@@ -123,17 +123,17 @@
 		return g.shed(reason.DeadlineTooClose)
 	}
 	g.waiting++
-	return Verdict{Action: Wait, MaxWait: min(g.limits.MaxWait, remaining)}
+	return Decision{Action: Wait, MaxWait: min(g.limits.MaxWait, remaining)}
 }
 
 // arriveFree decides when a slot is free. An idle backend server always gets
 // the request: without it the typical duration would never be observed again.
-func (g *Limiter) arriveFree(remaining time.Duration) Verdict {
+func (g *Limiter) arriveFree(remaining time.Duration) Decision {
 	if g.running > 0 && g.Typical() > remaining {
 		return g.shed(reason.DeadlineTooClose)
 	}
 	g.running++
-	return Verdict{Action: Run}
+	return Decision{Action: Run}
 }
 
 // Start moves a waiting request to a free slot and reports whether there was
@@ -148,7 +148,7 @@
 }
 
 // Leave removes a waiting request that gave up. It returns a shed verdict.
-func (g *Limiter) Leave(why reason.Code) Verdict {
+func (g *Limiter) Leave(why reason.Code) Decision {
 	g.waiting--
 	return g.shed(why)
 }
@@ -181,6 +181,6 @@
 	return min(max(g.ExpectedWait(), minComeBack), maxComeBack)
 }
 
-func (g *Limiter) shed(why reason.Code) Verdict {
-	return Verdict{Action: Shed, Reason: why, ComeBack: g.ComeBack()}
+func (g *Limiter) shed(why reason.Code) Decision {
+	return Decision{Action: Shed, Reason: why, ComeBack: g.ComeBack()}
 }
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -39,7 +39,7 @@
 
 // enter waits for a slot, for no longer than the verdict allows. The caller
 // gives a slot back by leave.
-func (g *gate) enter(ctx context.Context, remaining time.Duration) admission.Verdict {
+func (g *gate) enter(ctx context.Context, remaining time.Duration) admission.Decision {
 	verdict, w := g.arrive(remaining)
 	if verdict.Action != admission.Wait {
 		return verdict
@@ -48,7 +48,7 @@
 	defer timer.Stop()
 	select {
 	case <-w.ready:
-		return admission.Verdict{Action: admission.Run}
+		return admission.Decision{Action: admission.Run}
 	case <-timer.C:
 		return g.abandon(w, reason.WaitTooLong)
 	case <-ctx.Done():
@@ -56,7 +56,7 @@
 	}
 }
 
-func (g *gate) arrive(remaining time.Duration) (admission.Verdict, *waiter) {
+func (g *gate) arrive(remaining time.Duration) (admission.Decision, *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tally()
@@ -71,7 +71,7 @@
 
 // abandon takes a request out of the queue. It may have got its slot in the
 // meantime, and then keeps it.
-func (g *gate) abandon(w *waiter, why reason.Code) admission.Verdict {
+func (g *gate) abandon(w *waiter, why reason.Code) admission.Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tally()
@@ -81,7 +81,7 @@
 			return g.state.Leave(why)
 		}
 	}
-	return admission.Verdict{Action: admission.Run}
+	return admission.Decision{Action: admission.Run}
 }
 
 // leave gives a slot back. took is 0 for a request that did not run to its
