--- a/admission/admission.go
+++ b/admission/admission.go
@@ -40,8 +40,8 @@
 	Action Action
 	// Reason is set when the request is shed.
 	Reason reason.Code
-	// ComeBack is the time after which a shed request may be tried again.
-	ComeBack time.Duration
+	// RetryAfter is the time after which a shed request may be tried again.
+	RetryAfter time.Duration
 	// MaxWait is the longest time that a queued request may wait.
 	MaxWait time.Duration
 }
@@ -182,5 +182,5 @@
 }
 
 func (g *Limiter) shed(why reason.Code) Decision {
-	return Decision{Action: Shed, Reason: why, ComeBack: g.ComeBack()}
+	return Decision{Action: Shed, Reason: why, RetryAfter: g.ComeBack()}
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -24,7 +24,7 @@
 	v := g.Arrive(far)
 	is.Equal(v.Action, admission.Shed)
 	is.Equal(v.Reason, reason.QueueFull)
-	is.True(v.ComeBack > 0)
+	is.True(v.RetryAfter > 0)
 	is.Equal(g.Load(), uint32(1500))
 	is.True(!g.Start()) // no slot is free
 	g.Done(time.Millisecond)
@@ -41,7 +41,7 @@
 	is.Equal(g.Arrive(far).Action, admission.Run)
 	v := g.Arrive(far)
 	is.Equal(v.Reason, reason.WaitTooLong)
-	is.Equal(v.ComeBack, time.Second) // the time after which a slot is expected
+	is.Equal(v.RetryAfter, time.Second) // the time after which a slot is expected
 }
 
 func TestGateShedsOnDeadline(t *testing.T) {
@@ -80,7 +80,7 @@
 				v := g.Arrive(time.Duration(rapid.Int64Range(-10, 500).Draw(t, "remaining")) * time.Millisecond)
 				running += count(v.Action == admission.Run)
 				waiting += count(v.Action == admission.Wait)
-				if v.Action == admission.Shed && (v.Reason == reason.None || v.ComeBack <= 0) {
+				if v.Action == admission.Shed && (v.Reason == reason.None || v.RetryAfter <= 0) {
 					t.Fatalf("shed without reason or time to come back: %+v", v)
 				}
 			case 1:
