--- a/admission/admission.go
+++ b/admission/admission.go
@@ -176,11 +176,11 @@
 	return g.Typical() * time.Duration(ahead) / time.Duration(g.limits.Slots)
 }
 
-// ComeBack returns the time after which a refused request may be tried again.
-func (g *Limiter) ComeBack() time.Duration {
+// RetryAfter returns the time after which a refused request may be tried again.
+func (g *Limiter) RetryAfter() time.Duration {
 	return min(max(g.ExpectedWait(), minComeBack), maxComeBack)
 }
 
 func (g *Limiter) shed(why reason.Code) Decision {
-	return Decision{Action: Shed, Reason: why, RetryAfter: g.ComeBack()}
+	return Decision{Action: Shed, Reason: why, RetryAfter: g.RetryAfter()}
 }
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -139,6 +139,6 @@
 		running:  g.state.Running(),
 		waiting:  g.state.Waiting(),
 		slots:    g.state.Slots(),
-		comeBack: g.state.ComeBack(),
+		comeBack: g.state.RetryAfter(),
 	}
 }
