--- a/admission/admission.go
+++ b/admission/admission.go
@@ -27,8 +27,8 @@
 
 // Actions of a Verdict.
 const (
-	// Run means that the request has a slot now.
-	Run Action = iota + 1
+	// Admitted means that the request has a slot now.
+	Admitted Action = iota + 1
 	// Wait means that the request is queued; the caller calls Start or Leave.
 	Wait
 	// Shed means that the request is refused at once.
@@ -133,7 +133,7 @@
 		return g.shed(reason.DeadlineTooClose)
 	}
 	g.running++
-	return Decision{Action: Run}
+	return Decision{Action: Admitted}
 }
 
 // Start moves a waiting request to a free slot and reports whether there was
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -18,8 +18,8 @@
 func TestGateRunsThenQueuesThenSheds(t *testing.T) {
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 1, MaxWait: 50 * time.Millisecond})
-	is.Equal(g.Arrive(far).Action, admission.Run)
-	is.Equal(g.Arrive(far).Action, admission.Run)
+	is.Equal(g.Arrive(far).Action, admission.Admitted)
+	is.Equal(g.Arrive(far).Action, admission.Admitted)
 	is.Equal(g.Arrive(far).Action, admission.Wait)
 	v := g.Arrive(far)
 	is.Equal(v.Action, admission.Shed)
@@ -36,9 +36,9 @@
 func TestGateShedsOnExpectedWait(t *testing.T) {
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 1, Queue: 8, MaxWait: 50 * time.Millisecond})
-	is.Equal(g.Arrive(far).Action, admission.Run)
+	is.Equal(g.Arrive(far).Action, admission.Admitted)
 	g.Done(time.Second)
-	is.Equal(g.Arrive(far).Action, admission.Run)
+	is.Equal(g.Arrive(far).Action, admission.Admitted)
 	v := g.Arrive(far)
 	is.Equal(v.Reason, reason.WaitTooLong)
 	is.Equal(v.RetryAfter, time.Second) // the time after which a slot is expected
@@ -47,12 +47,12 @@
 func TestGateShedsOnDeadline(t *testing.T) {
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 8, MaxWait: time.Second})
-	is.Equal(g.Arrive(far).Action, admission.Run)
+	is.Equal(g.Arrive(far).Action, admission.Admitted)
 	g.Done(100 * time.Millisecond)
 	is.Equal(g.Arrive(0).Reason, reason.DeadlineTooClose)
-	is.Equal(g.Arrive(50*time.Millisecond).Action, admission.Run)            // idle: observes again
+	is.Equal(g.Arrive(50*time.Millisecond).Action, admission.Admitted)       // idle: observes again
 	is.Equal(g.Arrive(50*time.Millisecond).Reason, reason.DeadlineTooClose)  // would not end in time
-	is.Equal(g.Arrive(far).Action, admission.Run)                            // takes the second slot
+	is.Equal(g.Arrive(far).Action, admission.Admitted)                       // takes the second slot
 	is.Equal(g.Arrive(120*time.Millisecond).Reason, reason.DeadlineTooClose) // wait and run do not fit
 	is.Equal(g.Arrive(200*time.Millisecond).Action, admission.Wait)          // both fit
 	is.Equal(g.Leave(reason.WaitTooLong).Reason, reason.WaitTooLong)
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{})
 	for range admission.DefaultSlots {
-		is.Equal(g.Arrive(far).Action, admission.Run)
+		is.Equal(g.Arrive(far).Action, admission.Admitted)
 	}
 	is.Equal(g.Arrive(far).Reason, reason.SlotsFull)
 }
@@ -78,7 +78,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				v := g.Arrive(time.Duration(rapid.Int64Range(-10, 500).Draw(t, "remaining")) * time.Millisecond)
-				running += count(v.Action == admission.Run)
+				running += count(v.Action == admission.Admitted)
 				waiting += count(v.Action == admission.Wait)
 				if v.Action == admission.Shed && (v.Reason == reason.None || v.RetryAfter <= 0) {
 					t.Fatalf("shed without reason or time to come back: %+v", v)
--- a/internal/agentd/call_test.go
+++ b/internal/agentd/call_test.go
@@ -145,7 +145,7 @@
 func TestGateServesInOrder(t *testing.T) {
 	is := is.New(t)
 	g := newGate(admission.Limits{Slots: 1, Queue: 3, MaxWait: time.Minute})
-	is.Equal(g.enter(t.Context(), time.Minute).Action, admission.Run)
+	is.Equal(g.enter(t.Context(), time.Minute).Action, admission.Admitted)
 	order := make(chan int, 3)
 	for n := range 3 {
 		go func() {
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -48,7 +48,7 @@
 	defer timer.Stop()
 	select {
 	case <-w.ready:
-		return admission.Decision{Action: admission.Run}
+		return admission.Decision{Action: admission.Admitted}
 	case <-timer.C:
 		return g.abandon(w, reason.WaitTooLong)
 	case <-ctx.Done():
@@ -81,7 +81,7 @@
 			return g.state.Leave(why)
 		}
 	}
-	return admission.Decision{Action: admission.Run}
+	return admission.Decision{Action: admission.Admitted}
 }
 
 // leave gives a slot back. took is 0 for a request that did not run to its
--- a/internal/agentd/load_test.go
+++ b/internal/agentd/load_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	g := newGate(admission.Limits{Slots: 1, Queue: 1, MaxWait: time.Minute})
 	before := g.figures()
-	is.Equal(g.enter(t.Context(), time.Minute).Action, admission.Run)
+	is.Equal(g.enter(t.Context(), time.Minute).Action, admission.Admitted)
 	_, w := g.arrive(time.Minute)
 	is.True(w != nil)
 	g.mu.Lock()
--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -146,7 +146,7 @@
 // answer on.
 func (p *proxy) run(w http.ResponseWriter, c *call, view backendView, r *right) {
 	verdict := p.gate.enter(c.ctx, c.remaining())
-	if verdict.Action != admission.Run {
+	if verdict.Action != admission.Admitted {
 		comeBack := max(verdict.RetryAfter, p.giveBack(r))
 		p.refuse(w, refusal{outcome: retry.NotRun, reason: verdict.Reason, comeBack: comeBack})
 		return
