--- a/admission/admission.go
+++ b/admission/admission.go
@@ -29,8 +29,8 @@
 const (
 	// Admitted means that the request has a slot now.
 	Admitted Action = iota + 1
-	// Wait means that the request is queued; the caller calls Start or Leave.
-	Wait
+	// Queued means that the request is queued; the caller calls Start or Leave.
+	Queued
 	// Shed means that the request is refused at once.
 	Shed
 )
@@ -123,7 +123,7 @@
 		return g.shed(reason.DeadlineTooClose)
 	}
 	g.waiting++
-	return Decision{Action: Wait, MaxWait: min(g.limits.MaxWait, remaining)}
+	return Decision{Action: Queued, MaxWait: min(g.limits.MaxWait, remaining)}
 }
 
 // arriveFree decides when a slot is free. An idle backend server always gets
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,7 +20,7 @@
 	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 1, MaxWait: 50 * time.Millisecond})
 	is.Equal(g.Arrive(far).Action, admission.Admitted)
 	is.Equal(g.Arrive(far).Action, admission.Admitted)
-	is.Equal(g.Arrive(far).Action, admission.Wait)
+	is.Equal(g.Arrive(far).Action, admission.Queued)
 	v := g.Arrive(far)
 	is.Equal(v.Action, admission.Shed)
 	is.Equal(v.Reason, reason.QueueFull)
@@ -54,7 +54,7 @@
 	is.Equal(g.Arrive(50*time.Millisecond).Reason, reason.DeadlineTooClose)  // would not end in time
 	is.Equal(g.Arrive(far).Action, admission.Admitted)                       // takes the second slot
 	is.Equal(g.Arrive(120*time.Millisecond).Reason, reason.DeadlineTooClose) // wait and run do not fit
-	is.Equal(g.Arrive(200*time.Millisecond).Action, admission.Wait)          // both fit
+	is.Equal(g.Arrive(200*time.Millisecond).Action, admission.Queued)        // both fit
 	is.Equal(g.Leave(reason.WaitTooLong).Reason, reason.WaitTooLong)
 	is.Equal(g.Waiting(), 0)
 }
@@ -79,7 +79,7 @@
 			case 0:
 				v := g.Arrive(time.Duration(rapid.Int64Range(-10, 500).Draw(t, "remaining")) * time.Millisecond)
 				running += count(v.Action == admission.Admitted)
-				waiting += count(v.Action == admission.Wait)
+				waiting += count(v.Action == admission.Queued)
 				if v.Action == admission.Shed && (v.Reason == reason.None || v.RetryAfter <= 0) {
 					t.Fatalf("shed without reason or time to come back: %+v", v)
 				}
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -41,7 +41,7 @@
 // gives a slot back by leave.
 func (g *gate) enter(ctx context.Context, remaining time.Duration) admission.Decision {
 	verdict, w := g.arrive(remaining)
-	if verdict.Action != admission.Wait {
+	if verdict.Action != admission.Queued {
 		return verdict
 	}
 	timer := time.NewTimer(verdict.MaxWait)
@@ -61,7 +61,7 @@
 	defer g.mu.Unlock()
 	g.tally()
 	verdict := g.state.Arrive(remaining)
-	if verdict.Action != admission.Wait {
+	if verdict.Action != admission.Queued {
 		return verdict, nil
 	}
 	w := &waiter{ready: make(chan struct{})}
