--- a/admission/admission.go
+++ b/admission/admission.go
@@ -101,8 +101,8 @@
 	return uint32((g.running + g.waiting) * 1000 / g.limits.Slots)
 }
 
-// Arrive decides on a request that has remaining time to its deadline.
-func (g *Limiter) Arrive(remaining time.Duration) Decision {
+// Admit decides on a request that has remaining time to its deadline.
+func (g *Limiter) Admit(remaining time.Duration) Decision {
 	if remaining < minUseful {
 		return g.shed(reason.DeadlineTooClose)
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -18,10 +18,10 @@
 func TestGateRunsThenQueuesThenSheds(t *testing.T) {
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 1, MaxWait: 50 * time.Millisecond})
-	is.Equal(g.Arrive(far).Action, admission.Admitted)
-	is.Equal(g.Arrive(far).Action, admission.Admitted)
-	is.Equal(g.Arrive(far).Action, admission.Queued)
-	v := g.Arrive(far)
+	is.Equal(g.Admit(far).Action, admission.Admitted)
+	is.Equal(g.Admit(far).Action, admission.Admitted)
+	is.Equal(g.Admit(far).Action, admission.Queued)
+	v := g.Admit(far)
 	is.Equal(v.Action, admission.Shed)
 	is.Equal(v.Reason, reason.QueueFull)
 	is.True(v.RetryAfter > 0)
@@ -36,10 +36,10 @@
 func TestGateShedsOnExpectedWait(t *testing.T) {
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 1, Queue: 8, MaxWait: 50 * time.Millisecond})
-	is.Equal(g.Arrive(far).Action, admission.Admitted)
+	is.Equal(g.Admit(far).Action, admission.Admitted)
 	g.Done(time.Second)
-	is.Equal(g.Arrive(far).Action, admission.Admitted)
-	v := g.Arrive(far)
+	is.Equal(g.Admit(far).Action, admission.Admitted)
+	v := g.Admit(far)
 	is.Equal(v.Reason, reason.WaitTooLong)
 	is.Equal(v.RetryAfter, time.Second) // the time after which a slot is expected
 }
@@ -47,14 +47,14 @@
 func TestGateShedsOnDeadline(t *testing.T) {
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 8, MaxWait: time.Second})
-	is.Equal(g.Arrive(far).Action, admission.Admitted)
+	is.Equal(g.Admit(far).Action, admission.Admitted)
 	g.Done(100 * time.Millisecond)
-	is.Equal(g.Arrive(0).Reason, reason.DeadlineTooClose)
-	is.Equal(g.Arrive(50*time.Millisecond).Action, admission.Admitted)       // idle: observes again
-	is.Equal(g.Arrive(50*time.Millisecond).Reason, reason.DeadlineTooClose)  // would not end in time
-	is.Equal(g.Arrive(far).Action, admission.Admitted)                       // takes the second slot
-	is.Equal(g.Arrive(120*time.Millisecond).Reason, reason.DeadlineTooClose) // wait and run do not fit
-	is.Equal(g.Arrive(200*time.Millisecond).Action, admission.Queued)        // both fit
+	is.Equal(g.Admit(0).Reason, reason.DeadlineTooClose)
+	is.Equal(g.Admit(50*time.Millisecond).Action, admission.Admitted)       // idle: observes again
+	is.Equal(g.Admit(50*time.Millisecond).Reason, reason.DeadlineTooClose)  // would not end in time
+	is.Equal(g.Admit(far).Action, admission.Admitted)                       // takes the second slot
+	is.Equal(g.Admit(120*time.Millisecond).Reason, reason.DeadlineTooClose) // wait and run do not fit
+	is.Equal(g.Admit(200*time.Millisecond).Action, admission.Queued)        // both fit
 	is.Equal(g.Leave(reason.WaitTooLong).Reason, reason.WaitTooLong)
 	is.Equal(g.Waiting(), 0)
 }
@@ -63,9 +63,9 @@
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{})
 	for range admission.DefaultSlots {
-		is.Equal(g.Arrive(far).Action, admission.Admitted)
+		is.Equal(g.Admit(far).Action, admission.Admitted)
 	}
-	is.Equal(g.Arrive(far).Reason, reason.SlotsFull)
+	is.Equal(g.Admit(far).Reason, reason.SlotsFull)
 }
 
 func TestGateNeverExceedsItsLimits(t *testing.T) {
@@ -77,7 +77,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				v := g.Arrive(time.Duration(rapid.Int64Range(-10, 500).Draw(t, "remaining")) * time.Millisecond)
+				v := g.Admit(time.Duration(rapid.Int64Range(-10, 500).Draw(t, "remaining")) * time.Millisecond)
 				running += count(v.Action == admission.Admitted)
 				waiting += count(v.Action == admission.Queued)
 				if v.Action == admission.Shed && (v.Reason == reason.None || v.RetryAfter <= 0) {
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -60,7 +60,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tally()
-	verdict := g.state.Arrive(remaining)
+	verdict := g.state.Admit(remaining)
 	if verdict.Action != admission.Queued {
 		return verdict, nil
 	}
