--- a/admission/admission.go
+++ b/admission/admission.go
@@ -136,9 +136,9 @@
 	return Decision{Action: Admitted}
 }
 
-// Start moves a waiting request to a free slot and reports whether there was
+// Dequeue moves a waiting request to a free slot and reports whether there was
 // one.
-func (g *Limiter) Start() bool {
+func (g *Limiter) Dequeue() bool {
 	if g.waiting == 0 || g.running >= g.limits.Slots {
 		return false
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -26,9 +26,9 @@
 	is.Equal(v.Reason, reason.QueueFull)
 	is.True(v.RetryAfter > 0)
 	is.Equal(g.Load(), uint32(1500))
-	is.True(!g.Start()) // no slot is free
+	is.True(!g.Dequeue()) // no slot is free
 	g.Done(time.Millisecond)
-	is.True(g.Start())
+	is.True(g.Dequeue())
 	is.Equal(g.Running(), 2)
 	is.Equal(g.Waiting(), 0)
 }
@@ -89,7 +89,7 @@
 					running--
 				}
 			case 2:
-				if g.Start() {
+				if g.Dequeue() {
 					waiting--
 					running++
 				}
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -103,7 +103,7 @@
 
 // wake gives free slots to the requests that wait longest.
 func (g *gate) wake() {
-	for len(g.queue) > 0 && g.state.Start() {
+	for len(g.queue) > 0 && g.state.Dequeue() {
 		close(g.queue[0].ready)
 		g.queue = g.queue[1:]
 	}
