--- a/admission/admission.go
+++ b/admission/admission.go
@@ -147,8 +147,8 @@
 	return true
 }
 
-// Leave removes a waiting request that gave up. It returns a shed verdict.
-func (g *Limiter) Leave(why reason.Code) Decision {
+// Abandon removes a waiting request that gave up. It returns a shed verdict.
+func (g *Limiter) Abandon(why reason.Code) Decision {
 	g.waiting--
 	return g.shed(why)
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -55,7 +55,7 @@
 	is.Equal(g.Admit(far).Action, admission.Admitted)                       // takes the second slot
 	is.Equal(g.Admit(120*time.Millisecond).Reason, reason.DeadlineTooClose) // wait and run do not fit
 	is.Equal(g.Admit(200*time.Millisecond).Action, admission.Queued)        // both fit
-	is.Equal(g.Leave(reason.WaitTooLong).Reason, reason.WaitTooLong)
+	is.Equal(g.Abandon(reason.WaitTooLong).Reason, reason.WaitTooLong)
 	is.Equal(g.Waiting(), 0)
 }
 
@@ -95,7 +95,7 @@
 				}
 			case 3:
 				if waiting > 0 {
-					g.Leave(reason.CallerGone)
+					g.Abandon(reason.CallerGone)
 					waiting--
 				}
 			}
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -78,7 +78,7 @@
 	for i, other := range g.queue {
 		if other == w {
 			g.queue = append(g.queue[:i], g.queue[i+1:]...)
-			return g.state.Leave(why)
+			return g.state.Abandon(why)
 		}
 	}
 	return admission.Decision{Action: admission.Admitted}
