--- a/admission/admission.go
+++ b/admission/admission.go
@@ -153,9 +153,9 @@
 	return g.shed(why)
 }
 
-// Done gives a slot back. took is the time that the request ran; 0 records no
+// Release gives a slot back. took is the time that the request ran; 0 records no
 // duration, for requests that did not run to their end.
-func (g *Limiter) Done(took time.Duration) {
+func (g *Limiter) Release(took time.Duration) {
 	g.running--
 	if took <= 0 {
 		return
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,7 +27,7 @@
 	is.True(v.RetryAfter > 0)
 	is.Equal(g.Load(), uint32(1500))
 	is.True(!g.Dequeue()) // no slot is free
-	g.Done(time.Millisecond)
+	g.Release(time.Millisecond)
 	is.True(g.Dequeue())
 	is.Equal(g.Running(), 2)
 	is.Equal(g.Waiting(), 0)
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 1, Queue: 8, MaxWait: 50 * time.Millisecond})
 	is.Equal(g.Admit(far).Action, admission.Admitted)
-	g.Done(time.Second)
+	g.Release(time.Second)
 	is.Equal(g.Admit(far).Action, admission.Admitted)
 	v := g.Admit(far)
 	is.Equal(v.Reason, reason.WaitTooLong)
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	g := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 8, MaxWait: time.Second})
 	is.Equal(g.Admit(far).Action, admission.Admitted)
-	g.Done(100 * time.Millisecond)
+	g.Release(100 * time.Millisecond)
 	is.Equal(g.Admit(0).Reason, reason.DeadlineTooClose)
 	is.Equal(g.Admit(50*time.Millisecond).Action, admission.Admitted)       // idle: observes again
 	is.Equal(g.Admit(50*time.Millisecond).Reason, reason.DeadlineTooClose)  // would not end in time
@@ -85,7 +85,7 @@
 				}
 			case 1:
 				if running > 0 {
-					g.Done(time.Duration(rapid.Int64Range(0, 300).Draw(t, "took")) * time.Millisecond)
+					g.Release(time.Duration(rapid.Int64Range(0, 300).Draw(t, "took")) * time.Millisecond)
 					running--
 				}
 			case 2:
--- a/internal/agentd/gate.go
+++ b/internal/agentd/gate.go
@@ -90,7 +90,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tally()
-	g.state.Done(took)
+	g.state.Release(took)
 	g.wake()
 }
 
