--- a/admission/admission.go
+++ b/admission/admission.go
@@ -88,8 +88,8 @@
 // Slots returns the number of slots.
 func (g *Limiter) Slots() int { return g.limits.Slots }
 
-// Typical returns the smoothed duration of requests.
-func (g *Limiter) Typical() time.Duration {
+// ServiceTime returns the smoothed duration of requests.
+func (g *Limiter) ServiceTime() time.Duration {
 	if g.typical == 0 {
 		return firstGuess
 	}
@@ -119,7 +119,7 @@
 	if expected > g.limits.MaxWait {
 		return g.shed(reason.WaitTooLong)
 	}
-	if expected+g.Typical() > remaining {
+	if expected+g.ServiceTime() > remaining {
 		return g.shed(reason.DeadlineTooClose)
 	}
 	g.waiting++
@@ -129,7 +129,7 @@
 // arriveFree decides when a slot is free. An idle backend server always gets
 // the request: without it the typical duration would never be observed again.
 func (g *Limiter) arriveFree(remaining time.Duration) Decision {
-	if g.running > 0 && g.Typical() > remaining {
+	if g.running > 0 && g.ServiceTime() > remaining {
 		return g.shed(reason.DeadlineTooClose)
 	}
 	g.running++
@@ -173,7 +173,7 @@
 	if ahead <= 0 {
 		return 0
 	}
-	return g.Typical() * time.Duration(ahead) / time.Duration(g.limits.Slots)
+	return g.ServiceTime() * time.Duration(ahead) / time.Duration(g.limits.Slots)
 }
 
 // RetryAfter returns the time after which a refused request may be tried again.
