--- a/health/health.go
+++ b/health/health.go
@@ -52,7 +52,7 @@
 
 // Reports of the health endpoint.
 const (
-	ReportWell Report = iota + 1
+	ReportHealthy Report = iota + 1
 	ReportIll
 	// ReportSilent means that the endpoint did not answer in time.
 	ReportSilent
@@ -192,7 +192,7 @@
 
 // refute marks a bad report as contradicted by observation, until it changes.
 func (t *Tracker) refute(good, failed int) {
-	if !sick(good, failed) && t.report != ReportWell {
+	if !sick(good, failed) && t.report != ReportHealthy {
 		t.reportRefuted = true
 	}
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -35,7 +35,7 @@
 	now += 2 * health.Window // no observation is left, the report stays refuted
 	tr.Reported(now, health.ReportIll)
 	is.True(!tr.Verdict(now).Ill)
-	tr.Reported(now, health.ReportWell) // it changed, so it counts again
+	tr.Reported(now, health.ReportHealthy) // it changed, so it counts again
 	for range health.ReportsInRow {
 		tr.Reported(now, health.ReportIll)
 	}
@@ -56,10 +56,10 @@
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Second
-	tr.Reported(now, health.ReportWell)
+	tr.Reported(now, health.ReportHealthy)
 	for range health.MinSamples {
 		serve(tr, now, health.Broken)
-		tr.Reported(now, health.ReportWell)
+		tr.Reported(now, health.ReportHealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisObservation})
 	now += health.HoldFirst + health.Window + tick
--- a/internal/agentd/poll.go
+++ b/internal/agentd/poll.go
@@ -60,7 +60,7 @@
 	if a == nil {
 		return
 	}
-	report := health.ReportWell
+	report := health.ReportHealthy
 	if a.HealthPath != "" {
 		report = p.askHealth(ctx, a.endpoint(a.HealthPath))
 	}
@@ -79,7 +79,7 @@
 	case err != nil:
 		return health.ReportSilent
 	case status == http.StatusOK:
-		return health.ReportWell
+		return health.ReportHealthy
 	default:
 		return health.ReportIll
 	}
