--- a/health/health.go
+++ b/health/health.go
@@ -53,7 +53,7 @@
 // Reports of the health endpoint.
 const (
 	ReportHealthy Report = iota + 1
-	ReportIll
+	ReportUnhealthy
 	// ReportSilent means that the endpoint did not answer in time.
 	ReportSilent
 )
@@ -180,7 +180,7 @@
 
 // reportVerdict decides on reports alone, where there are few observations.
 func (t *Tracker) reportVerdict(now time.Duration) Verdict {
-	bad := t.report == ReportIll || t.report == ReportSilent
+	bad := t.report == ReportUnhealthy || t.report == ReportSilent
 	if !bad || t.reportRefuted || t.reportRow < ReportsInRow {
 		return Verdict{}
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -25,7 +25,7 @@
 	tr := health.NewTracker()
 	now := time.Duration(0)
 	for range health.ReportsInRow {
-		tr.Reported(now, health.ReportIll)
+		tr.Reported(now, health.ReportUnhealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisReport})
 	for range health.MinSamples {
@@ -33,11 +33,11 @@
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Basis: health.BasisObservation})
 	now += 2 * health.Window // no observation is left, the report stays refuted
-	tr.Reported(now, health.ReportIll)
+	tr.Reported(now, health.ReportUnhealthy)
 	is.True(!tr.Verdict(now).Ill)
 	tr.Reported(now, health.ReportHealthy) // it changed, so it counts again
 	for range health.ReportsInRow {
-		tr.Reported(now, health.ReportIll)
+		tr.Reported(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(now).Ill)
 }
@@ -46,7 +46,7 @@
 	is := is.New(t)
 	tr := health.NewTracker()
 	for now := time.Duration(0); now < health.ReportTrust; now += time.Second {
-		tr.Reported(now, health.ReportIll)
+		tr.Reported(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(health.ReportTrust).Ill)
 	is.True(!tr.Verdict(health.ReportTrust + tick).Ill) // gets work again
--- a/internal/agentd/poll.go
+++ b/internal/agentd/poll.go
@@ -81,7 +81,7 @@
 	case status == http.StatusOK:
 		return health.ReportHealthy
 	default:
-		return health.ReportIll
+		return health.ReportUnhealthy
 	}
 }
 
