--- a/health/health.go
+++ b/health/health.go
@@ -54,8 +54,8 @@
 const (
 	ReportHealthy Report = iota + 1
 	ReportUnhealthy
-	// ReportSilent means that the endpoint did not answer in time.
-	ReportSilent
+	// ReportNoResponse means that the endpoint did not answer in time.
+	ReportNoResponse
 )
 
 // Basis names what a verdict rests on.
@@ -180,7 +180,7 @@
 
 // reportVerdict decides on reports alone, where there are few observations.
 func (t *Tracker) reportVerdict(now time.Duration) Verdict {
-	bad := t.report == ReportUnhealthy || t.report == ReportSilent
+	bad := t.report == ReportUnhealthy || t.report == ReportNoResponse
 	if !bad || t.reportRefuted || t.reportRow < ReportsInRow {
 		return Verdict{}
 	}
@@ -214,7 +214,7 @@
 }
 
 func (t *Tracker) stalled(now time.Duration) bool {
-	return t.inFlight > 0 && t.report == ReportSilent && t.reportRow >= ReportsInRow && now-t.lastEnd >= StallTime
+	return t.inFlight > 0 && t.report == ReportNoResponse && t.reportRow >= ReportsInRow && now-t.lastEnd >= StallTime
 }
 
 func sick(good, failed int) bool {
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -83,7 +83,7 @@
 	now := time.Duration(0)
 	for range health.MinSamples {
 		serve(tr, now, health.Answered)
-		tr.Reported(now, health.ReportSilent)
+		tr.Reported(now, health.ReportNoResponse)
 	}
 	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests are answered
 	tr.Started(now)
--- a/internal/agentd/announce_test.go
+++ b/internal/agentd/announce_test.go
@@ -154,7 +154,7 @@
 	}{
 		{"well", func(http.ResponseWriter, *http.Request) {}, `{"running":3,"slots":4}`, health.ReportHealthy, 3},
 		{"ill", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, `{"running":-3}`, health.ReportUnhealthy, -1},
-		{"frozen", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, `{`, health.ReportSilent, -1},
+		{"frozen", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, `{`, health.ReportNoResponse, -1},
 		{"no figure", func(http.ResponseWriter, *http.Request) {}, `{}`, health.ReportHealthy, -1},
 		{"absurd", func(http.ResponseWriter, *http.Request) {}, `{"running":99999999999}`, health.ReportHealthy, -1},
 	}
--- a/internal/agentd/poll.go
+++ b/internal/agentd/poll.go
@@ -77,7 +77,7 @@
 	status, _, err := p.get(ctx, url)
 	switch {
 	case err != nil:
-		return health.ReportSilent
+		return health.ReportNoResponse
 	case status == http.StatusOK:
 		return health.ReportHealthy
 	default:
