--- a/health/health.go
+++ b/health/health.go
@@ -39,8 +39,8 @@
 	Answered Result = iota + 1
 	// Refused means that no connection could be opened.
 	Refused
-	// Broken means a reset, a truncated or a crossed answer.
-	Broken
+	// Failed means a reset, a truncated or a crossed answer.
+	Failed
 	// TimedOut means that the deadline passed first.
 	TimedOut
 	// Cancelled means that the caller gave up; it says nothing.
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -58,7 +58,7 @@
 	now := time.Second
 	tr.Reported(now, health.ReportHealthy)
 	for range health.MinSamples {
-		serve(tr, now, health.Broken)
+		serve(tr, now, health.Failed)
 		tr.Reported(now, health.ReportHealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisObservation})
--- a/internal/agentd/attempt.go
+++ b/internal/agentd/attempt.go
@@ -270,9 +270,9 @@
 	case r.reason == reason.Deadline:
 		return health.TimedOut
 	case r.outcome == retry.Unknown && r.reason != reason.None:
-		return health.Broken
+		return health.Failed
 	case r.outcome == retry.Answered && r.exchange.response.StatusCode >= http.StatusInternalServerError:
-		return health.Broken
+		return health.Failed
 	case r.outcome == retry.Answered:
 		return health.Answered
 	default:
--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -208,7 +208,7 @@
 	if c.ctx.Err() != nil {
 		why = ctxReason(c.ctx, reason.Deadline, reason.CallerGone)
 	}
-	p.health.observe(health.Broken)
+	p.health.observe(health.Failed)
 	p.refuse(w, refusal{outcome: retry.Unknown, reason: why})
 }
 
@@ -223,7 +223,7 @@
 	x.abandon()
 	if errors.Is(err, errCut) && c.request.Context().Err() == nil {
 		p.counters.count(reason.AnswerTruncated)
-		p.health.observe(health.Broken)
+		p.health.observe(health.Failed)
 	}
 	p.counters.resets.Inc(1)
 	panic(http.ErrAbortHandler)
