--- a/health/health.go
+++ b/health/health.go
@@ -63,7 +63,7 @@
 
 // Bases of a verdict.
 const (
-	BasisNothing Basis = iota
+	BasisNone Basis = iota
 	BasisObservation
 	BasisReport
 	// BasisStall means that observation and a hanging endpoint agree.
