--- a/health/health.go
+++ b/health/health.go
@@ -13,9 +13,9 @@
 	// FailPercent is the share of failed requests from which the backend
 	// server is ill.
 	FailPercent = 50
-	// RefusedInRow is the number of refused connections, with no success in
+	// RefusedThreshold is the number of refused connections, with no success in
 	// between, after which the backend server is ill whatever else is known.
-	RefusedInRow = 3
+	RefusedThreshold = 3
 	// ReportsInRow is the number of equal bad reports that are believed.
 	ReportsInRow = 3
 	// ReportTrust is the longest time that reports alone hold a verdict of
@@ -200,7 +200,7 @@
 // judgeObservation starts or prolongs the hold of an observed illness.
 func (t *Tracker) judgeObservation(now time.Duration) {
 	good, failed := t.sum(now)
-	ill := t.refusedRow >= RefusedInRow || (good+failed >= MinSamples && sick(good, failed))
+	ill := t.refusedRow >= RefusedThreshold || (good+failed >= MinSamples && sick(good, failed))
 	if !ill || now < t.heldUntil {
 		return
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -69,7 +69,7 @@
 func TestRefusedConnectionsDecideSoon(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
-	for range health.RefusedInRow - 1 {
+	for range health.RefusedThreshold - 1 {
 		serve(tr, 0, health.Refused)
 	}
 	is.True(!tr.Verdict(0).Ill)
@@ -108,7 +108,7 @@
 	tr := health.NewTracker()
 	now, holds := time.Second, []time.Duration{}
 	for range 6 {
-		for range health.RefusedInRow {
+		for range health.RefusedThreshold {
 			serve(tr, now, health.Refused)
 		}
 		began := now
