--- a/health/health.go
+++ b/health/health.go
@@ -16,8 +16,8 @@
 	// RefusedThreshold is the number of refused connections, with no success in
 	// between, after which the backend server is ill whatever else is known.
 	RefusedThreshold = 3
-	// ReportsInRow is the number of equal bad reports that are believed.
-	ReportsInRow = 3
+	// ReportThreshold is the number of equal bad reports that are believed.
+	ReportThreshold = 3
 	// ReportTrust is the longest time that reports alone hold a verdict of
 	// ill; then the backend server gets work again, which shows the truth.
 	ReportTrust = 10 * time.Second
@@ -181,7 +181,7 @@
 // reportVerdict decides on reports alone, where there are few observations.
 func (t *Tracker) reportVerdict(now time.Duration) Verdict {
 	bad := t.report == ReportUnhealthy || t.report == ReportNoResponse
-	if !bad || t.reportRefuted || t.reportRow < ReportsInRow {
+	if !bad || t.reportRefuted || t.reportRow < ReportThreshold {
 		return Verdict{}
 	}
 	if now-t.reportSince > ReportTrust {
@@ -214,7 +214,7 @@
 }
 
 func (t *Tracker) stalled(now time.Duration) bool {
-	return t.inFlight > 0 && t.report == ReportNoResponse && t.reportRow >= ReportsInRow && now-t.lastEnd >= StallTime
+	return t.inFlight > 0 && t.report == ReportNoResponse && t.reportRow >= ReportThreshold && now-t.lastEnd >= StallTime
 }
 
 func sick(good, failed int) bool {
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -24,7 +24,7 @@
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Duration(0)
-	for range health.ReportsInRow {
+	for range health.ReportThreshold {
 		tr.Reported(now, health.ReportUnhealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisReport})
@@ -36,7 +36,7 @@
 	tr.Reported(now, health.ReportUnhealthy)
 	is.True(!tr.Verdict(now).Ill)
 	tr.Reported(now, health.ReportHealthy) // it changed, so it counts again
-	for range health.ReportsInRow {
+	for range health.ReportThreshold {
 		tr.Reported(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(now).Ill)
