--- a/health/health.go
+++ b/health/health.go
@@ -18,9 +18,9 @@
 	RefusedThreshold = 3
 	// ReportThreshold is the number of equal bad reports that are believed.
 	ReportThreshold = 3
-	// ReportTrust is the longest time that reports alone hold a verdict of
+	// MaxReportOnlyTime is the longest time that reports alone hold a verdict of
 	// ill; then the backend server gets work again, which shows the truth.
-	ReportTrust = 10 * time.Second
+	MaxReportOnlyTime = 10 * time.Second
 	// HoldFirst and HoldMax bound the time for which an observed illness is
 	// held; it doubles with each illness that follows soon on another.
 	HoldFirst = 2 * time.Second
@@ -184,7 +184,7 @@
 	if !bad || t.reportRefuted || t.reportRow < ReportThreshold {
 		return Verdict{}
 	}
-	if now-t.reportSince > ReportTrust {
+	if now-t.reportSince > MaxReportOnlyTime {
 		return Verdict{}
 	}
 	return Verdict{Ill: true, Basis: BasisReport}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -45,11 +45,11 @@
 func TestReportsAloneHoldOnlyForATime(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
-	for now := time.Duration(0); now < health.ReportTrust; now += time.Second {
+	for now := time.Duration(0); now < health.MaxReportOnlyTime; now += time.Second {
 		tr.Reported(now, health.ReportUnhealthy)
 	}
-	is.True(tr.Verdict(health.ReportTrust).Ill)
-	is.True(!tr.Verdict(health.ReportTrust + tick).Ill) // gets work again
+	is.True(tr.Verdict(health.MaxReportOnlyTime).Ill)
+	is.True(!tr.Verdict(health.MaxReportOnlyTime + tick).Ill) // gets work again
 }
 
 func TestObservationBeatsEndpointAlwaysWell(t *testing.T) {
