--- a/health/health.go
+++ b/health/health.go
@@ -21,10 +21,10 @@
 	// MaxReportOnlyTime is the longest time that reports alone hold a verdict of
 	// ill; then the backend server gets work again, which shows the truth.
 	MaxReportOnlyTime = 10 * time.Second
-	// HoldFirst and HoldMax bound the time for which an observed illness is
+	// InitialHoldDown and HoldMax bound the time for which an observed illness is
 	// held; it doubles with each illness that follows soon on another.
-	HoldFirst = 2 * time.Second
-	HoldMax   = 30 * time.Second
+	InitialHoldDown = 2 * time.Second
+	HoldMax         = 30 * time.Second
 	// StallTime is the time without any end of a request, while requests are
 	// in flight and the health endpoint hangs, after which the server is ill.
 	StallTime = 5 * time.Second
@@ -208,7 +208,7 @@
 	if soon {
 		t.hold = min(2*t.hold, HoldMax)
 	} else {
-		t.hold = HoldFirst
+		t.hold = InitialHoldDown
 	}
 	t.heldUntil = now + t.hold
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -62,7 +62,7 @@
 		tr.Reported(now, health.ReportHealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisObservation})
-	now += health.HoldFirst + health.Window + tick
+	now += health.InitialHoldDown + health.Window + tick
 	is.True(!tr.Verdict(now).Ill) // gets work again
 }
 
