--- a/health/health.go
+++ b/health/health.go
@@ -24,7 +24,7 @@
 	// InitialHoldDown and HoldMax bound the time for which an observed illness is
 	// held; it doubles with each illness that follows soon on another.
 	InitialHoldDown = 2 * time.Second
-	HoldMax         = 30 * time.Second
+	MaxHoldDown     = 30 * time.Second
 	// StallTime is the time without any end of a request, while requests are
 	// in flight and the health endpoint hangs, after which the server is ill.
 	StallTime = 5 * time.Second
@@ -206,7 +206,7 @@
 	}
 	soon := t.hold > 0 && now-t.heldUntil < Window
 	if soon {
-		t.hold = min(2*t.hold, HoldMax)
+		t.hold = min(2*t.hold, MaxHoldDown)
 	} else {
 		t.hold = InitialHoldDown
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -114,7 +114,7 @@
 		began := now
 		for tr.Verdict(now).Ill && now-began < time.Minute {
 			now += tick
-			if tr.Verdict(now).Basis == health.BasisObservation && now-began > health.HoldMax+health.Window {
+			if tr.Verdict(now).Basis == health.BasisObservation && now-began > health.MaxHoldDown+health.Window {
 				break
 			}
 		}
@@ -123,7 +123,7 @@
 	for i := 1; i < len(holds); i++ {
 		is.True(holds[i] >= holds[i-1]) // never shorter while it returns
 	}
-	is.True(holds[len(holds)-1] <= health.HoldMax+health.Window+tick)
+	is.True(holds[len(holds)-1] <= health.MaxHoldDown+health.Window+tick)
 }
 
 func TestFewFailuresNeverMakeIll(t *testing.T) {
