--- a/health/health.go
+++ b/health/health.go
@@ -10,9 +10,9 @@
 	// MinSamples is the number of ended requests from which observation
 	// alone decides.
 	MinSamples = 5
-	// FailPercent is the share of failed requests from which the backend
+	// FailurePercent is the share of failed requests from which the backend
 	// server is ill.
-	FailPercent = 50
+	FailurePercent = 50
 	// RefusedThreshold is the number of refused connections, with no success in
 	// between, after which the backend server is ill whatever else is known.
 	RefusedThreshold = 3
@@ -218,7 +218,7 @@
 }
 
 func sick(good, failed int) bool {
-	return failed*100 >= (good+failed)*FailPercent
+	return failed*100 >= (good+failed)*FailurePercent
 }
 
 func epochOf(now time.Duration) int64 {
