--- a/health/health.go
+++ b/health/health.go
@@ -25,9 +25,9 @@
 	// held; it doubles with each illness that follows soon on another.
 	InitialHoldDown = 2 * time.Second
 	MaxHoldDown     = 30 * time.Second
-	// StallTime is the time without any end of a request, while requests are
+	// StallTimeout is the time without any end of a request, while requests are
 	// in flight and the health endpoint hangs, after which the server is ill.
-	StallTime = 5 * time.Second
+	StallTimeout = 5 * time.Second
 )
 
 // Result is how one request at the backend server ended.
@@ -214,7 +214,7 @@
 }
 
 func (t *Tracker) stalled(now time.Duration) bool {
-	return t.inFlight > 0 && t.report == ReportNoResponse && t.reportRow >= ReportThreshold && now-t.lastEnd >= StallTime
+	return t.inFlight > 0 && t.report == ReportNoResponse && t.reportRow >= ReportThreshold && now-t.lastEnd >= StallTimeout
 }
 
 func sick(good, failed int) bool {
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -87,7 +87,7 @@
 	}
 	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests are answered
 	tr.Started(now)
-	now += health.StallTime
+	now += health.StallTimeout
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisStall}) // both hang
 	tr.Ended(now, health.Answered)
 	is.True(!tr.Verdict(now).Ill)
