--- a/health/health.go
+++ b/health/health.go
@@ -117,8 +117,8 @@
 	return &Tracker{}
 }
 
-// Started records that a request was handed to the backend server.
-func (t *Tracker) Started(now time.Duration) {
+// RequestStarted records that a request was handed to the backend server.
+func (t *Tracker) RequestStarted(now time.Duration) {
 	if t.inFlight == 0 {
 		t.lastEnd = now
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -16,7 +16,7 @@
 
 // serve lets one request end in the given way.
 func serve(t *health.Tracker, now time.Duration, r health.Result) {
-	t.Started(now)
+	t.RequestStarted(now)
 	t.Ended(now, r)
 }
 
@@ -86,7 +86,7 @@
 		tr.Reported(now, health.ReportNoResponse)
 	}
 	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests are answered
-	tr.Started(now)
+	tr.RequestStarted(now)
 	now += health.StallTimeout
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisStall}) // both hang
 	tr.Ended(now, health.Answered)
--- a/internal/agentd/healthstate.go
+++ b/internal/agentd/healthstate.go
@@ -22,7 +22,7 @@
 func (h *healthState) started() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Started(h.clock.now())
+	h.tracker.RequestStarted(h.clock.now())
 }
 
 func (h *healthState) ended(result health.Result) {
@@ -36,7 +36,7 @@
 func (h *healthState) observe(result health.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Started(h.clock.now())
+	h.tracker.RequestStarted(h.clock.now())
 	h.tracker.Ended(h.clock.now(), result)
 }
 
