--- a/health/health.go
+++ b/health/health.go
@@ -125,8 +125,8 @@
 	t.inFlight++
 }
 
-// Ended records how a request ended.
-func (t *Tracker) Ended(now time.Duration, result Result) {
+// RequestEnded records how a request ended.
+func (t *Tracker) RequestEnded(now time.Duration, result Result) {
 	t.inFlight = max(t.inFlight-1, 0)
 	if result == Cancelled {
 		return
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -17,7 +17,7 @@
 // serve lets one request end in the given way.
 func serve(t *health.Tracker, now time.Duration, r health.Result) {
 	t.RequestStarted(now)
-	t.Ended(now, r)
+	t.RequestEnded(now, r)
 }
 
 func TestObservationBeatsEndpointAlwaysIll(t *testing.T) {
@@ -89,7 +89,7 @@
 	tr.RequestStarted(now)
 	now += health.StallTimeout
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisStall}) // both hang
-	tr.Ended(now, health.Answered)
+	tr.RequestEnded(now, health.Answered)
 	is.True(!tr.Verdict(now).Ill)
 }
 
--- a/internal/agentd/healthstate.go
+++ b/internal/agentd/healthstate.go
@@ -28,7 +28,7 @@
 func (h *healthState) ended(result health.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Ended(h.clock.now(), result)
+	h.tracker.RequestEnded(h.clock.now(), result)
 }
 
 // observe records a result apart from the start of a request, for an answer
@@ -37,7 +37,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tracker.RequestStarted(h.clock.now())
-	h.tracker.Ended(h.clock.now(), result)
+	h.tracker.RequestEnded(h.clock.now(), result)
 }
 
 // report records a poll of both endpoints. running is negative when the load
