--- a/health/health.go
+++ b/health/health.go
@@ -145,8 +145,8 @@
 	t.judgeObservation(now)
 }
 
-// Reported records a poll of the health endpoint.
-func (t *Tracker) Reported(now time.Duration, report Report) {
+// ReportReceived records a poll of the health endpoint.
+func (t *Tracker) ReportReceived(now time.Duration, report Report) {
 	if report == t.report {
 		t.reportRow++
 		return
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -25,7 +25,7 @@
 	tr := health.NewTracker()
 	now := time.Duration(0)
 	for range health.ReportThreshold {
-		tr.Reported(now, health.ReportUnhealthy)
+		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisReport})
 	for range health.MinSamples {
@@ -33,11 +33,11 @@
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Basis: health.BasisObservation})
 	now += 2 * health.Window // no observation is left, the report stays refuted
-	tr.Reported(now, health.ReportUnhealthy)
+	tr.ReportReceived(now, health.ReportUnhealthy)
 	is.True(!tr.Verdict(now).Ill)
-	tr.Reported(now, health.ReportHealthy) // it changed, so it counts again
+	tr.ReportReceived(now, health.ReportHealthy) // it changed, so it counts again
 	for range health.ReportThreshold {
-		tr.Reported(now, health.ReportUnhealthy)
+		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(now).Ill)
 }
@@ -46,7 +46,7 @@
 	is := is.New(t)
 	tr := health.NewTracker()
 	for now := time.Duration(0); now < health.MaxReportOnlyTime; now += time.Second {
-		tr.Reported(now, health.ReportUnhealthy)
+		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(health.MaxReportOnlyTime).Ill)
 	is.True(!tr.Verdict(health.MaxReportOnlyTime + tick).Ill) // gets work again
@@ -56,10 +56,10 @@
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Second
-	tr.Reported(now, health.ReportHealthy)
+	tr.ReportReceived(now, health.ReportHealthy)
 	for range health.MinSamples {
 		serve(tr, now, health.Failed)
-		tr.Reported(now, health.ReportHealthy)
+		tr.ReportReceived(now, health.ReportHealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisObservation})
 	now += health.InitialHoldDown + health.Window + tick
@@ -83,7 +83,7 @@
 	now := time.Duration(0)
 	for range health.MinSamples {
 		serve(tr, now, health.Answered)
-		tr.Reported(now, health.ReportNoResponse)
+		tr.ReportReceived(now, health.ReportNoResponse)
 	}
 	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests are answered
 	tr.RequestStarted(now)
@@ -132,7 +132,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "rounds") {
 			now += time.Duration(rapid.Int64Range(0, 300).Draw(t, "ms")) * time.Millisecond
-			tr.Reported(now, health.Report(rapid.IntRange(1, 3).Draw(t, "report")))
+			tr.ReportReceived(now, health.Report(rapid.IntRange(1, 3).Draw(t, "report")))
 			serve(tr, now, health.Answered)
 			serve(tr, now, health.Answered)
 			serve(tr, now, health.Answered)
--- a/internal/agentd/healthstate.go
+++ b/internal/agentd/healthstate.go
@@ -45,7 +45,7 @@
 func (h *healthState) report(report health.Report, running int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Reported(h.clock.now(), report)
+	h.tracker.ReportReceived(h.clock.now(), report)
 	h.reported = running
 }
 
