--- a/health/meter.go
+++ b/health/meter.go
@@ -10,17 +10,17 @@
 // that a target has; over seconds it does.
 const MeterTime = 4 * time.Second
 
-// Meter averages the requests of a target.
-type Meter struct {
+// EWMA averages the requests of a target.
+type EWMA struct {
 	requests float64
 }
 
 // Observe records the mean number of requests that ran or waited over the
 // last while.
-func (m *Meter) Observe(requests float64, over time.Duration) {
+func (m *EWMA) Observe(requests float64, over time.Duration) {
 	share := 1 - math.Exp(-float64(over)/float64(MeterTime))
 	m.requests += share * (requests - m.requests)
 }
 
 // Requests returns the average.
-func (m *Meter) Requests() float64 { return m.requests }
+func (m *EWMA) Requests() float64 { return m.requests }
--- a/health/meter_test.go
+++ b/health/meter_test.go
@@ -23,7 +23,7 @@
 		{"long", []time.Duration{100 * health.MeterTime}, 4},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var m health.Meter
+			var m health.EWMA
 			for _, over := range tt.over {
 				m.Observe(4, over)
 			}
--- a/internal/agentd/daemon.go
+++ b/internal/agentd/daemon.go
@@ -57,7 +57,7 @@
 	announcer announcer
 	directory directory
 	status    subscriber.Status
-	meter     health.Meter
+	meter     health.EWMA
 	lastGate  gateFigures
 	started   time.Duration
 	moving    moving
