--- a/health/meter.go
+++ b/health/meter.go
@@ -22,5 +22,5 @@
 	m.requests += share * (requests - m.requests)
 }
 
-// Requests returns the average.
-func (m *EWMA) Requests() float64 { return m.requests }
+// Value returns the average.
+func (m *EWMA) Value() float64 { return m.requests }
--- a/health/meter_test.go
+++ b/health/meter_test.go
@@ -27,7 +27,7 @@
 			for _, over := range tt.over {
 				m.Observe(4, over)
 			}
-			is.New(t).True(math.Abs(m.Requests()-tt.want) < 1e-9)
+			is.New(t).True(math.Abs(m.Value()-tt.want) < 1e-9)
 		})
 	}
 }
--- a/internal/agentd/housekeeping.go
+++ b/internal/agentd/housekeeping.go
@@ -62,7 +62,7 @@
 	requests, over := gate.since(d.lastGate)
 	d.lastGate = gate
 	d.meter.Observe(requests, over)
-	return d.meter.Requests()
+	return d.meter.Value()
 }
 
 func (d *Daemon) logChange(old, now targetState, verdict health.Verdict) {
