--- a/health/meter.go
+++ b/health/meter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// MeterTime is the time over which a Meter averages. A request takes tens of
+// EWMATimeConstant is the time over which a Meter averages. A request takes tens of
 // milliseconds, so the number that runs at a moment says little about the work
 // that a target has; over seconds it does.
-const MeterTime = 4 * time.Second
+const EWMATimeConstant = 4 * time.Second
 
 // EWMA averages the requests of a target.
 type EWMA struct {
@@ -18,7 +18,7 @@
 // Observe records the mean number of requests that ran or waited over the
 // last while.
 func (m *EWMA) Observe(requests float64, over time.Duration) {
-	share := 1 - math.Exp(-float64(over)/float64(MeterTime))
+	share := 1 - math.Exp(-float64(over)/float64(EWMATimeConstant))
 	m.requests += share * (requests - m.requests)
 }
 
--- a/health/meter_test.go
+++ b/health/meter_test.go
@@ -18,9 +18,9 @@
 	}{
 		{"nothing observed", nil, 0},
 		{"no time", []time.Duration{0}, 0},
-		{"one time constant at once", []time.Duration{health.MeterTime}, 4 * (1 - 1/math.E)},
-		{"in steps", []time.Duration{health.MeterTime / 2, health.MeterTime / 4, health.MeterTime / 4}, 4 * (1 - 1/math.E)},
-		{"long", []time.Duration{100 * health.MeterTime}, 4},
+		{"one time constant at once", []time.Duration{health.EWMATimeConstant}, 4 * (1 - 1/math.E)},
+		{"in steps", []time.Duration{health.EWMATimeConstant / 2, health.EWMATimeConstant / 4, health.EWMATimeConstant / 4}, 4 * (1 - 1/math.E)},
+		{"long", []time.Duration{100 * health.EWMATimeConstant}, 4},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var m health.EWMA
