--- a/health/uptime.go
+++ b/health/uptime.go
@@ -12,9 +12,9 @@
 // itself; a claim to be older counts only where the agent could not have seen
 // the start, which is before it listened and for one lease after.
 type Uptime struct {
-	// Listening is since when announcements are taken, Lease the time within
+	// ListeningSince is since when announcements are taken, Lease the time within
 	// which a living server announces itself.
-	Listening, Lease time.Duration
+	ListeningSince, Lease time.Duration
 
 	known   bool
 	address string
@@ -26,7 +26,7 @@
 // server does not tell its age.
 func (u *Uptime) Announced(now time.Duration, address string, age time.Duration) {
 	switch {
-	case !u.known && now-u.Listening <= u.Lease:
+	case !u.known && now-u.ListeningSince <= u.Lease:
 		u.since = now - max(age, 0)
 	case !u.known || address != u.address || now-u.heard > u.Lease:
 		u.since = now
--- a/health/uptime_test.go
+++ b/health/uptime_test.go
@@ -36,7 +36,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			u := health.Uptime{Listening: listening, Lease: uptimeLease}
+			u := health.Uptime{ListeningSince: listening, Lease: uptimeLease}
 			for _, s := range c.said {
 				u.Announced(s.at, s.address, s.age)
 			}
--- a/internal/agentd/backend.go
+++ b/internal/agentd/backend.go
@@ -20,7 +20,7 @@
 func (b *backendRecord) listen(now, lease time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.uptime = health.Uptime{Listening: now, Lease: lease}
+	b.uptime = health.Uptime{ListeningSince: now, Lease: lease}
 }
 
 // renew records an announcement. It refuses one for another target than the
