--- a/health/uptime.go
+++ b/health/uptime.go
@@ -22,9 +22,9 @@
 	since   time.Duration
 }
 
-// Announced records an announcement from an address. age is negative if the
+// RecordAnnouncement records an announcement from an address. age is negative if the
 // server does not tell its age.
-func (u *Uptime) Announced(now time.Duration, address string, age time.Duration) {
+func (u *Uptime) RecordAnnouncement(now time.Duration, address string, age time.Duration) {
 	switch {
 	case !u.known && now-u.ListeningSince <= u.Lease:
 		u.since = now - max(age, 0)
--- a/health/uptime_test.go
+++ b/health/uptime_test.go
@@ -38,7 +38,7 @@
 			is := is.New(t)
 			u := health.Uptime{ListeningSince: listening, Lease: uptimeLease}
 			for _, s := range c.said {
-				u.Announced(s.at, s.address, s.age)
+				u.RecordAnnouncement(s.at, s.address, s.age)
 			}
 			is.Equal(u.Since(), c.since)
 			is.True(!u.Lapsed(c.said[len(c.said)-1].at))
@@ -60,7 +60,7 @@
 				seen = now
 			}
 			address, heard = next, now
-			u.Announced(now, next, time.Duration(rapid.Int64Range(-1, int64(24*time.Hour)).Draw(t, "claim")))
+			u.RecordAnnouncement(now, next, time.Duration(rapid.Int64Range(-1, int64(24*time.Hour)).Draw(t, "claim")))
 			if u.Since() > now {
 				t.Fatalf("up since %v at %v", u.Since(), now)
 			}
--- a/internal/agentd/backend.go
+++ b/internal/agentd/backend.go
@@ -35,7 +35,7 @@
 	if b.current != nil && a.State == backendDraining && a.URL != b.current.URL {
 		return nil
 	}
-	b.uptime.Announced(now, a.URL, a.age())
+	b.uptime.RecordAnnouncement(now, a.URL, a.age())
 	b.current = a
 	return nil
 }
