--- a/health/uptime.go
+++ b/health/uptime.go
@@ -38,9 +38,9 @@
 	u.heard = now
 }
 
-// Since returns the time of the cold start, on the clock of Announced. It is
+// StartTime returns the time of the cold start, on the clock of Announced. It is
 // negative for a server that was up before that clock began.
-func (u *Uptime) Since() time.Duration { return u.since }
+func (u *Uptime) StartTime() time.Duration { return u.since }
 
 // Lapsed reports whether no announcement came within the lease.
 func (u *Uptime) Lapsed(now time.Duration) bool {
--- a/health/uptime_test.go
+++ b/health/uptime_test.go
@@ -40,7 +40,7 @@
 			for _, s := range c.said {
 				u.RecordAnnouncement(s.at, s.address, s.age)
 			}
-			is.Equal(u.Since(), c.since)
+			is.Equal(u.StartTime(), c.since)
 			is.True(!u.Lapsed(c.said[len(c.said)-1].at))
 		})
 	}
@@ -61,11 +61,11 @@
 			}
 			address, heard = next, now
 			u.RecordAnnouncement(now, next, time.Duration(rapid.Int64Range(-1, int64(24*time.Hour)).Draw(t, "claim")))
-			if u.Since() > now {
-				t.Fatalf("up since %v at %v", u.Since(), now)
+			if u.StartTime() > now {
+				t.Fatalf("up since %v at %v", u.StartTime(), now)
 			}
-			if seen >= 0 && u.Since() < seen {
-				t.Fatalf("seen to come at %v, taken to be up since %v", seen, u.Since())
+			if seen >= 0 && u.StartTime() < seen {
+				t.Fatalf("seen to come at %v, taken to be up since %v", seen, u.StartTime())
 			}
 		}
 	})
--- a/internal/agentd/backend.go
+++ b/internal/agentd/backend.go
@@ -75,6 +75,6 @@
 		draining: b.current.State == backendDraining,
 		lapsed:   b.uptime.Lapsed(now),
 		slots:    b.current.Slots,
-		since:    b.uptime.Since(),
+		since:    b.uptime.StartTime(),
 	}
 }
