--- a/health/uptime.go
+++ b/health/uptime.go
@@ -42,7 +42,7 @@
 // negative for a server that was up before that clock began.
 func (u *Uptime) StartTime() time.Duration { return u.since }
 
-// Lapsed reports whether no announcement came within the lease.
-func (u *Uptime) Lapsed(now time.Duration) bool {
+// Expired reports whether no announcement came within the lease.
+func (u *Uptime) Expired(now time.Duration) bool {
 	return !u.known || now-u.heard > u.Lease
 }
--- a/health/uptime_test.go
+++ b/health/uptime_test.go
@@ -41,7 +41,7 @@
 				u.RecordAnnouncement(s.at, s.address, s.age)
 			}
 			is.Equal(u.StartTime(), c.since)
-			is.True(!u.Lapsed(c.said[len(c.said)-1].at))
+			is.True(!u.Expired(c.said[len(c.said)-1].at))
 		})
 	}
 }
--- a/internal/agentd/backend.go
+++ b/internal/agentd/backend.go
@@ -73,7 +73,7 @@
 	}
 	return backendFigures{
 		draining: b.current.State == backendDraining,
-		lapsed:   b.uptime.Lapsed(now),
+		lapsed:   b.uptime.Expired(now),
 		slots:    b.current.Slots,
 		since:    b.uptime.StartTime(),
 	}
