--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -255,7 +255,7 @@
 func (p *proxy) earn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.Request()
+	p.budget.Deposit()
 }
 
 func (p *proxy) decide(n int, c *call, res result) retry.Decision {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -38,8 +38,8 @@
 	b.percent = percent
 }
 
-// Request records a first attempt, which earns a share of a retry.
-func (b *Budget) Request() {
+// Deposit records a first attempt, which earns a share of a retry.
+func (b *Budget) Deposit() {
 	b.points = min(b.points+uint64(b.percent), b.limit)
 }
 
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -63,7 +63,7 @@
 		requests, retries := uint64(0), uint64(0)
 		for _, isRequest := range steps {
 			if isRequest {
-				b.Request()
+				b.Deposit()
 				requests++
 				continue
 			}
