--- a/retry/retry.go
+++ b/retry/retry.go
@@ -43,8 +43,8 @@
 	b.points = min(b.points+uint64(b.percent), b.limit)
 }
 
-// Take spends one retry and reports whether the budget allowed it.
-func (b *Budget) Take() bool {
+// TryWithdraw spends one retry and reports whether the budget allowed it.
+func (b *Budget) TryWithdraw() bool {
 	if b.percent == 0 || b.points < hundred {
 		return false
 	}
@@ -88,7 +88,7 @@
 	if remaining-wait < p.Margin {
 		return Decision{Reason: reason.RetryDeadline}
 	}
-	if !budget.Take() {
+	if !budget.TryWithdraw() {
 		return Decision{Reason: reason.RetryBudget}
 	}
 	why := reason.RetryConnect
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -67,7 +67,7 @@
 				requests++
 				continue
 			}
-			if b.Take() {
+			if b.TryWithdraw() {
 				retries++
 			}
 		}
