--- a/internal/agentd/grantline.go
+++ b/internal/agentd/grantline.go
@@ -28,7 +28,7 @@
 	log   *zap.Logger
 
 	mu       sync.Mutex
-	breaker  retry.Breaker
+	breaker  retry.CircuitBreaker
 	unlinked bool
 	// checked is the time of the last check.
 	checked time.Duration
@@ -39,7 +39,7 @@
 func newGrantLine(c clock, t timing, log *zap.Logger) *grantLine {
 	return &grantLine{
 		clock: c, log: log, checked: c.now(),
-		breaker: retry.Breaker{After: t.grantWait, Every: t.grantProbe},
+		breaker: retry.CircuitBreaker{After: t.grantWait, Every: t.grantProbe},
 	}
 }
 
--- a/retry/breaker.go
+++ b/retry/breaker.go
@@ -16,11 +16,11 @@
 	Full
 )
 
-// Breaker tells calls that nobody answers to give up at once (a circuit
+// CircuitBreaker tells calls that nobody answers to give up at once (a circuit
 // breaker). It opens once calls have failed for a while without an answer in
 // between, asks for a call as a probe from time to time, and closes with the
 // first answer. It is not safe for use by several goroutines at once.
-type Breaker struct {
+type CircuitBreaker struct {
 	// After is the time for which calls have to fail before it opens. It spans
 	// what the far side needs to recover by itself, such as an election.
 	After time.Duration
@@ -35,7 +35,7 @@
 
 // Failed records that a call got no answer between two times. Failures that lie
 // further apart than After say nothing of the time between them and start anew.
-func (b *Breaker) Failed(began, now time.Duration) {
+func (b *CircuitBreaker) Failed(began, now time.Duration) {
 	if !b.failing || began-b.last > b.After {
 		b.since = began
 		b.probed = began
@@ -45,22 +45,22 @@
 }
 
 // Answered records that a call got an answer, whatever it says.
-func (b *Breaker) Answered() {
+func (b *CircuitBreaker) Answered() {
 	b.failing = false
 }
 
 // Changed makes a probe due at once: the far side may be another one now.
-func (b *Breaker) Changed(now time.Duration) {
+func (b *CircuitBreaker) Changed(now time.Duration) {
 	b.probed = min(b.probed, now-b.Every)
 }
 
 // Open reports whether the far side is known to be away.
-func (b *Breaker) Open() bool {
+func (b *CircuitBreaker) Open() bool {
 	return b.failing && b.last-b.since >= b.After
 }
 
 // Allow decides on a call. A probe is due once in Every.
-func (b *Breaker) Allow(now time.Duration) Permit {
+func (b *CircuitBreaker) Allow(now time.Duration) Permit {
 	if !b.Open() {
 		return Full
 	}
--- a/retry/breaker_test.go
+++ b/retry/breaker_test.go
@@ -15,8 +15,8 @@
 	breakerEvery = 500 * time.Millisecond
 )
 
-func newBreaker() *retry.Breaker {
-	return &retry.Breaker{After: breakerAfter, Every: breakerEvery}
+func newBreaker() *retry.CircuitBreaker {
+	return &retry.CircuitBreaker{After: breakerAfter, Every: breakerEvery}
 }
 
 func TestBreakerOpensAndCloses(t *testing.T) {
