--- a/internal/agentd/grantline.go
+++ b/internal/agentd/grantline.go
@@ -64,7 +64,7 @@
 	if answered {
 		l.breaker.Answered()
 	} else {
-		l.breaker.Failed(began, l.clock.now())
+		l.breaker.RecordFailure(began, l.clock.now())
 	}
 	l.logChange()
 }
@@ -77,7 +77,7 @@
 	now := l.clock.now()
 	switch {
 	case !linked:
-		l.breaker.Failed(l.checked, now)
+		l.breaker.RecordFailure(l.checked, now)
 	case l.unlinked:
 		l.breaker.Changed(now)
 	}
--- a/retry/breaker.go
+++ b/retry/breaker.go
@@ -33,9 +33,9 @@
 	probed      time.Duration
 }
 
-// Failed records that a call got no answer between two times. Failures that lie
+// RecordFailure records that a call got no answer between two times. Failures that lie
 // further apart than After say nothing of the time between them and start anew.
-func (b *CircuitBreaker) Failed(began, now time.Duration) {
+func (b *CircuitBreaker) RecordFailure(began, now time.Duration) {
 	if !b.failing || began-b.last > b.After {
 		b.since = began
 		b.probed = began
--- a/retry/breaker_test.go
+++ b/retry/breaker_test.go
@@ -24,10 +24,10 @@
 	b := newBreaker()
 	is.Equal(b.Allow(0), retry.Full)
 	for at := time.Duration(0); at < breakerAfter; at += breakerEvery {
-		b.Failed(at, at)
+		b.RecordFailure(at, at)
 		is.Equal(b.Allow(at), retry.Full) // an election takes as long
 	}
-	b.Failed(breakerAfter, breakerAfter)
+	b.RecordFailure(breakerAfter, breakerAfter)
 	is.True(b.Open())
 	is.Equal(b.Allow(breakerAfter), retry.Probe)
 	is.Equal(b.Allow(breakerAfter+1), retry.Refuse)
@@ -43,10 +43,10 @@
 func TestBreakerTakesFailuresInARow(t *testing.T) {
 	is := is.New(t)
 	b := newBreaker()
-	b.Failed(0, 0)
-	b.Failed(time.Hour, time.Hour)
+	b.RecordFailure(0, 0)
+	b.RecordFailure(time.Hour, time.Hour)
 	is.True(!b.Open())
-	b.Failed(time.Hour, time.Hour+breakerAfter) // one call that hung
+	b.RecordFailure(time.Hour, time.Hour+breakerAfter) // one call that hung
 	is.True(b.Open())
 }
 
@@ -65,7 +65,7 @@
 				answered, failed = now, -1
 			case 1:
 				began := max(now-time.Duration(rapid.Int64Range(0, int64(breakerEvery)).Draw(t, "lasted")), answered, 0)
-				b.Failed(began, now)
+				b.RecordFailure(began, now)
 				if failed < 0 {
 					failed = began
 				}
