--- a/internal/agentd/grantline.go
+++ b/internal/agentd/grantline.go
@@ -62,7 +62,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if answered {
-		l.breaker.Answered()
+		l.breaker.RecordSuccess()
 	} else {
 		l.breaker.RecordFailure(began, l.clock.now())
 	}
--- a/retry/breaker.go
+++ b/retry/breaker.go
@@ -44,8 +44,8 @@
 	b.last = max(b.last, now)
 }
 
-// Answered records that a call got an answer, whatever it says.
-func (b *CircuitBreaker) Answered() {
+// RecordSuccess records that a call got an answer, whatever it says.
+func (b *CircuitBreaker) RecordSuccess() {
 	b.failing = false
 }
 
--- a/retry/breaker_test.go
+++ b/retry/breaker_test.go
@@ -35,7 +35,7 @@
 	is.Equal(b.Allow(breakerAfter+breakerEvery), retry.Refuse)
 	b.Changed(breakerAfter + breakerEvery)
 	is.Equal(b.Allow(breakerAfter+breakerEvery), retry.Probe)
-	b.Answered()
+	b.RecordSuccess()
 	is.Equal(b.Allow(breakerAfter+breakerEvery), retry.Full)
 }
 
@@ -61,7 +61,7 @@
 			now += time.Duration(rapid.Int64Range(0, int64(breakerAfter)).Draw(t, "pause"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				b.Answered()
+				b.RecordSuccess()
 				answered, failed = now, -1
 			case 1:
 				began := max(now-time.Duration(rapid.Int64Range(0, int64(breakerEvery)).Draw(t, "lasted")), answered, 0)
