--- a/internal/agentd/grantline.go
+++ b/internal/agentd/grantline.go
@@ -79,7 +79,7 @@
 	case !linked:
 		l.breaker.RecordFailure(l.checked, now)
 	case l.unlinked:
-		l.breaker.Changed(now)
+		l.breaker.ProbeNow(now)
 	}
 	l.unlinked = !linked
 	l.checked = now
--- a/retry/breaker.go
+++ b/retry/breaker.go
@@ -49,8 +49,8 @@
 	b.failing = false
 }
 
-// Changed makes a probe due at once: the far side may be another one now.
-func (b *CircuitBreaker) Changed(now time.Duration) {
+// ProbeNow makes a probe due at once: the far side may be another one now.
+func (b *CircuitBreaker) ProbeNow(now time.Duration) {
 	b.probed = min(b.probed, now-b.Every)
 }
 
--- a/retry/breaker_test.go
+++ b/retry/breaker_test.go
@@ -33,7 +33,7 @@
 	is.Equal(b.Allow(breakerAfter+1), retry.Refuse)
 	is.Equal(b.Allow(breakerAfter+breakerEvery), retry.Probe)
 	is.Equal(b.Allow(breakerAfter+breakerEvery), retry.Refuse)
-	b.Changed(breakerAfter + breakerEvery)
+	b.ProbeNow(breakerAfter + breakerEvery)
 	is.Equal(b.Allow(breakerAfter+breakerEvery), retry.Probe)
 	b.RecordSuccess()
 	is.Equal(b.Allow(breakerAfter+breakerEvery), retry.Full)
