--- a/retry/breaker.go
+++ b/retry/breaker.go
@@ -21,9 +21,9 @@
 // between, asks for a call as a probe from time to time, and closes with the
 // first answer. It is not safe for use by several goroutines at once.
 type CircuitBreaker struct {
-	// After is the time for which calls have to fail before it opens. It spans
+	// OpenAfter is the time for which calls have to fail before it opens. It spans
 	// what the far side needs to recover by itself, such as an election.
-	After time.Duration
+	OpenAfter time.Duration
 	// Every is the least time between two probes.
 	Every time.Duration
 
@@ -36,7 +36,7 @@
 // RecordFailure records that a call got no answer between two times. Failures that lie
 // further apart than After say nothing of the time between them and start anew.
 func (b *CircuitBreaker) RecordFailure(began, now time.Duration) {
-	if !b.failing || began-b.last > b.After {
+	if !b.failing || began-b.last > b.OpenAfter {
 		b.since = began
 		b.probed = began
 	}
@@ -56,7 +56,7 @@
 
 // Open reports whether the far side is known to be away.
 func (b *CircuitBreaker) Open() bool {
-	return b.failing && b.last-b.since >= b.After
+	return b.failing && b.last-b.since >= b.OpenAfter
 }
 
 // Allow decides on a call. A probe is due once in Every.
