--- a/internal/agentd/grantline.go
+++ b/internal/agentd/grantline.go
@@ -39,7 +39,7 @@
 func newGrantLine(c clock, t timing, log *zap.Logger) *grantLine {
 	return &grantLine{
 		clock: c, log: log, checked: c.now(),
-		breaker: retry.CircuitBreaker{OpenAfter: t.grantWait, Every: t.grantProbe},
+		breaker: retry.CircuitBreaker{OpenAfter: t.grantWait, ProbeInterval: t.grantProbe},
 	}
 }
 
--- a/retry/breaker.go
+++ b/retry/breaker.go
@@ -24,8 +24,8 @@
 	// OpenAfter is the time for which calls have to fail before it opens. It spans
 	// what the far side needs to recover by itself, such as an election.
 	OpenAfter time.Duration
-	// Every is the least time between two probes.
-	Every time.Duration
+	// ProbeInterval is the least time between two probes.
+	ProbeInterval time.Duration
 
 	failing bool
 	// since and last are the first and the last failure in a row.
@@ -51,7 +51,7 @@
 
 // ProbeNow makes a probe due at once: the far side may be another one now.
 func (b *CircuitBreaker) ProbeNow(now time.Duration) {
-	b.probed = min(b.probed, now-b.Every)
+	b.probed = min(b.probed, now-b.ProbeInterval)
 }
 
 // Open reports whether the far side is known to be away.
@@ -64,7 +64,7 @@
 	if !b.Open() {
 		return Full
 	}
-	if now-b.probed < b.Every {
+	if now-b.probed < b.ProbeInterval {
 		return Refuse
 	}
 	b.probed = now
--- a/retry/breaker_test.go
+++ b/retry/breaker_test.go
@@ -16,7 +16,7 @@
 )
 
 func newBreaker() *retry.CircuitBreaker {
-	return &retry.CircuitBreaker{OpenAfter: breakerAfter, Every: breakerEvery}
+	return &retry.CircuitBreaker{OpenAfter: breakerAfter, ProbeInterval: breakerEvery}
 }
 
 func TestBreakerOpensAndCloses(t *testing.T) {
