--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -22,10 +22,10 @@
 
 // retryPolicy bounds the attempts at the backend server of this host.
 var retryPolicy = retry.Policy{
-	Attempts: 3,
-	Base:     20 * time.Millisecond,
-	Max:      200 * time.Millisecond,
-	Margin:   5 * time.Millisecond,
+	MaxAttempts: 3,
+	Base:        20 * time.Millisecond,
+	Max:         200 * time.Millisecond,
+	Margin:      5 * time.Millisecond,
 }
 
 // backendView is what the proxy has to know of the backend server.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -54,8 +54,8 @@
 
 // Policy bounds the attempts of one request.
 type Policy struct {
-	// Attempts is the largest number of attempts, the first one included.
-	Attempts int
+	// MaxAttempts is the largest number of attempts, the first one included.
+	MaxAttempts int
 	// Base is the mean wait before the second attempt.
 	Base time.Duration
 	// Max is the longest wait before any attempt.
@@ -81,7 +81,7 @@
 	if outcome != NotRun {
 		return Decision{Reason: failed}
 	}
-	if n >= p.Attempts {
+	if n >= p.MaxAttempts {
 		return Decision{Reason: reason.RetryAttempts}
 	}
 	wait := p.Backoff(n, rnd)
