--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -23,7 +23,7 @@
 // retryPolicy bounds the attempts at the backend server of this host.
 var retryPolicy = retry.Policy{
 	MaxAttempts: 3,
-	Base:        20 * time.Millisecond,
+	BaseBackoff: 20 * time.Millisecond,
 	Max:         200 * time.Millisecond,
 	Margin:      5 * time.Millisecond,
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -56,8 +56,8 @@
 type Policy struct {
 	// MaxAttempts is the largest number of attempts, the first one included.
 	MaxAttempts int
-	// Base is the mean wait before the second attempt.
-	Base time.Duration
+	// BaseBackoff is the mean wait before the second attempt.
+	BaseBackoff time.Duration
 	// Max is the longest wait before any attempt.
 	Max time.Duration
 	// Margin is the time that must remain to the deadline after the wait.
@@ -104,7 +104,7 @@
 // come back together.
 func (p Policy) Backoff(n int, rnd *rand.Rand) time.Duration {
 	shift := min(max(n-1, 0), maxBackoffShift)
-	mean := p.Base << shift
+	mean := p.BaseBackoff << shift
 	if mean <= 0 || mean > p.Max {
 		mean = p.Max
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -82,7 +82,7 @@
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		p := retry.Policy{
 			MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"),
-			Base:        time.Duration(rapid.Int64Range(1, 1000).Draw(t, "base")) * time.Millisecond,
+			BaseBackoff: time.Duration(rapid.Int64Range(1, 1000).Draw(t, "base")) * time.Millisecond,
 			Max:         time.Duration(rapid.Int64Range(1, 5000).Draw(t, "max")) * time.Millisecond,
 			Margin:      time.Millisecond,
 		}
@@ -102,7 +102,7 @@
 func TestDecideTellsWhyNot(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
-	p := retry.Policy{MaxAttempts: 3, Base: 10 * time.Millisecond, Max: 50 * time.Millisecond, Margin: time.Millisecond}
+	p := retry.Policy{MaxAttempts: 3, BaseBackoff: 10 * time.Millisecond, Max: 50 * time.Millisecond, Margin: time.Millisecond}
 	spent := retry.NewBudget(10, 0)
 	full := retry.NewBudget(10, 5)
 	is.Equal(p.Decide(1, retry.Unknown, reason.BackendReset, time.Second, full, rnd).Reason, reason.BackendReset)
