--- a/internal/agentd/once.go
+++ b/internal/agentd/once.go
@@ -196,7 +196,7 @@
 // nothing. It stops early when stop, if there is one, says so. maybe is set if
 // a failed command may have been applied.
 func (o *once) repeat(ctx context.Context, command *grantpb.Command, stop func() bool) (result *grantpb.Result, maybe bool, err error) {
-	policy := retry.Policy{BaseBackoff: grantBackoff, Max: maxGrantBackoff}
+	policy := retry.Policy{BaseBackoff: grantBackoff, MaxBackoff: maxGrantBackoff}
 	for n := 1; ; n++ {
 		result, err = o.try(ctx, command)
 		if err == nil {
--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -24,7 +24,7 @@
 var retryPolicy = retry.Policy{
 	MaxAttempts: 3,
 	BaseBackoff: 20 * time.Millisecond,
-	Max:         200 * time.Millisecond,
+	MaxBackoff:  200 * time.Millisecond,
 	Margin:      5 * time.Millisecond,
 }
 
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -58,8 +58,8 @@
 	MaxAttempts int
 	// BaseBackoff is the mean wait before the second attempt.
 	BaseBackoff time.Duration
-	// Max is the longest wait before any attempt.
-	Max time.Duration
+	// MaxBackoff is the longest wait before any attempt.
+	MaxBackoff time.Duration
 	// Margin is the time that must remain to the deadline after the wait.
 	Margin time.Duration
 }
@@ -105,9 +105,9 @@
 func (p Policy) Backoff(n int, rnd *rand.Rand) time.Duration {
 	shift := min(max(n-1, 0), maxBackoffShift)
 	mean := p.BaseBackoff << shift
-	if mean <= 0 || mean > p.Max {
-		mean = p.Max
+	if mean <= 0 || mean > p.MaxBackoff {
+		mean = p.MaxBackoff
 	}
 	wait := time.Duration(float64(mean) * (0.5 + rnd.Float64()))
-	return min(wait, p.Max)
+	return min(wait, p.MaxBackoff)
 }
