--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -22,10 +22,10 @@
 
 // retryPolicy bounds the attempts at the backend server of this host.
 var retryPolicy = retry.Policy{
-	MaxAttempts: 3,
-	BaseBackoff: 20 * time.Millisecond,
-	MaxBackoff:  200 * time.Millisecond,
-	Margin:      5 * time.Millisecond,
+	MaxAttempts:  3,
+	BaseBackoff:  20 * time.Millisecond,
+	MaxBackoff:   200 * time.Millisecond,
+	MinRemaining: 5 * time.Millisecond,
 }
 
 // backendView is what the proxy has to know of the backend server.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -60,8 +60,8 @@
 	BaseBackoff time.Duration
 	// MaxBackoff is the longest wait before any attempt.
 	MaxBackoff time.Duration
-	// Margin is the time that must remain to the deadline after the wait.
-	Margin time.Duration
+	// MinRemaining is the time that must remain to the deadline after the wait.
+	MinRemaining time.Duration
 }
 
 // Decision tells whether to repeat an attempt.
@@ -85,7 +85,7 @@
 		return Decision{Reason: reason.RetryAttempts}
 	}
 	wait := p.Backoff(n, rnd)
-	if remaining-wait < p.Margin {
+	if remaining-wait < p.MinRemaining {
 		return Decision{Reason: reason.RetryDeadline}
 	}
 	if !budget.TryWithdraw() {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -81,10 +81,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		p := retry.Policy{
-			MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"),
-			BaseBackoff: time.Duration(rapid.Int64Range(1, 1000).Draw(t, "base")) * time.Millisecond,
-			MaxBackoff:  time.Duration(rapid.Int64Range(1, 5000).Draw(t, "max")) * time.Millisecond,
-			Margin:      time.Millisecond,
+			MaxAttempts:  rapid.IntRange(1, 5).Draw(t, "attempts"),
+			BaseBackoff:  time.Duration(rapid.Int64Range(1, 1000).Draw(t, "base")) * time.Millisecond,
+			MaxBackoff:   time.Duration(rapid.Int64Range(1, 5000).Draw(t, "max")) * time.Millisecond,
+			MinRemaining: time.Millisecond,
 		}
 		n := rapid.IntRange(1, 8).Draw(t, "n")
 		outcome := rapid.SampledFrom([]retry.Outcome{retry.NotRun, retry.Unknown, retry.Answered}).Draw(t, "outcome")
@@ -93,7 +93,7 @@
 		if !d.Retry {
 			return
 		}
-		if outcome != retry.NotRun || n >= p.MaxAttempts || d.Wait+p.Margin > remaining || d.Wait > p.MaxBackoff {
+		if outcome != retry.NotRun || n >= p.MaxAttempts || d.Wait+p.MinRemaining > remaining || d.Wait > p.MaxBackoff {
 			t.Fatalf("retried: n=%d outcome=%v remaining=%v decision=%+v policy=%+v", n, outcome, remaining, d, p)
 		}
 	})
@@ -102,7 +102,7 @@
 func TestDecideTellsWhyNot(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
-	p := retry.Policy{MaxAttempts: 3, BaseBackoff: 10 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, Margin: time.Millisecond}
+	p := retry.Policy{MaxAttempts: 3, BaseBackoff: 10 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, MinRemaining: time.Millisecond}
 	spent := retry.NewBudget(10, 0)
 	full := retry.NewBudget(10, 5)
 	is.Equal(p.Decide(1, retry.Unknown, reason.BackendReset, time.Second, full, rnd).Reason, reason.BackendReset)
