--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -248,7 +248,7 @@
 		if !next.Retry {
 			return res
 		}
-		_ = pause(c.ctx, next.Wait)
+		_ = pause(c.ctx, next.Delay)
 	}
 }
 
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -67,8 +67,8 @@
 // Decision tells whether to repeat an attempt.
 type Decision struct {
 	Retry bool
-	// Wait is the time to wait before the next attempt.
-	Wait time.Duration
+	// Delay is the time to wait before the next attempt.
+	Delay time.Duration
 	// Reason is why it is repeated, or why not.
 	Reason reason.Code
 }
@@ -95,7 +95,7 @@
 	if failed == reason.BackendRefused {
 		why = reason.RetryRefused
 	}
-	return Decision{Retry: true, Wait: wait, Reason: why}
+	return Decision{Retry: true, Delay: wait, Reason: why}
 }
 
 // Backoff returns the wait after the n-th attempt (counted from 1). Its mean
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -93,7 +93,7 @@
 		if !d.Retry {
 			return
 		}
-		if outcome != retry.NotRun || n >= p.MaxAttempts || d.Wait+p.MinRemaining > remaining || d.Wait > p.MaxBackoff {
+		if outcome != retry.NotRun || n >= p.MaxAttempts || d.Delay+p.MinRemaining > remaining || d.Delay > p.MaxBackoff {
 			t.Fatalf("retried: n=%d outcome=%v remaining=%v decision=%+v policy=%+v", n, outcome, remaining, d, p)
 		}
 	})
