--- a/internal/agentd/errors.go
+++ b/internal/agentd/errors.go
@@ -9,8 +9,8 @@
 	// ErrNoEntryHost is returned when a datagram has no way back: no entry
 	// host was heard lately.
 	ErrNoEntryHost = errors.New("no entry host known")
-	// ErrLeaving refuses a handshake because the target is leaving.
-	ErrLeaving = errors.New("target is leaving")
+	// ErrDraining refuses a handshake because the target is leaving.
+	ErrDraining = errors.New("target is leaving")
 	// ErrSealed is returned for a write after the outcome of a request was
 	// decided.
 	ErrSealed = errors.New("connection sealed")
--- a/internal/agentd/plane.go
+++ b/internal/agentd/plane.go
@@ -110,7 +110,7 @@
 func (p *plane) admit(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
 	if p.leaving.Load() && p.clock.now()-time.Duration(p.since.Load()) > p.timing.acceptGrace {
 		p.counters.count(reason.FlowRefused)
-		return nil, ErrLeaving
+		return nil, ErrDraining
 	}
 	p.counters.begun.Inc(1)
 	return p.still.opening(ctx), nil
