--- a/internal/agentd/control.go
+++ b/internal/agentd/control.go
@@ -70,7 +70,7 @@
 	c.learn(result)
 	if result.GetDecision() == grantpb.Decision_DECISION_TABLE {
 		c.refused.Inc(1)
-		return nil, errors.Wrap(ErrNotDone, "refused because of the slot table")
+		return nil, errors.Wrap(ErrNotApplied, "refused because of the slot table")
 	}
 	return result, nil
 }
@@ -78,7 +78,7 @@
 func (c *control) call(ctx context.Context, req *controlpb.Request) (*controlpb.Response, error) {
 	res, err := c.caller.Call(ctx, req)
 	if errors.Is(err, link.ErrNotSent) {
-		return nil, errors.Wrap(ErrNotDone, err.Error())
+		return nil, errors.Wrap(ErrNotApplied, err.Error())
 	}
 	if err != nil {
 		return nil, errors.Wrap(ErrUnknown, err.Error())
@@ -92,7 +92,7 @@
 	}
 	switch fault.GetKind() {
 	case controlpb.FaultKind_FAULT_NOT_DONE, controlpb.FaultKind_FAULT_FORBIDDEN:
-		return errors.Wrap(ErrNotDone, fault.GetText())
+		return errors.Wrap(ErrNotApplied, fault.GetText())
 	default:
 		return errors.Wrap(ErrUnknown, fault.GetText())
 	}
--- a/internal/agentd/errors.go
+++ b/internal/agentd/errors.go
@@ -14,8 +14,8 @@
 	// ErrSealed is returned for a write after the outcome of a request was
 	// decided.
 	ErrSealed = errors.New("connection sealed")
-	// ErrNotDone means that a control host certainly did nothing.
-	ErrNotDone = errors.New("control host did nothing")
+	// ErrNotApplied means that a control host certainly did nothing.
+	ErrNotApplied = errors.New("control host did nothing")
 	// ErrUnknown means that it is not known what a control host did.
 	ErrUnknown = errors.New("outcome at control host unknown")
 )
--- a/internal/agentd/once.go
+++ b/internal/agentd/once.go
@@ -202,7 +202,7 @@
 		if err == nil {
 			return result, maybe, nil
 		}
-		maybe = maybe || !errors.Is(err, ErrNotDone)
+		maybe = maybe || !errors.Is(err, ErrNotApplied)
 		if stop != nil && stop() || !pause(ctx, policy.Backoff(n, newRand())) {
 			return nil, maybe, err
 		}
