--- a/internal/agentd/control.go
+++ b/internal/agentd/control.go
@@ -65,7 +65,7 @@
 	}
 	result := res.GetGrant()
 	if result == nil {
-		return nil, errors.Wrap(ErrUnknown, "no grant result in the answer")
+		return nil, errors.Wrap(ErrOutcomeUnknown, "no grant result in the answer")
 	}
 	c.learn(result)
 	if result.GetDecision() == grantpb.Decision_DECISION_TABLE {
@@ -81,7 +81,7 @@
 		return nil, errors.Wrap(ErrNotApplied, err.Error())
 	}
 	if err != nil {
-		return nil, errors.Wrap(ErrUnknown, err.Error())
+		return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return res, faultError(res.GetFault())
 }
@@ -94,6 +94,6 @@
 	case controlpb.FaultKind_FAULT_NOT_DONE, controlpb.FaultKind_FAULT_FORBIDDEN:
 		return errors.Wrap(ErrNotApplied, fault.GetText())
 	default:
-		return errors.Wrap(ErrUnknown, fault.GetText())
+		return errors.Wrap(ErrOutcomeUnknown, fault.GetText())
 	}
 }
--- a/internal/agentd/errors.go
+++ b/internal/agentd/errors.go
@@ -16,6 +16,6 @@
 	ErrSealed = errors.New("connection sealed")
 	// ErrNotApplied means that a control host certainly did nothing.
 	ErrNotApplied = errors.New("control host did nothing")
-	// ErrUnknown means that it is not known what a control host did.
-	ErrUnknown = errors.New("outcome at control host unknown")
+	// ErrOutcomeUnknown means that it is not known what a control host did.
+	ErrOutcomeUnknown = errors.New("outcome at control host unknown")
 )
