--- a/internal/agentd/attempt.go
+++ b/internal/agentd/attempt.go
@@ -52,7 +52,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
-		return 0, ErrSealed
+		return 0, ErrAttemptEnded
 	}
 	n, err := c.Conn.Write(p)
 	c.sent += int64(n)
@@ -83,7 +83,7 @@
 	defer d.mu.Unlock()
 	if d.sealed {
 		_ = conn.Close()
-		return nil, ErrSealed
+		return nil, ErrAttemptEnded
 	}
 	d.conn = &sentCounter{Conn: conn}
 	return d.conn, nil
--- a/internal/agentd/errors.go
+++ b/internal/agentd/errors.go
@@ -11,9 +11,9 @@
 	ErrNoEntryHost = errors.New("no entry host known")
 	// ErrDraining refuses a handshake because the target is leaving.
 	ErrDraining = errors.New("target is leaving")
-	// ErrSealed is returned for a write after the outcome of a request was
+	// ErrAttemptEnded is returned for a write after the outcome of a request was
 	// decided.
-	ErrSealed = errors.New("connection sealed")
+	ErrAttemptEnded = errors.New("connection sealed")
 	// ErrNotApplied means that a control host certainly did nothing.
 	ErrNotApplied = errors.New("control host did nothing")
 	// ErrOutcomeUnknown means that it is not known what a control host did.
