--- a/internal/backend/ledger.go
+++ b/internal/backend/ledger.go
@@ -14,9 +14,9 @@
 
 const runLogMode = 0o600
 
-// Ledger counts how often each idempotency key began to run. It keeps every
+// RunLog counts how often each idempotency key began to run. It keeps every
 // key: the server is for development and tests. It may be used concurrently.
-type Ledger struct {
+type RunLog struct {
 	mu   sync.Mutex
 	runs map[string]int
 	log  *os.File
@@ -25,12 +25,12 @@
 // OpenLedger returns a ledger that writes each run to a file before the run
 // begins, and starts with the runs that the file has. The file is not synced:
 // it outlives the process, not the host.
-func OpenLedger(path string) (*Ledger, error) {
+func OpenLedger(path string) (*RunLog, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, runLogMode)
 	if err != nil {
 		return nil, errors.Wrap(ErrRunLog, err.Error())
 	}
-	l := &Ledger{runs: map[string]int{}, log: file}
+	l := &RunLog{runs: map[string]int{}, log: file}
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		key, err := strconv.Unquote(lines.Text())
@@ -46,7 +46,7 @@
 }
 
 // add records a run. It fails only if the run could not be written.
-func (l *Ledger) add(key string) error {
+func (l *RunLog) add(key string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.log != nil {
@@ -62,7 +62,7 @@
 }
 
 // Count returns how often the key began to run.
-func (l *Ledger) Count(key string) int {
+func (l *RunLog) Count(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[key]
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -49,7 +49,7 @@
 	Cold ColdStart
 	// Ledger counts the runs. Several servers, or the lives of one, may share
 	// it. Nil takes a new one.
-	Ledger *Ledger
+	Ledger *RunLog
 	Log    *zap.Logger
 }
 
@@ -64,7 +64,7 @@
 	wait     conc.WaitGroup
 
 	began     time.Time
-	runs      *Ledger
+	runs      *RunLog
 	work      atomic.Uint64
 	running   atomic.Int64
 	watching  atomic.Int64
@@ -117,7 +117,7 @@
 		o.DrainGrace = DefaultDrainGrace
 	}
 	if o.Ledger == nil {
-		o.Ledger = &Ledger{}
+		o.Ledger = &RunLog{}
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -132,7 +132,7 @@
 	// agents are all agents ever started; old ones may still have sessions.
 	agents  []*process
 	callers map[string]keys.Files
-	ledgers map[string]*backend.Ledger
+	ledgers map[string]*backend.RunLog
 
 	// life ends with Close.
 	life     context.Context
@@ -164,7 +164,7 @@
 		roots:   x509.NewCertPool(),
 		network: newNetwork(Network{}, nil),
 		callers: map[string]keys.Files{},
-		ledgers: map[string]*backend.Ledger{},
+		ledgers: map[string]*backend.RunLog{},
 		targets: map[string][]*target{},
 		gone:    make(chan struct{}),
 	}
--- a/internal/dev/target.go
+++ b/internal/dev/target.go
@@ -31,7 +31,7 @@
 			return err
 		}
 		d.callers[s.Name] = caller
-		d.ledgers[s.Name] = &backend.Ledger{}
+		d.ledgers[s.Name] = &backend.RunLog{}
 		for range s.Targets {
 			if _, err := d.addTarget(ctx, s.Name, backend.ColdStart{}); err != nil {
 				return err
