--- a/internal/backend/ledger.go
+++ b/internal/backend/ledger.go
@@ -22,10 +22,10 @@
 	log  *os.File
 }
 
-// OpenLedger returns a ledger that writes each run to a file before the run
+// OpenRunLog returns a ledger that writes each run to a file before the run
 // begins, and starts with the runs that the file has. The file is not synced:
 // it outlives the process, not the host.
-func OpenLedger(path string) (*RunLog, error) {
+func OpenRunLog(path string) (*RunLog, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, runLogMode)
 	if err != nil {
 		return nil, errors.Wrap(ErrRunLog, err.Error())
--- a/internal/backend/ledger_test.go
+++ b/internal/backend/ledger_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "runs")
 	for life := range 3 {
-		l, err := OpenLedger(path)
+		l, err := OpenRunLog(path)
 		is.NoErr(err)
 		is.Equal(l.Count("two\nlines"), life)
 		is.NoErr(l.add("two\nlines"))
@@ -26,8 +26,8 @@
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "runs")
 	is.NoErr(os.WriteFile(path, []byte("no quotes\n"), runLogMode))
-	_, err := OpenLedger(path)
+	_, err := OpenRunLog(path)
 	is.True(errors.Is(err, ErrRunLog))
-	_, err = OpenLedger(t.TempDir())
+	_, err = OpenRunLog(t.TempDir())
 	is.True(errors.Is(err, ErrRunLog))
 }
--- a/internal/cli/backend.go
+++ b/internal/cli/backend.go
@@ -32,7 +32,7 @@
 			o.Faults.Health = backend.HealthMode(health)
 			o.Faults.Load = backend.LoadMode(load)
 			if runLog != "" {
-				ledger, err := backend.OpenLedger(runLog)
+				ledger, err := backend.OpenRunLog(runLog)
 				if err != nil {
 					return err
 				}
