--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -47,9 +47,9 @@
 	Faults                     Faults
 	// Cold makes work take longer at first. The zero value starts warm.
 	Cold ColdStart
-	// Ledger counts the runs. Several servers, or the lives of one, may share
+	// RunLog counts the runs. Several servers, or the lives of one, may share
 	// it. Nil takes a new one.
-	Ledger *RunLog
+	RunLog *RunLog
 	Log    *zap.Logger
 }
 
@@ -91,7 +91,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
 		opts: o, url: "http://" + listener.Addr().String(), stop: stop, faults: o.Faults,
-		began: time.Now(), runs: o.Ledger,
+		began: time.Now(), runs: o.RunLog,
 	}
 	s.http = &http.Server{
 		Handler:           s.handler(),
@@ -116,8 +116,8 @@
 	if o.DrainGrace == 0 {
 		o.DrainGrace = DefaultDrainGrace
 	}
-	if o.Ledger == nil {
-		o.Ledger = &RunLog{}
+	if o.RunLog == nil {
+		o.RunLog = &RunLog{}
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
--- a/internal/cli/backend.go
+++ b/internal/cli/backend.go
@@ -36,7 +36,7 @@
 				if err != nil {
 					return err
 				}
-				o.Ledger = ledger
+				o.RunLog = ledger
 			}
 			return runBackend(cmd, o)
 		},
--- a/internal/dev/target.go
+++ b/internal/dev/target.go
@@ -112,7 +112,7 @@
 	server, err := backend.Start(backend.Options{
 		Service: t.service, Target: t.name, Listen: freePort, Announce: t.settings.Agent.AnnounceListen,
 		Slots: d.slotsOf(t.service), AnnouncePeriod: announcePeriod, Cold: cold,
-		Ledger: d.ledgers[t.service], Log: d.log.Named(t.name),
+		RunLog: d.ledgers[t.service], Log: d.log.Named(t.name),
 	})
 	if err != nil {
 		return err
