--- a/internal/backend/cold_test.go
+++ b/internal/backend/cold_test.go
@@ -9,7 +9,7 @@
 
 func TestColdStartStretchesWork(t *testing.T) {
 	const work = 10 * time.Millisecond
-	cold := ColdStart{Lasts: 2 * time.Second, Slowdown: 5}
+	cold := ColdStart{Duration: 2 * time.Second, Slowdown: 5}
 	for _, tt := range []struct {
 		name string
 		cold ColdStart
@@ -20,7 +20,7 @@
 		{"at the start", cold, 0, 5 * work},
 		{"half way", cold, time.Second, 3 * work},
 		{"warm", cold, 2 * time.Second, work},
-		{"no slowdown", ColdStart{Lasts: time.Second, Slowdown: 0.5}, 0, work},
+		{"no slowdown", ColdStart{Duration: time.Second, Slowdown: 0.5}, 0, work},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is.New(t).Equal(tt.cold.stretch(work, tt.age), tt.want)
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -43,7 +43,7 @@
 )
 
 // cold is a server that takes five times as long at first.
-func cold() backend.ColdStart { return backend.ColdStart{Lasts: 2 * time.Second, Slowdown: 5} }
+func cold() backend.ColdStart { return backend.ColdStart{Duration: 2 * time.Second, Slowdown: 5} }
 
 // Scenarios are all scenarios in the order of reports.
 func Scenarios() []Scenario {
