--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -161,7 +161,7 @@
 func TestLyingEndpoints(t *testing.T) {
 	is := is.New(t)
 	s := start(t, backend.Options{Slots: 3})
-	is.NoErr(s.SetFaults(backend.Faults{Health: backend.HealthWell, Broken: true, Load: backend.LoadFull}))
+	is.NoErr(s.SetFaults(backend.Faults{Health: backend.HealthAlwaysUp, Broken: true, Load: backend.LoadFull}))
 	status, _ := get(t, s.URL()+"/health")
 	is.Equal(status, 200)
 	status, _ = get(t, s.URL()+"/echo?text=a")
--- a/internal/backend/handlers.go
+++ b/internal/backend/handlers.go
@@ -177,7 +177,7 @@
 	f := s.currentFaults()
 	ill := f.Broken
 	switch f.Health {
-	case HealthWell:
+	case HealthAlwaysUp:
 		ill = false
 	case HealthIll:
 		ill = true
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -130,7 +130,7 @@
 		faults backend.Faults
 		text   string
 	}{
-		{backend.Faults{Broken: true, Health: backend.HealthWell, Load: backend.LoadIdle}, "fails, says well"},
+		{backend.Faults{Broken: true, Health: backend.HealthAlwaysUp, Load: backend.LoadIdle}, "fails, says well"},
 		{backend.Faults{Health: backend.HealthIll, Load: backend.LoadFull}, "works, says ill and full"},
 		{backend.Faults{Load: backend.LoadIdle}, "works, says idle"},
 	}
