--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -168,7 +168,7 @@
 	is.Equal(status, 500)
 	_, text := get(t, s.URL()+"/load")
 	is.Equal(text, `{"running":3,"slots":3}`+"\n")
-	is.NoErr(s.SetFaults(backend.Faults{Health: backend.HealthIll}))
+	is.NoErr(s.SetFaults(backend.Faults{Health: backend.HealthAlwaysDown}))
 	status, _ = get(t, s.URL()+"/health")
 	is.Equal(status, 503)
 	status, _ = get(t, s.URL()+"/echo?text=a")
--- a/internal/backend/faults.go
+++ b/internal/backend/faults.go
@@ -12,9 +12,9 @@
 // Modes of the health endpoint.
 const (
 	// HealthHonest is ill while Broken is set, and well otherwise.
-	HealthHonest   HealthMode = "honest"
-	HealthAlwaysUp HealthMode = "well"
-	HealthIll      HealthMode = "ill"
+	HealthHonest     HealthMode = "honest"
+	HealthAlwaysUp   HealthMode = "well"
+	HealthAlwaysDown HealthMode = "ill"
 	// HealthFrozen takes the poll and never answers.
 	HealthFrozen HealthMode = "frozen"
 )
@@ -61,7 +61,7 @@
 // Validate returns ErrFault for an unknown mode. Empty modes are honest.
 func (f Faults) Validate() error {
 	switch f.Health {
-	case "", HealthHonest, HealthAlwaysUp, HealthIll, HealthFrozen:
+	case "", HealthHonest, HealthAlwaysUp, HealthAlwaysDown, HealthFrozen:
 	default:
 		return errors.Wrapf(ErrFault, "health %q", string(f.Health))
 	}
--- a/internal/backend/handlers.go
+++ b/internal/backend/handlers.go
@@ -179,7 +179,7 @@
 	switch f.Health {
 	case HealthAlwaysUp:
 		ill = false
-	case HealthIll:
+	case HealthAlwaysDown:
 		ill = true
 	case HealthFrozen:
 		<-r.Context().Done()
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -131,7 +131,7 @@
 		text   string
 	}{
 		{backend.Faults{Broken: true, Health: backend.HealthAlwaysUp, Load: backend.LoadIdle}, "fails, says well"},
-		{backend.Faults{Health: backend.HealthIll, Load: backend.LoadFull}, "works, says ill and full"},
+		{backend.Faults{Health: backend.HealthAlwaysDown, Load: backend.LoadFull}, "works, says ill and full"},
 		{backend.Faults{Load: backend.LoadIdle}, "works, says idle"},
 	}
 	for _, service := range t.site.services {
