--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -180,7 +180,7 @@
 
 func TestFrozenHealth(t *testing.T) {
 	is := is.New(t)
-	s := start(t, backend.Options{Faults: backend.Faults{Health: backend.HealthFrozen}})
+	s := start(t, backend.Options{Faults: backend.Faults{Health: backend.HealthHang}})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL()+"/health", nil)
--- a/internal/backend/faults.go
+++ b/internal/backend/faults.go
@@ -15,8 +15,8 @@
 	HealthHonest     HealthMode = "honest"
 	HealthAlwaysUp   HealthMode = "well"
 	HealthAlwaysDown HealthMode = "ill"
-	// HealthFrozen takes the poll and never answers.
-	HealthFrozen HealthMode = "frozen"
+	// HealthHang takes the poll and never answers.
+	HealthHang HealthMode = "frozen"
 )
 
 // LoadMode says how the load endpoint answers.
@@ -61,7 +61,7 @@
 // Validate returns ErrFault for an unknown mode. Empty modes are honest.
 func (f Faults) Validate() error {
 	switch f.Health {
-	case "", HealthHonest, HealthAlwaysUp, HealthAlwaysDown, HealthFrozen:
+	case "", HealthHonest, HealthAlwaysUp, HealthAlwaysDown, HealthHang:
 	default:
 		return errors.Wrapf(ErrFault, "health %q", string(f.Health))
 	}
--- a/internal/backend/handlers.go
+++ b/internal/backend/handlers.go
@@ -181,7 +181,7 @@
 		ill = false
 	case HealthAlwaysDown:
 		ill = true
-	case HealthFrozen:
+	case HealthHang:
 		<-r.Context().Done()
 		return
 	}
