--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -118,7 +118,7 @@
 		is.NoErr(err)
 		is.Equal(text, "instrument")
 	}
-	is.Equal(s.Runs("k1"), 2)
+	is.Equal(s.RunCount("k1"), 2)
 	_, text = get(t, s.URL()+"/runs?key=k1")
 	is.Equal(text, "2")
 	_, text = get(t, s.URL()+"/runs?key=k2")
@@ -143,7 +143,7 @@
 	is.Equal(res.StatusCode, 503)
 	is.Equal(res.Header.Get("Request-Outcome"), "not-run")
 	is.Equal(res.Header.Get("Request-Reason"), "full")
-	is.Equal(s.Runs("k"), 0)
+	is.Equal(s.RunCount("k"), 0)
 	cancel() // the closing of the connection cancels the work
 	wg.Wait()
 	await(t, func() bool { return s.Running() == 0 })
@@ -226,7 +226,7 @@
 			res.Body.Close()
 		}
 	})
-	await(t, func() bool { return s.Runs("k") == 1 })
+	await(t, func() bool { return s.RunCount("k") == 1 })
 	cancel()
 	wg.Wait()
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// Runs tells how often the idempotency key began to run.
-func (s *Server) Runs(key string) int { return s.runs.Count(key) }
+// RunCount tells how often the idempotency key began to run.
+func (s *Server) RunCount(key string) int { return s.runs.Count(key) }
 
 // Running is the number of requests for work that run now.
 func (s *Server) Running() int { return int(s.running.Load()) }
