--- a/flow/agent.go
+++ b/flow/agent.go
@@ -32,8 +32,8 @@
 	Absent State = iota
 	// Serving: it takes new flows.
 	Serving
-	// Leaving: it keeps its flows and takes no new ones.
-	Leaving
+	// Draining: it keeps its flows and takes no new ones.
+	Draining
 )
 
 // Server is what an agent knows of the target beside it.
@@ -290,7 +290,7 @@
 		return ReasonNoServer
 	case m.Service != a.server.Service:
 		return ReasonOtherService
-	case a.server.State == Leaving:
+	case a.server.State == Draining:
 		return ReasonDraining
 	case a.server.Evacuated:
 		return ReasonEvacuated
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -123,7 +123,7 @@
 
 func TestOpeningsThatATargetDoesNotTake(t *testing.T) {
 	leaving := serving()
-	leaving.State = flow.Leaving
+	leaving.State = flow.Draining
 	absent := serving()
 	absent.State = flow.Absent
 	other := serving()
@@ -161,7 +161,7 @@
 	is := is.New(t)
 	a := opened(t, 1, long)
 	leaving := serving()
-	leaving.State = flow.Leaving
+	leaving.State = flow.Draining
 	a.SetServer(leaving)
 	is.Equal(a.FromEntry(data(entryA), request(1, firstA), long).Action, flow.Deliver)
 	is.Equal(a.FromEntry(open(entryA), syn(2), long).Action, flow.Reset)
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -92,7 +92,7 @@
 	a.SetPeers([]flow.Endpoint{agentB}, []flow.Endpoint{agentA, agentB}, agentA)
 	a.FromEntry(open(entryA), syn(11), 0)
 	leaving := serving()
-	leaving.State = flow.Leaving
+	leaving.State = flow.Draining
 	a.SetServer(leaving)
 	v, p, ok := a.NextQueued(millisecond)
 	is.True(ok)
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -223,7 +223,7 @@
 	case !known || r.Stopped:
 		s.State = flow.Absent
 	case r.Draining:
-		s.State = flow.Leaving
+		s.State = flow.Draining
 	default:
 		s.State = flow.Serving
 	}
