--- a/flow/entry.go
+++ b/flow/entry.go
@@ -62,9 +62,9 @@
 	// Ready reports whether routes and targets are known. Before that nothing can be
 	// said of a flow that is not known.
 	Ready() bool
-	// Knows reports whether there is still a target beside an agent. Whole tells that
+	// HasTarget reports whether there is still a target beside an agent. Whole tells that
 	// the list of targets has all that there are.
-	Knows(agent Endpoint) (known, whole bool)
+	HasTarget(agent Endpoint) (known, whole bool)
 }
 
 // Entry remembers where the flows live that pass through one entry host.
@@ -198,7 +198,7 @@
 // of them is gone.
 func (e *Entry) patience(f *entryFlow) time.Duration {
 	for _, h := range f.homes[:f.count] {
-		if known, _ := e.placer.Knows(h.agent); !known {
+		if known, _ := e.placer.HasTarget(h.agent); !known {
 			return searchPause
 		}
 	}
@@ -209,7 +209,7 @@
 // a search, which an agent always answers: one that only lost its control hosts says
 // that it holds the flow. Where the agent says nothing, the target is gone.
 func (e *Entry) doubt(f *entryFlow, key Key, v *Verdict, now time.Duration) {
-	known, whole := e.placer.Knows(v.To)
+	known, whole := e.placer.HasTarget(v.To)
 	if known || !whole || !e.MayReset(now) {
 		f.doubted = 0
 		return
--- a/flow/helpers_test.go
+++ b/flow/helpers_test.go
@@ -93,7 +93,7 @@
 
 func (p *fixedPlacer) Ready() bool { return !p.unready }
 
-func (p *fixedPlacer) Knows(agent flow.Endpoint) (known, whole bool) {
+func (p *fixedPlacer) HasTarget(agent flow.Endpoint) (known, whole bool) {
 	return agent != p.lost, !p.doubtful
 }
 
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -385,8 +385,8 @@
 	}
 }
 
-// Knows implements flow.Placer.
-func (p *placer) Knows(agent flow.Endpoint) (known, whole bool) {
+// HasTarget implements flow.Placer.
+func (p *placer) HasTarget(agent flow.Endpoint) (known, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.known[agent], p.whole()
