--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -386,7 +386,7 @@
 		return refusedSuperseded, RefusalSuperseded
 	case membership.Invalid:
 		return refusedImproper, RefusalInvalid
-	case membership.Full:
+	case membership.AtCapacity:
 		return refusedFull, RefusalFull
 	}
 	// An outdated record is an announcement that was overtaken by a later one
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -59,8 +59,8 @@
 	Outdated
 	// Invalid tells that the record breaks a bound or names no address.
 	Invalid
-	// Full tells that the directory holds as many targets as it may.
-	Full
+	// AtCapacity tells that the directory holds as many targets as it may.
+	AtCapacity
 )
 
 // Accepted reports whether the record is now held.
@@ -219,7 +219,7 @@
 	t, known := d.byID[r.GetNumber()]
 	if !known {
 		if len(d.byID) >= d.opts.MaxTargets {
-			return nil, Full
+			return nil, AtCapacity
 		}
 		t = d.create(r)
 	}
--- a/membership/directory_test.go
+++ b/membership/directory_test.go
@@ -227,7 +227,7 @@
 	for n := uint32(1); n <= 8; n++ {
 		is.Equal(d.Announce(0, record(n, 1, 1), membership.Direct), membership.Changed)
 	}
-	is.Equal(d.Announce(0, record(9, 1, 1), membership.Direct), membership.Full)
+	is.Equal(d.Announce(0, record(9, 1, 1), membership.Direct), membership.AtCapacity)
 	is.Equal(d.Announce(0, record(8, 1, 2), membership.Direct), membership.Changed)
 }
 
