--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -146,7 +146,7 @@
 }
 
 // next returns what the follower has to be sent, or nil.
-func (d *directory) next(f *membership.Follower) (*controlpb.DirectoryUpdate, membership.UpdateKind) {
+func (d *directory) next(f *membership.Subscriber) (*controlpb.DirectoryUpdate, membership.UpdateKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.Next(d.now(), f)
--- a/internal/controld/subscription.go
+++ b/internal/controld/subscription.go
@@ -40,7 +40,7 @@
 	owesConfirmation bool
 	// aheadLogged says that its newer version has been logged.
 	aheadLogged bool
-	follower    *membership.Follower
+	follower    *membership.Subscriber
 	// whole says that the subscriber holds this host's list, not additions to
 	// one from elsewhere.
 	whole bool
--- a/membership/follower.go
+++ b/membership/follower.go
@@ -40,8 +40,8 @@
 	Digests         []uint64
 }
 
-// Follower is what a directory knows of one subscriber.
-type Follower struct {
+// Subscriber is what a directory knows of one subscriber.
+type Subscriber struct {
 	scope           *Scope
 	epoch, sequence uint64
 	// whole says that the subscriber's list is the whole list at sequence, not
@@ -58,8 +58,8 @@
 
 // NewFollower returns the follower for a subscriber at a position. Digests
 // beyond the bound are taken for none.
-func NewFollower(p Position, s *Scope) *Follower {
-	f := &Follower{scope: s, epoch: p.Epoch, sequence: p.Sequence, whole: p.Epoch != 0, touched: map[uint32]bool{}}
+func NewFollower(p Position, s *Scope) *Subscriber {
+	f := &Subscriber{scope: s, epoch: p.Epoch, sequence: p.Sequence, whole: p.Epoch != 0, touched: map[uint32]bool{}}
 	if len(p.Digests) <= maxListBuckets {
 		f.digests = p.Digests
 	}
@@ -69,7 +69,7 @@
 // Next returns what a subscriber has to be sent, or nil. Changes outside of
 // its scope are passed over. The follower is past the update then: one that
 // cannot be sent has to end the subscription.
-func (d *Directory) Next(now time.Duration, f *Follower) (*controlpb.DirectoryUpdate, UpdateKind) {
+func (d *Directory) Next(now time.Duration, f *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
 	u, kind := d.choose(now, f)
 	if u == nil {
 		return nil, kind
@@ -88,7 +88,7 @@
 	return u, kind
 }
 
-func (d *Directory) choose(now time.Duration, f *Follower) (*controlpb.DirectoryUpdate, UpdateKind) {
+func (d *Directory) choose(now time.Duration, f *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
 	known := f.epoch == d.opts.Epoch && d.remembers(f.sequence)
 	digested := len(f.digests) > 0
 	switch {
@@ -115,7 +115,7 @@
 
 // difference returns the buckets in which the list that a subscriber came
 // with differs from this one, or to which additions went since.
-func (d *Directory) difference(now time.Duration, f *Follower) *controlpb.DirectoryUpdate {
+func (d *Directory) difference(now time.Duration, f *Subscriber) *controlpb.DirectoryUpdate {
 	u := d.update()
 	u.Buckets = uint32(len(f.digests))
 	differs := make([]bool, len(f.digests))
@@ -136,7 +136,7 @@
 // addition returns what is new since the last addition, if there was one, but
 // for the buckets that are the same. It returns nil from the moment on when
 // that is more than maxAdditions.
-func (d *Directory) addition(now time.Duration, f *Follower, known bool) *controlpb.DirectoryUpdate {
+func (d *Directory) addition(now time.Duration, f *Subscriber, known bool) *controlpb.DirectoryUpdate {
 	if f.additions > maxAdditions {
 		return nil
 	}
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -79,7 +79,7 @@
 type watcher struct {
 	list     *membership.List
 	scope    *membership.Scope
-	follower *membership.Follower
+	follower *membership.Subscriber
 	host     int
 	life     int
 	// newest has the newest record of each target that was acted on.
