--- a/internal/controld/internal_test.go
+++ b/internal/controld/internal_test.go
@@ -133,7 +133,7 @@
 	is := is.New(t)
 	d := newDirectory(7, 0)
 	d.announce(record(1))
-	f := membership.NewFollower(membership.Position{Epoch: 6, Sequence: 9}, nil) // followed another life
+	f := membership.NewSubscriber(membership.Position{Epoch: 6, Sequence: 9}, nil) // followed another life
 	u, _ := d.next(f)
 	is.Equal(u.GetFull(), false)
 	is.Equal(len(u.GetPut()), 1)
@@ -197,7 +197,7 @@
 	d := newDirectory(7, 0)
 	d.announce(record(1))
 	d.start = d.start.Add(-d.lease())
-	f := membership.NewFollower(membership.Position{}, membership.NewScope([]uint32{1}))
+	f := membership.NewSubscriber(membership.Position{}, membership.NewScope([]uint32{1}))
 	d.next(f)
 	other := record(2)
 	other.Service = 2
--- a/internal/controld/subscription.go
+++ b/internal/controld/subscription.go
@@ -81,7 +81,7 @@
 		info:     newSubscriber(peer, req),
 		reports:  make(chan struct{}, 1),
 		sent:     req.GetVersion(),
-		follower: membership.NewFollower(positionOf(req), membership.NewScope(req.GetServices(), req.GetFailureDomains()...)),
+		follower: membership.NewSubscriber(positionOf(req), membership.NewScope(req.GetServices(), req.GetFailureDomains()...)),
 	}
 	if req.GetScopedConfig() {
 		sub.scope = map[uint32]bool{}
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -126,14 +126,14 @@
 					next.Announce(lease, r, membership.Direct)
 				}
 				var start membership.List
-				u, _ := old.Next(lease, membership.NewFollower(start.Position(), nil))
+				u, _ := old.Next(lease, membership.NewSubscriber(start.Position(), nil))
 				full := proto.Size(u)
 				start.Apply(u, time.Time{})
 				var up, down, records int
 				for b.Loop() {
 					l := start
 					p := l.Position()
-					u, _ := next.Next(lease, membership.NewFollower(p, nil))
+					u, _ := next.Next(lease, membership.NewSubscriber(p, nil))
 					l.Apply(u, time.Time{})
 					up = proto.Size(&controlpb.Subscribe{DirectoryDigests: p.Digests})
 					down, records = proto.Size(u), len(u.GetPut())
--- a/membership/follower.go
+++ b/membership/follower.go
@@ -56,9 +56,9 @@
 	additions int
 }
 
-// NewFollower returns the follower for a subscriber at a position. Digests
+// NewSubscriber returns the follower for a subscriber at a position. Digests
 // beyond the bound are taken for none.
-func NewFollower(p Position, s *Scope) *Subscriber {
+func NewSubscriber(p Position, s *Scope) *Subscriber {
 	f := &Subscriber{scope: s, epoch: p.Epoch, sequence: p.Sequence, whole: p.Epoch != 0, touched: map[uint32]bool{}}
 	if len(p.Digests) <= maxListBuckets {
 		f.digests = p.Digests
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -94,7 +94,7 @@
 // move opens another subscription.
 func (w *watcher) move(n *network, host int) {
 	w.host, w.life = host, n.lives[host]
-	w.follower = membership.NewFollower(w.list.Position(), w.scope)
+	w.follower = membership.NewSubscriber(w.list.Position(), w.scope)
 }
 
 // follow takes the next update, or loses it, which ends the subscription.
@@ -226,12 +226,12 @@
 	is := is.New(t)
 	a, b := hostOf(1, fleet), hostOf(2, fleet)
 	var l membership.List
-	u, kind := a.Next(lease, membership.NewFollower(l.Position(), nil))
+	u, kind := a.Next(lease, membership.NewSubscriber(l.Position(), nil))
 	is.Equal(kind, membership.FullFirst)
 	l.Apply(u, time.Time{})
 
 	position := l.Position()
-	u, kind = b.Next(lease, membership.NewFollower(position, nil))
+	u, kind = b.Next(lease, membership.NewSubscriber(position, nil))
 	is.Equal(kind, membership.Difference)
 	is.Equal(len(u.GetPut()), 0)
 	is.True(u.GetBuckets() > 0) // the subscriber learns that its list is that of b
@@ -240,18 +240,18 @@
 
 	b.Announce(lease, record(7, 1, 2), membership.Direct)
 	b.Announce(lease, record(fleet+1, 1, 1), membership.Direct)
-	u, _ = b.Next(lease, membership.NewFollower(position, nil))
+	u, _ = b.Next(lease, membership.NewSubscriber(position, nil))
 	is.True(len(u.GetPut()) <= 2*fleet/len(position.Digests)+2)
 
 	// The verdict of a host is its own: it differs at the same version.
 	ill := proto.CloneOf(recordsOf(&l)[0])
 	ill.Ill, ill.Damped = true, true
 	l.Apply(&controlpb.DirectoryUpdate{Epoch: 2, Sequence: u.GetSequence(), Put: []*controlpb.TargetRecord{ill}}, time.Time{})
-	u, _ = hostOf(3, fleet).Next(lease, membership.NewFollower(l.Position(), nil))
+	u, _ = hostOf(3, fleet).Next(lease, membership.NewSubscriber(l.Position(), nil))
 	is.Equal(len(u.GetWhole()), 1)
 
 	// Nor are removals lost.
-	u, _ = hostOf(3, fleet-5).Next(lease, membership.NewFollower(position, nil))
+	u, _ = hostOf(3, fleet-5).Next(lease, membership.NewSubscriber(position, nil))
 	l.Apply(u, time.Time{})
 	is.Equal(len(recordsOf(&l)), fleet-5)
 }
@@ -260,10 +260,10 @@
 func TestUnsettledHostHoldsALargeDifferenceBack(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
-	u, _ := hostOf(1, 1_000).Next(lease, membership.NewFollower(l.Position(), nil))
+	u, _ := hostOf(1, 1_000).Next(lease, membership.NewSubscriber(l.Position(), nil))
 	l.Apply(u, time.Time{})
 	d := membership.New(membership.Options{Epoch: 2, Lease: lease, Start: lease})
-	f := membership.NewFollower(l.Position(), nil)
+	f := membership.NewSubscriber(l.Position(), nil)
 	for n := range uint32(1_000) {
 		d.Announce(lease, record(n+1, 1, 1), membership.Direct)
 	}
@@ -281,10 +281,10 @@
 func TestHeldBackRemovalIsMadeUpFor(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
-	u, _ := hostOf(1, 1_000).Next(lease, membership.NewFollower(l.Position(), nil))
+	u, _ := hostOf(1, 1_000).Next(lease, membership.NewSubscriber(l.Position(), nil))
 	l.Apply(u, time.Time{})
 	d := membership.New(membership.Options{Epoch: 2, Lease: lease, Start: lease})
-	f := membership.NewFollower(l.Position(), nil)
+	f := membership.NewSubscriber(l.Position(), nil)
 	d.Announce(lease, record(2_000, 1, 1), "c2")
 	u, _ = d.Next(lease, f)
 	is.Equal(len(u.GetPut()), 1)
@@ -307,7 +307,7 @@
 func TestTargetThatMovedOutOfScopeIsRemoved(t *testing.T) {
 	is := is.New(t)
 	d := hostOf(1, 1)
-	f := membership.NewFollower(membership.Position{}, membership.NewScope(nil, "oke-ado"))
+	f := membership.NewSubscriber(membership.Position{}, membership.NewScope(nil, "oke-ado"))
 	u, _ := d.Next(2*lease, f)
 	is.Equal(len(u.GetPut()), 1)
 	is.Equal(d.Expire(2*lease), 1)
