--- a/internal/controld/spread.go
+++ b/internal/controld/spread.go
@@ -62,7 +62,7 @@
 // has well more of them.
 func (d *Daemon) spreadLoop() {
 	movedAt, pause := time.Now(), movePause
-	last := membership.SpreadReason("")
+	last := membership.RebalanceReason("")
 	d.every(movePeriod, func() {
 		s := d.directory.spread()
 		s.SinceMove, s.Pause = time.Since(movedAt), pause
--- a/membership/spread.go
+++ b/membership/spread.go
@@ -39,23 +39,23 @@
 	SinceMove, Pause time.Duration
 }
 
-// SpreadReason tells why a subscriber moves or why none does.
-type SpreadReason string
+// RebalanceReason tells why a subscriber moves or why none does.
+type RebalanceReason string
 
 // Reasons of Decide.
 const (
-	SpreadMoves     SpreadReason = "moves"
-	SpreadUnsettled SpreadReason = "unsettled"
-	SpreadAlone     SpreadReason = "alone"
-	SpreadWithin    SpreadReason = "within"
-	SpreadPauses    SpreadReason = "pauses"
+	SpreadMoves     RebalanceReason = "moves"
+	SpreadUnsettled RebalanceReason = "unsettled"
+	SpreadAlone     RebalanceReason = "alone"
+	SpreadWithin    RebalanceReason = "within"
+	SpreadPauses    RebalanceReason = "pauses"
 )
 
 // Decide returns the host that one subscriber is to move to, with SpreadMoves,
 // or nobody and why. A host lets one go if it is over the mean and either itself
 // well over it or another host well below, to the host that has least; so moves
 // end, also while figures are some seconds old.
-func (s *Rebalancer) Decide() (to string, reason SpreadReason) {
+func (s *Rebalancer) Decide() (to string, reason RebalanceReason) {
 	if !s.Complete {
 		return "", SpreadUnsettled
 	}
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -25,7 +25,7 @@
 		name   string
 		spread membership.Rebalancer
 		to     string
-		reason membership.SpreadReason
+		reason membership.RebalanceReason
 	}{
 		{"a host came back", membership.Rebalancer{Own: 100, Complete: true, Others: others(100, 0)}, "c3", membership.SpreadMoves},
 		{"the least one, by name", membership.Rebalancer{Own: 100, Complete: true, Others: others(7, 5, 5)}, "c3", membership.SpreadMoves},
