--- a/internal/controld/spread.go
+++ b/internal/controld/spread.go
@@ -67,11 +67,11 @@
 		s := d.directory.spread()
 		s.SinceMove, s.Pause = time.Since(movedAt), pause
 		to, reason := s.Decide()
-		if reason != last || reason == membership.SpreadMoves {
+		if reason != last || reason == membership.RebalanceMove {
 			d.scope.Tagged(map[string]string{tagReason: string(reason)}).Counter(metricMoves).Inc(1)
 		}
 		last = reason
-		if reason != membership.SpreadMoves {
+		if reason != membership.RebalanceMove {
 			return
 		}
 		movedAt, pause = time.Now(), movePause/2+rand.N(movePause)
--- a/membership/spread.go
+++ b/membership/spread.go
@@ -44,7 +44,7 @@
 
 // Reasons of Decide.
 const (
-	SpreadMoves     RebalanceReason = "moves"
+	RebalanceMove   RebalanceReason = "moves"
 	SpreadUnsettled RebalanceReason = "unsettled"
 	SpreadAlone     RebalanceReason = "alone"
 	SpreadWithin    RebalanceReason = "within"
@@ -72,7 +72,7 @@
 	if s.SinceMove < s.Pause {
 		return "", SpreadPauses
 	}
-	return least.Name, SpreadMoves
+	return least.Name, RebalanceMove
 }
 
 // uneven reports whether this host is to let a subscriber go at all.
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -27,11 +27,11 @@
 		to     string
 		reason membership.RebalanceReason
 	}{
-		{"a host came back", membership.Rebalancer{Own: 100, Complete: true, Others: others(100, 0)}, "c3", membership.SpreadMoves},
-		{"the least one, by name", membership.Rebalancer{Own: 100, Complete: true, Others: others(7, 5, 5)}, "c3", membership.SpreadMoves},
+		{"a host came back", membership.Rebalancer{Own: 100, Complete: true, Others: others(100, 0)}, "c3", membership.RebalanceMove},
+		{"the least one, by name", membership.Rebalancer{Own: 100, Complete: true, Others: others(7, 5, 5)}, "c3", membership.RebalanceMove},
 		{"just over", membership.Rebalancer{Own: 39, Complete: true, Others: others(11)}, "", membership.SpreadWithin},
-		{"one more", membership.Rebalancer{Own: 40, Complete: true, Others: others(10)}, "c2", membership.SpreadMoves},
-		{"a host came back to many", membership.Rebalancer{Own: 107, Complete: true, Others: others(107, 107, 107, 107, 107, 107, 0)}, "c8", membership.SpreadMoves},
+		{"one more", membership.Rebalancer{Own: 40, Complete: true, Others: others(10)}, "c2", membership.RebalanceMove},
+		{"a host came back to many", membership.Rebalancer{Own: 107, Complete: true, Others: others(107, 107, 107, 107, 107, 107, 0)}, "c8", membership.RebalanceMove},
 		{"not over the mean", membership.Rebalancer{Own: 80, Complete: true, Others: others(107, 107, 107, 0)}, "", membership.SpreadWithin},
 		{"few subscribers", membership.Rebalancer{Own: 10, Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
 		{"none at all", membership.Rebalancer{Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
@@ -40,7 +40,7 @@
 		{"no other", membership.Rebalancer{Own: 100, Complete: true}, "", membership.SpreadAlone},
 		{"others are silent", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.SpreadAlone},
 		{"one moved just now", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Pause: 2}, "", membership.SpreadPauses},
-		{"the pause is over", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Pause: 2}, "c2", membership.SpreadMoves},
+		{"the pause is over", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Pause: 2}, "c2", membership.RebalanceMove},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 			}
 		}
 		to, reason := s.Decide()
-		if reason != membership.SpreadMoves {
+		if reason != membership.RebalanceMove {
 			continue
 		}
 		var host int
