--- a/membership/spread.go
+++ b/membership/spread.go
@@ -44,11 +44,11 @@
 
 // Reasons of Decide.
 const (
-	RebalanceMove   RebalanceReason = "moves"
-	SpreadUnsettled RebalanceReason = "unsettled"
-	SpreadAlone     RebalanceReason = "alone"
-	SpreadWithin    RebalanceReason = "within"
-	SpreadPauses    RebalanceReason = "pauses"
+	RebalanceMove       RebalanceReason = "moves"
+	RebalanceIncomplete RebalanceReason = "unsettled"
+	SpreadAlone         RebalanceReason = "alone"
+	SpreadWithin        RebalanceReason = "within"
+	SpreadPauses        RebalanceReason = "pauses"
 )
 
 // Decide returns the host that one subscriber is to move to, with SpreadMoves,
@@ -57,7 +57,7 @@
 // end, also while figures are some seconds old.
 func (s *Rebalancer) Decide() (to string, reason RebalanceReason) {
 	if !s.Complete {
-		return "", SpreadUnsettled
+		return "", RebalanceIncomplete
 	}
 	fresh := slices.DeleteFunc(slices.Clone(s.Others), func(h HostLoad) bool { return h.Age > maxLoadAge })
 	if len(fresh) == 0 {
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -36,7 +36,7 @@
 		{"few subscribers", membership.Rebalancer{Own: 10, Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
 		{"none at all", membership.Rebalancer{Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
 		{"less than the others", membership.Rebalancer{Own: 10, Complete: true, Others: others(90)}, "", membership.SpreadWithin},
-		{"has just started", membership.Rebalancer{Own: 100, Others: others(0)}, "", membership.SpreadUnsettled},
+		{"has just started", membership.Rebalancer{Own: 100, Others: others(0)}, "", membership.RebalanceIncomplete},
 		{"no other", membership.Rebalancer{Own: 100, Complete: true}, "", membership.SpreadAlone},
 		{"others are silent", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.SpreadAlone},
 		{"one moved just now", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Pause: 2}, "", membership.SpreadPauses},
