--- a/membership/spread.go
+++ b/membership/spread.go
@@ -46,7 +46,7 @@
 const (
 	RebalanceMove       RebalanceReason = "moves"
 	RebalanceIncomplete RebalanceReason = "unsettled"
-	SpreadAlone         RebalanceReason = "alone"
+	RebalanceNoPeers    RebalanceReason = "alone"
 	SpreadWithin        RebalanceReason = "within"
 	SpreadPauses        RebalanceReason = "pauses"
 )
@@ -61,7 +61,7 @@
 	}
 	fresh := slices.DeleteFunc(slices.Clone(s.Others), func(h HostLoad) bool { return h.Age > maxLoadAge })
 	if len(fresh) == 0 {
-		return "", SpreadAlone
+		return "", RebalanceNoPeers
 	}
 	least := slices.MinFunc(fresh, func(a, b HostLoad) int {
 		return cmp.Or(cmp.Compare(a.Subscribers, b.Subscribers), cmp.Compare(a.Name, b.Name))
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -37,8 +37,8 @@
 		{"none at all", membership.Rebalancer{Complete: true, Others: others(0, 0)}, "", membership.SpreadWithin},
 		{"less than the others", membership.Rebalancer{Own: 10, Complete: true, Others: others(90)}, "", membership.SpreadWithin},
 		{"has just started", membership.Rebalancer{Own: 100, Others: others(0)}, "", membership.RebalanceIncomplete},
-		{"no other", membership.Rebalancer{Own: 100, Complete: true}, "", membership.SpreadAlone},
-		{"others are silent", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.SpreadAlone},
+		{"no other", membership.Rebalancer{Own: 100, Complete: true}, "", membership.RebalanceNoPeers},
+		{"others are silent", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.RebalanceNoPeers},
 		{"one moved just now", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Pause: 2}, "", membership.SpreadPauses},
 		{"the pause is over", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Pause: 2}, "c2", membership.RebalanceMove},
 	}
