--- a/membership/spread.go
+++ b/membership/spread.go
@@ -47,7 +47,7 @@
 	RebalanceMove       RebalanceReason = "moves"
 	RebalanceIncomplete RebalanceReason = "unsettled"
 	RebalanceNoPeers    RebalanceReason = "alone"
-	SpreadWithin        RebalanceReason = "within"
+	RebalanceBalanced   RebalanceReason = "within"
 	SpreadPauses        RebalanceReason = "pauses"
 )
 
@@ -67,7 +67,7 @@
 		return cmp.Or(cmp.Compare(a.Subscribers, b.Subscribers), cmp.Compare(a.Name, b.Name))
 	})
 	if !s.uneven(fresh, least.Subscribers) {
-		return "", SpreadWithin
+		return "", RebalanceBalanced
 	}
 	if s.SinceMove < s.Pause {
 		return "", SpreadPauses
