--- a/membership/spread.go
+++ b/membership/spread.go
@@ -48,7 +48,7 @@
 	RebalanceIncomplete RebalanceReason = "unsettled"
 	RebalanceNoPeers    RebalanceReason = "alone"
 	RebalanceBalanced   RebalanceReason = "within"
-	SpreadPauses        RebalanceReason = "pauses"
+	RebalancePaused     RebalanceReason = "pauses"
 )
 
 // Decide returns the host that one subscriber is to move to, with SpreadMoves,
@@ -70,7 +70,7 @@
 		return "", RebalanceBalanced
 	}
 	if s.SinceMove < s.Pause {
-		return "", SpreadPauses
+		return "", RebalancePaused
 	}
 	return least.Name, RebalanceMove
 }
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -39,7 +39,7 @@
 		{"has just started", membership.Rebalancer{Own: 100, Others: others(0)}, "", membership.RebalanceIncomplete},
 		{"no other", membership.Rebalancer{Own: 100, Complete: true}, "", membership.RebalanceNoPeers},
 		{"others are silent", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.RebalanceNoPeers},
-		{"one moved just now", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Pause: 2}, "", membership.SpreadPauses},
+		{"one moved just now", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Pause: 2}, "", membership.RebalancePaused},
 		{"the pause is over", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Pause: 2}, "c2", membership.RebalanceMove},
 	}
 	for _, test := range tests {
