--- a/internal/wal/memory.go
+++ b/internal/wal/memory.go
@@ -9,24 +9,24 @@
 	"sync"
 )
 
-// Memory is a file system in memory, for a log that need not outlive its process. It
+// MemFS is a file system in memory, for a log that need not outlive its process. It
 // has no folders of its own: a folder is there as soon as a file is.
-type Memory struct {
+type MemFS struct {
 	mu    sync.Mutex
 	files map[string][]byte
 	locks map[string]bool
 }
 
 // NewMemory returns an empty file system.
-func NewMemory() *Memory {
-	return &Memory{files: map[string][]byte{}, locks: map[string]bool{}}
+func NewMemory() *MemFS {
+	return &MemFS{files: map[string][]byte{}, locks: map[string]bool{}}
 }
 
 // MkdirAll implements FS.
-func (m *Memory) MkdirAll(string) error { return nil }
+func (m *MemFS) MkdirAll(string) error { return nil }
 
 // Create implements FS.
-func (m *Memory) Create(path string) (File, error) {
+func (m *MemFS) Create(path string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[path] = nil
@@ -34,7 +34,7 @@
 }
 
 // Append implements FS.
-func (m *Memory) Append(path string) (File, error) {
+func (m *MemFS) Append(path string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, found := m.files[path]; !found {
@@ -48,7 +48,7 @@
 }
 
 // ReadFile implements FS.
-func (m *Memory) ReadFile(path string) ([]byte, error) {
+func (m *MemFS) ReadFile(path string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, found := m.files[path]
@@ -59,7 +59,7 @@
 }
 
 // ReadDir implements FS.
-func (m *Memory) ReadDir(path string) ([]string, error) {
+func (m *MemFS) ReadDir(path string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var names []string
@@ -73,7 +73,7 @@
 }
 
 // Rename implements FS.
-func (m *Memory) Rename(from, to string) error {
+func (m *MemFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, found := m.files[from]
@@ -86,7 +86,7 @@
 }
 
 // Remove implements FS.
-func (m *Memory) Remove(path string) error {
+func (m *MemFS) Remove(path string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, found := m.files[path]; !found {
@@ -97,10 +97,10 @@
 }
 
 // SyncDir implements FS.
-func (m *Memory) SyncDir(string) error { return nil }
+func (m *MemFS) SyncDir(string) error { return nil }
 
 // Lock implements FS.
-func (m *Memory) Lock(path string) (io.Closer, error) {
+func (m *MemFS) Lock(path string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.locks[path] {
@@ -112,7 +112,7 @@
 
 // memoryFile appends to one file.
 type memoryFile struct {
-	fs   *Memory
+	fs   *MemFS
 	path string
 }
 
@@ -131,7 +131,7 @@
 func (f *memoryFile) Close() error { return nil }
 
 type memoryLock struct {
-	fs   *Memory
+	fs   *MemFS
 	path string
 }
 
