--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -234,7 +234,7 @@
 	// One that keeps its log in memory has no folder.
 	var fs wal.FS
 	if d.settings.GetReplica().GetTransient() {
-		fs = wal.NewMemory()
+		fs = wal.NewMemFS()
 	}
 	opened, err := replica.Open(replica.Options{
 		FS:               fs,
--- a/internal/wal/memory.go
+++ b/internal/wal/memory.go
@@ -17,8 +17,8 @@
 	locks map[string]bool
 }
 
-// NewMemory returns an empty file system.
-func NewMemory() *MemFS {
+// NewMemFS returns an empty file system.
+func NewMemFS() *MemFS {
 	return &MemFS{files: map[string][]byte{}, locks: map[string]bool{}}
 }
 
--- a/internal/wal/memory_test.go
+++ b/internal/wal/memory_test.go
@@ -12,7 +12,7 @@
 // A log in memory serves as one on a disk does, within its process.
 func TestLogInMemory(t *testing.T) {
 	is := is.New(t)
-	fs := NewMemory()
+	fs := NewMemFS()
 	open := func() (*Log, *State) {
 		l, state, err := Open("nowhere", Options{Name: "a", FS: fs, SegmentBytes: 200})
 		is.NoErr(err)
