--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkRebuild measures what one service of n targets costs a second.
+// BenchmarkRebuild measures the rebuild of the table of one service with n targets.
 func BenchmarkRebuild(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkTableMemory reports the heap that a table with its loads holds.
+// BenchmarkTableMemory reports the heap used by a table and its reports.
 func BenchmarkTableMemory(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -10,84 +10,82 @@
 const (
 	// fullLoad is the load of a full target.
 	fullLoad = 1000
-	// maxLoad bounds what a report adds to a cost; above it a target is far
-	// over its capacity, or over the mean of full ones, either way.
+	// maxLoad bounds the contribution of load to a cost.
 	maxLoad = 4000
-	// maxUnanswered bounds what unanswered flows add to a cost.
+	// maxUnanswered bounds the contribution of unanswered flows to a cost.
 	maxUnanswered = 1000
-	// maxSteps bounds the search for a target that did not report to be
-	// draining since the table was built, so that a flood of first packets
-	// can't make each of them read a long list.
-	maxSteps = 64
+	// maxSearchSteps bounds the search for a target that is not draining, which runs
+	// for each first packet.
+	maxSearchSteps = 64
 )
 
-// Choose decides on a new flow, whose first packet its target answers at once, by
-// a hash that is evenly spread over 64 bits. It reports false, with the reason
-// NoTarget, if there is no candidate. It allocates nothing.
+// Choose chooses the target of a new flow whose first packet must be answered at once.
+// The hash must be uniform over 64 bits. It returns false with the reason NoTarget if
+// there is no candidate. It does not allocate.
 func (t *Table) Choose(hash uint64, now time.Duration) (Choice, bool) {
-	c, chosen, silent := t.choose(hash, now)
+	c, chosen, unresponsive := t.choose(hash, now)
 	if chosen == nil {
 		return c, false
 	}
-	chosen.cell.sent(now)
-	if silent != nil && silent != chosen && silent.cell.takeProbe(now) {
-		c.Probe = silent.picked()
+	chosen.reportState.recordSent(now)
+	if unresponsive != nil && unresponsive != chosen && unresponsive.reportState.claimProbe(now) {
+		c.Probe = unresponsive.ref()
 	}
 	return c, true
 }
 
-// ChooseNoReply is Choose for a packet that a target need not answer, so that
-// its silence afterwards tells nothing.
+// ChooseNoReply is Choose for a packet that the target need not answer, such as 0-RTT
+// data.
 func (t *Table) ChooseNoReply(hash uint64, now time.Duration) (Choice, bool) {
 	c, chosen, _ := t.choose(hash, now)
 	return c, chosen != nil
 }
 
-// choose returns the choice, the chosen candidate and a drawn one that was left
-// out because it is silent.
-func (t *Table) choose(hash uint64, now time.Duration) (c Choice, chosen, silent *candidate) {
+// choose returns the choice, the chosen candidate and an unresponsive one that was
+// replaced.
+func (t *Table) choose(hash uint64, now time.Duration) (c Choice, chosen, unresponsive *candidate) {
 	a, b := t.draw(hash, now)
 	if a == nil {
 		return Choice{Reason: NoTarget}, nil, nil
 	}
-	if t.policy.avoidsSilent() {
-		a, b, silent = t.avoid(a, b, hash, now)
+	if t.policy.skipsUnresponsive() {
+		a, b, unresponsive = t.replaceUnresponsive(a, b, hash, now)
 	}
 
 	chosen, reason := a, OnlyCandidate
 	if b != nil {
-		chosen, reason = t.better(a, b, hash, now)
+		chosen, reason = t.pickBetter(a, b, hash, now)
 	}
-	if silent != nil {
+	if unresponsive != nil {
 		reason = Unresponsive
 	}
-	if t.whole != NoTarget {
-		reason = t.whole
+	if t.overrideReason != NoTarget {
+		reason = t.overrideReason
 	}
-	chosen.cell.unanswered.Add(1)
+	chosen.reportState.unanswered.Add(1)
 	return Choice{
-		Target:    chosen.picked(),
+		Target:    chosen.ref(),
 		Alternate: alternate(a, b, chosen),
 		Reason:    reason,
-	}, chosen, silent
+	}, chosen, unresponsive
 }
 
-// avoid replaces silent ones of two candidates and returns one that it replaced. If
-// no other one is found, they stay: they are as good as any.
-func (t *Table) avoid(a, b *candidate, hash uint64, now time.Duration) (c, d, silent *candidate) {
+// replaceUnresponsive replaces unresponsive candidates and returns one that it
+// replaced. It keeps them if there is no responsive one.
+func (t *Table) replaceUnresponsive(a, b *candidate, hash uint64, now time.Duration) (c, d, unresponsive *candidate) {
 	switch {
-	case a.cell.silent(now):
-		silent = a
-	case b != nil && b.cell.silent(now):
-		silent = b
+	case a.reportState.unresponsive(now):
+		unresponsive = a
+	case b != nil && b.reportState.unresponsive(now):
+		unresponsive = b
 	default:
 		return a, b, nil
 	}
-	heard := t.heard(a, b, hash, now)
-	if heard.a == nil {
+	responsive := t.responsive(a, b, hash, now)
+	if responsive.a == nil {
 		return a, b, nil
 	}
-	return heard.a, heard.b, silent
+	return responsive.a, responsive.b, unresponsive
 }
 
 // draw returns two different candidates, or one, or none.
@@ -99,8 +97,8 @@
 	i := scale(uint32(hash), n)
 	first := t.search(i, n, now)
 	if first == n {
-		// All that were looked at report to be draining since the table was
-		// built: as good as a table of draining targets.
+		// All candidates seen are draining: treat them like a table of draining
+		// targets.
 		first = i
 	}
 	if n == 1 {
@@ -115,14 +113,13 @@
 	return &t.candidates[first], &t.candidates[second]
 }
 
-// search returns the index of the first candidate from start on that did not
-// report to be draining and is not at index except, or n if there is none
-// within maxSteps.
+// search returns the index of the first candidate from start on that is not draining
+// and not at index except, or n if there is none within maxSearchSteps.
 func (t *Table) search(start, except int, now time.Duration) int {
 	n := len(t.candidates)
 	i := start
-	for range min(n, maxSteps) {
-		if i != except && !t.leaving(&t.candidates[i], now) {
+	for range min(n, maxSearchSteps) {
+		if i != except && !t.reportsDraining(&t.candidates[i], now) {
 			return i
 		}
 		i++
@@ -133,18 +130,18 @@
 	return n
 }
 
-// leaving reports whether a candidate of a table without draining targets
-// reported to be draining since.
-func (t *Table) leaving(c *candidate, now time.Duration) bool {
-	if t.whole == LastResort {
+// reportsDraining reports whether a candidate started draining after the table was
+// built.
+func (t *Table) reportsDraining(c *candidate, now time.Duration) bool {
+	if t.overrideReason == LastResort {
 		return false
 	}
-	report, known := c.cell.fresh(now)
+	report, known := c.reportState.freshReport(now)
 	return known && report.Draining
 }
 
-// better returns the better one of two candidates.
-func (t *Table) better(a, b *candidate, hash uint64, now time.Duration) (*candidate, Reason) {
+// pickBetter returns the better one of two candidates.
+func (t *Table) pickBetter(a, b *candidate, hash uint64, now time.Duration) (*candidate, Reason) {
 	switch t.policy.strategy {
 	case configpb.Strategy_STRATEGY_HASH:
 		return a, ByHash
@@ -175,29 +172,28 @@
 	}
 }
 
-// cost weighs load against risk, see the package's comment.
+// cost returns the weighted cost described in the package comment.
 func (t *Table) cost(c *candidate, now time.Duration) uint32 {
 	risk := c.risk
-	if report, known := c.cell.fresh(now); known && report.Unhealthy {
+	if report, known := c.reportState.freshReport(now); known && report.Unhealthy {
 		risk = maxRisk
 	}
-	load := t.relative(t.expected(c, now))
-	unanswered := min(c.cell.unanswered.Load(), maxUnanswered)
+	load := t.relativeLoad(t.estimatedLoad(c, now))
+	unanswered := min(c.reportState.unanswered.Load(), maxUnanswered)
 	return t.policy.loadWeight*load + t.policy.brokenWeight*risk + weightScale*unanswered
 }
 
-// load returns the reported load, or the average.
+// load returns the reported load, or the average without a recent report.
 func (t *Table) load(c *candidate, now time.Duration) uint32 {
-	if load, known := c.cell.freshLoad(now); known {
+	if load, known := c.reportState.freshLoad(now); known {
 		return load
 	}
 	return t.average
 }
 
-// relative returns a load for the cost. Where the average target is full, it is
-// the share of the average: what counts as full may be set too low, and targets
-// that are all far above it still differ.
-func (t *Table) relative(load uint32) uint32 {
+// relativeLoad returns a load as used in a cost: relative to the average if the average
+// target is full, so that overloaded targets still compare.
+func (t *Table) relativeLoad(load uint32) uint32 {
 	if t.average > fullLoad {
 		load = uint32(uint64(load) * fullLoad / uint64(t.average))
 	}
@@ -215,13 +211,13 @@
 	}
 }
 
-// scale maps 32 even bits to 0 … n-1.
+// scale maps 32 uniform bits to 0 … n-1.
 func scale(bits uint32, n int) int {
 	return int(uint64(bits) * uint64(n) >> 32)
 }
 
-// mix returns bits that are independent of those that drew the candidates
-// (the finalizer of SplitMix64).
+// mix returns bits that are independent of those used by draw (the finalizer of
+// SplitMix64).
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -13,8 +13,8 @@
 
 var hashPolicy = &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH}
 
-// reasonCase is a choice between two targets that serve and are past any ramp,
-// but for what the case changes.
+// reasonCase is a choice between two serving targets past their ramps, with the changes
+// of the case applied.
 type reasonCase struct {
 	name   string
 	policy *configpb.Policy
@@ -34,7 +34,7 @@
 		target: 2,
 	},
 	{
-		name:   "no figure counts as average",
+		name:   "no report counts as average",
 		learn:  map[uint32]routing.Report{1: {Load: 500}},
 		want:   routing.EqualCost,
 		target: 0,
@@ -46,7 +46,7 @@
 		target: 2,
 	},
 	{
-		name:   "one reports to be draining",
+		name:   "one draining by report",
 		learn:  map[uint32]routing.Report{1: {Draining: true}},
 		want:   routing.OnlyCandidate,
 		target: 2,
@@ -60,20 +60,20 @@
 		want: routing.LastResort,
 	},
 	{
-		name:   "half ill is the panic threshold",
+		name:   "half unhealthy reaches the panic threshold",
 		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		want:   routing.Panic,
 		target: 2, // risk still counts
 	},
 	{
-		name:   "ill below the panic threshold",
+		name:   "unhealthy below the panic threshold",
 		policy: &configpb.Policy{PanicPercent: 51},
 		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		want:   routing.OnlyCandidate,
 		target: 2,
 	},
 	{
-		name:   "all ill above any threshold",
+		name:   "all unhealthy at any threshold",
 		policy: &configpb.Policy{PanicPercent: 1000},
 		change: func(list []routing.Target) {
 			list[0].Unhealthy = true
@@ -82,7 +82,7 @@
 		want: routing.Panic,
 	},
 	{
-		name:   "the agent's own word is newer than the directory",
+		name:   "report overrides the directory",
 		policy: &configpb.Policy{PanicPercent: 100},
 		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		learn:  map[uint32]routing.Report{1: {Unhealthy: false}, 2: {Unhealthy: true}},
@@ -90,7 +90,7 @@
 		target: 1,
 	},
 	{
-		name:   "the directory's damping outweighs the agent's word",
+		name:   "damping overrides the report",
 		policy: &configpb.Policy{PanicPercent: 51},
 		change: func(list []routing.Target) {
 			list[0].Unhealthy = true
@@ -150,7 +150,7 @@
 	is.Equal(choice.Alternate, netip.AddrPort{})
 }
 
-func TestUnusableAddressesAreLeftOut(t *testing.T) {
+func TestInvalidAddressesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	list := targets(4)
 	list[0].Address = netip.MustParseAddrPort("[2001:db8::1]:7000")
@@ -172,7 +172,7 @@
 		choice, ok := table.Choose(1, start)
 		is.True(ok)
 		is.Equal(choice.Target, routing.TargetRef{Number: 1, Incarnation: 2, Address: newer.Address})
-		is.True(!loads.Record(1, 1, routing.Report{}, start)) // the old one's figures don't count
+		is.True(!loads.Record(1, 1, routing.Report{}, start)) // reports of the old one are ignored
 	}
 }
 
@@ -200,9 +200,9 @@
 	is.Equal(choice.Reason, routing.EqualCost)
 }
 
-// TestIdleTargetIsNotHeldToItsLastLoad has one target answer all the time. The
-// other one's last report was of a busy moment, and nothing tells of its end.
-func TestIdleTargetIsNotHeldToItsLastLoad(t *testing.T) {
+// A target that became idle sends no newer report and must not stay at its last high
+// load.
+func TestStaleLoadCountsAsAverage(t *testing.T) {
 	is := is.New(t)
 	list := targets(2)
 	loads := routing.NewLoadReports(nil, list)
@@ -226,30 +226,30 @@
 	loads.Record(1, 1, routing.Report{Load: 100}, start)
 	loads.Record(2, 1, routing.Report{Load: 110}, start)
 	counts := count(t, table, hashes(1000))
-	// The lead of 10 per mille counts half, as the weights are equal: after
-	// five flows the costs are the same, then flows alternate.
+	// A lead of 10 per mille counts half, as the weights are equal: after five flows
+	// the costs are the same, then flows alternate.
 	is.Equal(counts[1]+counts[2], 1000)
 	lead := counts[1] - counts[2]
 	is.True(lead >= 4 && lead <= 6)
 }
 
-func TestSilentTargetLosesUntilItsCountDecays(t *testing.T) {
+func TestUnansweredFlowsCountUntilDecay(t *testing.T) {
 	is := is.New(t)
 	table, loads := build(nil, targets(2))
 	choose := func() uint32 {
 		choice, _ := table.Choose(hashes(1)[0], start)
 		return choice.Target.Number
 	}
-	silent := choose()
+	unanswered := choose()
 	for range 100 {
 		choose()
-		loads.Record(3-silent, 1, routing.Report{}, start) // the other one answers
+		loads.Record(3-unanswered, 1, routing.Report{}, start) // the other target replies
 	}
-	is.Equal(choose(), 3-silent)
+	is.Equal(choose(), 3-unanswered)
 
 	loads.Decay()
-	loads.Record(3-silent, 1, routing.Report{}, start)
-	is.Equal(choose(), silent) // it is tried again
+	loads.Record(3-unanswered, 1, routing.Report{}, start)
+	is.Equal(choose(), unanswered) // it is tried again
 }
 
 func TestBaselinesIgnoreRampAndRisk(t *testing.T) {
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestNothingIsAllocated(t *testing.T) {
+func TestNoAllocations(t *testing.T) {
 	is := is.New(t)
 	list := targets(12)
 	list[3].Age = time.Second
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,58 +1,53 @@
 // Package routing chooses the target of a new flow.
 //
-// An immutable Table is built for each service from its policy, its targets
-// and the load figures learned from reply frames. Choose draws two candidates
-// by hash and takes the better one; the other is named as alternate, which the
-// agent of the first may pass the flow on to. Established flows are not
-// decided here: their connection IDs name the target.
+// An immutable Table is built for each service from its policy, its targets and the
+// load reports of reply frames. Choose draws two candidates by hash and takes the
+// better one. The other one is the alternate, to which the agent of the first may
+// forward the flow. Established flows are not routed here: their connection IDs name
+// the target.
 //
-// # Who is a candidate
+// # Candidates
 //
-// Targets that are draining or look ill are left out. When the share of
-// ill-looking targets reaches the panic percentage of the policy, the signal
-// is taken for wrong and all are used. When nothing but draining targets is
-// left, they are used: this host's list may be old, and a draining agent
-// passes a new flow on to a target that it knows.
+// Draining and unhealthy targets are excluded. When the share of unhealthy targets
+// reaches the panic percentage of the policy, health is ignored and all of them are
+// used. When only draining targets are left, they are used: the list of this host may
+// be stale, and a draining agent forwards a new flow to another target.
 //
-// # Which candidate is better
+// # Cost
 //
-// Each candidate has a cost, and the lower one wins:
+// The candidate with the lower cost is chosen:
 //
 //	cost = imbalance weight × load + broken flow weight × risk + unanswered flows
 //
-// Load is the reported figure per mille, or the average of the service where
-// there is no fresh one; where that average is above 1000, a full target, it is
-// the share of the average instead, bounded at four times. A target within its
-// ramp that was not heard from counts for the part of the average that it has of
-// its ramp behind it, while no flow to it is unanswered: it can hardly have more.
-// Risk is 1000 for a target that looks ill, and falls
-// from 1000 to 0 over the ramp of a target after its cold start. Unanswered
-// flows are those sent to the target since its last report, so that a burst
-// between two reports spreads and a silent target loses. The weights of the
-// policy are scaled so that only their ratio counts.
-//
-// # Silence
-//
-// A target answers each first packet at once. One that was sent a first packet and
-// from which no frame at all has come since counts as silent after SilentAfter: it,
-// its host or the way to it is lost, and its lease may take seconds to tell. Other
-// candidates are drawn in its place. The baseline by hash does not look at silence,
-// and where all are silent the fault is more likely this host's own, so the choice
-// is as if none were. So that it comes back without other traffic, a silent target
-// that is drawn gets a copy of the packet, one in ProbePeriod. No caller waits for
-// the probe. A new incarnation is not silent.
+// Load is the reported load per mille. Without a recent report it is the average of the
+// service. If that average is above 1000 (a full target), loads are taken relative to
+// it, up to four times the average. A target on its ramp without a report counts as the
+// average multiplied by its progress on the ramp, as long as it has no unanswered flow.
+//
+// Risk is 1000 for an unhealthy target, and falls from 1000 to 0 during the ramp after
+// a cold start. Unanswered flows are those sent to the target since its last report, so
+// that a burst between two reports is spread. The weights of the policy are scaled, so
+// that only their ratio matters.
+//
+// # Unresponsive targets
+//
+// A target must answer the first packet of a flow at once. If no frame arrives from it
+// within UnresponsiveAfter, it counts as unresponsive and another candidate is drawn.
+// This detects a lost target before its lease expires. If all targets are unresponsive,
+// the fault is more likely on this host, and they are used as usual. The hash strategy
+// ignores this state. To detect recovery, an unresponsive target that is drawn gets a
+// copy of the packet, at most once in ProbeInterval. A new incarnation starts as
+// responsive.
 //
 // # The ramp
 //
-// A candidate within its ramp takes part only in a share of the draws, which
-// grows with its age from a sixteenth to all. The growth follows
-// age^(broken flow weight / imbalance weight), the exponent held between 1/4
-// and 4: a service that weighs broken flows more lets a cold target wait, one
-// that weighs imbalance more fills it early.
+// A candidate on its ramp takes part in a share of the draws only. The share grows with
+// age^(broken flow weight / imbalance weight) from a sixteenth to all; the exponent is
+// kept between 1/4 and 4. A higher broken flow weight delays cold targets, a higher
+// imbalance weight fills them early.
 //
-// The failure domain of a target has no say: preferring a near one would
-// trade imbalance for a millisecond.
+// The failure domain of a target is ignored.
 //
-// The package has no clock, no randomness and no I/O: time is a duration since
-// any fixed moment of the process, and the hash comes from the caller.
+// The package has no clock, no randomness and no I/O: time is a duration since any
+// fixed moment, and the hash comes from the caller.
 package routing
--- a/routing/hasher.go
+++ b/routing/hasher.go
@@ -17,17 +17,16 @@
 	blockLength = 16
 )
 
-// Hasher hashes what is known of a flow that no target has answered yet. All
-// hosts with the same secret hash alike, so a repeated first packet meets the
-// same candidates at every entry host; without the secret nobody can make up
-// flows that meet on one target. It is safe for concurrent use.
+// Hasher hashes a flow that no target has answered yet. All hosts with the same secret
+// compute the same hash, so a repeated first packet gets the same candidates at every
+// entry host. Without the secret nobody can craft flows that hit one target. It is safe
+// for concurrent use.
 type Hasher struct {
 	block   cipher.Block
 	scratch sync.Pool
 }
 
-// hashState is working memory for one hash. It is pooled because what is
-// handed to a cipher.Block escapes to the heap.
+// hashState is pooled, as arguments of a cipher.Block escape to the heap.
 type hashState struct {
 	sum   [blockLength]byte
 	input [blockLength]byte
@@ -44,8 +43,8 @@
 	return h, nil
 }
 
-// Hash returns the hash of a flow by its caller's address and the connection
-// ID that the caller made up. It allocates nothing.
+// Hash returns the hash of a flow, given the address of its caller and the connection
+// ID that the caller chose. It does not allocate.
 func (h *Hasher) Hash(caller netip.AddrPort, id []byte) uint64 {
 	s := h.scratch.Get().(*hashState)
 	defer h.scratch.Put(s)
@@ -53,8 +52,8 @@
 	s.sum = caller.Addr().As16()
 	h.block.Encrypt(s.sum[:], s.sum[:])
 
-	// Port and length come first, which keeps IDs that differ in trailing
-	// zeros apart.
+	// The length is included, so that IDs that differ in trailing zeros have different
+	// hashes.
 	clear(s.input[:])
 	binary.BigEndian.PutUint16(s.input[:], caller.Port())
 	s.input[2] = byte(len(id))
--- a/routing/hasher_test.go
+++ b/routing/hasher_test.go
@@ -19,7 +19,7 @@
 	return h
 }
 
-func TestHostsWithOneSecretHashAlike(t *testing.T) {
+func TestSameSecretSameHash(t *testing.T) {
 	is := is.New(t)
 	caller := netip.MustParseAddrPort("192.0.2.7:50000")
 	id := []byte("made-up-connection-id")
@@ -27,7 +27,7 @@
 	is.True(hasher(t, 1).Hash(caller, id) != hasher(t, 2).Hash(caller, id))
 }
 
-func TestEveryPartOfAFlowCounts(t *testing.T) {
+func TestHashDependsOnAllInputs(t *testing.T) {
 	is := is.New(t)
 	h := hasher(t, 1)
 	caller := netip.MustParseAddrPort("192.0.2.7:50000")
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestHashAllocatesNothing(t *testing.T) {
+func TestHashNoAllocations(t *testing.T) {
 	is := is.New(t)
 	h := hasher(t, 1)
 	caller := netip.MustParseAddrPort("192.0.2.7:50000")
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -42,7 +42,7 @@
 	return routing.NewTable(p, service, list, loads, start), loads
 }
 
-// hashes returns n hashes that are spread evenly and the same at each run.
+// hashes returns n uniform hashes, the same at each run.
 func hashes(n int) []uint64 {
 	list := make([]uint64, n)
 	x := uint64(1)
@@ -57,7 +57,8 @@
 	return list
 }
 
-// count chooses for each hash and counts by target number.
+// count chooses a target for each hash and returns the number of choices by target
+// number.
 func count(tb testing.TB, t *routing.Table, list []uint64) map[uint32]int {
 	tb.Helper()
 	counts := make(map[uint32]int)
--- a/routing/loads_test.go
+++ b/routing/loadreports_test.go
@@ -10,7 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-func TestLoadsAreBoundedByTheList(t *testing.T) {
+func TestUnlistedIncarnationsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	loads := routing.NewLoadReports(nil, targets(3))
 	is.True(!loads.Record(4, 1, routing.Report{}, start)) // not on the list
@@ -18,7 +18,7 @@
 	is.Equal(loads.Len(), 3)
 }
 
-func TestReportsGoOnInTheNextList(t *testing.T) {
+func TestReportsCarryOverToNextList(t *testing.T) {
 	is := is.New(t)
 	list := targets(2)
 	before := routing.NewLoadReports(nil, list)
@@ -32,18 +32,18 @@
 	is.True(ok)
 	is.Equal(got, report)
 	_, ok = after.Latest(2, 2, start)
-	is.True(!ok) // a restarted target starts without figures
+	is.True(!ok) // a restarted target has no report
 	_, ok = after.Latest(2, 1, start)
 	is.True(!ok)
 
-	// A worker that still has the former loads reports for both.
+	// A report recorded in the previous list is visible in the next one.
 	is.True(before.Record(1, 1, routing.Report{Load: 5}, start))
 	got, ok = after.Latest(1, 1, start)
 	is.True(ok)
 	is.Equal(got.Load, uint16(5))
 }
 
-func TestReportsGrowStale(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	is := is.New(t)
 	loads := routing.NewLoadReports(nil, targets(1))
 	_, ok := loads.Latest(1, 1, start)
@@ -55,7 +55,7 @@
 	is.True(!ok)
 }
 
-func TestLoadsAndTablesAreSharedBetweenWorkers(t *testing.T) {
+func TestConcurrentUse(t *testing.T) {
 	list := targets(7)
 	table, loads := build(nil, list)
 	var workers conc.WaitGroup
--- a/routing/unheard_test.go
+++ b/routing/noreport_test.go
@@ -10,20 +10,20 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// TestWeightsHoldOnATargetNotHeardFrom has a target in the first half of its ramp
-// that has told no load yet, beside others in even use.
-func TestWeightsHoldOnATargetNotHeardFrom(t *testing.T) {
+// A target early on its ramp that has sent no report is chosen according to the
+// weights.
+func TestWeightsApplyToTargetWithoutReport(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		policy *configpb.Policy
-		// answers tells that a flow is answered before the next one.
+		// answers is set if each flow is answered before the next one.
 		answers bool
-		// Bounds of its share, in per cent of that of a full target.
+		// Bounds of its share, in percent of that of a full target.
 		least, most int
 	}{
 		{"imbalance weighs more", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4}, true, 60, 90},
 		{"broken flows weigh more", &configpb.Policy{BrokenFlowWeight: 4, ImbalanceWeight: 1}, true, 0, 0},
-		{"silent", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4}, false, 0, 1},
+		{"no replies", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4}, false, 0, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -16,26 +16,25 @@
 
 // Bounds of the ramp.
 const (
-	// rampFloor is the share of draws that a target takes part in at age zero.
-	// It must not be zero, or a service of cold targets alone would learn
-	// nothing of them.
+	// rampFloor is the share of draws at age zero. It must not be zero, or a service
+	// with only cold targets would never receive a report.
 	rampFloor       = 1.0 / 16
 	minRampExponent = 1.0 / 4
 	maxRampExponent = 4.0
 
-	// fullShare stands for a target that takes part in every draw.
+	// fullShare is the share of a target that takes part in every draw.
 	fullShare = math.MaxUint16
-	// rampedWhole stands for a target that has its whole ramp behind it.
-	rampedWhole = 1000
+	// fullRampProgress is the progress of a target that has completed its ramp.
+	fullRampProgress = 1000
 )
 
 // weightScale is the sum of the two weights in a policy.
 const weightScale = 512
 
-// maxRisk is the risk of an ill-looking target, on the scale of loads.
+// maxRisk is the risk of an unhealthy target, on the scale of loads.
 const maxRisk = 1000
 
-// policy is a configpb.Policy with its defaults, made ready for decisions.
+// policy is a configpb.Policy with its defaults applied.
 type policy struct {
 	strategy     configpb.Strategy
 	brokenWeight uint32
@@ -67,7 +66,7 @@
 	return out
 }
 
-// weight returns the default for everything that is no positive number.
+// weight returns the default unless w is a positive finite number.
 func weight(w float64) float64 {
 	if w > 0 && !math.IsInf(w, 0) {
 		return w
@@ -75,43 +74,44 @@
 	return defaultWeight
 }
 
-// share returns in how many of fullShare draws a target of that age takes part.
+// share returns the share of draws in which a target of that age takes part, out of
+// fullShare.
 func (p *policy) share(age time.Duration) uint16 {
 	if age >= p.ramp {
 		return fullShare
 	}
-	share := rampFloor + (1-rampFloor)*math.Pow(p.done(age), p.exponent)
+	share := rampFloor + (1-rampFloor)*math.Pow(p.rampFraction(age), p.exponent)
 	return uint16(share * fullShare)
 }
 
-// ramped returns how much of its ramp a target of that age has behind it.
-func (p *policy) ramped(age time.Duration) uint16 {
-	return uint16(p.done(age) * rampedWhole)
+// rampProgress returns the progress of a target on its ramp, out of fullRampProgress.
+func (p *policy) rampProgress(age time.Duration) uint16 {
+	return uint16(p.rampFraction(age) * fullRampProgress)
 }
 
-// done returns ramped as a fraction.
-func (p *policy) done(age time.Duration) float64 {
+// rampFraction returns the progress of a target on its ramp, 0 to 1.
+func (p *policy) rampFraction(age time.Duration) float64 {
 	return min(max(float64(age)/float64(p.ramp), 0), 1)
 }
 
-// risk returns the risk of a target that looks ill or is of that age.
-func (p *policy) risk(ill bool, age time.Duration) uint32 {
-	if ill {
+// risk returns the risk of a target given its health and its age.
+func (p *policy) risk(unhealthy bool, age time.Duration) uint32 {
+	if unhealthy {
 		return maxRisk
 	}
-	return uint32(maxRisk * (1 - p.done(age)))
+	return uint32(maxRisk * (1 - p.rampFraction(age)))
 }
 
-// panics reports whether so many of the targets look ill that the signal is
-// more likely wrong.
-func (p *policy) panics(ill, all int) bool {
-	return ill > 0 && ill*100 >= p.panicPercent*all
+// inPanicMode reports whether the share of unhealthy targets reaches the panic
+// threshold.
+func (p *policy) inPanicMode(unhealthy, all int) bool {
+	return unhealthy > 0 && unhealthy*100 >= p.panicPercent*all
 }
 
-// InPanicMode reports whether, by the policy of a service, so many of its serving
-// targets look ill that the signal is more likely wrong than they are. All of
-// them are then served as if they were well.
-func InPanicMode(p *configpb.Policy, ill, all int) bool {
-	made := newPolicy(p)
-	return made.panics(ill, all)
+// InPanicMode reports whether the share of unhealthy targets of a service reaches the
+// panic threshold of its policy. Health is then ignored, as the signal is more likely
+// wrong.
+func InPanicMode(p *configpb.Policy, unhealthy, all int) bool {
+	resolved := newPolicy(p)
+	return resolved.inPanicMode(unhealthy, all)
 }
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -43,8 +43,8 @@
 	return list
 }
 
-// newest returns the targets of the service in their newest incarnation; of
-// equal records the last one wins.
+// newest returns the targets of the service in their newest incarnation, with all
+// records of that incarnation.
 func newest(list []routing.Target) map[uint32][]routing.Target {
 	out := make(map[uint32][]routing.Target)
 	for _, target := range list {
@@ -73,7 +73,7 @@
 	return false
 }
 
-func TestChoicesKeepTheRules(t *testing.T) {
+func TestChoiceInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		policy := drawPolicy(t)
@@ -144,18 +144,16 @@
 			is.True(ok)
 			counts[choice.Target.Number]++
 		}
-		// Whatever the figures say, a target is drawn for two flows in n, so no
-		// false or old figure can bring it more. A tenth is for the spread of
-		// the hashes.
+		// A target is drawn for two flows in n, so no wrong load can attract more. The
+		// margin of a tenth is for the spread of the hashes.
 		for _, c := range counts {
 			is.True(c <= flows*2/n*11/10)
 		}
 	})
 }
 
-func TestLoadsEvenOut(t *testing.T) {
-	// Each target reports its true load now and then; the fullest must stay
-	// near the average under the weighted strategy.
+func TestLoadsConverge(t *testing.T) {
+	// The fullest target stays near the average under the weighted strategy.
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		n := rapid.IntRange(2, 30).Draw(t, "targets")
@@ -185,10 +183,9 @@
 	for _, tt := range []struct {
 		name   string
 		policy *configpb.Policy
-		// Bounds of the share of the cold target at age zero and after half of
-		// its ramp, in per cent of the share of a full target. At zero its risk
-		// under the second policy is worth the highest load of the others, so
-		// it may get nothing.
+		// Bounds of the share of a cold target at age zero and halfway through its
+		// ramp, in percent of the share of a full target. With a high broken flow
+		// weight it may get nothing at first.
 		startMin, startMax     int
 		halfwayMin, halfwayMax int
 	}{
@@ -205,8 +202,8 @@
 			for _, age := range []time.Duration{0, ramp / 4, ramp / 2, 3 * ramp / 4, ramp} {
 				list := targets(n)
 				list[0].Age = age
-				// All but the cold target are in equal use; its own load is
-				// low, so it wins every draw that it takes part in.
+				// The load of the cold target is low, so it wins every draw in which it
+				// takes part.
 				loads := routing.NewLoadReports(nil, list)
 				counts := 0
 				table := routing.NewTable(tt.policy, service, list, loads, start)
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// input is what a table was built from that changes by itself.
-type input struct {
-	cell *cell
-	// flags are those of the cell's report, 0 without a fresh one.
-	flags uint64
+// tableInput is the state of a target from which a table was built.
+type tableInput struct {
+	reportState *reportState
+	// reportFlags are the flags of a fresh report, 0 without one.
+	reportFlags uint64
 }
 
-// flags returns the flags of the last report, 0 if it is stale.
-func (c *cell) flags(now time.Duration) uint64 {
+// reportFlags returns the flags of the last report, 0 if it is stale.
+func (c *reportState) reportFlags(now time.Duration) uint64 {
 	packed := c.report.Load()
 	if packed&packedKnown == 0 || ageOf(packed, now) > MaxReportAge {
 		return 0
 	}
-	return packed & (packedKnown | packedDraining | packedIll)
+	return packed & (packedKnown | packedDraining | packedUnhealthy)
 }
 
-// Refresh returns what NewTable would make at a later time of the same policy,
-// targets and loads. It is t itself if nothing has changed, and shares the
-// candidates with t if only load figures have. It reports false if the table has
-// to be made anew: a target is on its ramp, or its agent tells of another state.
+// Refresh returns the table that NewTable would build now from the same policy, targets
+// and reports. It returns t itself if nothing changed, and shares the candidates with t
+// if only loads changed. It returns false if the table must be rebuilt: a target is on
+// its ramp, or a report has other flags.
 func (t *Table) Refresh(now time.Duration) (*Table, bool) {
 	if t.ramping {
 		return nil, false
 	}
 	for i := range t.inputs {
-		if in := &t.inputs[i]; in.cell.flags(now) != in.flags {
+		if in := &t.inputs[i]; in.reportState.reportFlags(now) != in.reportFlags {
 			return nil, false
 		}
 	}
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -10,10 +10,9 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// TestRefreshedIsAsMadeAnew: a table that is refreshed is the one that would be
-// made anew at that time, with the ages and reports that there are then.
-func TestRefreshedIsAsMadeAnew(t *testing.T) {
-	kept, changed, refused := 0, 0, 0
+// A refreshed table equals one that is built at that time.
+func TestRefreshMatchesRebuild(t *testing.T) {
+	kept, changed, rebuilt := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		policy, list := drawPolicy(t), drawTargets(t)
 		if rapid.Bool().Draw(t, "warm") {
@@ -49,10 +48,10 @@
 			got, ok := table.Refresh(now)
 			switch {
 			case !ok:
-				refused++
+				rebuilt++
 				got = want
 			case !reflect.DeepEqual(got, want):
-				t.Fatalf("refreshed %+v, made anew %+v", got, want)
+				t.Fatalf("refreshed %+v, rebuilt %+v", got, want)
 			case got == table:
 				kept++
 			default:
@@ -61,8 +60,8 @@
 			table = got
 		}
 	})
-	t.Logf("kept %d, changed %d, refused %d", kept, changed, refused)
-	if kept == 0 || changed == 0 || refused == 0 {
+	t.Logf("kept %d, changed %d, rebuilt %d", kept, changed, rebuilt)
+	if kept == 0 || changed == 0 || rebuilt == 0 {
 		t.Error("a case was never drawn")
 	}
 }
--- a/routing/relative_test.go
+++ b/routing/relativeload_test.go
@@ -10,11 +10,10 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// fill begins with targets of which every other one has twice as many flows as
-// the rest, adds twice the missing ones, with a report after each, and returns
-// the greatest number of flows over the mean. A flow counts 1/capacity of a
-// target.
-func fill(flows, targetCount, capacity int) float64 {
+// balanceFlows starts with every other target having twice as many flows as the rest,
+// adds twice as many flows with a report after each, and returns the greatest number of
+// flows over the mean. A full target has capacity flows.
+func balanceFlows(flows, targetCount, capacity int) float64 {
 	list := targets(targetCount)
 	table, loads := build(nil, list)
 	open := make(map[uint32]int)
@@ -41,23 +40,22 @@
 	return float64(most*targetCount) / float64(sum)
 }
 
-// However many flows count as a full target, an uneven fleet gets even: the
-// setting may be off by a factor, and the mean of the fleet grows.
-func TestFlowsEvenOutWhateverCountsAsFull(t *testing.T) {
+// An uneven service becomes balanced, whatever number of flows counts as a full target.
+func TestFlowsBalanceWithAnyCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targetCount := 2 * rapid.IntRange(1, 12).Draw(t, "half of the targets")
 		flows := rapid.IntRange(200, 2000).Draw(t, "flows")
-		// The report, 16 bits of per mille, holds 65 times the capacity.
+		// The load, 16 bits of per mille, holds 65 times the capacity.
 		capacity := rapid.IntRange(flows/15, 4*flows).Draw(t, "capacity")
-		if got := fill(flows, targetCount, capacity); got > 1.15 {
+		if got := balanceFlows(flows, targetCount, capacity); got > 1.15 {
 			t.Fatalf("most flows over the mean: %.2f", got)
 		}
 	})
 }
 
-// A choice compares loads with the mean above a full target, so that what it
-// weighs them against, the risk, keeps its meaning.
-func TestChoicesFollowTheMeanOfFullTargets(t *testing.T) {
+// Above a full target, choices compare loads with the mean, so scaling all loads
+// changes no choice.
+func TestOverloadIsComparedWithMean(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := targets(2 * rapid.IntRange(1, 6).Draw(t, "pairs of targets"))
 		list[0].Age = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "age")) * time.Millisecond
@@ -67,7 +65,7 @@
 		mean, gap := rapid.Uint16Range(1001, 2000).Draw(t, "mean"), uint16(0)
 		for i, target := range list {
 			load := mean - gap
-			if i%2 == 0 { // pairs about the mean, so that it is a whole number
+			if i%2 == 0 { // symmetric pairs keep the mean an integer
 				gap = rapid.Uint16Range(0, mean).Draw(t, "gap")
 				load = mean + gap
 			}
@@ -80,7 +78,7 @@
 			x, _ := a.Choose(hash, start)
 			y, _ := b.Choose(hash, start)
 			if x.Target.Number != y.Target.Number {
-				t.Fatalf("target %d, with all loads %d times as high %d", x.Target.Number, factor, y.Target.Number)
+				t.Fatalf("target %d; with all loads scaled by %d, target %d", x.Target.Number, factor, y.Target.Number)
 			}
 		}
 	})
--- a/routing/table.go
+++ b/routing/table.go
@@ -9,42 +9,41 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// Table decides on the new flows of one service. It is immutable and safe for
-// concurrent use; the loads that it was built with go on changing.
+// Table chooses targets for the new flows of one service. It is immutable and safe for
+// concurrent use, but its choices follow the reports recorded meanwhile.
 type Table struct {
 	policy     policy
 	candidates []candidate
-	// average load of the candidates with a fresh report.
+	// average is the mean load of the candidates with a fresh report.
 	average uint32
-	// whole overrides the reason of every choice if it isn't NoTarget.
-	whole Reason
+	// overrideReason replaces the reason of every choice unless it is NoTarget.
+	overrideReason Reason
 
-	// inputs and ramping tell whether the table still holds later: ramping that a
-	// target had not come to the end of its ramp.
-	inputs  []input
+	// inputs and ramping tell whether the table must be rebuilt. ramping is set if a
+	// target was on its ramp.
+	inputs  []tableInput
 	ramping bool
 }
 
-// candidate is a target that may be chosen. It is kept small, as the list of a
-// big service is read at random.
+// candidate is a target that may be chosen. It is kept small, as lists are accessed at
+// random.
 type candidate struct {
-	cell        *cell
+	reportState *reportState
 	number      uint32
 	incarnation uint32
 	risk        uint32
 	ip          [4]byte
 	port        uint16
-	// share of the draws that it takes part in, of fullShare.
+	// share of the draws in which it takes part, out of fullShare.
 	share uint16
-	// ramped is how much of its ramp it has behind it, of rampedWhole.
-	ramped uint16
+	// rampProgress is its progress on the ramp, out of fullRampProgress.
+	rampProgress uint16
 }
 
-// NewTable returns the table of a service. It ignores targets of other
-// services, those whose address is not IPv4, and all but the newest
-// incarnation of each target. Loads must have been made from a list that holds
-// all of these targets. A table is good for about a second: then a new one
-// takes in ages and reports. A nil policy means its defaults.
+// NewTable returns the table of a service. It ignores targets of other services,
+// targets without an IPv4 address, and all but the newest incarnation of each target.
+// Reports must cover all of these targets. A table should be refreshed or rebuilt about
+// once a second. A nil policy means the defaults.
 func NewTable(p *configpb.Policy, service uint32, targets []Target, loads *LoadReports, now time.Duration) *Table {
 	b := builder{policy: newPolicy(p), loads: loads, now: now}
 	for i := range targets {
@@ -58,15 +57,15 @@
 	return len(t.candidates)
 }
 
-// builder sorts the targets of one service into classes.
+// builder groups the targets of one service by state.
 type builder struct {
 	policy policy
 	loads  *LoadReports
 	now    time.Duration
 
-	well, ill, draining []candidate
+	healthy, unhealthy, draining []candidate
 
-	inputs  []input
+	inputs  []tableInput
 	ramping bool
 }
 
@@ -80,62 +79,62 @@
 		return
 	}
 
-	// The flags are read before the report: a report that comes in between shows
-	// as a difference at the next refresh.
-	b.inputs = append(b.inputs, input{cell: c, flags: c.flags(b.now)})
+	// The flags are read before the report, so that a report arriving in between is
+	// noticed by the next Refresh.
+	b.inputs = append(b.inputs, tableInput{reportState: c, reportFlags: c.reportFlags(b.now)})
 	b.ramping = b.ramping || t.Age < b.policy.ramp
-	report, known := c.fresh(b.now)
-	ill := t.Unhealthy
+	report, known := c.freshReport(b.now)
+	unhealthy := t.Unhealthy
 	if known {
-		// The agent's own word is newer than the directory.
-		ill = report.Unhealthy
+		// The report of the agent is newer than the directory.
+		unhealthy = report.Unhealthy
 	}
-	// The agent of a target that flaps says that it is well each time.
-	ill = ill || t.Damped
-	made := b.candidate(t, c, ill)
+	// A flapping target stays unhealthy, whatever its agent reports.
+	unhealthy = unhealthy || t.Damped
+	entry := b.candidate(t, c, unhealthy)
 	switch {
 	case t.Draining || report.Draining:
-		b.draining = append(b.draining, made)
-	case ill:
-		b.ill = append(b.ill, made)
+		b.draining = append(b.draining, entry)
+	case unhealthy:
+		b.unhealthy = append(b.unhealthy, entry)
 	default:
-		b.well = append(b.well, made)
+		b.healthy = append(b.healthy, entry)
 	}
 }
 
-func (b *builder) candidate(t *Target, c *cell, ill bool) candidate {
+func (b *builder) candidate(t *Target, c *reportState, unhealthy bool) candidate {
 	return candidate{
-		cell:        c,
-		number:      t.Number,
-		incarnation: t.Incarnation,
-		risk:        b.policy.risk(ill, t.Age),
-		ip:          t.Address.Addr().Unmap().As4(),
-		port:        t.Address.Port(),
-		share:       b.policy.share(t.Age),
-		ramped:      b.policy.ramped(t.Age),
+		reportState:  c,
+		number:       t.Number,
+		incarnation:  t.Incarnation,
+		risk:         b.policy.risk(unhealthy, t.Age),
+		ip:           t.Address.Addr().Unmap().As4(),
+		port:         t.Address.Port(),
+		share:        b.policy.share(t.Age),
+		rampProgress: b.policy.rampProgress(t.Age),
 	}
 }
 
 func (b *builder) build() *Table {
 	t := &Table{policy: b.policy, inputs: b.inputs, ramping: b.ramping}
-	serving := len(b.well) + len(b.ill)
+	serving := len(b.healthy) + len(b.unhealthy)
 	switch {
 	case serving == 0:
 		t.candidates = b.draining
-		t.whole = LastResort
-	case len(b.well) == 0 || b.policy.panics(len(b.ill), serving):
-		t.candidates = append(b.well, b.ill...)
-		t.whole = Panic
+		t.overrideReason = LastResort
+	case len(b.healthy) == 0 || b.policy.inPanicMode(len(b.unhealthy), serving):
+		t.candidates = append(b.healthy, b.unhealthy...)
+		t.overrideReason = Panic
 	default:
-		t.candidates = b.well
+		t.candidates = b.healthy
 	}
 
 	t.finish(b.now)
 	return t
 }
 
-// finish sorts the candidates, so that entry hosts with the same view choose
-// alike, and sums them up.
+// finish sorts the candidates, so that entry hosts with the same view choose the same
+// targets, and computes the average load.
 func (t *Table) finish(now time.Duration) {
 	slices.SortFunc(t.candidates, func(a, b candidate) int {
 		return cmp.Compare(a.number, b.number)
@@ -148,12 +147,12 @@
 	t.average = t.averageLoad(now)
 }
 
-// averageLoad returns the mean load of the candidates with a fresh report, 0 if
-// there is none.
+// averageLoad returns the mean load of the candidates with a fresh report, 0 without
+// any.
 func (t *Table) averageLoad(now time.Duration) uint32 {
 	var sum, known uint64
 	for i := range t.candidates {
-		if load, ok := t.candidates[i].cell.freshLoad(now); ok {
+		if load, ok := t.candidates[i].reportState.freshLoad(now); ok {
 			sum += uint64(load)
 			known++
 		}
@@ -164,19 +163,17 @@
 	return uint32(sum / known)
 }
 
-// expected returns the load of a candidate for its cost. One on its ramp of which
-// nothing fresh is known has had few draws so far, so it counts for that part of
-// the average. Taken for the average it would look no emptier than a full one, and
-// the imbalance weight would have no hold on it. It counts as the average while a
-// flow that was sent there is unanswered, so that a silent one gains little.
-func (t *Table) expected(c *candidate, now time.Duration) uint32 {
-	if load, known := c.cell.freshLoad(now); known {
+// estimatedLoad returns the load of a candidate for its cost. Without a fresh report, a
+// candidate on its ramp counts as the average multiplied by its progress, as it has had
+// few flows so far. A candidate with unanswered flows counts as the average.
+func (t *Table) estimatedLoad(c *candidate, now time.Duration) uint32 {
+	if load, known := c.reportState.freshLoad(now); known {
 		return load
 	}
-	if c.ramped == rampedWhole || c.cell.unanswered.Load() != 0 {
+	if c.rampProgress == fullRampProgress || c.reportState.unanswered.Load() != 0 {
 		return t.average
 	}
-	return uint32(uint64(t.average) * uint64(c.ramped) / rampedWhole)
+	return uint32(uint64(t.average) * uint64(c.rampProgress) / fullRampProgress)
 }
 
 func usable(a netip.AddrPort) bool {
@@ -188,6 +185,6 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(c.ip), c.port)
 }
 
-func (c *candidate) picked() TargetRef {
+func (c *candidate) ref() TargetRef {
 	return TargetRef{Number: c.number, Incarnation: c.incarnation, Address: c.address()}
 }
--- a/routing/target.go
+++ b/routing/target.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// Target is one target as the directory announced it.
+// Target is a target as announced in the directory.
 type Target struct {
-	// Number is stable, Incarnation tells the lives of the target apart.
+	// Number is stable; Incarnation counts the restarts of the target.
 	Number, Incarnation uint32
-	// Service is the number of the service that the target answers for.
+	// Service is the number of its service.
 	Service uint32
 	// Address is the frame address of its agent, IPv4.
 	Address netip.AddrPort
-	// Draining: it takes no new flows.
+	// Draining is set if it takes no new flows.
 	Draining bool
-	// Unhealthy: its agent holds the backend server to be ill.
+	// Unhealthy is set if the agent judges the backend server unhealthy.
 	Unhealthy bool
-	// Damped: it flaps, and counts as ill whatever its agent says.
+	// Damped is set if it flaps; it then counts as unhealthy.
 	Damped bool
 	// Age is the time since its cold start.
 	Age time.Duration
 }
 
-// TargetRef names a chosen target.
+// TargetRef identifies a target and the frame address of its agent.
 type TargetRef struct {
 	Number, Incarnation uint32
 	Address             netip.AddrPort
 }
 
-// Choice is the decision on one new flow.
+// Choice is the result of choosing a target for a new flow.
 type Choice struct {
 	Target TargetRef
 	// Alternate is the frame address of the other candidate, or zero.
 	Alternate netip.AddrPort
 	Reason    Reason
-	// Probe is a silent target that gets a copy of the packet, or zero. Should it
-	// answer too, the caller acts on the first of the two Retries.
+	// Probe is an unresponsive target that gets a copy of the packet, or zero. If both
+	// targets answer, the caller uses the first Retry that it receives.
 	Probe TargetRef
 }
 
-// Reason tells what decided a choice.
+// Reason tells how a target was chosen.
 type Reason uint8
 
 // Reasons of a choice.
 const (
-	// NoTarget: the service has no target at all; nothing was chosen.
+	// NoTarget means that the service has no target; nothing was chosen.
 	NoTarget Reason = iota
-	// OnlyCandidate: there was one candidate.
+	// OnlyCandidate means that there was one candidate.
 	OnlyCandidate
-	// ByHash: the policy is the hash baseline.
+	// ByHash means that the policy uses the hash strategy.
 	ByHash
-	// ByCost: the chosen candidate has the lower cost or load.
+	// ByCost means that the chosen candidate has the lower cost or load.
 	ByCost
-	// EqualCost: the candidates cost the same, the hash decided.
+	// EqualCost means that the costs were equal and the hash decided.
 	EqualCost
-	// Ramp: the other candidate is within its ramp and sat this draw out.
+	// Ramp means that the other candidate is on its ramp and was skipped in this draw.
 	Ramp
-	// Panic: so many targets look ill that the signal is ignored.
+	// Panic means that health was ignored because too many targets are unhealthy.
 	Panic
-	// LastResort: all targets are draining, one of them has to pass it on.
+	// LastResort means that all targets are draining; the agent has to forward the
+	// flow.
 	LastResort
-	// Unresponsive: a drawn candidate has not answered for a while, and one that is
-	// not silent was taken in its place.
+	// Unresponsive means that an unresponsive candidate was replaced.
 	Unresponsive
 
 	// ReasonCount is the number of reasons.
--- a/routing/silence_test.go
+++ b/routing/unresponsive_test.go
@@ -12,9 +12,9 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// answering lets the targets that are alive answer a choice and the copy for a
-// probe.
-func answering(loads *routing.LoadReports, choice routing.Choice, dead map[uint32]bool, now time.Duration) {
+// recordReplies records a reply from the chosen and the probed target unless they are
+// dead.
+func recordReplies(loads *routing.LoadReports, choice routing.Choice, dead map[uint32]bool, now time.Duration) {
 	for _, number := range []uint32{choice.Target.Number, choice.Probe.Number} {
 		if !dead[number] {
 			loads.Record(number, 1, routing.Report{}, now)
@@ -22,10 +22,9 @@
 	}
 }
 
-// TestDeadTargetsGetNoNewFlows loses some of the targets. Once the first packets
-// to one have stayed without an answer for SilentAfter, no flow goes to it, and
-// one copy in ProbePeriod at most.
-func TestDeadTargetsGetNoNewFlows(t *testing.T) {
+// A target that never answers gets no flow after UnresponsiveAfter, and one probe per
+// ProbeInterval at most.
+func TestUnresponsiveTargetsGetNoNewFlows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		n := rapid.IntRange(2, 40).Draw(t, "targets")
@@ -39,19 +38,19 @@
 		strategy := rapid.SampledFrom([]configpb.Strategy{
 			configpb.Strategy_STRATEGY_WEIGHTED, configpb.Strategy_STRATEGY_TWO_CHOICES,
 		}).Draw(t, "strategy")
-		pause := time.Duration(rapid.IntRange(1, 400).Draw(t, "ms between flows")) * time.Millisecond
+		interval := time.Duration(rapid.IntRange(1, 400).Draw(t, "ms between flows")) * time.Millisecond
 		table, loads := build(&configpb.Policy{Strategy: strategy}, targets(n))
 		first := make(map[uint32]time.Duration)
 		probed := make(map[uint32]time.Duration)
 
 		now := start
 		for _, hash := range hashes(300) {
-			now += pause
+			now += interval
 			choice, ok := table.Choose(hash, now)
 			is.True(ok)
 			number := choice.Target.Number
 			since, sent := first[number]
-			is.True(!sent || now-since <= routing.UnresponsiveAfter) // not to a silent one
+			is.True(!sent || now-since <= routing.UnresponsiveAfter) // not to an unresponsive one
 			if dead[number] && !sent {
 				first[number] = now
 			}
@@ -61,7 +60,7 @@
 				is.True(now-max(first[probe], probed[probe]) >= routing.ProbeInterval)
 				probed[probe] = now
 			}
-			answering(loads, choice, dead, now)
+			recordReplies(loads, choice, dead, now)
 			if now-start > 10*time.Second {
 				break
 			}
@@ -69,9 +68,9 @@
 	})
 }
 
-// silence makes one of the targets of a list silent and returns its table, its
-// loads and a time at which it counts as silent.
-func silence(t *testing.T, p *configpb.Policy, n int, silent ...uint32) (*routing.Table, *routing.LoadReports, time.Duration) {
+// buildUnresponsive returns a table, its reports, and a time at which the given targets
+// are unresponsive.
+func buildUnresponsive(t *testing.T, p *configpb.Policy, n int, unresponsive ...uint32) (*routing.Table, *routing.LoadReports, time.Duration) {
 	t.Helper()
 	is := is.New(t)
 	table, loads := build(p, targets(n))
@@ -81,21 +80,21 @@
 	}
 	later := start + routing.UnresponsiveAfter + 2*time.Millisecond
 	for number := uint32(1); number <= uint32(n); number++ {
-		if !slices.Contains(silent, number) {
+		if !slices.Contains(unresponsive, number) {
 			loads.Record(number, 1, routing.Report{}, later)
 		}
 	}
 	return table, loads, later
 }
 
-func TestAnyFrameEndsSilence(t *testing.T) {
+func TestAnyFrameMakesTargetResponsive(t *testing.T) {
 	is := is.New(t)
-	table, loads, later := silence(t, nil, 2, 1)
+	table, loads, later := buildUnresponsive(t, nil, 2, 1)
 	for _, hash := range hashes(20) {
 		choice, _ := table.Choose(hash, later)
 		is.Equal(choice.Target.Number, uint32(2))
 		is.Equal(choice.Reason, routing.Unresponsive)
-		is.True(!choice.Alternate.IsValid()) // an agent that leaves must not hand it on there
+		is.True(!choice.Alternate.IsValid()) // a draining agent must not forward to it
 	}
 	is.True(!loads.Record(1, 2, routing.Report{}, later)) // of another incarnation
 	choice, _ := table.Choose(1, later)
@@ -105,9 +104,9 @@
 	is.True(count(t, table, hashes(100))[1] > 0)
 }
 
-func TestNewIncarnationIsNotSilent(t *testing.T) {
+func TestNewIncarnationIsResponsive(t *testing.T) {
 	is := is.New(t)
-	_, loads, later := silence(t, nil, 2, 1)
+	_, loads, later := buildUnresponsive(t, nil, 2, 1)
 	list := targets(2)
 	list[0].Incarnation = 2
 	table := routing.NewTable(nil, service, list, routing.NewLoadReports(loads, list), later)
@@ -115,16 +114,16 @@
 	is.Equal(choice.Reason, routing.EqualCost)
 }
 
-// TestWhereAllAreSilentNoneIs is a host whose own way is cut, or one that thaws:
-// its clock jumped while the answers stood in its sockets.
-func TestWhereAllAreSilentNoneIs(t *testing.T) {
+// If all targets are unresponsive, the fault is on this host: its network is cut, or it
+// was suspended.
+func TestAllUnresponsiveTargetsAreUsed(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1, 2, 7, 40} {
 		all := make([]uint32, n)
 		for i := range all {
 			all[i] = uint32(i + 1)
 		}
-		table, loads, later := silence(t, nil, n, all...)
+		table, loads, later := buildUnresponsive(t, nil, n, all...)
 		counts := make(map[uint32]int)
 		for _, hash := range hashes(1000) {
 			choice, _ := table.Choose(hash, later+time.Hour)
@@ -132,17 +131,17 @@
 			counts[choice.Target.Number]++
 		}
 		is.True(len(counts) > n/2)
-		for _, number := range all { // the answers are read
+		for _, number := range all { // the replies arrive
 			loads.Record(number, 1, routing.Report{}, later+time.Hour)
 		}
 		is.Equal(len(count(t, table, hashes(1000))), n)
 	}
 }
 
-// TestOneWorkerProbes has many flows begin at the time that a probe is due.
-func TestOneWorkerProbes(t *testing.T) {
+// Of many flows that start when a probe is due, only one sends it.
+func TestOneProbePerInterval(t *testing.T) {
 	is := is.New(t)
-	table, loads, _ := silence(t, nil, 2, 1)
+	table, loads, _ := buildUnresponsive(t, nil, 2, 1)
 	for _, moment := range []time.Duration{start + routing.ProbeInterval, start + 2*routing.ProbeInterval} {
 		probes := 0
 		for _, hash := range hashes(100) {
@@ -157,9 +156,9 @@
 	}
 }
 
-func TestBaselineAndEarlyDataLeaveSilenceAlone(t *testing.T) {
+func TestHashStrategyAndEarlyDataIgnoreUnresponsive(t *testing.T) {
 	is := is.New(t)
-	table, _, later := silence(t, &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH}, 2, 1)
+	table, _, later := buildUnresponsive(t, &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH}, 2, 1)
 	choices := make(map[uint32]int)
 	for _, hash := range hashes(100) {
 		choice, _ := table.Choose(hash, later)
@@ -176,16 +175,15 @@
 	}
 }
 
-// TestLostDomainLeavesNoHotSpot makes a run of neighbours silent. The next one
-// behind them gets no more flows than others.
-func TestLostDomainLeavesNoHotSpot(t *testing.T) {
+// Flows of lost targets with adjacent numbers are spread over all others.
+func TestDomainLossCausesNoHotSpot(t *testing.T) {
 	is := is.New(t)
 	const n, lost, flows = 40, 10, 30_000
-	var silent []uint32
+	var unresponsive []uint32
 	for number := uint32(1); number <= lost; number++ {
-		silent = append(silent, number)
+		unresponsive = append(unresponsive, number)
 	}
-	table, loads, later := silence(t, nil, n, silent...)
+	table, loads, later := buildUnresponsive(t, nil, n, unresponsive...)
 	counts := make(map[uint32]int)
 	for _, hash := range hashes(flows) {
 		choice, _ := table.Choose(hash, later)
--- a/routing/weights_test.go
+++ b/routing/weights_test.go
@@ -12,9 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// fleet is a small model of a service whose targets restart in turn. A flow
-// lives on after the model ends. A cold backend server loses a share of the
-// flows that it gets; the share falls over its ramp.
+// fleet simulates a service whose targets restart in turn. Flows do not end. A cold
+// backend server breaks a share of its new flows, which falls over its ramp.
 type fleet struct {
 	list     []routing.Target
 	flows    []int
@@ -58,7 +57,7 @@
 	return f
 }
 
-// run plays the model under a policy.
+// run runs the simulation under a policy.
 func (f *fleet) run(p *configpb.Policy) {
 	var table *routing.Table
 	next := 0
@@ -128,9 +127,9 @@
 	f.samples++
 }
 
-func TestEachPolicyDoesBetterOnItsOwnMeasure(t *testing.T) {
+func TestWeightsTradeBrokenFlowsForImbalance(t *testing.T) {
 	is := is.New(t)
-	play := func(name string, p *configpb.Policy) (broken int, imbalance float64) {
+	simulate := func(name string, p *configpb.Policy) (broken int, imbalance float64) {
 		p.RampMs = uint32(fleetRamp.Milliseconds())
 		f := newFleet()
 		f.run(p)
@@ -139,11 +138,11 @@
 		return f.broken, imbalance
 	}
 
-	play("hash", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH})
-	baseline, _ := play("two choices", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_TWO_CHOICES})
-	equal, _ := play("equal", &configpb.Policy{})
-	careful, carefulImbalance := play("broken flows", &configpb.Policy{BrokenFlowWeight: 4, ImbalanceWeight: 1})
-	even, evenImbalance := play("imbalance", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4})
+	simulate("hash", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH})
+	baseline, _ := simulate("two choices", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_TWO_CHOICES})
+	equal, _ := simulate("equal", &configpb.Policy{})
+	careful, carefulImbalance := simulate("broken flows", &configpb.Policy{BrokenFlowWeight: 4, ImbalanceWeight: 1})
+	even, evenImbalance := simulate("imbalance", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4})
 
 	is.True(careful < even)                      // fewer broken flows where these weigh more
 	is.True(evenImbalance < carefulImbalance)    // less imbalance where that weighs more
