--- a/internal/entryd/change_test.go
+++ b/internal/entryd/apply_test.go
@@ -28,7 +28,7 @@
 	local := r.local(publicOne)
 
 	for version := uint64(2); version < 200; version++ {
-		// Another address and other targets come and go with each version.
+		// Each version adds or removes another address and replaces the targets.
 		s := services(serviceAt(lodgement, publicOne))
 		if version%2 == 0 {
 			s = append(s, serviceAt(certificates, publicTwo))
@@ -59,10 +59,10 @@
 	r.await("the last version", func() bool {
 		return r.scope.Snapshot().Gauges()[scopeName+".configuration_version+"].Value() == last
 	})
-	is.True(r.counter("views_applied", "") < last) // a wave costs less than a view each
+	is.True(r.counter("views_applied", "") < last) // views in quick succession are coalesced
 }
 
-func TestAddressPassesToAnotherService(t *testing.T) {
+func TestAddressReassignedToAnotherService(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	agent, caller := newSocket(t), newSocket(t)
@@ -80,7 +80,7 @@
 	is.Equal(r.local(publicOne), local) // the socket stayed open
 	caller.send(packet, local)
 	after, _, _ := agent.receiveFrame()
-	is.Equal(after.Service, uint32(certificates)) // the agent can tell and refuse
+	is.Equal(after.Service, uint32(certificates)) // so that the agent can refuse
 	is.Equal(after.Target, uint32(1))
 
 	caller.send(initialPacket("made-up-id"), local)
@@ -88,8 +88,8 @@
 	is.Equal(first.Service, uint32(certificates))
 	is.Equal(first.Target, uint32(9))
 
-	// The established flow is answered through the address that its caller
-	// knows, whatever the agent takes the address for.
+	// Replies of the established flow leave through the address that its caller knows,
+	// whatever the service of the frame.
 	for _, h := range []frame.Header{before, after} {
 		agent.send(encodeFrame(t, replyTo(h), []byte("answer")), from)
 		answer, _ := caller.receive()
@@ -120,7 +120,7 @@
 	is.Equal(string(answer), "answer")
 
 	r.apply(view(3, services(serviceAt(lodgement, publicTwo)), record(lodgement, 1, agent.addr())))
-	is.Equal(r.f.PublicAddrs()[publicOne.String()], "") // released
+	is.Equal(r.f.PublicAddrs()[publicOne.String()], "") // closed
 }
 
 func TestAddressInUseIsRetriedWhileOthersServe(t *testing.T) {
@@ -145,8 +145,8 @@
 	_, datagram, _ := agent.receiveFrame()
 	is.Equal(datagram, packet)
 
-	lines := logs.FilterMessage("public address can't be opened, retrying").All()
-	is.Equal(len(lines), 1) // one line for the change, not one for each attempt
+	lines := logs.FilterMessage("failed to open public address, will retry").All()
+	is.Equal(len(lines), 1) // logged once, not for each attempt
 	is.Equal(lines[0].ContextMap()["public"], taken.String())
 	is.True(lines[0].ContextMap()["error"] != nil)
 
@@ -218,7 +218,7 @@
 	is.Equal(h.Service, uint32(lodgement))
 }
 
-func TestUnusableAddressesAreLeftOut(t *testing.T) {
+func TestInvalidAddressesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	broken := serviceAt(lodgement, publicOne)
@@ -235,7 +235,7 @@
 	r.await("the refusal", func() bool { return r.counter("refused", "no_target") == 1 })
 }
 
-func TestCandidatesAndDampedTargetsAreTold(t *testing.T) {
+func TestCandidateAndDampedGauges(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	address := netip.MustParseAddrPort("127.0.0.1:7000")
@@ -247,13 +247,13 @@
 	r.apply(view(1, all, list...))
 	is.Equal(gauge("candidates"), 4.0)
 	is.Equal(gauge("targets_damped"), 0.0)
-	list = slices.Clone(list) // lists and records that views hold are never written to
+	list = slices.Clone(list) // lists and records of views are immutable
 	list[1] = proto.CloneOf(list[1])
 	list[1].Damped = true
 	r.apply(view(2, all, list...))
 	is.Equal(gauge("candidates"), 3.0)
 	is.Equal(gauge("targets_damped"), 1.0)
-	r.apply(view(3, all, list[0])) // the leases of the others have ended
+	r.apply(view(3, all, list[0])) // the leases of the others have expired
 	is.Equal(gauge("candidates"), 1.0)
 	is.Equal(gauge("targets_damped"), 0.0)
 }
@@ -276,10 +276,10 @@
 	}
 }
 
-func TestPanicOfAWorkerEndsRun(t *testing.T) {
+func TestWorkerPanicEndsRun(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
-	r.f.guard(func() { panic("worker fault") })()
+	r.f.recoverPanic(func() { panic("worker fault") })()
 	err := <-r.done
 	close(r.done)
 	is.True(err != nil)
--- a/internal/entryd/bench_test.go
+++ b/internal/entryd/bench_test.go
@@ -30,8 +30,7 @@
 	return list
 }
 
-// BenchmarkDecide measures a datagram from the read to the write, without
-// either.
+// BenchmarkDecide measures the handling of a datagram without system calls.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range targetCounts {
 		r := start(b, quietOptions())
@@ -44,7 +43,7 @@
 			packet []byte
 		}{
 			{"established", append(shortPacket(b, oneSecret, target, ""), make([]byte, 1200)...)},
-			// No target answers these, so after a while all of them are silent.
+			// No target replies, so after a while all of them are unresponsive.
 			{"first", initialPacket("made-up-id")},
 			{"refused", append([]byte{0x40}, make([]byte, 1200)...)},
 		} {
@@ -74,15 +73,14 @@
 			agent := netip.MustParseAddrPort("127.0.0.1:7000")
 			b.ReportAllocs()
 			for b.Loop() {
-				w.check(length, agent)
+				w.validateReply(length, agent)
 			}
 		})
 	}
 }
 
-// BenchmarkSystemCalls measures one datagram through sockets on loopback, all
-// in one goroutine: the caller's send, the worker's read, its decision and its
-// send, and the agent's read. "bare" leaves out the decision.
+// BenchmarkSystemCalls measures one datagram through loopback sockets in one goroutine,
+// from the caller's write to the agent's read. "bare" is without the decision.
 func BenchmarkSystemCalls(b *testing.B) {
 	r := start(b, testOptions())
 	r.apply(view(1, services(serviceAt(lodgement, publicOne))))
@@ -113,17 +111,16 @@
 	})
 	b.Run("bare", func(b *testing.B) {
 		pass(b, func(n int) {
-			if _, err := w.out.WriteToUDPAddrPort(w.buf[:frame.HeaderLength+n], to); err != nil {
+			if _, err := w.frameConn.WriteToUDPAddrPort(w.buf[:frame.HeaderLength+n], to); err != nil {
 				b.Fatal(err)
 			}
 		})
 	})
 }
 
-// fleet starts a forwarder in the proportions of 12,000 targets behind 5,500
-// addresses, with 12 targets a service. The sockets are closed; its tables are
-// rebuilt as if they were still open.
-func fleet(b *testing.B, n int) (*rig, *View) {
+// fleet starts a forwarder with the proportions of 12,000 targets behind 5,500
+// addresses and 12 targets per service. Its sockets are closed.
+func fleet(b *testing.B, n int) (*harness, *View) {
 	r := start(b, quietOptions())
 	list := records(n)
 	addresses := publicAddresses(n * 5500 / 12_000)
@@ -141,8 +138,8 @@
 	return r, v
 }
 
-// BenchmarkApply measures what a change of the directory costs an entry host:
-// of one record, of a target that comes or goes, and all made anew.
+// BenchmarkApply measures a change of the directory: of one record, of one added or
+// removed target, and with a full rebuild.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range targetCounts {
 		r, v := fleet(b, n)
@@ -167,8 +164,7 @@
 	}
 }
 
-// BenchmarkRefresh measures what a second costs an idle entry host: the rebuild
-// of all tables.
+// BenchmarkRefresh measures the periodic refresh of an idle entry host.
 func BenchmarkRefresh(b *testing.B) {
 	for _, n := range targetCounts {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -181,11 +177,10 @@
 	}
 }
 
-// BenchmarkMemory reports heap and stacks that a running forwarder holds for
-// each target and each public address. The directory's records, which the
-// subscriber owns, are included; the system's socket buffers are not.
+// BenchmarkMemory reports heap and stacks per target and per public address. It
+// includes the records, which the subscriber owns, but not the kernel's socket buffers.
 func BenchmarkMemory(b *testing.B) {
-	// With fewer targets the figure drowns in that of the process.
+	// With fewer targets the memory of the process dominates.
 	for _, n := range []int{120, 1200, 6000, 12_000} {
 		b.Run("target/"+strconv.Itoa(n), func(b *testing.B) {
 			for b.Loop() {
@@ -228,7 +223,7 @@
 	return list
 }
 
-// quietOptions rebuild nothing while memory is measured.
+// quietOptions are options without periodic refreshes.
 func quietOptions() Options {
 	o := testOptions()
 	o.RefreshInterval = time.Hour
@@ -236,8 +231,8 @@
 	return o
 }
 
-// stopEarly ends a rig before its test does.
-func stopEarly(r *rig) {
+// stopEarly stops a forwarder before the end of its test.
+func stopEarly(r *harness) {
 	r.stop()
 	if err := <-r.done; err != nil {
 		r.tb.Fatal(err)
--- a/internal/entryd/configuration.go
+++ b/internal/entryd/configuration.go
@@ -8,21 +8,20 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// servicePolicy is a service of the configuration as forwarding needs it.
+// servicePolicy is the part of a configured service that forwarding needs.
 type servicePolicy struct {
 	number uint32
 	name   string
 	policy *configpb.Policy
 }
 
-// retired stands for the addresses that no service has any more. They stay
-// open for established flows, whose connection IDs name their targets; service
-// 0 has no targets, so that no new flow begins there.
-var retired = &servicePolicy{name: "(retired)"}
+// retiredService is the service of retired addresses. They stay open for established
+// flows, whose connection IDs name their targets. Service 0 has no targets, so no new
+// flow starts there.
+var retiredService = &servicePolicy{name: "(retired)"}
 
-// publicAddresses returns the service of each public address of a
-// configuration. An address that can't be read, or that an earlier service has
-// as well, is counted and left out: the others serve on.
+// publicAddresses maps each public address of a configuration to its service. An
+// invalid address, or one that an earlier service has too, is counted and skipped.
 func (f *Forwarder) publicAddresses(config *configpb.Configuration) map[netip.AddrPort]*servicePolicy {
 	out := make(map[netip.AddrPort]*servicePolicy)
 	for _, s := range config.GetServices() {
@@ -30,12 +29,12 @@
 		for _, text := range s.GetAddresses() {
 			address, err := netip.ParseAddrPort(text)
 			if err != nil {
-				f.refuseAddress(s, text, "not an ip:port")
+				f.reportInvalidAddress(s, text, "not an ip:port")
 				continue
 			}
 			address = unmap(address)
 			if _, taken := out[address]; taken {
-				f.refuseAddress(s, text, "belongs to another service as well")
+				f.reportInvalidAddress(s, text, "already belongs to another service")
 				continue
 			}
 			out[address] = policy
@@ -44,20 +43,20 @@
 	for _, text := range config.GetRetired() {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			f.refuseAddress(nil, text, "not an ip:port")
+			f.reportInvalidAddress(nil, text, "not an ip:port")
 			continue
 		}
 		address = unmap(address)
 		if out[address] == nil {
-			out[address] = retired
+			out[address] = retiredService
 		}
 	}
 	return out
 }
 
-func (f *Forwarder) refuseAddress(s *configpb.Service, address, reason string) {
+func (f *Forwarder) reportInvalidAddress(s *configpb.Service, address, reason string) {
 	f.counters.badAddress.Inc(1)
-	f.log.Error("public address left out",
+	f.log.Error("invalid public address ignored",
 		zap.String("public", address),
 		zap.String("service", s.GetName()),
 		zap.String("reason", reason),
--- a/internal/entryd/counters.go
+++ b/internal/entryd/counters.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// scopeName keeps the names of counters apart from those of other packages.
+	// scopeName is the prefix of all metrics of this package.
 	scopeName = "entry"
 	reasonTag = "reason"
 )
 
-// counters are looked up once: a look-up for each datagram would allocate.
+// counters are created once, as a lookup per datagram would allocate.
 type counters struct {
 	forwarded tally.Counter
 	replied   tally.Counter
-	// reports counts reply frames that carry a load figure and no datagram.
+	// reports counts reply frames without a datagram.
 	reports tally.Counter
-	// first counts new flows by what decided on their target.
+	// first counts new flows by the reason of the choice.
 	first [routing.ReasonCount]tally.Counter
-	// probes counts copies of first packets that went to silent targets.
+	// probes counts first packets copied to unresponsive targets.
 	probes  tally.Counter
 	refused [refusalCount]tally.Counter
 
-	// refusalsSent counts callers that were told that their service has no
-	// target, refusalsOverBudget those that were not because of the budget.
-	refusalsSent       tally.Counter
-	refusalsOverBudget tally.Counter
+	// refusalsSent counts refused connections, refusalsRateLimited those dropped by the
+	// limit.
+	refusalsSent        tally.Counter
+	refusalsRateLimited tally.Counter
 
 	// Failures of system calls.
 	readFailed     tally.Counter
@@ -42,21 +42,20 @@
 	badTarget     tally.Counter
 	openAddresses tally.Gauge
 	version       tally.Gauge
-	// candidates is the number of targets that new flows are decided between.
+	// candidates is the number of targets available to new flows.
 	candidates tally.Gauge
-	// damped is the number of targets that are kept from new flows because
-	// they flap.
+	// damped is the number of targets without new flows because they flap.
 	damped tally.Gauge
 }
 
 func newCounters(scope tally.Scope) *counters {
 	c := &counters{
-		forwarded:          scope.Counter("datagrams_forwarded"),
-		replied:            scope.Counter("datagrams_replied"),
-		reports:            scope.Counter("load_reports"),
-		probes:             scope.Counter("silent_probes"),
-		refusalsSent:       scope.Counter("connections_refused"),
-		refusalsOverBudget: scope.Counter("connections_refused_over_budget"),
+		forwarded:           scope.Counter("datagrams_forwarded"),
+		replied:             scope.Counter("datagrams_replied"),
+		reports:             scope.Counter("load_reports"),
+		probes:              scope.Counter("silent_probes"),
+		refusalsSent:        scope.Counter("connections_refused"),
+		refusalsRateLimited: scope.Counter("connections_refused_over_budget"),
 
 		readFailed:     scope.Counter("read_failed"),
 		toAgentFailed:  scope.Counter("send_to_agent_failed"),
--- a/internal/entryd/daemon.go
+++ b/internal/entryd/daemon.go
@@ -16,26 +16,24 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// Errors of the settings of a daemon.
+// Errors of New for invalid settings.
 var (
 	ErrNoControlHosts = errors.New("no control hosts: there would be no configuration")
 	ErrWrongRole      = errors.New("certificate is not that of an entry host")
 )
 
-// Daemon is an entry host: a Forwarder fed by a subscription to the control
-// hosts.
+// Daemon is an entry host: a Forwarder that follows the views of a Subscriber.
 type Daemon struct {
 	settings  *settingspb.EntrySettings
 	log       *zap.Logger
 	scope     tally.Scope
 	creds     *keys.Credentials
 	forwarder *Forwarder
-	// keysPeriod is a field for tests.
-	keysPeriod time.Duration
+	// keysReloadInterval is changed by tests.
+	keysReloadInterval time.Duration
 }
 
-// New reads the keys and opens the frame address. It contacts nobody before
-// Run.
+// New reads the keys and opens the frame address. It opens no connection before Run.
 func New(s *settingspb.EntrySettings, log *zap.Logger, scope tally.Scope) (*Daemon, error) {
 	if len(s.GetControl().GetAddresses()) == 0 {
 		return nil, ErrNoControlHosts
@@ -60,17 +58,17 @@
 		return nil, err
 	}
 	return &Daemon{
-		settings:   s,
-		log:        log,
-		scope:      scope,
-		creds:      creds,
-		forwarder:  f,
-		keysPeriod: keys.ReloadPeriod,
+		settings:           s,
+		log:                log,
+		scope:              scope,
+		creds:              creds,
+		forwarder:          f,
+		keysReloadInterval: keys.ReloadPeriod,
 	}, nil
 }
 
-// Run forwards until the context is done and returns nil after a graceful
-// shutdown. It must be called once.
+// Run forwards until the context is done and returns nil after a graceful shutdown. It
+// must be called once.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.creds.OnChange(d.replaceSecrets)
 	client := link.NewClient(d.settings.GetControl().GetAddresses(), d.creds, link.ClientOptions{
@@ -90,48 +88,46 @@
 
 	watching, stop := context.WithCancel(ctx)
 	var watch conc.WaitGroup
-	watch.Go(func() { d.creds.Watch(watching, d.keysPeriod, keys.Report(d.log)) })
+	watch.Go(func() { d.creds.Watch(watching, d.keysReloadInterval, keys.Report(d.log)) })
 	defer watch.Wait()
 	defer stop()
 	return d.forwarder.Run(ctx)
 }
 
-// Ready is closed when the first configuration is in force.
+// Ready is closed when the first configuration is active.
 func (d *Daemon) Ready() <-chan struct{} {
 	return d.forwarder.Ready()
 }
 
-// PublicAddrs returns the local address of each public address that is open.
+// PublicAddrs returns the local address of each open public address.
 func (d *Daemon) PublicAddrs() map[string]string {
 	return d.forwarder.PublicAddrs()
 }
 
-// Targets returns the number of targets that this host knows of, of all
-// services.
+// Targets returns the number of known targets of all services.
 func (d *Daemon) Targets() int {
 	return d.forwarder.Targets()
 }
 
-// FrameAddr returns the address that frames are received on.
+// FrameAddr returns the address on which frames are received.
 func (d *Daemon) FrameAddr() string {
 	return d.forwarder.FrameAddr().String()
 }
 
 func (d *Daemon) onView(v *subscriber.View) {
-	d.forwarder.Apply(viewFrom(v, len(d.settings.GetDirectory().GetFailureDomains()) > 0))
+	d.forwarder.Apply(newView(v, len(d.settings.GetDirectory().GetFailureDomains()) > 0))
 }
 
-// viewFrom makes the view of a subscription, which may be limited to some
-// failure domains. Then there may be targets elsewhere, which other entry hosts
-// know of. Targets in evacuated failure domains are left out: established flows do not
-// need the list.
-func viewFrom(v *subscriber.View, limited bool) *View {
+// newView converts a view of the subscription. If that is limited to some failure
+// domains, there may be targets elsewhere, so the view is not complete. Targets in
+// evacuated failure domains are excluded; established flows do not need the list.
+func newView(v *subscriber.View, limited bool) *View {
 	return &View{Config: v.Config, Targets: v.AvailableTargets(), Complete: v.DirectoryComplete && !limited}
 }
 
 func (d *Daemon) replaceSecrets() {
 	if err := d.forwarder.SetSecrets(dataSecrets(d.creds)); err != nil {
-		d.log.Error("data secrets not replaced", zap.Error(err))
+		d.log.Error("failed to replace data secrets", zap.Error(err))
 	}
 }
 
--- a/internal/entryd/daemon_test.go
+++ b/internal/entryd/daemon_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// issue makes the files of a process.
+// issue creates the key files of a process.
 func issue(t *testing.T, dir string, role keys.Role, name string) keys.Files {
 	t.Helper()
 	files, err := keys.Issue(dir, role, name, "", nil, time.Hour)
@@ -79,10 +79,9 @@
 	}
 }
 
-// daemonRig is a running daemon with one target, fed by a control host over a
-// real link.
-type daemonRig struct {
-	*rig
+// daemonHarness is a running daemon with one target, connected to a control host.
+type daemonHarness struct {
+	*harness
 	d      *Daemon
 	dir    string
 	files  keys.Files
@@ -91,28 +90,28 @@
 	caller *socket
 }
 
-func startDaemon(t *testing.T) *daemonRig {
+func startDaemon(t *testing.T) *daemonHarness {
 	t.Helper()
 	is := is.New(t)
-	r := &daemonRig{dir: t.TempDir(), agent: newSocket(t), caller: newSocket(t)}
+	r := &daemonHarness{dir: t.TempDir(), agent: newSocket(t), caller: newSocket(t)}
 	is.NoErr(keys.InitAuthority(r.dir))
 	r.files = issue(t, r.dir, keys.RoleEntry, "entry-1")
 	r.serve(t, view(4, services(serviceAt(lodgement, publicOne)), record(lodgement, 1, r.agent.addr())))
 
 	d, err := New(entrySettings(r.files, r.server.Addr().String()), zap.NewNop(), tally.NoopScope)
 	is.NoErr(err)
-	d.keysPeriod = 10 * time.Millisecond
+	d.keysReloadInterval = 10 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	r.d = d
-	r.rig = &rig{tb: t, f: d.forwarder, stop: cancel, done: make(chan error, 1)}
+	r.harness = &harness{tb: t, f: d.forwarder, stop: cancel, done: make(chan error, 1)}
 	go func() { r.done <- d.Run(ctx) }()
 	t.Cleanup(r.end)
 	<-d.Ready()
 	return r
 }
 
-// serve starts a control host that holds a view.
-func (r *daemonRig) serve(t *testing.T, v *View) {
+// serve starts a control host that sends the view.
+func (r *daemonHarness) serve(t *testing.T, v *View) {
 	t.Helper()
 	is := is.New(t)
 	handler := &controlHost{update: &controlpb.SubscribeUpdate{
@@ -126,9 +125,8 @@
 	t.Cleanup(func() { _ = r.server.Close() })
 }
 
-// established returns a packet of a flow, with an ID that the newest secrets
-// of the files encode.
-func (r *daemonRig) established(t *testing.T) []byte {
+// established returns a packet of an established flow.
+func (r *daemonHarness) established(t *testing.T) []byte {
 	t.Helper()
 	creds, err := keys.FromSettings(keySettings(r.files))
 	if err != nil {
@@ -138,7 +136,7 @@
 	return shortPacket(t, dataSecrets(creds), target, "")
 }
 
-func TestDaemonOutlivesItsControlHost(t *testing.T) {
+func TestDaemonForwardsWithoutControlHost(t *testing.T) {
 	is := is.New(t)
 	r := startDaemon(t)
 	local := r.local(publicOne)
@@ -161,7 +159,7 @@
 	close(r.done)
 }
 
-func TestDaemonTakesInAnAddedSecret(t *testing.T) {
+func TestDaemonLoadsAddedSecret(t *testing.T) {
 	is := is.New(t)
 	r := startDaemon(t)
 	before := r.established(t)
@@ -182,7 +180,7 @@
 	}
 }
 
-func TestNewChecksSettings(t *testing.T) {
+func TestNewValidatesSettings(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	is.NoErr(keys.InitAuthority(dir))
--- a/internal/entryd/decide.go
+++ b/internal/entryd/decide.go
@@ -12,7 +12,7 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// codecs are made from one list of secrets and swapped together.
+// codecs are created from one list of secrets and replaced together.
 type codecs struct {
 	ids    *connid.Codec
 	frames *frame.Codec
@@ -35,56 +35,54 @@
 	return &codecs{ids: ids, frames: frames, hasher: hasher}, nil
 }
 
-// service is what a public address stands for at the moment. It is immutable.
+// service is the service of a public address with its routing table. It is immutable.
 type service struct {
 	number uint32
 	table  *routing.Table
 }
 
-// decision tells what becomes of a datagram of a caller.
+// decision is how a datagram of a caller is handled.
 type decision struct {
-	// to is the frame address of the agent that gets it.
+	// to is the frame address of the receiving agent.
 	to      netip.AddrPort
 	kind    frame.Kind
 	reason  routing.Reason
 	refused refusal
-	// probe is a target that gets a copy of the datagram, or zero.
+	// probe is an unresponsive target that gets a copy of the datagram, or zero.
 	probe routing.TargetRef
 }
 
-// decider holds what decides on datagrams and stays the same while the
-// forwarder lives.
+// decider holds the immutable inputs of decisions.
 type decider struct {
 	networks []netip.Prefix
 }
 
-// decide tells where a datagram goes that came in on a public address of s,
-// and fills in the header of its frame. Caller and public address are left to
-// the worker. It allocates nothing.
+// decide decides on a datagram received on a public address of s and fills in the frame
+// header except for Caller and Public. It does not allocate.
 func (d *decider) decide(c *codecs, s *service, datagram []byte, caller netip.AddrPort, now time.Duration, h *frame.Header) decision {
 	packet, ok := quicheader.Parse(datagram, connid.Length)
 	if !ok {
-		return decision{refused: garbage}
+		return decision{refused: malformed}
 	}
 	target, verdict := c.ids.Decode(packet.Destination)
 	if verdict == connid.OK {
-		return d.forward(s, target, h)
+		return d.forwardEstablished(s, target, h)
 	}
 	if refused := checkFirst(packet, len(datagram), verdict); refused != accepted {
 		return decision{refused: refused}
 	}
 	hash := c.hasher.Hash(caller, packet.Destination)
 	if packet.Type == quicheader.ZeroRTT {
-		// An agent drops early data, without a word.
+		// An agent drops early data without a reply.
 		choice, ok := s.table.ChooseNoReply(hash, now)
-		return first(s, choice, ok, h)
+		return forwardFirst(s, choice, ok, h)
 	}
 	choice, ok := s.table.Choose(hash, now)
-	return first(s, choice, ok, h)
+	return forwardFirst(s, choice, ok, h)
 }
 
-// checkFirst tells why a packet whose connection ID names no target can't be
-// the first of a flow.
+// checkFirst returns why a packet can't open a flow, if its connection ID names no
+// target.
 func checkFirst(packet quicheader.Header, length int, verdict connid.Verdict) refusal {
 	switch packet.Type {
 	case quicheader.Short, quicheader.Handshake:
@@ -93,7 +91,7 @@
 		return serverPacket
 	}
 
-	// A packet with early data may be short: it comes along with an Initial.
+	// A 0-RTT packet may be short, as it accompanies an Initial.
 	if packet.Type != quicheader.ZeroRTT && length < quicheader.MinInitialSize {
 		return shortFirst
 	}
@@ -103,12 +101,10 @@
 	return accepted
 }
 
-// forward sends a datagram to the target that its connection ID names. The ID
-// is proof that the flow began there, also when the address has passed to
-// another service since; the service in the header says only what the address
-// stands for here.
-func (d *decider) forward(s *service, t connid.Target, h *frame.Header) decision {
-	if !d.inside(t.Address.Addr()) {
+// forwardEstablished forwards a datagram to the target named by its connection ID, even
+// if the address now belongs to another service. The header has the current service.
+func (d *decider) forwardEstablished(s *service, t connid.Target, h *frame.Header) decision {
+	if !d.isAgentAddress(t.Address.Addr()) {
 		return decision{refused: outsideNetworks}
 	}
 	h.Kind = frame.Forward
@@ -119,8 +115,8 @@
 	return decision{to: t.Address, kind: frame.Forward}
 }
 
-// first sends a datagram to the target that routing chose.
-func first(s *service, choice routing.Choice, ok bool, h *frame.Header) decision {
+// forwardFirst forwards a datagram to the chosen target.
+func forwardFirst(s *service, choice routing.Choice, ok bool, h *frame.Header) decision {
 	if !ok {
 		return decision{refused: noTarget}
 	}
@@ -132,7 +128,7 @@
 	return decision{to: choice.Target.Address, kind: frame.First, reason: choice.Reason, probe: choice.Probe}
 }
 
-func (d *decider) inside(ip netip.Addr) bool {
+func (d *decider) isAgentAddress(ip netip.Addr) bool {
 	for _, network := range d.networks {
 		if network.Contains(ip) {
 			return true
--- a/internal/entryd/directory.go
+++ b/internal/entryd/directory.go
@@ -10,43 +10,41 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// life names one incarnation of a target.
-type life struct {
+// incarnationKey identifies one incarnation of a target.
+type incarnationKey struct {
 	number, incarnation uint32
 }
 
-// directory holds the targets of a view by service. Only the goroutine of Run
-// uses it.
+// directory holds the targets of a view by service. Only the goroutine of Run uses it.
 type directory struct {
-	// records are those that the rest was made from. Unchanged ones are the same
-	// messages in the next view.
+	// records are the records of the view. Unchanged ones are the same pointers in the
+	// next view.
 	records  []*controlpb.TargetRecord
 	unusable int
-	services map[uint32]*members
+	services map[uint32]*serviceTargets
 	loads    *routing.LoadReports
-	started  map[life]coldStart
-	// changed has the services whose targets differ from those of the directory
-	// before; nil means all.
+	started  map[incarnationKey]coldStart
+	// changed has the services whose targets differ from the previous directory; nil
+	// means all.
 	changed map[uint32]bool
 }
 
-// restartMargin is how much later than the known one the start of a newer
-// record has to be in order to count as another cold start. Less is the time
-// that records take to get here.
+// restartMargin is how much later the start time of a newer record must be to count as
+// another cold start. Smaller differences are delays of the record.
 const restartMargin = time.Second
 
-// coldStart tells when a target had its cold start, as a duration on the
-// forwarder's clock. A record tells the age at the time it was made, which is
-// not later than when it was first seen here, so the earliest start seen is the
-// nearest to the truth, until the backend server starts again.
+// coldStart is the time of a target's cold start on the forwarder's clock. A record has
+// the age at the time when it was created, so a delayed record makes the start look
+// later: the earliest start seen is the most accurate one, until the backend server
+// restarts.
 type coldStart struct {
 	at time.Duration
-	// sequence of the newest record seen.
+	// sequence is that of the newest record seen.
 	sequence uint64
 }
 
-// next returns the cold start after one more record.
-func (s coldStart) next(record coldStart) coldStart {
+// merge returns the cold start after another record.
+func (s coldStart) merge(record coldStart) coldStart {
 	switch {
 	case record.sequence <= s.sequence:
 		return coldStart{at: min(s.at, record.at), sequence: s.sequence}
@@ -57,16 +55,16 @@
 	}
 }
 
-// members are the targets of one service with the start of each. The starts
-// stand beside the targets because every refresh needs all of them.
-type members struct {
+// serviceTargets holds the targets of a service and, by the same index, their start
+// times.
+type serviceTargets struct {
 	targets []routing.Target
 	started []time.Duration
-	// damped is the number of targets that flap.
+	// damped is the number of flapping targets.
 	damped int
 }
 
-// damped returns the number of targets that flap.
+// damped returns the number of flapping targets.
 func (d *directory) damped() int {
 	sum := 0
 	for _, m := range d.services {
@@ -75,22 +73,22 @@
 	return sum
 }
 
-// usableFunc tells whether frames may go to an address.
+// usableFunc reports whether frames may be sent to an address.
 type usableFunc func(netip.AddrPort) bool
 
-// directoryFrom returns the directory of a list of records. It leaves out
-// and counts those whose address isn't usable. Reports and ages of targets that
-// previous holds as well are kept. Previous may be nil; it must not be used any
-// more: what has not changed is taken over from it.
-func directoryFrom(previous *directory, records []*controlpb.TargetRecord, now time.Duration, usable usableFunc) *directory {
-	if previous == nil || !ascending(previous.records) || !ascending(records) {
-		return wholeDirectory(previous, records, now, usable)
+// newDirectory returns the directory of a list of records. Records without a usable
+// address are counted and skipped. Reports and start times of incarnations in previous
+// are kept. Previous may be nil and must not be used afterwards, as its state is
+// reused.
+func newDirectory(previous *directory, records []*controlpb.TargetRecord, now time.Duration, usable usableFunc) *directory {
+	if previous == nil || !sortedByNumber(previous.records) || !sortedByNumber(records) {
+		return buildDirectory(previous, records, now, usable)
 	}
-	return previous.follow(records, now, usable)
+	return previous.update(records, now, usable)
 }
 
-// ascending reports whether each target number is greater than the one before.
-func ascending(records []*controlpb.TargetRecord) bool {
+// sortedByNumber reports whether the target numbers are strictly ascending.
+func sortedByNumber(records []*controlpb.TargetRecord) bool {
 	for i := 1; i < len(records); i++ {
 		if records[i-1].GetNumber() >= records[i].GetNumber() {
 			return false
@@ -99,12 +97,12 @@
 	return true
 }
 
-// wholeDirectory makes all of a directory anew.
-func wholeDirectory(previous *directory, records []*controlpb.TargetRecord, now time.Duration, usable usableFunc) *directory {
+// buildDirectory builds a directory from scratch.
+func buildDirectory(previous *directory, records []*controlpb.TargetRecord, now time.Duration, usable usableFunc) *directory {
 	d := &directory{
 		records:  records,
-		services: make(map[uint32]*members),
-		started:  make(map[life]coldStart, len(records)),
+		services: make(map[uint32]*serviceTargets),
+		started:  make(map[incarnationKey]coldStart, len(records)),
 	}
 	list := make([]routing.Target, 0, len(records))
 	for _, record := range records {
@@ -125,10 +123,10 @@
 	return d
 }
 
-// follow returns the directory of the next list of records: services none of
-// whose records has changed are taken over, the others are made anew.
-func (d *directory) follow(records []*controlpb.TargetRecord, now time.Duration, usable usableFunc) *directory {
-	gone, put := differences(d.records, records)
+// update returns the directory of the next list of records. It rebuilds only services
+// with changed records.
+func (d *directory) update(records []*controlpb.TargetRecord, now time.Duration, usable usableFunc) *directory {
+	deleted, put := diffRecords(d.records, records)
 	next := &directory{
 		records:  records,
 		unusable: d.unusable,
@@ -138,7 +136,7 @@
 		changed:  make(map[uint32]bool),
 	}
 	var removed []uint32
-	for _, record := range gone {
+	for _, record := range deleted {
 		next.changed[record.GetService()] = true
 		if _, ok := targetFrom(record, usable); !ok {
 			next.unusable--
@@ -159,16 +157,16 @@
 	for service := range next.changed {
 		delete(next.services, service)
 	}
-	next.fill(d, now, usable)
-	next.forget(gone, put, usable)
+	next.rebuildChanged(d, now, usable)
+	next.dropStartTimes(deleted, put, usable)
 	if len(removed)+len(added) > 0 {
 		next.loads = d.loads.Update(removed, added)
 	}
 	return next
 }
 
-// fill makes the services that have changed.
-func (d *directory) fill(previous *directory, now time.Duration, usable usableFunc) {
+// rebuildChanged rebuilds the services that have changed.
+func (d *directory) rebuildChanged(previous *directory, now time.Duration, usable usableFunc) {
 	for _, record := range d.records {
 		if !d.changed[record.GetService()] {
 			continue
@@ -179,45 +177,45 @@
 	}
 }
 
-// forget drops the cold starts of the lives that are no longer listed.
-func (d *directory) forget(gone, put []*controlpb.TargetRecord, usable usableFunc) {
-	stays := make(map[life]bool, len(put))
+// dropStartTimes drops the cold starts of incarnations that are no longer listed.
+func (d *directory) dropStartTimes(deleted, put []*controlpb.TargetRecord, usable usableFunc) {
+	kept := make(map[incarnationKey]bool, len(put))
 	for _, record := range put {
 		if _, ok := targetFrom(record, usable); ok {
-			stays[lifeOf(record)] = true
+			kept[incarnationKeyOf(record)] = true
 		}
 	}
-	for _, record := range gone {
-		if !stays[lifeOf(record)] {
-			delete(d.started, lifeOf(record))
+	for _, record := range deleted {
+		if !kept[incarnationKeyOf(record)] {
+			delete(d.started, incarnationKeyOf(record))
 		}
 	}
 }
 
-// differences compares two lists in the order of target numbers. A record
-// that has changed is in both results.
-func differences(before, after []*controlpb.TargetRecord) (gone, put []*controlpb.TargetRecord) {
+// diffRecords compares two lists sorted by target number. A changed record is in both
+// results.
+func diffRecords(before, after []*controlpb.TargetRecord) (deleted, put []*controlpb.TargetRecord) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
 		case len(after) == 0 || len(before) > 0 && before[0].GetNumber() < after[0].GetNumber():
-			gone, before = append(gone, before[0]), before[1:]
+			deleted, before = append(deleted, before[0]), before[1:]
 		case len(before) == 0 || after[0].GetNumber() < before[0].GetNumber():
 			put, after = append(put, after[0]), after[1:]
 		default:
 			if before[0] != after[0] {
-				gone, put = append(gone, before[0]), append(put, after[0])
+				deleted, put = append(deleted, before[0]), append(put, after[0])
 			}
 			before, after = before[1:], after[1:]
 		}
 	}
-	return gone, put
+	return deleted, put
 }
 
-func lifeOf(record *controlpb.TargetRecord) life {
-	return life{number: record.GetNumber(), incarnation: record.GetIncarnation()}
+func incarnationKeyOf(record *controlpb.TargetRecord) incarnationKey {
+	return incarnationKey{number: record.GetNumber(), incarnation: record.GetIncarnation()}
 }
 
-// targetFrom returns the target of a record, unless its address isn't usable.
+// targetFrom returns the target of a record, and false if its address isn't usable.
 func targetFrom(record *controlpb.TargetRecord, usable usableFunc) (routing.Target, bool) {
 	target, err := subscriber.TargetOf(record)
 	return target, err == nil && usable(target.Address)
@@ -227,7 +225,7 @@
 func (d *directory) add(previous *directory, t routing.Target, record *controlpb.TargetRecord, now time.Duration) {
 	m := d.services[t.Service]
 	if m == nil {
-		m = &members{}
+		m = &serviceTargets{}
 		d.services[t.Service] = m
 	}
 	start := coldStart{
@@ -235,17 +233,17 @@
 		sequence: record.GetSequence(),
 	}
 	m.targets = append(m.targets, t)
-	m.started = append(m.started, d.start(previous, lifeOf(record), start))
+	m.started = append(m.started, d.start(previous, incarnationKeyOf(record), start))
 	if t.Damped {
 		m.damped++
 	}
 }
 
-// start remembers and returns when the target had its cold start.
-func (d *directory) start(previous *directory, key life, start coldStart) time.Duration {
+// start records and returns the time of the target's cold start.
+func (d *directory) start(previous *directory, key incarnationKey, start coldStart) time.Duration {
 	if previous != nil {
 		if before, ok := previous.started[key]; ok {
-			start = before.next(start)
+			start = before.merge(start)
 		}
 	}
 	d.started[key] = start
@@ -256,7 +254,7 @@
 func (d *directory) table(s *servicePolicy, now time.Duration) *routing.Table {
 	m := d.services[s.number]
 	if m == nil {
-		m = &members{}
+		m = &serviceTargets{}
 	}
 	for i := range m.targets {
 		m.targets[i].Age = now - m.started[i]
--- a/internal/entryd/directory_test.go
+++ b/internal/entryd/directory_test.go
@@ -16,8 +16,7 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// drawRecords draws the next list of records: each number keeps its message,
-// changes, goes or comes.
+// drawRecords draws the next list: each record stays, changes, is removed or is added.
 func drawRecords(t *rapid.T, held map[uint32]*controlpb.TargetRecord) []*controlpb.TargetRecord {
 	for number := uint32(1); number <= 12; number++ {
 		event := rapid.IntRange(0, 9).Draw(t, "event")
@@ -41,9 +40,9 @@
 	return list
 }
 
-// contents writes a directory down: targets with their starts and reports.
+// contents formats the targets of a directory with their start times and reports.
 func (d *directory) contents(now time.Duration) string {
-	out := fmt.Sprintln("unusable", d.unusable, "loads", d.loads.Len(), "lives", len(d.started))
+	out := fmt.Sprintln("unusable", d.unusable, "loads", d.loads.Len(), "incarnations", len(d.started))
 	for _, service := range slices.Sorted(maps.Keys(d.services)) {
 		m := d.services[service]
 		for i, target := range m.targets {
@@ -54,33 +53,32 @@
 	return out
 }
 
-// TestDirectoryFollowsAsIfMadeAnew applies drawn lists of records one after the
-// other, once by their differences and once making everything anew: both end
-// the same, with the same cold starts and the same reports.
-func TestDirectoryFollowsAsIfMadeAnew(t *testing.T) {
+// An incremental update gives the same directory as a rebuild, with the same start
+// times and reports.
+func TestDirectoryUpdateMatchesRebuild(t *testing.T) {
 	usable := func(a netip.AddrPort) bool { return a.Addr().As4()[1] == 0 }
 	rapid.Check(t, func(t *rapid.T) {
 		held := map[uint32]*controlpb.TargetRecord{}
-		var followed, whole *directory
+		var updated, rebuilt *directory
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 12).Draw(t, "views") {
 			now += time.Duration(rapid.IntRange(0, 4_000).Draw(t, "passed")) * time.Millisecond
 			list := drawRecords(t, held)
-			before := followed
-			followed = directoryFrom(before, list, now, usable)
-			whole = wholeDirectory(whole, list, now, usable)
+			before := updated
+			updated = newDirectory(before, list, now, usable)
+			rebuilt = buildDirectory(rebuilt, list, now, usable)
 			for number, r := range held {
 				if rapid.IntRange(0, 4).Draw(t, "reports") == 0 {
 					report := routing.Report{Load: uint16(number)}
-					followed.loads.Record(number, r.GetIncarnation(), report, now)
-					whole.loads.Record(number, r.GetIncarnation(), report, now)
+					updated.loads.Record(number, r.GetIncarnation(), report, now)
+					rebuilt.loads.Record(number, r.GetIncarnation(), report, now)
 				}
 			}
-			if got, want := followed.contents(now), whole.contents(now); got != want {
-				t.Fatalf("followed:\n%s\nmade anew:\n%s", got, want)
+			if got, want := updated.contents(now), rebuilt.contents(now); got != want {
+				t.Fatalf("updated:\n%s\nrebuilt:\n%s", got, want)
 			}
-			if before != nil && followed.changed == nil {
-				t.Fatal("an ascending list was not followed")
+			if before != nil && updated.changed == nil {
+				t.Fatal("a sorted list was rebuilt")
 			}
 		}
 	})
--- a/internal/entryd/forward_test.go
+++ b/internal/entryd/forward_test.go
@@ -34,12 +34,12 @@
 		Incarnation: 3,
 	})
 	is.Equal(datagram, packet)      // the datagram is unchanged
-	is.Equal(from, r.f.FrameAddr()) // where the agent sends its answer
+	is.Equal(from, r.f.FrameAddr()) // the agent replies to this address
 
 	agent.send(encodeFrame(t, replyTo(h), []byte("stamped")), from)
 	answer, source := caller.receive()
 	is.Equal(string(answer), "stamped")
-	is.Equal(source, local) // the caller takes it from the public address only
+	is.Equal(source, local) // the caller accepts it from this address only
 	is.Equal(r.counter("datagrams_forwarded", ""), int64(1))
 	is.Equal(r.counter("datagrams_replied", ""), int64(1))
 }
@@ -68,7 +68,7 @@
 	})
 	is.Equal(r.counter("first_forwarded", "only"), int64(1))
 
-	// A draining report from one of the two sends all new flows to the other.
+	// After one target reports draining, all new flows go to the other.
 	draining := frame.Header{Kind: frame.Reply, Service: lodgement, Public: publicOne, Target: 12, Incarnation: 1, Draining: true}
 	two.send(encodeFrame(t, draining, nil), r.f.FrameAddr())
 	r.await("the report", func() bool { return r.counter("refused", "no_caller") == 1 })
@@ -79,18 +79,18 @@
 	}
 }
 
-func TestAlternateIsNamed(t *testing.T) {
+func TestFrameNamesAlternate(t *testing.T) {
 	is := is.New(t)
 	o := testOptions()
-	o.RefreshInterval = time.Hour // counts of unanswered flows stay
+	o.RefreshInterval = time.Hour // no decay of unanswered flows
 	r := start(t, o)
 	one, two, caller := newSocket(t), newSocket(t), newSocket(t)
 	r.apply(view(1, services(serviceAt(lodgement, publicOne)),
 		record(lodgement, 11, one.addr()),
 		record(lodgement, 12, two.addr()),
 	))
-	// The same flow gets the same first candidate; with equal costs the flow
-	// that is not answered yet sends the next one to the other target.
+	// The same flow gets the same candidates. With otherwise equal costs the unanswered
+	// flow sends the next one to the other target.
 	caller.send(initialPacket("made-up-id"), r.local(publicOne))
 	caller.send(initialPacket("made-up-id"), r.local(publicOne))
 	h, _, _ := one.receiveFrame()
@@ -101,7 +101,7 @@
 	is.Equal(h.Alternate, one.addr())
 }
 
-func TestDatagramsOfCallersAreRefused(t *testing.T) {
+func TestInvalidDatagramsAreRefused(t *testing.T) {
 	r := start(t, testOptions())
 	agent, caller := newSocket(t), newSocket(t)
 	r.apply(view(1, services(serviceAt(lodgement, publicOne), serviceAt(certificates, publicTwo)),
@@ -119,9 +119,9 @@
 		public   netip.AddrPort
 		want     refusal
 	}{
-		{"empty", nil, publicOne, garbage},
-		{"one byte", []byte{0x40}, publicOne, garbage},
-		{"cut long header", []byte{0xc0, 0, 0, 0, 1, 20, 1}, publicOne, garbage},
+		{"empty", nil, publicOne, malformed},
+		{"one byte", []byte{0x40}, publicOne, malformed},
+		{"cut long header", []byte{0xc0, 0, 0, 0, 1, 20, 1}, publicOne, malformed},
 		{"forged ID", forged, publicOne, unknownConnection},
 		{"ID of another deployment", shortPacket(t, nextSecret, good, ""), publicOne, unknownSecret},
 		{"agent outside the networks", shortPacket(t, oneSecret, outside, ""), publicOne, outsideNetworks},
@@ -138,7 +138,7 @@
 			caller.send(tt.datagram, r.local(tt.public))
 			r.await("the refusal", func() bool { return r.counter("refused", tt.want.String()) == before+1 })
 
-			// The next frame at the agent is that of the next good datagram.
+			// The agent receives nothing before the next valid datagram.
 			packet := shortPacket(t, oneSecret, good, tt.name)
 			caller.send(packet, r.local(publicOne))
 			_, datagram, _ := agent.receiveFrame()
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestFramesAreRefused(t *testing.T) {
+func TestInvalidFramesAreRefused(t *testing.T) {
 	r := start(t, testOptions())
 	agent, caller := newSocket(t), newSocket(t)
 	r.apply(view(1, services(serviceAt(lodgement, publicOne), serviceAt(certificates, publicTwo))))
@@ -187,7 +187,7 @@
 			agent.send(tt.src, r.f.FrameAddr())
 			r.await("the refusal", func() bool { return r.counter("refused", tt.want.String()) == before+1 })
 
-			// The next datagram at the caller is that of the next good frame.
+			// The caller receives nothing before the next valid frame.
 			agent.send(encodeFrame(t, good, []byte(tt.name)), r.f.FrameAddr())
 			datagram, _ := caller.receive()
 			is.Equal(string(datagram), tt.name)
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestSecretsAreReplacedWhileFlowsGoOn(t *testing.T) {
+func TestSecretRotationKeepsFlows(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	r.apply(view(1, services(serviceAt(lodgement, publicOne))))
@@ -268,33 +268,32 @@
 	is.Equal(datagram, packet)
 }
 
-// TestSilentTargetGetsACopy has one of two targets answer all the time and the
-// other one never. Once it is silent, it gets copies only.
-func TestSilentTargetGetsACopy(t *testing.T) {
+// A target that never replies gets only probes once it is unresponsive.
+func TestUnresponsiveTargetIsProbed(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
-	silent, other, caller := newSocket(t), newSocket(t), newSocket(t)
+	unresponsive, other, caller := newSocket(t), newSocket(t), newSocket(t)
 	r.apply(view(1, services(serviceAt(lodgement, publicOne)),
-		record(lodgement, 1, silent.addr()), record(lodgement, 2, other.addr())))
+		record(lodgement, 1, unresponsive.addr()), record(lodgement, 2, other.addr())))
 	w := publicWorkerOf(r, publicOne)
 	i := 0
 	next := func() int {
 		i++
 		return copy(w.buf[frame.HeaderLength:], initialPacket(fmt.Sprintf("made-up-%d", i)))
 	}
-	answered := func() { r.f.tables.Load().loads.Record(2, 1, routing.Report{}, r.f.now()) }
-	r.await("silence", func() bool {
-		w.frame(next(), caller.addr()) // decides, and sends nothing
-		answered()
+	recordReply := func() { r.f.tables.Load().loads.Record(2, 1, routing.Report{}, r.f.now()) }
+	r.await("an unresponsive target", func() bool {
+		w.frame(next(), caller.addr()) // decides without sending
+		recordReply()
 		return r.counter("first_forwarded", "silent") > 0
 	})
 	r.await("a probe", func() bool {
 		w.handle(next(), caller.addr())
-		answered()
+		recordReply()
 		return r.counter("silent_probes", "") > 0
 	})
 
-	h, datagram, _ := silent.receiveFrame()
+	h, datagram, _ := unresponsive.receiveFrame()
 	is.Equal(h.Kind, frame.First)
 	is.Equal(h.Service, uint32(lodgement))
 	is.Equal(h.Caller, caller.addr())
--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -18,43 +18,44 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// tables are what frame workers share. They are immutable, but for the load
-// figures and the service of each listener.
+// tables are shared by frame workers. They are immutable except for load reports and
+// the service of each listener.
 type tables struct {
 	listeners map[netip.AddrPort]*listener
 	loads     *routing.LoadReports
-	// current tells whether a caller may be told that there is no target.
-	current bool
+	// complete is set if the target list is complete, so that a missing target may be
+	// reported to the caller.
+	complete bool
 }
 
-// Forwarder forwards datagrams by the views that it is given.
+// Forwarder forwards datagrams according to the views passed to Apply.
 type Forwarder struct {
 	options  Options
 	log      *zap.Logger
 	counters *counters
 	decider  decider
-	// began is the origin of the forwarder's clock.
-	began time.Time
+	// started is the origin of the forwarder's clock.
+	started time.Time
 
-	// Read by workers, swapped whole.
+	// Read by workers, replaced as a whole.
 	codecs atomic.Pointer[codecs]
 	tables atomic.Pointer[tables]
 
-	// pending is the newest view that is not applied yet.
+	// pending is the newest view that is not yet applied.
 	pending atomic.Pointer[View]
 	wake    chan struct{}
-	// failed gets the panic of a worker.
-	failed chan error
-	ready  chan struct{}
+	// workerErr receives the panic of a worker.
+	workerErr chan error
+	ready     chan struct{}
 
 	// Owned by the goroutine of Run.
 	view      *View
 	directory *directory
-	// built has the services with the tables that are in use, by number.
-	built     map[uint32]builtService
-	addresses map[netip.AddrPort]*servicePolicy
-	// refusedOpen holds the last error of each address that can't be opened.
-	refusedOpen map[netip.AddrPort]string
+	// serviceCache has the services with their current tables, by number.
+	serviceCache map[uint32]cachedService
+	addresses    map[netip.AddrPort]*servicePolicy
+	// openErrors holds the last error of each address that can't be opened.
+	openErrors map[netip.AddrPort]string
 
 	refuser      *refuser
 	frameConns   []*net.UDPConn
@@ -64,7 +65,7 @@
 
 // NewForwarder opens the frame sockets. Nothing is read before Run.
 func NewForwarder(o Options) (*Forwarder, error) {
-	if err := o.complete(); err != nil {
+	if err := o.applyDefaults(); err != nil {
 		return nil, err
 	}
 	c, err := newCodecs(o.Secrets)
@@ -73,16 +74,16 @@
 	}
 
 	f := &Forwarder{
-		options:     o,
-		log:         o.Log,
-		counters:    newCounters(o.Scope.SubScope(scopeName)),
-		decider:     decider{networks: o.AgentNetworks},
-		began:       time.Now(),
-		wake:        make(chan struct{}, 1),
-		failed:      make(chan error, 1),
-		ready:       make(chan struct{}),
-		built:       make(map[uint32]builtService),
-		refusedOpen: make(map[netip.AddrPort]string),
+		options:      o,
+		log:          o.Log,
+		counters:     newCounters(o.Scope.SubScope(scopeName)),
+		decider:      decider{networks: o.AgentNetworks},
+		started:      time.Now(),
+		wake:         make(chan struct{}, 1),
+		workerErr:    make(chan error, 1),
+		ready:        make(chan struct{}),
+		serviceCache: make(map[uint32]cachedService),
+		openErrors:   make(map[netip.AddrPort]string),
 	}
 	f.codecs.Store(c)
 	f.tables.Store(&tables{loads: routing.NewLoadReports(nil, nil)})
@@ -99,8 +100,7 @@
 	return f, nil
 }
 
-// Apply hands over a new view and returns at once. Of several views only the
-// newest is applied.
+// Apply queues a new view and returns at once. A queued view replaces an older one.
 func (f *Forwarder) Apply(v *View) {
 	f.pending.Store(v)
 	select {
@@ -109,8 +109,8 @@
 	}
 }
 
-// SetSecrets replaces the secrets for connection IDs and frames. On an error
-// the old ones stay.
+// SetSecrets replaces the secrets for connection IDs and frames. On error the old ones
+// stay.
 func (f *Forwarder) SetSecrets(secrets []connid.Secret) error {
 	c, err := newCodecs(secrets)
 	if err != nil {
@@ -125,18 +125,17 @@
 	return f.ready
 }
 
-// FrameAddr returns the address that frames are received on.
+// FrameAddr returns the address on which frames are received.
 func (f *Forwarder) FrameAddr() netip.AddrPort {
 	return f.frameAddr
 }
 
-// Targets returns the number of targets that new flows are decided on, of all
-// services.
+// Targets returns the number of targets of all services.
 func (f *Forwarder) Targets() int {
 	return f.tables.Load().loads.Len()
 }
 
-// PublicAddrs returns the local address of each public address that is open.
+// PublicAddrs returns the local address of each open public address.
 func (f *Forwarder) PublicAddrs() map[string]string {
 	listeners := f.tables.Load().listeners
 	out := make(map[string]string, len(listeners))
@@ -146,12 +145,12 @@
 	return out
 }
 
-// Run forwards until the context is done, then closes all sockets and returns
-// nil. It returns an error only if a worker panics. It must be called once.
+// Run forwards until the context is done, then closes all sockets and returns nil. It
+// returns an error only if a worker panics. It must be called once.
 func (f *Forwarder) Run(ctx context.Context) error {
 	for _, conn := range f.frameConns {
 		w := &frameWorker{f: f, conn: conn}
-		f.frameWorkers.Go(f.guard(w.run))
+		f.frameWorkers.Go(f.recoverPanic(w.run))
 	}
 	f.log.Info("frame address opened", zap.Stringer("local", f.frameAddr))
 
@@ -163,22 +162,22 @@
 func (f *Forwarder) loop(ctx context.Context) error {
 	ticker := time.NewTicker(f.options.RefreshInterval)
 	defer ticker.Stop()
-	pause := time.NewTimer(f.options.MinApplyInterval)
-	defer pause.Stop()
+	applyTimer := time.NewTimer(f.options.MinApplyInterval)
+	defer applyTimer.Stop()
 
-	// wake is nil during the pause after a view was applied.
+	// wake is nil for MinApplyInterval after a view was applied.
 	wake := f.wake
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case err := <-f.failed:
+		case err := <-f.workerErr:
 			return err
 		case <-wake:
 			f.apply(ctx, f.pending.Swap(nil))
 			wake = nil
-			pause.Reset(f.options.MinApplyInterval)
-		case <-pause.C:
+			applyTimer.Reset(f.options.MinApplyInterval)
+		case <-applyTimer.C:
 			wake = f.wake
 		case <-ticker.C:
 			f.refresh(ctx)
@@ -186,22 +185,22 @@
 	}
 }
 
-// guard makes a panic of a worker end Run: a worker that is missing would
-// leave its address silent.
-func (f *Forwarder) guard(run func()) func() {
+// recoverPanic turns a panic of a worker into an error of Run, as its socket would no
+// longer be read.
+func (f *Forwarder) recoverPanic(run func()) func() {
 	return func() {
 		recovered := panics.Try(run)
 		if recovered == nil {
 			return
 		}
 		select {
-		case f.failed <- errors.Wrap(recovered.AsError(), "worker"):
+		case f.workerErr <- errors.Wrap(recovered.AsError(), "worker"):
 		default:
 		}
 	}
 }
 
-// Close releases the sockets of a forwarder whose Run is never called.
+// Close releases the sockets if Run is never called.
 func (f *Forwarder) Close() {
 	closeAll(f.frameConns)
 	f.refuser.stop()
@@ -218,16 +217,16 @@
 }
 
 func (f *Forwarder) now() time.Duration {
-	return time.Since(f.began)
+	return time.Since(f.started)
 }
 
-// apply brings a view into force.
+// apply activates a view.
 func (f *Forwarder) apply(ctx context.Context, v *View) {
 	if v == nil || v.Config == nil {
 		return
 	}
 	if f.view != nil && v.Config.GetVersion() < f.view.Config.GetVersion() {
-		// A version that was in force never reverts.
+		// The active version never reverts to an older one.
 		f.counters.viewsOlder.Inc(1)
 		return
 	}
@@ -235,19 +234,19 @@
 	newVersion := f.view == nil || v.Config.GetVersion() != f.view.Config.GetVersion()
 	if newVersion {
 		f.addresses = f.publicAddresses(v.Config)
-		f.log.Info("configuration in force", zap.Uint64("version", v.Config.GetVersion()))
+		f.log.Info("configuration applied", zap.Uint64("version", v.Config.GetVersion()))
 	}
 	f.view = v
 	if !v.Complete {
-		f.doubt()
+		f.markIncomplete()
 	}
-	f.directory = directoryFrom(f.directory, v.Targets, f.now(), f.usable)
+	f.directory = newDirectory(f.directory, v.Targets, f.now(), f.usable)
 	f.counters.badTarget.Inc(int64(f.directory.unusable))
 	f.dropChanged()
-	if newVersion || len(f.refusedOpen) > 0 {
+	if newVersion || len(f.openErrors) > 0 {
 		f.reconcile(ctx)
 	} else {
-		f.renew()
+		f.updateListeners()
 	}
 
 	f.counters.viewsApplied.Inc(1)
@@ -259,60 +258,58 @@
 	}
 }
 
-// refresh takes in ages and load figures and tries addresses that could not be
-// opened again.
+// refresh updates tables with ages and load reports and retries addresses that could
+// not be opened.
 func (f *Forwarder) refresh(ctx context.Context) {
 	if f.view == nil {
 		return
 	}
 	f.directory.loads.Decay()
 	f.refreshTables()
-	if len(f.refusedOpen) > 0 {
+	if len(f.openErrors) > 0 {
 		f.reconcile(ctx)
 		return
 	}
-	f.renew()
+	f.updateListeners()
 }
 
-// refreshTables takes in load figures, and forgets the tables that have to be
-// made anew because of ages and reports.
+// refreshTables updates tables with load reports and drops those that must be rebuilt.
 func (f *Forwarder) refreshTables() {
 	now := f.now()
-	for number, b := range f.built {
+	for number, b := range f.serviceCache {
 		table, ok := b.service.table.Refresh(now)
 		switch {
 		case !ok:
-			delete(f.built, number)
+			delete(f.serviceCache, number)
 		case table != b.service.table:
-			f.built[number] = builtService{b.policy, &service{number: number, table: table}}
+			f.serviceCache[number] = cachedService{b.policy, &service{number: number, table: table}}
 		}
 	}
 }
 
-// dropChanged forgets the tables of the services whose targets have changed.
+// dropChanged drops the tables of services whose targets have changed.
 func (f *Forwarder) dropChanged() {
 	if f.directory.changed == nil {
-		clear(f.built)
+		clear(f.serviceCache)
 	}
 	for number := range f.directory.changed {
-		delete(f.built, number)
+		delete(f.serviceCache, number)
 	}
 }
 
-// countCandidates tells between how many targets the tables in force decide.
-func (f *Forwarder) countCandidates() {
+// updateGauges updates the gauges of candidates and damped targets.
+func (f *Forwarder) updateGauges() {
 	sum := 0
-	for _, b := range f.built {
+	for _, b := range f.serviceCache {
 		sum += b.service.table.Len()
 	}
 	f.counters.candidates.Update(float64(sum))
 	f.counters.damped.Update(float64(f.directory.damped()))
 }
 
-// renew gives the open public addresses the tables of the services that they
-// have. Which address has which service can't have changed, and looking every
-// address up again would cost more than the tables.
-func (f *Forwarder) renew() {
+// updateListeners sets the current tables on the open listeners. It is called when no
+// address has changed, and saves a lookup per address.
+func (f *Forwarder) updateListeners() {
 	now := f.now()
 	listeners := f.tables.Load().listeners
 	for _, l := range listeners {
@@ -320,51 +317,50 @@
 			l.service.Store(s)
 		}
 	}
-	f.tables.Store(&tables{listeners: listeners, loads: f.directory.loads, current: f.view.Complete})
-	f.countCandidates()
+	f.tables.Store(&tables{listeners: listeners, loads: f.directory.loads, complete: f.view.Complete})
+	f.updateGauges()
 }
 
-// doubt tells workers that the targets may not be all, before the list comes into
-// force: a worker that finds no target in it looks at this afterwards.
-func (f *Forwarder) doubt() {
+// markIncomplete tells workers that the target list may be incomplete. It is called
+// before the list is activated, as workers read the flag after they found no target.
+func (f *Forwarder) markIncomplete() {
 	t := *f.tables.Load()
-	t.current = false
+	t.complete = false
 	f.tables.Store(&t)
 }
 
-// dropUnused forgets the tables of services that no address stands for.
+// dropUnused drops the tables of services without an address.
 func (f *Forwarder) dropUnused() {
-	used := make(map[uint32]bool, len(f.built))
+	used := make(map[uint32]bool, len(f.serviceCache))
 	for _, policy := range f.addresses {
 		used[policy.number] = true
 	}
-	maps.DeleteFunc(f.built, func(number uint32, _ builtService) bool { return !used[number] })
+	maps.DeleteFunc(f.serviceCache, func(number uint32, _ cachedService) bool { return !used[number] })
 }
 
-// builtService is a service with the policy that its table was built by.
-type builtService struct {
+// cachedService is a service with the policy from which its table was built.
+type cachedService struct {
 	policy  *configpb.Policy
 	service *service
 }
 
-// service returns the service of a policy. Its table is built once for all its
-// addresses, and again when its targets or its policy have changed or it is
-// time to take in ages and load figures.
+// service returns the cached service of a policy and builds its table if there is none
+// or the policy has changed.
 func (f *Forwarder) service(policy *servicePolicy, now time.Duration) *service {
-	b, ok := f.built[policy.number]
+	b, ok := f.serviceCache[policy.number]
 	if !ok || b.policy != policy.policy {
-		b = builtService{policy.policy, &service{number: policy.number, table: f.directory.table(policy, now)}}
-		f.built[policy.number] = b
+		b = cachedService{policy.policy, &service{number: policy.number, table: f.directory.table(policy, now)}}
+		f.serviceCache[policy.number] = b
 	}
 	return b.service
 }
 
 func (f *Forwarder) usable(address netip.AddrPort) bool {
-	return address.Port() != 0 && f.decider.inside(unmap(address).Addr())
+	return address.Port() != 0 && f.decider.isAgentAddress(unmap(address).Addr())
 }
 
-// reconcile makes the open public addresses those of the configuration, each
-// with a fresh table of its service.
+// reconcile opens and closes public addresses to match the configuration and updates
+// their services.
 func (f *Forwarder) reconcile(ctx context.Context) {
 	before := f.tables.Load().listeners
 	after := make(map[netip.AddrPort]*listener, len(f.addresses))
@@ -375,7 +371,7 @@
 		s := f.service(policy, now)
 		l := before[address]
 		if l != nil {
-			f.swap(l, s, policy)
+			f.setService(l, s, policy)
 		} else {
 			l = f.open(ctx, address, s, policy)
 		}
@@ -384,11 +380,11 @@
 		}
 	}
 
-	f.tables.Store(&tables{listeners: after, loads: f.directory.loads, current: f.view.Complete})
+	f.tables.Store(&tables{listeners: after, loads: f.directory.loads, complete: f.view.Complete})
 	f.counters.openAddresses.Update(float64(len(after)))
 	f.dropUnused()
-	f.countCandidates()
-	maps.DeleteFunc(f.refusedOpen, func(address netip.AddrPort, _ string) bool {
+	f.updateGauges()
+	maps.DeleteFunc(f.openErrors, func(address netip.AddrPort, _ string) bool {
 		return f.addresses[address] == nil
 	})
 }
@@ -403,32 +399,31 @@
 	}
 }
 
-func (f *Forwarder) swap(l *listener, s *service, policy *servicePolicy) {
+func (f *Forwarder) setService(l *listener, s *service, policy *servicePolicy) {
 	l.policy = policy
 	if l.service.Swap(s).number == s.number {
 		return
 	}
-	f.log.Info("public address passed to another service",
+	f.log.Info("public address reassigned to another service",
 		zap.Stringer("public", l.public),
 		zap.String("service", policy.name),
 	)
 }
 
-// open opens a public address and starts its workers. It returns nil if the
-// address can't be opened now.
+// open opens a public address and starts its workers. It returns nil on failure.
 func (f *Forwarder) open(ctx context.Context, public netip.AddrPort, s *service, policy *servicePolicy) *listener {
 	conns, local, err := openSockets(ctx, f.localFor(public), f.options.Workers)
 	if err != nil {
 		f.openFailed(public, policy, err)
 		return nil
 	}
-	delete(f.refusedOpen, public)
+	delete(f.openErrors, public)
 
 	l := &listener{public: public, local: local, conns: conns, policy: policy}
 	l.service.Store(s)
 	for i, conn := range conns {
-		w := &publicWorker{f: f, l: l, conn: conn, out: f.frameConns[i%len(f.frameConns)]}
-		l.workers.Go(f.guard(w.run))
+		w := &publicWorker{f: f, l: l, conn: conn, frameConn: f.frameConns[i%len(f.frameConns)]}
+		l.workers.Go(f.recoverPanic(w.run))
 	}
 	f.log.Info("public address opened",
 		zap.Stringer("public", public),
@@ -438,21 +433,21 @@
 	return l
 }
 
-// openFailed counts each failure and logs the first of a kind.
+// openFailed counts each failure and logs it if the error is a new one.
 func (f *Forwarder) openFailed(public netip.AddrPort, policy *servicePolicy, err error) {
 	f.counters.openFailed.Inc(1)
-	if f.refusedOpen[public] == err.Error() {
+	if f.openErrors[public] == err.Error() {
 		return
 	}
-	f.refusedOpen[public] = err.Error()
-	f.log.Error("public address can't be opened, retrying",
+	f.openErrors[public] = err.Error()
+	f.log.Error("failed to open public address, will retry",
 		zap.Stringer("public", public),
 		zap.String("service", policy.name),
 		zap.Error(err),
 	)
 }
 
-// localFor returns the address to open for a public address.
+// localFor returns the local address to open for a public address.
 func (f *Forwarder) localFor(public netip.AddrPort) netip.AddrPort {
 	ip, port := public.Addr(), public.Port()
 	if f.options.PublicIP.IsValid() {
--- a/internal/entryd/helpers_test.go
+++ b/internal/entryd/helpers_test.go
@@ -18,8 +18,8 @@
 	"eelgrasswharf.example/eelgrasswharf/quicheader"
 )
 
-// patience bounds every wait of a test; a test that holds never needs it.
-const patience = 2 * time.Minute
+// testTimeout bounds every wait of a test.
+const testTimeout = 2 * time.Minute
 
 const (
 	lodgement    = 1
@@ -34,8 +34,8 @@
 	nextSecret = []connid.Secret{{ID: 2, Key: [connid.SecretLength]byte{4, 5, 6}}}
 )
 
-// rig is a running forwarder on loopback.
-type rig struct {
+// harness is a running forwarder on loopback.
+type harness struct {
 	tb    testing.TB
 	f     *Forwarder
 	scope tally.TestScope
@@ -56,7 +56,7 @@
 	}
 }
 
-func start(tb testing.TB, o Options) *rig {
+func start(tb testing.TB, o Options) *harness {
 	tb.Helper()
 	scope := tally.NewTestScope("", nil)
 	if o.Scope == nil {
@@ -68,40 +68,40 @@
 	}
 
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{tb: tb, f: f, scope: scope, stop: cancel, done: make(chan error, 1)}
+	r := &harness{tb: tb, f: f, scope: scope, stop: cancel, done: make(chan error, 1)}
 	go func() { r.done <- f.Run(ctx) }()
 	tb.Cleanup(r.end)
 	return r
 }
 
-func (r *rig) end() {
+func (r *harness) end() {
 	r.stop()
 	if err, ok := <-r.done; ok && err != nil {
 		r.tb.Errorf("run: %v", err)
 	}
 }
 
-// apply hands over a view and waits until it is in force.
-func (r *rig) apply(v *View) {
+// apply applies a view and waits until it is active.
+func (r *harness) apply(v *View) {
 	r.tb.Helper()
 	before := r.counter("views_applied", "")
 	r.f.Apply(v)
-	r.await("view to be in force", func() bool { return r.counter("views_applied", "") > before })
+	r.await("the view to be applied", func() bool { return r.counter("views_applied", "") > before })
 }
 
-func (r *rig) await(what string, done func() bool) {
+func (r *harness) await(what string, done func() bool) {
 	r.tb.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !done() {
 		if time.Now().After(deadline) {
-			r.tb.Fatalf("no end of waiting for %s", what)
+			r.tb.Fatalf("timeout waiting for %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// counter returns the value of a counter, with the reason if it isn't empty.
-func (r *rig) counter(name, reason string) int64 {
+// counter returns the value of a counter, with the tag reason unless it is empty.
+func (r *harness) counter(name, reason string) int64 {
 	key := scopeName + "." + name + "+"
 	if reason != "" {
 		key += reasonTag + "=" + reason
@@ -114,7 +114,7 @@
 }
 
 // local returns the local address of an open public address.
-func (r *rig) local(public netip.AddrPort) netip.AddrPort {
+func (r *harness) local(public netip.AddrPort) netip.AddrPort {
 	r.tb.Helper()
 	text, ok := r.f.PublicAddrs()[public.String()]
 	if !ok {
@@ -152,7 +152,7 @@
 
 func (s *socket) receive() ([]byte, netip.AddrPort) {
 	s.tb.Helper()
-	if err := s.conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		s.tb.Fatal(err)
 	}
 	buf := make([]byte, 1<<16)
@@ -163,7 +163,7 @@
 	return buf[:n], unmap(from)
 }
 
-// receiveFrame is what an agent does with a frame.
+// receiveFrame receives and parses a frame.
 func (s *socket) receiveFrame() (frame.Header, []byte, netip.AddrPort) {
 	s.tb.Helper()
 	src, from := s.receive()
@@ -191,7 +191,7 @@
 	return out
 }
 
-// replyTo returns the header of an answer to a frame.
+// replyTo returns the header of a reply to a frame.
 func replyTo(h frame.Header) frame.Header {
 	h.Kind = frame.Reply
 	h.Alternate = netip.AddrPort{}
@@ -211,8 +211,8 @@
 	return append(packet, payload...)
 }
 
-// longPacket returns a long-header packet of QUIC version 1, filled up to the
-// length of a first datagram.
+// longPacket returns a long-header packet of QUIC version 1, padded to the size of a
+// first datagram.
 func longPacket(first byte, id []byte) []byte {
 	packet := []byte{first, 0, 0, 0, 1, byte(len(id))}
 	packet = append(packet, id...)
--- a/internal/entryd/listener.go
+++ b/internal/entryd/listener.go
@@ -12,38 +12,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// receiveBuffer is asked for on each socket, in bytes; the system may grant
-// less. It takes up a burst while the worker sends.
+// receiveBuffer is the requested receive buffer of a socket in bytes; the system may
+// grant less.
 const receiveBuffer = 1 << 20
 
-// listener is a public address that is open on this host.
+// listener is an open public address.
 type listener struct {
 	public netip.AddrPort
 	local  netip.AddrPort
 	conns  []*net.UDPConn
-	// service is swapped whenever the configuration or the directory changes,
-	// also when the address passes to another service.
+	// service is replaced when the configuration or the directory changes.
 	service atomic.Pointer[service]
-	// policy is that of service. Only the goroutine of Run uses it.
+	// policy is the policy of service. Only the goroutine of Run uses it.
 	policy  *servicePolicy
 	workers conc.WaitGroup
 }
 
-// close closes the sockets and returns when the workers have ended, so that
-// the address can be opened again.
+// close closes the sockets and waits for the workers, so that the address can be
+// reopened.
 func (l *listener) close() {
 	closeAll(l.conns)
 	l.workers.Wait()
 }
 
-// openSockets opens n sockets on one address and returns it with its port. If
-// n is more than 1 the system spreads datagrams over them by sender.
+// openSockets opens n sockets on one address and returns it with its port. If n is more
+// than 1, the kernel distributes datagrams among them by sender.
 func openSockets(ctx context.Context, address netip.AddrPort, n int) ([]*net.UDPConn, netip.AddrPort, error) {
 	config := net.ListenConfig{}
 	if n > 1 {
-		// A lone socket does without: two processes could share an address
-		// unawares.
-		config.Control = sharePort
+		// With one socket, a second process on the same address must get an error.
+		config.Control = setReusePort
 	}
 
 	var conns []*net.UDPConn
@@ -54,7 +52,7 @@
 			return nil, netip.AddrPort{}, err
 		}
 		conns = append(conns, conn)
-		// The first socket may have taken a free port; the others share it.
+		// The first socket may have been given a free port; the others share it.
 		address = localAddr(conn)
 	}
 	return conns, address, nil
@@ -78,7 +76,7 @@
 	return conn, nil
 }
 
-func sharePort(_, _ string, raw syscall.RawConn) error {
+func setReusePort(_, _ string, raw syscall.RawConn) error {
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
 		optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
--- a/internal/entryd/unit_test.go
+++ b/internal/entryd/options_test.go
@@ -38,14 +38,14 @@
 	})
 }
 
-func TestWrongOptions(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	is := is.New(t)
 	_, err := optionsFrom(&settingspb.Forwarding{
 		FrameListen:   "frames",
 		PublicIp:      "public",
 		AgentNetworks: []string{"10.0.0.1"},
 	})
-	is.True(errors.Is(err, ErrFrameAddress)) // all findings at once, each with its place
+	is.True(errors.Is(err, ErrFrameAddress)) // all errors at once, each with its key
 	is.True(errors.Is(err, ErrPublicIP))
 	is.True(errors.Is(err, ErrAgentNetwork))
 	for _, place := range []string{"frame_listen", "public_ip", "agent_networks"} {
@@ -73,7 +73,7 @@
 	o.FrameListen = newSocket(t).addr()
 	_, err = NewForwarder(o)
 	is.True(err != nil)
-	is.True(strings.Contains(err.Error(), o.FrameListen.String())) // tells which address
+	is.True(strings.Contains(err.Error(), o.FrameListen.String())) // names the address
 }
 
 func TestAgeGrowsBetweenViews(t *testing.T) {
@@ -89,22 +89,22 @@
 	}
 
 	const begin = time.Hour
-	d := directoryFrom(nil, list, begin, usable)
+	d := newDirectory(nil, list, begin, usable)
 	is.Equal(ageAt(d, begin), time.Second)
 	is.Equal(ageAt(d, begin+2*time.Second), 3*time.Second)
 
-	// The same record, seen again later, doesn't make the target younger.
-	d = directoryFrom(d, list, begin+5*time.Second, usable)
+	// A repeated record doesn't make the target younger.
+	d = newDirectory(d, list, begin+5*time.Second, usable)
 	is.Equal(ageAt(d, begin+5*time.Second), 6*time.Second)
 
-	// A new incarnation is a new cold start.
-	again := proto.CloneOf(young) // a record that views hold is never written to
+	// A new incarnation has a new cold start.
+	again := proto.CloneOf(young) // records of views are immutable
 	again.Incarnation = 2
-	d = directoryFrom(d, []*controlpb.TargetRecord{again}, begin+9*time.Second, usable)
+	d = newDirectory(d, []*controlpb.TargetRecord{again}, begin+9*time.Second, usable)
 	is.Equal(ageAt(d, begin+9*time.Second), time.Second)
 }
 
-// A backend server that starts again under the same agent is cold again.
+// A restart of the backend server in the same incarnation is another cold start.
 func TestColdStartOfTheSameIncarnation(t *testing.T) {
 	known := coldStart{at: time.Hour, sequence: 5}
 	for _, tt := range []struct {
@@ -114,26 +114,26 @@
 	}{
 		{"the same record later", coldStart{time.Hour + time.Minute, 5}, known},
 		{"an older record", coldStart{time.Hour + time.Minute, 4}, known},
-		{"a newer one that was on its way for a while", coldStart{time.Hour + restartMargin, 6}, coldStart{time.Hour, 6}},
-		{"a newer one, faster", coldStart{time.Hour - time.Millisecond, 6}, coldStart{time.Hour - time.Millisecond, 6}},
+		{"a newer record, delayed", coldStart{time.Hour + restartMargin, 6}, coldStart{time.Hour, 6}},
+		{"a newer record, less delayed", coldStart{time.Hour - time.Millisecond, 6}, coldStart{time.Hour - time.Millisecond, 6}},
 		{"another start", coldStart{time.Hour + time.Minute, 6}, coldStart{time.Hour + time.Minute, 6}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			is.New(t).Equal(known.next(tt.record), tt.want)
+			is.New(t).Equal(known.merge(tt.record), tt.want)
 		})
 	}
 }
 
-func TestRestartedServerIsYoungAgain(t *testing.T) {
+func TestRestartResetsAge(t *testing.T) {
 	is := is.New(t)
 	usable := func(netip.AddrPort) bool { return true }
 	one := record(lodgement, 1, netip.MustParseAddrPort("127.0.0.1:7000"))
 	list := []*controlpb.TargetRecord{one}
-	d := directoryFrom(nil, list, time.Hour, usable)
+	d := newDirectory(nil, list, time.Hour, usable)
 	again := proto.CloneOf(one)
 	again.AgeMs = 10
 	again.Sequence++
-	d = directoryFrom(d, []*controlpb.TargetRecord{again}, time.Hour+time.Second, usable)
+	d = newDirectory(d, []*controlpb.TargetRecord{again}, time.Hour+time.Second, usable)
 	d.table(&servicePolicy{number: lodgement}, time.Hour+time.Second)
 	is.Equal(d.services[lodgement].targets[0].Age, 10*time.Millisecond)
 }
@@ -150,16 +150,15 @@
 	is.Equal(refusalCount.String(), "invalid")
 }
 
-// publicWorkerOf returns a worker on an open public address whose own worker
-// is left alone, and the forwarder's state.
-func publicWorkerOf(r *rig, public netip.AddrPort) *publicWorker {
+// publicWorkerOf returns another worker for an open public address.
+func publicWorkerOf(r *harness, public netip.AddrPort) *publicWorker {
 	l := r.f.tables.Load().listeners[public]
-	w := &publicWorker{f: r.f, l: l, conn: l.conns[0], out: r.f.frameConns[0]}
+	w := &publicWorker{f: r.f, l: l, conn: l.conns[0], frameConn: r.f.frameConns[0]}
 	w.header.Public = public
 	return w
 }
 
-func TestForwardingAllocatesNothing(t *testing.T) {
+func TestForwardingNoAllocations(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	agent, caller := newSocket(t), newSocket(t)
@@ -182,5 +181,5 @@
 	fw := &frameWorker{f: r.f}
 	h := frame.Header{Kind: frame.Reply, Service: lodgement, Caller: from, Public: publicOne, Target: 1, Incarnation: 1}
 	n := copy(fw.buf[:], encodeFrame(t, h, []byte("answer")))
-	is.Equal(testing.AllocsPerRun(1000, func() { fw.check(n, agent.addr()) }), 0.0)
+	is.Equal(testing.AllocsPerRun(1000, func() { fw.validateReply(n, agent.addr()) }), 0.0)
 }
--- a/internal/entryd/quic_test.go
+++ b/internal/entryd/quic_test.go
@@ -24,7 +24,7 @@
 	dialled := make(chan struct{})
 	go func() {
 		defer close(dialled)
-		// It never succeeds, as no agent answers.
+		// It always fails, as no agent replies.
 		to := net.UDPAddrFromAddrPort(r.local(publicOne))
 		_, _ = quic.Dial(ctx, caller.conn, to, &tls.Config{NextProtos: []string{"h3"}}, nil)
 	}()
--- a/internal/entryd/refusal.go
+++ b/internal/entryd/refusal.go
@@ -5,25 +5,25 @@
 	"eelgrasswharf.example/eelgrasswharf/frame"
 )
 
-// refusal tells why a datagram or frame went no further.
+// refusal is the reason why a datagram or frame was dropped.
 type refusal uint8
 
-// Reasons to refuse a datagram of a caller.
+// Reasons to drop a datagram of a caller.
 const (
-	// accepted: not refused.
+	// accepted means not dropped.
 	accepted refusal = iota
-	// garbage: not even the invariant header of a QUIC packet.
-	garbage
+	// malformed: no valid invariant header of a QUIC packet.
+	malformed
 	// oversized: longer than maxDatagram.
 	oversized
-	// unknownConnection: neither an ID of this deployment nor a first packet.
+	// unknownConnection: the connection ID is not of this deployment, and the packet
+	// can't open a flow.
 	unknownConnection
-	// unknownSecret: the ID may be of this deployment, but its secret isn't
-	// known here.
+	// unknownSecret: the connection ID uses a secret that is not known here.
 	unknownSecret
 	// serverPacket: of a type that only servers send.
 	serverPacket
-	// shortFirst: a first packet below the sizes that QUIC asks for.
+	// shortFirst: a first packet below the minimum sizes of QUIC.
 	shortFirst
 	// outsideNetworks: the agent's address isn't in the agent networks.
 	outsideNetworks
@@ -31,16 +31,16 @@
 	noTarget
 )
 
-// Reasons to refuse a frame.
+// Reasons to drop a frame.
 const (
 	frameTooShort refusal = iota + noTarget + 1
 	frameVersion
 	frameSecret
 	frameTag
 	frameKind
-	// unknownAddress: this host doesn't serve that public address.
+	// unknownAddress: the public address is not open on this host.
 	unknownAddress
-	// noCaller: the frame names no caller.
+	// noCaller: the frame has no caller address.
 	noCaller
 
 	refusalCount
@@ -50,7 +50,7 @@
 func (r refusal) String() string {
 	names := [refusalCount]string{
 		accepted:          "accepted",
-		garbage:           "garbage",
+		malformed:         "garbage",
 		oversized:         "oversized",
 		unknownConnection: "unknown_connection",
 		unknownSecret:     "unknown_secret",
@@ -72,7 +72,8 @@
 	return names[r]
 }
 
-// refusalOfID translates the verdict on a connection ID that can't open a flow.
+// refusalOfID converts the verdict on a connection ID of a packet that can't open a
+// flow.
 func refusalOfID(v connid.Verdict) refusal {
 	if v == connid.UnknownSecret {
 		return unknownSecret
@@ -80,7 +81,7 @@
 	return unknownConnection
 }
 
-// refusalOfFrame translates the verdict on a frame.
+// refusalOfFrame converts the verdict on a frame.
 func refusalOfFrame(v frame.Verdict) refusal {
 	switch v {
 	case frame.OK:
--- a/internal/entryd/refuser.go
+++ b/internal/entryd/refuser.go
@@ -12,77 +12,75 @@
 )
 
 const (
-	// defaultRefusals is how many callers a second are told that their service
-	// has no target. A caller beyond it hears nothing and asks again.
-	defaultRefusals = 1000
-	// refusalBuffers is how many first packets may wait for their refusal.
+	// defaultMaxRefusalsPerSecond limits replies. Callers beyond it get none and
+	// retransmit.
+	defaultMaxRefusalsPerSecond = 1000
+	// refusalBuffers is the number of first packets that may be queued.
 	refusalBuffers = 32
-	// refusalLength is as much of a datagram as quic-go takes, in bytes.
-	refusalLength = 1452
-	// refusalQueue is how many refusals quic-go queues; it drops the others.
-	refusalQueue = 4
+	// refusalBufferSize is the longest datagram that quic-go reads, in bytes.
+	refusalBufferSize = 1452
+	// maxRefusalsInFlight is the length of quic-go's queue of refusals; it drops the
+	// rest.
+	maxRefusalsInFlight = 4
 )
 
-// errNoTarget makes quic-go answer a first packet with CONNECTION_REFUSED.
+// errNoTarget makes quic-go reply to a first packet with CONNECTION_REFUSED.
 var errNoTarget = errors.New("service has no target")
 
-// refuser tells callers at once that their connection is refused, as quic-go
-// does it for a server that takes none: by an Initial packet with the error
-// CONNECTION_REFUSED, without state, a tenth as long as the caller's at most.
+// refuser refuses connections through quic-go. The reply is an Initial packet with the
+// error CONNECTION_REFUSED. It needs no state and is much smaller than the caller's
+// packet.
 //
-// It is the net.PacketConn of a quic-go transport. Workers offer datagrams,
-// the transport reads them from here and its answers leave through the public
-// address that the caller knows. All buffers are made at the start; what a
-// flood can ask for is bounded by the budget.
+// It is the net.PacketConn of a quic-go transport. Workers enqueue datagrams, the
+// transport reads them from here, and its replies are sent through the public address.
+// Buffers are allocated once, and the limiter bounds the work caused by a flood.
 type refuser struct {
-	counters  *counters
-	transport *quic.Transport
-	budget    refusalBudget
-	// free and waiting hold the buffers.
-	free, waiting chan *refusedFirst
-	// queued bounds the refusals that quic-go has taken and not yet sent.
-	queued chan struct{}
-	done   chan struct{}
+	counters      *counters
+	transport     *quic.Transport
+	limiter       refusalLimiter
+	free, pending chan *refusedInitial
+	// inFlight bounds the refusals that quic-go has accepted and not yet sent.
+	inFlight chan struct{}
+	done     chan struct{}
 }
 
-// refusedFirst is a first packet that gets a refusal.
-type refusedFirst struct {
-	data [refusalLength]byte
+// refusedInitial is a first packet to be refused.
+type refusedInitial struct {
+	data [refusalBufferSize]byte
 	n    int
-	from refusedCaller
+	from callerAddr
 }
 
-// refusedCaller is the address of a caller for quic-go, with the socket that
-// the answer leaves through.
-type refusedCaller struct {
+// callerAddr is the address of a caller with the socket for the reply.
+type callerAddr struct {
 	caller netip.AddrPort
 	out    *net.UDPConn
 }
 
 // Network implements net.Addr.
-func (c refusedCaller) Network() string { return "udp" }
+func (c callerAddr) Network() string { return "udp" }
 
 // String implements net.Addr.
-func (c refusedCaller) String() string { return c.caller.String() }
+func (c callerAddr) String() string { return c.caller.String() }
 
-// newRefuser starts a refuser that answers at most perSecond callers a second.
+// newRefuser starts a refuser that replies to at most perSecond callers a second.
 func newRefuser(c *counters, perSecond int) (*refuser, error) {
 	r := &refuser{
 		counters: c,
-		budget:   refusalBudget{perSecond: uint64(perSecond)},
-		free:     make(chan *refusedFirst, refusalBuffers),
-		waiting:  make(chan *refusedFirst, refusalBuffers),
-		queued:   make(chan struct{}, refusalQueue),
+		limiter:  refusalLimiter{perSecond: uint64(perSecond)},
+		free:     make(chan *refusedInitial, refusalBuffers),
+		pending:  make(chan *refusedInitial, refusalBuffers),
+		inFlight: make(chan struct{}, maxRefusalsInFlight),
 		done:     make(chan struct{}),
 	}
 	for range refusalBuffers {
-		r.free <- &refusedFirst{}
+		r.free <- &refusedInitial{}
 	}
 	r.transport = &quic.Transport{Conn: r}
 	_, err := r.transport.Listen(&tls.Config{}, &quic.Config{
 		GetConfigForClient: func(*quic.ClientInfo) (*quic.Config, error) {
 			select {
-			case r.queued <- struct{}{}:
+			case r.inFlight <- struct{}{}:
 			case <-r.done:
 			}
 			return nil, errNoTarget
@@ -94,27 +92,27 @@
 	return r, nil
 }
 
-// offer takes a first packet that may be refused. It copies the datagram, waits
-// for nothing and allocates nothing.
-func (r *refuser) offer(datagram []byte, caller netip.AddrPort, out *net.UDPConn, now time.Duration) {
-	if !r.budget.take(now) {
-		r.counters.refusalsOverBudget.Inc(1)
+// enqueue queues a copy of a first packet, or drops it beyond the limit. It neither
+// blocks nor allocates.
+func (r *refuser) enqueue(datagram []byte, caller netip.AddrPort, out *net.UDPConn, now time.Duration) {
+	if !r.limiter.allow(now) {
+		r.counters.refusalsRateLimited.Inc(1)
 		return
 	}
 	select {
 	case p := <-r.free:
 		p.n = copy(p.data[:], datagram)
-		p.from = refusedCaller{caller: caller, out: out}
-		r.waiting <- p
+		p.from = callerAddr{caller: caller, out: out}
+		r.pending <- p
 	default:
-		r.counters.refusalsOverBudget.Inc(1)
+		r.counters.refusalsRateLimited.Inc(1)
 	}
 }
 
 // ReadFrom implements net.PacketConn.
 func (r *refuser) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
-	case p := <-r.waiting:
+	case p := <-r.pending:
 		n, from := copy(b, p.data[:p.n]), p.from
 		r.free <- p
 		return n, from, nil
@@ -123,13 +121,13 @@
 	}
 }
 
-// WriteTo implements net.PacketConn. A failure to send is a lost packet.
+// WriteTo implements net.PacketConn. A failed write counts as a lost packet.
 func (r *refuser) WriteTo(b []byte, to net.Addr) (int, error) {
 	select {
-	case <-r.queued:
-	default: // stopped
+	case <-r.inFlight:
+	default: // after stop
 	}
-	c := to.(refusedCaller)
+	c := to.(callerAddr)
 	if _, err := c.out.WriteToUDPAddrPort(b, c.caller); err != nil {
 		r.counters.toCallerFailed.Inc(1)
 		return len(b), nil
@@ -138,7 +136,8 @@
 	return len(b), nil
 }
 
-// stop ends the refuser. It must be called once; offers after it go nowhere.
+// stop stops the refuser. It must be called once. Packets queued afterwards are
+// dropped.
 func (r *refuser) stop() {
 	close(r.done)
 	_ = r.transport.Close()
@@ -147,10 +146,10 @@
 // Close implements net.PacketConn.
 func (r *refuser) Close() error { return nil }
 
-// LocalAddr implements net.PacketConn. There is none: see refusedCaller.
-func (r *refuser) LocalAddr() net.Addr { return refusedCaller{} }
+// LocalAddr implements net.PacketConn. The refuser has no address of its own.
+func (r *refuser) LocalAddr() net.Addr { return callerAddr{} }
 
-// SetDeadline implements net.PacketConn. Only stop ends a read.
+// SetDeadline implements net.PacketConn. Reads end only by stop.
 func (r *refuser) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline implements net.PacketConn.
@@ -159,39 +158,38 @@
 // SetWriteDeadline implements net.PacketConn.
 func (r *refuser) SetWriteDeadline(time.Time) error { return nil }
 
-// SetReadBuffer takes quic-go's wish for a socket buffer, which has no meaning
-// here.
+// SetReadBuffer does nothing; quic-go calls it if it exists.
 func (r *refuser) SetReadBuffer(int) error { return nil }
 
-// SetWriteBuffer is like SetReadBuffer.
+// SetWriteBuffer does nothing.
 func (r *refuser) SetWriteBuffer(int) error { return nil }
 
-// refusalBudget bounds refusals a second. Many workers may take from it.
-type refusalBudget struct {
+// refusalLimiter limits refusals per second. It is safe for concurrent use.
+type refusalLimiter struct {
 	perSecond uint64
-	// state has the second in the upper half and what was taken in it in the
-	// lower one.
+	// state has the second in the upper half and the number of refusals in it in the
+	// lower half.
 	state atomic.Uint64
 }
 
 const (
-	budgetShift = 32
-	budgetMask  = 1<<budgetShift - 1
+	limiterShift = 32
+	limiterMask  = 1<<limiterShift - 1
 )
 
-// take reports whether one more refusal fits into the second of now.
-func (b *refusalBudget) take(now time.Duration) bool {
+// allow reports whether one more refusal is within the limit at now.
+func (b *refusalLimiter) allow(now time.Duration) bool {
 	second := uint64(now / time.Second)
 	for {
 		state := b.state.Load()
-		taken := state & budgetMask
-		if state>>budgetShift != second {
-			taken = 0
+		used := state & limiterMask
+		if state>>limiterShift != second {
+			used = 0
 		}
-		if taken >= b.perSecond {
+		if used >= b.perSecond {
 			return false
 		}
-		if b.state.CompareAndSwap(state, second<<budgetShift|taken+1) {
+		if b.state.CompareAndSwap(state, second<<limiterShift|used+1) {
 			return true
 		}
 	}
--- a/internal/entryd/refuser_test.go
+++ b/internal/entryd/refuser_test.go
@@ -18,10 +18,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// dial opens a connection from a caller's socket; it can only fail.
-func (r *rig) dial(caller *socket, public netip.AddrPort) error {
+// dial connects from a caller's socket. It always fails.
+func (r *harness) dial(caller *socket, public netip.AddrPort) error {
 	r.tb.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	to := net.UDPAddrFromAddrPort(r.local(public))
 	_, err := quic.Dial(ctx, caller.conn, to, &tls.Config{NextProtos: []string{"h3"}}, nil)
@@ -33,14 +33,13 @@
 	return errors.As(err, &fault) && fault.Remote && fault.ErrorCode == quic.ConnectionRefused
 }
 
-func current(v *View) *View {
+func markComplete(v *View) *View {
 	v.Complete = true
 	return v
 }
 
-// A caller for whom there is no target learns it at once, whether the service
-// never had one, lost all or is gone; as soon as there is one, its first packet
-// goes there.
+// A caller gets a refusal at once if its service has no target yet, lost all, or was
+// removed. Once there is a target, its first packet is forwarded.
 func TestCallerWithoutTargetIsRefused(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
@@ -48,78 +47,78 @@
 	one := services(serviceAt(lodgement, publicOne))
 	targets := []*controlpb.TargetRecord{record(lodgement, 1, agent.addr())}
 
-	r.apply(current(view(1, one)))
+	r.apply(markComplete(view(1, one)))
 	is.True(isRefused(r.dial(newSocket(t), publicOne))) // no target yet
 
-	r.apply(current(view(1, one, targets...)))
+	r.apply(markComplete(view(1, one, targets...)))
 	caller := newSocket(t)
 	caller.send(initialPacket("made-up-id"), r.local(publicOne))
 	h, _, _ := agent.receiveFrame()
 	is.Equal(h.Caller, caller.addr())
 
-	r.apply(current(view(1, one)))
-	is.True(isRefused(r.dial(newSocket(t), publicOne))) // all lost
+	r.apply(markComplete(view(1, one)))
+	is.True(isRefused(r.dial(newSocket(t), publicOne))) // all targets lost
 
-	retiredView := current(view(2, nil))
+	retiredView := markComplete(view(2, nil))
 	retiredView.Config.Retired = []string{publicOne.String()}
 	r.apply(retiredView)
-	is.True(isRefused(r.dial(newSocket(t), publicOne))) // no service any more
+	is.True(isRefused(r.dial(newSocket(t), publicOne))) // service removed
 
 	r.await("refusals to be counted", func() bool { return r.counter("connections_refused", "") >= 3 })
 	is.True(r.counter("refused", "no_target") >= 3)
 }
 
-// An entry host that is not sure keeps silent: the caller asks again and may
-// reach one that knows of a target.
-func TestUncertainEntryHostRefusesNobody(t *testing.T) {
+// An entry host whose view may be incomplete sends no refusal: the caller retransmits
+// and may reach an entry host that knows a target.
+func TestIncompleteViewRefusesNobody(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	r.apply(view(1, services(serviceAt(lodgement, publicOne))))
 	caller := newSocket(t)
-	r.f.refuser.budget.perSecond = 0 // an offer would be counted at once
+	r.f.refuser.limiter.perSecond = 0 // count each refusal at once
 	for range 2 {
 		caller.send(initialPacket("made-up-id"), r.local(publicOne))
 	}
-	// The worker has done with the first one when it counts the second.
+	// The first packet has been handled when the second one is counted.
 	r.await("both to be counted", func() bool { return r.counter("refused", "no_target") == 2 })
 	is.Equal(r.counter("connections_refused_over_budget", ""), int64(0))
 
-	r.apply(current(view(1, services(serviceAt(lodgement, publicOne)))))
+	r.apply(markComplete(view(1, services(serviceAt(lodgement, publicOne)))))
 	caller.send(initialPacket("made-up-id"), r.local(publicOne))
-	r.await("the offer", func() bool { return r.counter("connections_refused_over_budget", "") == 1 })
+	r.await("the refusal", func() bool { return r.counter("connections_refused_over_budget", "") == 1 })
 }
 
-// Neither a list that may lack a target nor one of some failure domains says
-// that there is none.
-func TestViewIsCurrentOnlyIfTheDirectoryIsWhole(t *testing.T) {
+// A view is not complete if the list may lack targets or is limited to some failure
+// domains.
+func TestViewCompleteOnlyIfDirectoryComplete(t *testing.T) {
 	is := is.New(t)
-	is.True(viewFrom(&subscriber.View{DirectoryComplete: true}, false).Complete)
-	is.True(!viewFrom(&subscriber.View{DirectoryComplete: true}, true).Complete)
-	is.True(!viewFrom(&subscriber.View{Connected: true}, false).Complete)
+	is.True(newView(&subscriber.View{DirectoryComplete: true}, false).Complete)
+	is.True(!newView(&subscriber.View{DirectoryComplete: true}, true).Complete)
+	is.True(!newView(&subscriber.View{Connected: true}, false).Complete)
 }
 
-// Only a whole Initial packet is answered.
+// Only complete Initial packets get a refusal.
 func TestOnlyInitialPacketsAreRefused(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
-	r.apply(current(view(1, services(serviceAt(lodgement, publicOne)))))
+	r.apply(markComplete(view(1, services(serviceAt(lodgement, publicOne)))))
 	caller := newSocket(t)
 	for _, packet := range [][]byte{
-		longPacket(0xd0, []byte("made-up-id")), // 0-RTT comes along with an Initial
-		initialPacket("made-up-id"),            // whose token has no end
+		longPacket(0xd0, []byte("made-up-id")), // 0-RTT accompanies an Initial
+		initialPacket("made-up-id"),            // with a truncated token
 	} {
 		caller.send(packet, r.local(publicOne))
 	}
 	is.True(isRefused(r.dial(newSocket(t), publicOne)))
 	is.NoErr(caller.conn.SetReadDeadline(time.Now()))
 	_, _, err := caller.conn.ReadFromUDPAddrPort(make([]byte, 1))
-	is.True(err != nil) // neither of them
+	is.True(err != nil) // no reply to either
 	is.Equal(r.counter("connections_refused_over_budget", ""), int64(0))
 }
 
-func TestRefusalBudget(t *testing.T) {
+func TestRefusalLimiter(t *testing.T) {
 	is := is.New(t)
-	b := refusalBudget{perSecond: 2}
+	b := refusalLimiter{perSecond: 2}
 	for _, tt := range []struct {
 		at   time.Duration
 		want bool
@@ -128,19 +127,18 @@
 		{time.Second, true}, {time.Second, true}, {1999 * time.Millisecond, false},
 		{time.Hour, true},
 	} {
-		is.Equal(b.take(tt.at), tt.want)
+		is.Equal(b.allow(tt.at), tt.want)
 	}
 }
 
-// BenchmarkNoTarget measures what a first packet costs when there is no target:
-// its refusal as quic-go makes and sends it, with the caller's read, in processor
-// time of this process, and its length; and a packet of a flood beyond the budget,
-// as the worker sees it.
+// BenchmarkNoTarget measures a first packet without a target: with a refusal, the
+// processor time of this process up to the caller's read and the length of the reply;
+// beyond the limit, the work of the worker alone.
 func BenchmarkNoTarget(b *testing.B) {
 	o := testOptions()
 	o.MaxRefusalsPerSecond = 1 << 30
 	r := start(b, o)
-	r.apply(current(view(1, services(serviceAt(lodgement, publicOne)))))
+	r.apply(markComplete(view(1, services(serviceAt(lodgement, publicOne)))))
 	first := firstDatagram(b)
 	caller := newSocket(b)
 	w := publicWorkerOf(r, publicOne)
@@ -160,8 +158,8 @@
 		b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(b.N), "cpu-µs/op")
 		b.ReportMetric(float64(answer), "B/answer")
 	})
-	r.f.refuser.budget.perSecond = 0
-	b.Run("over budget", func(b *testing.B) {
+	r.f.refuser.limiter.perSecond = 0
+	b.Run("over limit", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			w.handle(length, caller.addr())
@@ -179,20 +177,20 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkCallerWithoutTarget measures how long a caller of quic-go with its
-// defaults waits until it knows: told by the entry host, and left to itself.
+// BenchmarkCallerWithoutTarget measures how long a quic-go caller with default settings
+// waits for its error, with and without a refusal.
 func BenchmarkCallerWithoutTarget(b *testing.B) {
 	r := start(b, testOptions())
 	for _, bb := range []struct {
-		name    string
-		current bool
-	}{{"refused", true}, {"silent", false}} {
+		name     string
+		complete bool
+	}{{"refused", true}, {"no refusal", false}} {
 		b.Run(bb.name, func(b *testing.B) {
 			v := view(1, services(serviceAt(lodgement, publicOne)))
-			v.Complete = bb.current
+			v.Complete = bb.complete
 			r.apply(v)
 			for b.Loop() {
-				if err := r.dial(newSocket(b), publicOne); isRefused(err) != bb.current {
+				if err := r.dial(newSocket(b), publicOne); isRefused(err) != bb.complete {
 					b.Fatal(err)
 				}
 			}
--- a/internal/entryd/worker.go
+++ b/internal/entryd/worker.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	// maxDatagram is the longest datagram of a caller or agent that is
-	// forwarded, in bytes. QUIC packets fit an Ethernet frame; the room above
-	// that is small because every worker holds a buffer.
+	// maxDatagram is the longest forwarded datagram in bytes. QUIC packets fit an
+	// Ethernet frame; more would only enlarge the buffer of each worker.
 	maxDatagram = 2048
-	// bufferLength has one byte more than the longest frame, which shows
-	// whether the system cut a datagram.
+	// bufferLength has one byte more than the longest frame, to detect truncated
+	// datagrams.
 	bufferLength = frame.HeaderLength + maxDatagram + 1
-	// readPause keeps a socket that fails at each read from taking a core.
-	readPause = 10 * time.Millisecond
+	// readErrorDelay prevents a busy loop on a socket whose reads fail.
+	readErrorDelay = 10 * time.Millisecond
 )
 
 // publicWorker reads one socket of a public address.
@@ -30,11 +29,11 @@
 	f    *Forwarder
 	l    *listener
 	conn *net.UDPConn
-	// out is the frame socket that it sends through.
-	out    *net.UDPConn
-	buf    [bufferLength]byte
-	header frame.Header
-	// probe is a silent target that gets a copy of the datagram, or zero.
+	// frameConn is the frame socket used for sending.
+	frameConn *net.UDPConn
+	buf       [bufferLength]byte
+	header    frame.Header
+	// probe is an unresponsive target that gets a copy of the datagram, or zero.
 	probe routing.TargetRef
 }
 
@@ -43,16 +42,16 @@
 	w.f.read(w.conn, w.buf[frame.HeaderLength:], w.handle)
 }
 
-// handle sends the datagram of n bytes that stands behind the room for the
-// header on to an agent, or counts why not.
+// handle forwards the datagram of n bytes, which follows the space for the header in
+// buf, to an agent, or counts why it was dropped.
 func (w *publicWorker) handle(n int, caller netip.AddrPort) {
 	to, refused := w.frame(n, caller)
 	if refused != accepted {
 		w.f.counters.refused[refused].Inc(1)
-		w.tell(refused, n, caller)
+		w.refuseConnection(refused, n, caller)
 		return
 	}
-	if _, err := w.out.WriteToUDPAddrPort(w.buf[:frame.HeaderLength+n], to); err != nil {
+	if _, err := w.frameConn.WriteToUDPAddrPort(w.buf[:frame.HeaderLength+n], to); err != nil {
 		w.f.counters.toAgentFailed.Inc(1)
 	}
 	if w.probe.Address.IsValid() {
@@ -60,33 +59,33 @@
 	}
 }
 
-// sendProbe sends a copy of the first packet that went to an agent to a silent
-// target, with that agent as alternate.
-func (w *publicWorker) sendProbe(n int, sent netip.AddrPort) {
+// sendProbe sends a copy of the first packet to an unresponsive target, with the chosen
+// agent as alternate.
+func (w *publicWorker) sendProbe(n int, chosen netip.AddrPort) {
 	w.f.counters.probes.Inc(1)
-	w.header.Alternate = sent
+	w.header.Alternate = chosen
 	w.header.Target = w.probe.Number
 	w.header.Incarnation = w.probe.Incarnation
 	w.f.codecs.Load().frames.Put(w.buf[:], &w.header)
-	if _, err := w.out.WriteToUDPAddrPort(w.buf[:frame.HeaderLength+n], w.probe.Address); err != nil {
+	if _, err := w.frameConn.WriteToUDPAddrPort(w.buf[:frame.HeaderLength+n], w.probe.Address); err != nil {
 		w.f.counters.toAgentFailed.Inc(1)
 	}
 }
 
-// tell answers a first packet for which there is no target, so that the caller
-// need not wait for its own deadline. All else that is refused gets no answer.
-func (w *publicWorker) tell(refused refusal, n int, caller netip.AddrPort) {
-	if refused != noTarget || !w.f.tables.Load().current {
+// refuseConnection refuses a connection without a target, so that the caller does not
+// have to wait for its timeout. Other dropped datagrams get no reply.
+func (w *publicWorker) refuseConnection(refused refusal, n int, caller netip.AddrPort) {
+	if refused != noTarget || !w.f.tables.Load().complete {
 		return
 	}
 	datagram := w.buf[frame.HeaderLength : frame.HeaderLength+n]
 	if packet, _ := quicheader.Parse(datagram, connid.Length); packet.Type != quicheader.Initial {
 		return
 	}
-	w.f.refuser.offer(datagram, caller, w.l.conns[0], w.f.now())
+	w.f.refuser.enqueue(datagram, caller, w.l.conns[0], w.f.now())
 }
 
-// frame decides on the datagram and puts the header before it.
+// frame decides on the datagram and prepends the frame header.
 func (w *publicWorker) frame(n int, caller netip.AddrPort) (netip.AddrPort, refusal) {
 	if n > maxDatagram {
 		return netip.AddrPort{}, oversized
@@ -121,9 +120,10 @@
 	w.f.read(w.conn, w.buf[:], w.handle)
 }
 
-// handle sends the datagram of a reply frame to the caller, or counts why not.
+// handle forwards the datagram of a reply frame to the caller, or counts why it was
+// dropped.
 func (w *frameWorker) handle(n int, agent netip.AddrPort) {
-	l, refused := w.check(n, agent)
+	l, refused := w.validateReply(n, agent)
 	if refused != accepted {
 		w.f.counters.refused[refused].Inc(1)
 		return
@@ -140,13 +140,13 @@
 	}
 }
 
-// check parses a reply frame, learns what it tells of its sender and returns
-// the public address that it leaves through.
-func (w *frameWorker) check(n int, agent netip.AddrPort) (*listener, refusal) {
+// validateReply parses a reply frame, records the report of its sender and returns the
+// listener of its public address.
+func (w *frameWorker) validateReply(n int, agent netip.AddrPort) (*listener, refusal) {
 	if n == len(w.buf) {
 		return nil, oversized
 	}
-	if !w.f.decider.inside(agent.Addr()) {
+	if !w.f.decider.isAgentAddress(agent.Addr()) {
 		return nil, outsideNetworks
 	}
 	h := &w.header
@@ -161,13 +161,12 @@
 	t := w.f.tables.Load()
 	report := routing.Report{Load: h.Load, Draining: h.Draining, Unhealthy: h.Unhealthy}
 	t.loads.Record(h.Target, h.Incarnation, report, w.f.now())
-	return t.outgoing(h)
+	return t.replyListener(h)
 }
 
-// outgoing returns the public address that a reply leaves through. Which
-// service the address stands for now does not matter: the reply belongs to an
-// established flow, whose caller knows no other address.
-func (t *tables) outgoing(h *frame.Header) (*listener, refusal) {
+// replyListener returns the listener through which a reply is sent. The current service
+// of the address is ignored: the caller of an established flow knows no other address.
+func (t *tables) replyListener(h *frame.Header) (*listener, refusal) {
 	l := t.listeners[h.Public]
 	if l == nil {
 		return nil, unknownAddress
@@ -178,28 +177,28 @@
 	return l, accepted
 }
 
-// read reads datagrams into buf and hands the length and sender of each to
-// handle, until the socket is closed.
+// read passes the length and the sender of each datagram read into buf to handle, until
+// the socket is closed.
 func (f *Forwarder) read(conn *net.UDPConn, buf []byte, handle func(int, netip.AddrPort)) {
 	for {
 		n, sender, err := conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case err == nil:
 			handle(n, unmap(sender))
-		case f.ended(err):
+		case f.socketClosed(err):
 			return
 		}
 	}
 }
 
-// ended reports whether a read failed because the socket was closed. Other
-// failures are counted and followed by a pause.
-func (f *Forwarder) ended(err error) bool {
+// socketClosed reports whether a read failed because the socket was closed. It counts
+// other errors and delays the next read.
+func (f *Forwarder) socketClosed(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return true
 	}
 	f.counters.readFailed.Inc(1)
-	time.Sleep(readPause)
+	time.Sleep(readErrorDelay)
 	return false
 }
 
