--- a/returnpath/doc.go
+++ b/returnpath/doc.go
@@ -1,7 +1,6 @@
-// Package returnpath decides through which entry host an agent sends the next
-// datagram of a flow. Every frame that arrives shows an entry host that works;
-// a flow remembers the last few of them and a host remembers those that any
-// flow was heard through, as a last resort.
+// Package returnpath selects the entry host through which an agent sends the next
+// datagram of a flow. Each received frame shows that its entry host works. A flow
+// remembers the last few of them; a host remembers those of all flows as a fallback.
 //
 // The package has no clock and no goroutine: time is an argument.
 package returnpath
--- a/returnpath/path.go
+++ b/returnpath/path.go
@@ -8,65 +8,63 @@
 const (
 	// MaxPathHosts is the number of entry hosts that a flow remembers.
 	MaxPathHosts = 4
-	// FailoverDatagrams is the number of datagrams sent with nothing heard
-	// after which a flow may move to its next entry host.
+	// FailoverDatagrams is the number of datagrams sent without a received one after
+	// which a flow may fail over to its next entry host.
 	FailoverDatagrams = 4
-	// FailoverTimeout must also have passed since the last datagram was heard: a
+	// FailoverTimeout must also have passed since the last received datagram, as a
 	// burst within one round trip is no sign of a dead path.
 	FailoverTimeout = 150 * time.Millisecond
 )
 
-// Path holds the entry hosts that one flow was heard through, the one to use
-// next in front. The zero value is empty. It is not safe for use by several
-// goroutines at once.
+// Path holds the entry hosts of one flow, the one to use next first. The zero value is
+// empty. It is not safe for concurrent use.
 type Path struct {
-	hosts  [MaxPathHosts]netip.AddrPort
-	count  uint8
-	silent uint16
-	// moves counts how often the path moved on since it last heard anything.
-	moves uint16
-	since time.Duration
+	hosts      [MaxPathHosts]netip.AddrPort
+	count      uint8
+	unanswered uint16
+	// failovers counts the failovers since the last received datagram.
+	failovers    uint16
+	lastReceived time.Duration
 }
 
 // RecordReceived records that a datagram of the flow came through the entry host. now
-// is the time on any monotonic scale.
+// is any monotonic time.
 func (p *Path) RecordReceived(entry netip.AddrPort, now time.Duration) {
-	p.silent = 0
-	p.moves = 0
-	p.since = now
+	p.unanswered = 0
+	p.failovers = 0
+	p.lastReceived = now
 	p.toFront(entry)
 }
 
-// Next returns the entry host for the next datagram and counts the datagram.
-// Once SilentDatagrams were sent and SilentTime passed with nothing heard, each
-// datagram goes through another entry host until something is heard: QUIC then
-// sends ever more rarely, and a path that waited for several datagrams on each
-// entry host would outlast its caller's patience. ok is false when no entry host is
-// known. exhausted is set once every remembered entry host was tried in vain.
+// Next returns the entry host for the next datagram and counts the datagram. After
+// FailoverDatagrams and FailoverTimeout without a received datagram, each datagram goes
+// through another entry host: a QUIC sender backs off, so several datagrams per entry
+// host could take longer than the caller's timeout. ok is false if no entry host is
+// known. exhausted is set once every remembered entry host was tried without success.
 func (p *Path) Next(now time.Duration) (entry netip.AddrPort, exhausted, ok bool) {
 	if p.count == 0 {
 		return netip.AddrPort{}, true, false
 	}
-	if p.silent >= FailoverDatagrams && now-p.since >= FailoverTimeout {
+	if p.unanswered >= FailoverDatagrams && now-p.lastReceived >= FailoverTimeout {
 		p.rotate()
 	}
-	if p.silent < FailoverDatagrams {
-		p.silent++
+	if p.unanswered < FailoverDatagrams {
+		p.unanswered++
 	}
-	return p.hosts[0], p.moves >= uint16(p.count), true
+	return p.hosts[0], p.failovers >= uint16(p.count), true
 }
 
-// rotate moves the front entry host to the end.
+// rotate moves the first entry host to the end.
 func (p *Path) rotate() {
 	front := p.hosts[0]
 	copy(p.hosts[:p.count], p.hosts[1:p.count])
 	p.hosts[p.count-1] = front
-	if p.moves < ^uint16(0) {
-		p.moves++
+	if p.failovers < ^uint16(0) {
+		p.failovers++
 	}
 }
 
-// toFront puts the entry host first; the oldest one falls out of a full path.
+// toFront moves the entry host to the front and drops the last one of a full path.
 func (p *Path) toFront(entry netip.AddrPort) {
 	at := int(p.count)
 	for i := range int(p.count) {
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -13,82 +13,82 @@
 	"eelgrasswharf.example/eelgrasswharf/returnpath"
 )
 
-func host(n int) netip.AddrPort {
+func entryHost(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(n >> 8), byte(n)}), 4000)
 }
 
-func TestPathUsesTheLastHeard(t *testing.T) {
+func TestPathUsesLastReceived(t *testing.T) {
 	is := is.New(t)
 	var p returnpath.Path
 	_, _, ok := p.Next(0)
-	is.True(!ok) // nothing heard yet
+	is.True(!ok) // nothing received yet
 	for n := range 6 {
-		p.RecordReceived(host(n), time.Duration(n))
+		p.RecordReceived(entryHost(n), time.Duration(n))
 	}
 	entry, exhausted, ok := p.Next(10)
 	is.True(ok)
 	is.True(!exhausted)
-	is.Equal(entry, host(5))
+	is.Equal(entry, entryHost(5))
 }
 
-func TestPathMovesOnWhenSilent(t *testing.T) {
+func TestPathFailsOverWithoutReplies(t *testing.T) {
 	is := is.New(t)
 	var p returnpath.Path
-	p.RecordReceived(host(1), 0)
-	p.RecordReceived(host(2), 0)
+	p.RecordReceived(entryHost(1), 0)
+	p.RecordReceived(entryHost(2), 0)
 	for range returnpath.FailoverDatagrams {
 		entry, _, _ := p.Next(time.Millisecond)
-		is.Equal(entry, host(2))
+		is.Equal(entry, entryHost(2))
 	}
 	entry, _, _ := p.Next(time.Millisecond)
-	is.Equal(entry, host(2)) // a burst within one round trip does not move it
+	is.Equal(entry, entryHost(2)) // no failover for a burst within one round trip
 	entry, exhausted, _ := p.Next(returnpath.FailoverTimeout)
-	is.Equal(entry, host(1))
+	is.Equal(entry, entryHost(1))
 	is.True(!exhausted)
 	for range returnpath.FailoverDatagrams {
 		p.Next(returnpath.FailoverTimeout)
 	}
 	_, exhausted, _ = p.Next(2 * returnpath.FailoverTimeout)
-	is.True(exhausted) // both were tried in vain
-	p.RecordReceived(host(1), 2*returnpath.FailoverTimeout)
+	is.True(exhausted) // both were tried without success
+	p.RecordReceived(entryHost(1), 2*returnpath.FailoverTimeout)
 	entry, exhausted, _ = p.Next(2 * returnpath.FailoverTimeout)
-	is.Equal(entry, host(1))
+	is.Equal(entry, entryHost(1))
 	is.True(!exhausted)
 }
 
-func TestPathOffersOnlyWhatItHeard(t *testing.T) {
+func TestPathReturnsOnlyRecordedHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p returnpath.Path
-		heard := map[netip.AddrPort]bool{}
+		received := map[netip.AddrPort]bool{}
 		last := netip.AddrPort{}
-		justHeard := false
+		justReceived := false
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
-			if rapid.Bool().Draw(t, "hear") {
-				last = host(rapid.IntRange(0, 8).Draw(t, "host"))
+			if rapid.Bool().Draw(t, "receive") {
+				last = entryHost(rapid.IntRange(0, 8).Draw(t, "host"))
 				p.RecordReceived(last, now)
-				heard[last] = true
-				justHeard = true
+				received[last] = true
+				justReceived = true
 				continue
 			}
 			entry, _, ok := p.Next(now)
-			if ok != (len(heard) > 0) || (ok && !heard[entry]) {
-				t.Fatalf("offered %v, heard %v", entry, heard)
+			if ok != (len(received) > 0) || (ok && !received[entry]) {
+				t.Fatalf("got %v, received %v", entry, received)
 			}
-			if justHeard && entry != last {
-				t.Fatalf("offered %v right after hearing %v", entry, last)
+			if justReceived && entry != last {
+				t.Fatalf("got %v right after receiving through %v", entry, last)
 			}
-			justHeard = false
+			justReceived = false
 		}
 	})
 }
 
-func TestPathTriesEveryHostInTurn(t *testing.T) {
+func TestPathTriesEveryHost(t *testing.T) {
 	is := is.New(t)
 	var p returnpath.Path
 	for n := range returnpath.MaxPathHosts {
-		p.RecordReceived(host(n), 0)
+		p.RecordReceived(entryHost(n), 0)
 	}
 	tried := map[netip.AddrPort]bool{}
 	now := time.Duration(0)
@@ -100,11 +100,11 @@
 	is.Equal(len(tried), returnpath.MaxPathHosts)
 }
 
-func TestRecentIsBoundedAndForgets(t *testing.T) {
+func TestRecentHostsAreBoundedAndExpire(t *testing.T) {
 	is := is.New(t)
 	r := returnpath.NewRecentHosts()
 	for n := range 3 * returnpath.MaxRecentHosts {
-		r.RecordReceived(host(n), time.Duration(n))
+		r.RecordReceived(entryHost(n), time.Duration(n))
 	}
 	is.Equal(r.Len(), returnpath.MaxRecentHosts)
 	seen := map[netip.AddrPort]bool{}
@@ -113,19 +113,19 @@
 		is.True(ok)
 		seen[entry] = true
 	}
-	is.Equal(len(seen), returnpath.MaxRecentHosts) // takes turns
-	is.True(!seen[host(0)])                        // the oldest fell out
+	is.Equal(len(seen), returnpath.MaxRecentHosts) // in turn
+	is.True(!seen[entryHost(0)])                   // the oldest was evicted
 	_, ok := r.Next(returnpath.MaxRecentAge + time.Minute)
 	is.True(!ok) // all too old
 }
 
-// All entry hosts of a flow are restarted at once: QUIC doubles its pauses, so
-// few datagrams may be spent on them.
-func TestSilentPathTriesAnotherEntryHostEachTime(t *testing.T) {
+// If all entry hosts of a flow restart at once, few datagrams may be spent on them, as
+// QUIC senders back off.
+func TestFailoverTriesAnotherHostEachTime(t *testing.T) {
 	is := is.New(t)
 	var p returnpath.Path
 	for n := range returnpath.MaxPathHosts {
-		p.RecordReceived(host(n), 0)
+		p.RecordReceived(entryHost(n), 0)
 	}
 	for range returnpath.FailoverDatagrams {
 		p.Next(0)
@@ -138,31 +138,31 @@
 		tried[entry] = true
 	}
 	is.Equal(len(tried), returnpath.MaxPathHosts)
-	p.RecordReceived(host(9), returnpath.FailoverTimeout)
+	p.RecordReceived(entryHost(9), returnpath.FailoverTimeout)
 	for range 2 * returnpath.FailoverDatagrams {
 		entry, exhausted, _ := p.Next(returnpath.FailoverTimeout)
-		is.Equal(entry, host(9)) // heard again: it stays
+		is.Equal(entry, entryHost(9)) // no failover after a received datagram
 		is.True(!exhausted)
 	}
 }
 
-func TestRecentPrefersFreshEntryHosts(t *testing.T) {
+func TestRecentHostsPrefersNewest(t *testing.T) {
 	is := is.New(t)
 	r := returnpath.NewRecentHosts()
 	for n := range 4 {
-		r.RecordReceived(host(n), 0)
+		r.RecordReceived(entryHost(n), 0)
 	}
 	const later = 2 * returnpath.PreferredAge
-	r.RecordReceived(host(8), later)
-	r.RecordReceived(host(9), later)
+	r.RecordReceived(entryHost(8), later)
+	r.RecordReceived(entryHost(9), later)
 	got := map[netip.AddrPort]bool{}
 	for range 10 {
 		entry, ok := r.Next(later)
 		is.True(ok)
 		got[entry] = true
 	}
-	is.Equal(got, map[netip.AddrPort]bool{host(8): true, host(9): true})
-	_, ok := r.Next(later + 2*returnpath.PreferredAge) // none is fresh: the others
+	is.Equal(got, map[netip.AddrPort]bool{entryHost(8): true, entryHost(9): true})
+	_, ok := r.Next(later + 2*returnpath.PreferredAge) // none is within PreferredAge
 	is.True(ok)
 	_, ok = r.Next(later + 2*returnpath.MaxRecentAge)
 	is.True(!ok)
