--- a/connid/connid.go
+++ b/connid/connid.go
@@ -14,7 +14,7 @@
 const (
 	// Length is the length of every connection ID, in bytes.
 	Length = 20
-	// MaxNumber is the largest target number and incarnation that fit.
+	// MaxNumber is the largest target number and incarnation that can be encoded.
 	MaxNumber = 1<<24 - 1
 
 	keyIDMask   = MaxSecretID
@@ -23,26 +23,26 @@
 	tagOffset   = 1 + blockLength
 )
 
-// Purposes of the two keys derived from each secret.
+// Purposes of the keys derived from each secret.
 const (
-	purposeBlock = "eelgrasswharf connection ID block"
-	purposeTag   = "eelgrasswharf connection ID tag"
+	blockKeyPurpose = "eelgrasswharf connection ID block"
+	tagKeyPurpose   = "eelgrasswharf connection ID tag"
 )
 
-// ErrInvalidTarget tells that a target does not fit into a connection ID.
+// ErrInvalidTarget is returned for a target that can't be encoded.
 var ErrInvalidTarget = errors.New("target does not fit into a connection ID")
 
-// Target is what a connection ID names.
+// Target is the content of a connection ID.
 type Target struct {
 	// Address is the frame address of the agent, IPv4.
 	Address netip.AddrPort
 	// Number is the stable number of the target, at most MaxNumber.
 	Number uint32
-	// Incarnation tells the lives of a target apart, at most MaxNumber.
+	// Incarnation counts the restarts of the target, at most MaxNumber.
 	Incarnation uint32
 }
 
-// Validate returns ErrTarget, wrapped, if a codec can't encode t.
+// Validate returns ErrInvalidTarget, wrapped, if t can't be encoded.
 func (t Target) Validate() error {
 	if !t.Address.Addr().Unmap().Is4() {
 		return errors.Wrapf(ErrInvalidTarget, "address %v is not IPv4", t.Address)
@@ -59,20 +59,20 @@
 	return nil
 }
 
-// Verdict tells what came of decoding a connection ID.
+// Verdict is the result of decoding a connection ID.
 type Verdict uint8
 
 // Verdicts of Decode.
 const (
-	// OK: the deployment issued the ID.
+	// OK means that this deployment issued the ID.
 	OK Verdict = iota
-	// WrongLength: the ID is not Length bytes long.
+	// WrongLength means that the ID is not Length bytes long.
 	WrongLength
-	// UnknownSecret: no secret has the key ID named in the first byte.
+	// UnknownSecret means that no secret has the ID in the first byte.
 	UnknownSecret
-	// WrongTag: the deployment did not issue the ID.
+	// WrongTag means that this deployment did not issue the ID.
 	WrongTag
-	// NoAddress: the ID names no usable address.
+	// NoAddress means that the ID contains no usable address.
 	NoAddress
 )
 
@@ -96,9 +96,9 @@
 
 // Codec encodes and decodes connection IDs. It is safe for concurrent use.
 type Codec struct {
-	first   byte
-	ciphers [MaxSecretID + 1]ciphers
-	scratch sync.Pool
+	encodingID byte
+	ciphers    [MaxSecretID + 1]ciphers
+	scratch    sync.Pool
 }
 
 // ciphers holds the expanded keys of one secret; both are nil if there is none.
@@ -107,30 +107,29 @@
 	tag   cipher.Block
 }
 
-// scratch is working memory for one call. What is handed to an interface such
-// as cipher.Block escapes to the heap, so it is pooled, not put on the stack.
+// scratch is pooled, as arguments of a cipher.Block escape to the heap.
 type scratch struct {
 	sealed [blockLength]byte
 	plain  [blockLength]byte
 	tag    [blockLength]byte
 }
 
-// NewCodec returns a codec that encodes with the first secret and decodes
-// with all of them. It returns ErrNoSecrets, ErrSecretID or
-// ErrDuplicateSecret, wrapped, if the list can't be used.
+// NewCodec returns a codec that encodes with the first secret and decodes with all of
+// them. For an invalid list it returns ErrNoSecrets, ErrInvalidSecretID or
+// ErrDuplicateSecret, wrapped.
 func NewCodec(secrets []Secret) (*Codec, error) {
 	if err := ValidateSecrets(secrets); err != nil {
 		return nil, err
 	}
 
-	c := &Codec{first: secrets[0].ID}
+	c := &Codec{encodingID: secrets[0].ID}
 	c.scratch.New = func() any { return new(scratch) }
 	for _, s := range secrets {
-		block, err := s.DeriveBlock(purposeBlock)
+		block, err := s.DeriveBlock(blockKeyPurpose)
 		if err != nil {
 			return nil, errors.Wrapf(err, "secret %d", s.ID)
 		}
-		tag, err := s.DeriveBlock(purposeTag)
+		tag, err := s.DeriveBlock(tagKeyPurpose)
 		if err != nil {
 			return nil, errors.Wrapf(err, "secret %d", s.ID)
 		}
@@ -139,29 +138,28 @@
 	return c, nil
 }
 
-// Encode returns a connection ID that names t. The counter must be unique
-// within the incarnation; the random byte fills the bits of the first byte
-// that carry nothing. The caller has checked t with Validate once: an address
-// other than IPv4 is encoded as zero, which Decode refuses, and numbers above
-// MaxNumber lose their high bits.
+// Encode returns a connection ID for t. The counter must be unique within the
+// incarnation; the high bits of random fill the unused bits of the first byte. The
+// caller must have validated t: an address that is not IPv4 is encoded as zero, and
+// numbers above MaxNumber lose their high bits.
 func (c *Codec) Encode(t Target, counter uint32, random byte) [Length]byte {
 	s := c.scratch.Get().(*scratch)
 	defer c.scratch.Put(s)
 
 	putTarget(&s.plain, t, counter)
-	k := &c.ciphers[c.first]
+	k := &c.ciphers[c.encodingID]
 	k.block.Encrypt(s.sealed[:], s.plain[:])
 	k.tag.Encrypt(s.tag[:], s.sealed[:])
 
 	var id [Length]byte
-	id[0] = random&^keyIDMask | c.first
+	id[0] = random&^keyIDMask | c.encodingID
 	copy(id[1:], s.sealed[:])
 	copy(id[tagOffset:], s.tag[:tagLength])
 	return id
 }
 
-// Decode returns what a connection ID names, or the reason why it can't. It
-// allocates nothing and keeps no reference to id.
+// Decode returns the target of a connection ID, or a verdict other than OK. It does not
+// allocate and does not retain id.
 func (c *Codec) Decode(id []byte) (Target, Verdict) {
 	if len(id) != Length {
 		return Target{}, WrongLength
--- a/connid/connid_test.go
+++ b/connid/connid_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestDecodeReturnsWhatWasEncoded(t *testing.T) {
+func TestDecodeRoundTrip(t *testing.T) {
 	c := codec(t, secret(3, 1))
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestChangedIDIsRefused(t *testing.T) {
+func TestModifiedIDIsRefused(t *testing.T) {
 	c := codec(t, secret(0, 1), secret(5, 2))
 	for counter := range uint32(50) {
 		for bit := 8; bit < 8*connid.Length; bit++ {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestRandomBitsOfFirstByteCarryNothing(t *testing.T) {
+func TestRandomBitsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	c := codec(t, secret(2, 1))
 	for random := range 256 {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestSecretsAreReplacedWithoutBreakingFlows(t *testing.T) {
+func TestSecretRotation(t *testing.T) {
 	is := is.New(t)
 	before := codec(t, secret(0, 1))
 	both := codec(t, secret(1, 2), secret(0, 1))
@@ -88,7 +88,7 @@
 
 	old := before.Encode(sample, 1, 0)
 	_, verdict := both.Decode(old[:])
-	is.Equal(verdict, connid.OK) // a flow of the old secret goes on
+	is.Equal(verdict, connid.OK) // a flow of the old secret continues
 	_, verdict = after.Decode(old[:])
 	is.Equal(verdict, connid.UnknownSecret)
 
@@ -97,7 +97,7 @@
 	is.Equal(verdict, connid.OK) // new flows use the first secret
 }
 
-func TestOtherKeyUnderSameIDIsRefused(t *testing.T) {
+func TestSameSecretIDWithOtherKeyIsRefused(t *testing.T) {
 	is := is.New(t)
 	id := codec(t, secret(0, 1)).Encode(sample, 1, 0)
 	_, verdict := codec(t, secret(0, 2)).Decode(id[:])
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestEncodedNonsenseIsRefused(t *testing.T) {
+func TestInvalidTargetIsRefused(t *testing.T) {
 	is := is.New(t)
 	c := codec(t, secret(0, 1))
 	for _, address := range []string{"[2001:db8::1]:443", "0.0.0.0:443", "10.0.0.1:0"} {
@@ -135,7 +135,7 @@
 	is.True(errors.Is(incarnation.Validate(), connid.ErrInvalidTarget))
 }
 
-func TestNewCodecChecksSecrets(t *testing.T) {
+func TestNewCodecValidatesSecrets(t *testing.T) {
 	is := is.New(t)
 	_, err := connid.NewCodec(nil)
 	is.True(errors.Is(err, connid.ErrNoSecrets))
@@ -145,7 +145,7 @@
 	is.True(errors.Is(err, connid.ErrDuplicateSecret))
 }
 
-func TestNothingIsAllocated(t *testing.T) {
+func TestNoAllocations(t *testing.T) {
 	is := is.New(t)
 	c := codec(t, secret(0, 1))
 	id := c.Encode(sample, 1, 0)
--- a/connid/secret.go
+++ b/connid/secret.go
@@ -9,34 +9,33 @@
 	"github.com/go-faster/errors"
 )
 
-// Limits of the secrets of a deployment.
+// Limits of secrets.
 const (
-	// MaxSecretID is the largest ID of a secret: the ID has 3 bits on the wire.
+	// MaxSecretID is the largest ID of a secret, which is encoded in 3 bits.
 	MaxSecretID = 7
-	// SecretLength is the length of the key of a secret, in bytes.
+	// SecretLength is the length of a key in bytes.
 	SecretLength = 32
 
 	blockKeyLength = 16
 )
 
-// Errors of the secrets given to a codec.
+// Errors of ValidateSecrets.
 var (
 	ErrNoSecrets       = errors.New("no secrets")
 	ErrInvalidSecretID = errors.New("secret ID out of range")
-	ErrDuplicateSecret = errors.New("secret ID given twice")
+	ErrDuplicateSecret = errors.New("duplicate secret ID")
 )
 
-// Secret is one deployment-wide secret. Several may be valid at a time so
-// that they can be replaced without breaking flows.
+// Secret is a secret shared by the deployment. Several are valid during a rotation.
 type Secret struct {
-	// ID tells the secrets of a deployment apart, 0 to MaxSecretID.
+	// ID identifies the secret, 0 to MaxSecretID.
 	ID byte
-	// Key is uniformly random. No cipher uses it directly, see DeriveBlock.
+	// Key is uniformly random. Ciphers use keys derived from it, see DeriveBlock.
 	Key [SecretLength]byte
 }
 
-// DeriveBlock returns an AES-128 cipher under a key derived from s. Each
-// purpose gets an independent key, so that one secret serves several codecs.
+// DeriveBlock returns an AES-128 cipher with a key derived from s. Keys of different
+// purposes are independent.
 func (s Secret) DeriveBlock(purpose string) (cipher.Block, error) {
 	key, err := hkdf.Expand(sha256.New, s.Key[:], purpose, blockKeyLength)
 	if err != nil {
@@ -50,8 +49,8 @@
 	return block, nil
 }
 
-// ValidateSecrets reports why a list of secrets can't be used: it is empty, an
-// ID is out of range or given twice.
+// ValidateSecrets returns an error if the list is empty, or an ID is out of range or
+// not unique.
 func ValidateSecrets(secrets []Secret) error {
 	if len(secrets) == 0 {
 		return ErrNoSecrets
