--- a/frame/fields.go
+++ b/frame/fields.go
@@ -10,8 +10,7 @@
 	ipv6Length = 16
 )
 
-// putAddrPort writes an address as 16 bytes and a port; the zero AddrPort and
-// every other one without an address become zeros.
+// putAddrPort writes an address as 16 bytes and a port, or zeros if it is invalid.
 func putAddrPort(b []byte, a netip.AddrPort) {
 	if !a.IsValid() {
 		clear(b[:ipv6Length+2])
--- a/frame/frame.go
+++ b/frame/frame.go
@@ -14,14 +14,14 @@
 
 // Sizes and limits of a header.
 const (
-	// HeaderLength is the length of a header, in bytes.
+	// HeaderLength is the length of a header in bytes.
 	HeaderLength = 64
-	// MaxNumber is the largest target number and incarnation that fit.
+	// MaxNumber is the largest target number and incarnation that can be encoded.
 	MaxNumber = connid.MaxNumber
-	// MaxHops is the largest count of hops that fits.
+	// MaxHops is the largest number of hops that can be encoded.
 	MaxHops = 3
 
-	// version is raised whenever the layout changes.
+	// version must be raised with each change of the layout.
 	version = 1
 
 	blockLength = 16
@@ -31,7 +31,7 @@
 // Offsets of the fields.
 const (
 	offsetKind        = 0
-	offsetState       = 1
+	offsetFlags       = 1
 	offsetLoad        = 2
 	offsetService     = 4
 	offsetTarget      = 8
@@ -42,25 +42,24 @@
 	offsetTag         = 56
 )
 
-// Layout of the state byte.
+// Layout of the flags byte.
 const (
-	keyIDMask   = connid.MaxSecretID
-	hopsShift   = 3
-	drainingBit = 1 << 5
-	illBit      = 1 << 6
+	keyIDMask    = connid.MaxSecretID
+	hopsShift    = 3
+	drainingBit  = 1 << 5
+	unhealthyBit = 1 << 6
 )
 
-const purposeTag = "eelgrasswharf frame tag"
+const tagKeyPurpose = "eelgrasswharf frame tag"
 
-// Kind tells what a frame carries.
+// Kind is the kind of a frame.
 type Kind uint8
 
-// Kinds of frames. Zero is no kind.
+// Kinds of frames. Zero is invalid.
 const (
-	// Forward carries a caller's datagram to the target that its connection
-	// ID names.
+	// Forward carries a caller's datagram to the target named by its connection ID.
 	Forward Kind = 1 + iota
-	// First carries a datagram that may open a flow to a chosen target.
+	// First carries a datagram that may open a flow to the chosen target.
 	First
 	// Reply carries an agent's datagram to the caller.
 	Reply
@@ -80,49 +79,49 @@
 	}
 }
 
-// Header is a decoded header. IPv4 addresses come out unmapped, absent
-// addresses as the zero AddrPort; zones are not carried.
+// Header is a decoded header. IPv4 addresses are unmapped, missing addresses are zero,
+// zones are not encoded.
 type Header struct {
 	Kind Kind
-	// Hops counts the agents that passed the frame on, at most MaxHops.
+	// Hops counts the agents that forwarded the frame, at most MaxHops.
 	Hops uint8
 	// Service is the number of the service that Public belongs to.
 	Service uint32
-	// Caller is the address that the datagram came from or goes to.
+	// Caller is the source or destination of the datagram.
 	Caller netip.AddrPort
-	// Public is the public address, as configured, that the caller uses.
+	// Public is the configured public address used by the caller.
 	Public netip.AddrPort
-	// Alternate is the frame address (IPv4) of the second candidate of a
-	// First frame, or zero. Once an agent has passed the frame on (Hops above
-	// 0) it is the entry host's, through which the next agent answers.
+	// Alternate is the IPv4 frame address of the second candidate of a First frame, or
+	// zero. After a hop it is that of the entry host, through which the next agent
+	// replies.
 	Alternate netip.AddrPort
-	// Target and Incarnation name the target: the chosen one on the way to
-	// it, the sender on the way back. At most MaxNumber.
+	// Target and Incarnation identify the receiving target, or the sender of a Reply.
+	// They are at most MaxNumber.
 	Target, Incarnation uint32
-	// Load of the sender of a Reply, per mille of its capacity.
+	// Load is that of the sender of a Reply, per mille of its capacity.
 	Load uint16
-	// Draining: the sender of a Reply takes no new flows.
+	// Draining is set if the sender of a Reply takes no new flows.
 	Draining bool
-	// Unhealthy: the sender of a Reply holds its backend server to be ill.
+	// Unhealthy is set if the sender of a Reply judges its backend server unhealthy.
 	Unhealthy bool
 }
 
-// Verdict tells what came of parsing a frame.
+// Verdict is the result of parsing a frame.
 type Verdict uint8
 
 // Verdicts of Parse.
 const (
-	// OK: a host of the deployment made the header.
+	// OK means that a host of the deployment encoded the header.
 	OK Verdict = iota
-	// TooShort: there is no whole header.
+	// TooShort means that the header is truncated.
 	TooShort
-	// WrongVersion: the layout is not known.
+	// WrongVersion means that the layout is unknown.
 	WrongVersion
-	// UnknownSecret: no secret has the named ID.
+	// UnknownSecret means that no secret has that ID.
 	UnknownSecret
-	// WrongTag: no host of the deployment made the header.
+	// WrongTag means that no host of the deployment encoded the header.
 	WrongTag
-	// WrongKind: the kind is not known.
+	// WrongKind means that the kind is unknown.
 	WrongKind
 )
 
@@ -146,31 +145,29 @@
 	}
 }
 
-// Codec writes and reads headers. It is safe for concurrent use.
+// Codec encodes and parses headers. It is safe for concurrent use.
 type Codec struct {
-	first   byte
-	tags    [connid.MaxSecretID + 1]cipher.Block
-	scratch sync.Pool
+	encodingID byte
+	tags       [connid.MaxSecretID + 1]cipher.Block
+	scratch    sync.Pool
 }
 
-// scratch is working memory for one tag. What is handed to an interface such
-// as cipher.Block escapes to the heap, so it is pooled, not put on the stack.
+// scratch is pooled, as arguments of a cipher.Block escape to the heap.
 type scratch struct {
 	sum [blockLength]byte
 }
 
-// NewCodec returns a codec that writes with the first secret and reads with
-// all of them. It returns an error of connid.CheckSecrets if the list can't be
-// used.
+// NewCodec returns a codec that encodes with the first secret and parses with all of
+// them. It returns an error of connid.ValidateSecrets for an invalid list.
 func NewCodec(secrets []connid.Secret) (*Codec, error) {
 	if err := connid.ValidateSecrets(secrets); err != nil {
 		return nil, err
 	}
 
-	c := &Codec{first: secrets[0].ID}
+	c := &Codec{encodingID: secrets[0].ID}
 	c.scratch.New = func() any { return new(scratch) }
 	for _, s := range secrets {
-		block, err := s.DeriveBlock(purposeTag)
+		block, err := s.DeriveBlock(tagKeyPurpose)
 		if err != nil {
 			return nil, errors.Wrapf(err, "secret %d", s.ID)
 		}
@@ -179,13 +176,13 @@
 	return c, nil
 }
 
-// Put writes h to the first HeaderLength bytes of dst and allocates nothing.
-// It panics if dst is shorter. Numbers above MaxNumber and hops above MaxHops
-// lose their high bits, and an alternate that is not IPv4 is left out.
+// Put encodes h into the first HeaderLength bytes of dst and does not allocate. It
+// panics if dst is shorter. Numbers above MaxNumber and hops above MaxHops lose their
+// high bits; an alternate that is not IPv4 is omitted.
 func (c *Codec) Put(dst []byte, h *Header) {
 	dst = dst[:HeaderLength]
 	dst[offsetKind] = version<<4 | byte(h.Kind)&0x0f
-	dst[offsetState] = stateByte(h) | c.first
+	dst[offsetFlags] = flagsByte(h) | c.encodingID
 	binary.BigEndian.PutUint16(dst[offsetLoad:], h.Load)
 	binary.BigEndian.PutUint32(dst[offsetService:], h.Service)
 	putUint24(dst[offsetTarget:], h.Target)
@@ -195,14 +192,14 @@
 	putAddrPort(dst[offsetPublic:], h.Public)
 
 	s := c.scratch.Get().(*scratch)
-	s.mac(c.tags[c.first], dst)
+	s.mac(c.tags[c.encodingID], dst)
 	copy(dst[offsetTag:], s.sum[:tagLength])
 	c.scratch.Put(s)
 }
 
-// Parse reads the header at the start of src into h; the datagram is
-// src[HeaderLength:]. On any verdict but OK it leaves h unchanged. It
-// allocates nothing and keeps no reference to src.
+// Parse decodes the header at the start of src into h; the datagram is
+// src[HeaderLength:]. Unless it returns OK, h is unchanged. It does not allocate and
+// does not retain src.
 func (c *Codec) Parse(src []byte, h *Header) Verdict {
 	if len(src) < HeaderLength {
 		return TooShort
@@ -211,7 +208,7 @@
 	if src[offsetKind]>>4 != version {
 		return WrongVersion
 	}
-	block := c.tags[src[offsetState]&keyIDMask]
+	block := c.tags[src[offsetFlags]&keyIDMask]
 	if block == nil {
 		return UnknownSecret
 	}
@@ -223,7 +220,7 @@
 	if kind < Forward || kind > Reply {
 		return WrongKind
 	}
-	get(src, kind, h)
+	decode(src, kind, h)
 	return OK
 }
 
@@ -234,7 +231,7 @@
 	return subtle.ConstantTimeCompare(s.sum[:tagLength], src[offsetTag:HeaderLength]) == 1
 }
 
-// mac leaves the CBC-MAC over the header, its tag taken as zero, in s.sum.
+// mac computes the CBC-MAC over the header without its tag into s.sum.
 func (s *scratch) mac(block cipher.Block, header []byte) {
 	clear(s.sum[:])
 	for i := 0; i < offsetTag; i += blockLength {
@@ -244,11 +241,11 @@
 	}
 }
 
-func get(src []byte, kind Kind, h *Header) {
-	state := src[offsetState]
+func decode(src []byte, kind Kind, h *Header) {
+	flags := src[offsetFlags]
 	*h = Header{
 		Kind:        kind,
-		Hops:        state >> hopsShift & MaxHops,
+		Hops:        flags >> hopsShift & MaxHops,
 		Service:     binary.BigEndian.Uint32(src[offsetService:]),
 		Caller:      addrPort(src[offsetCaller:]),
 		Public:      addrPort(src[offsetPublic:]),
@@ -256,18 +253,18 @@
 		Target:      uint24(src[offsetTarget:]),
 		Incarnation: uint24(src[offsetIncarnation:]),
 		Load:        binary.BigEndian.Uint16(src[offsetLoad:]),
-		Draining:    state&drainingBit != 0,
-		Unhealthy:   state&illBit != 0,
+		Draining:    flags&drainingBit != 0,
+		Unhealthy:   flags&unhealthyBit != 0,
 	}
 }
 
-func stateByte(h *Header) byte {
+func flagsByte(h *Header) byte {
 	b := (h.Hops & MaxHops) << hopsShift
 	if h.Draining {
 		b |= drainingBit
 	}
 	if h.Unhealthy {
-		b |= illBit
+		b |= unhealthyBit
 	}
 	return b
 }
--- a/frame/frame_test.go
+++ b/frame/frame_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// put returns a frame of that header, without a datagram.
+// put returns a frame with that header and no datagram.
 func put(c *frame.Codec, h frame.Header) []byte {
 	buf := make([]byte, frame.HeaderLength)
 	c.Put(buf, &h)
@@ -64,7 +64,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom16(ip).Unmap(), port)
 }
 
-func TestParseReturnsWhatWasPut(t *testing.T) {
+func TestParseRoundTrip(t *testing.T) {
 	c := codec(t, secret(6, 1))
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestAbsentAddressesStayAbsent(t *testing.T) {
+func TestZeroAddressesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	c := codec(t, secret(0, 1))
 	buf := bytes.Repeat([]byte{0xff}, frame.HeaderLength)
@@ -102,10 +102,10 @@
 	c.Put(buf, &want)
 	got := sample()
 	is.Equal(c.Parse(buf, &got), frame.OK)
-	is.Equal(got, want) // nothing of the buffer or of an earlier header shows
+	is.Equal(got, want) // stale contents of the buffer and the header are overwritten
 }
 
-func TestMappedAddressesComeOutUnmapped(t *testing.T) {
+func TestMappedAddressesAreUnmapped(t *testing.T) {
 	is := is.New(t)
 	c := codec(t, secret(0, 1))
 	mapped := netip.MustParseAddrPort("[::ffff:192.0.2.1]:443")
@@ -116,7 +116,7 @@
 	is.Equal(got.Alternate, got.Caller)
 }
 
-func TestChangedHeaderIsRefused(t *testing.T) {
+func TestModifiedHeaderIsRefused(t *testing.T) {
 	c := codec(t, secret(2, 1))
 	for bit := range 8 * frame.HeaderLength {
 		buf := put(c, sample())
@@ -144,7 +144,7 @@
 	}{
 		{"good", good, frame.OK},
 		{"empty", nil, frame.TooShort},
-		{"cut", good[:frame.HeaderLength-1], frame.TooShort},
+		{"truncated", good[:frame.HeaderLength-1], frame.TooShort},
 		{"version", change(0, 0x80), frame.WrongVersion},
 		{"secret", change(1, 0x01), frame.UnknownSecret},
 		{"tag", change(frame.HeaderLength-1, 0x01), frame.WrongTag},
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestSecretsAreReplaced(t *testing.T) {
+func TestSecretRotation(t *testing.T) {
 	is := is.New(t)
 	before := codec(t, secret(0, 1))
 	both := codec(t, secret(1, 2), secret(0, 1))
@@ -171,13 +171,13 @@
 	is.Equal(after.Parse(put(both, sample()), &got), frame.OK)
 }
 
-func TestNewCodecChecksSecrets(t *testing.T) {
+func TestNewCodecValidatesSecrets(t *testing.T) {
 	is := is.New(t)
 	_, err := frame.NewCodec(nil)
 	is.True(errors.Is(err, connid.ErrNoSecrets))
 }
 
-func TestNothingIsAllocated(t *testing.T) {
+func TestNoAllocations(t *testing.T) {
 	is := is.New(t)
 	c := codec(t, secret(0, 1))
 	want := sample()
@@ -203,11 +203,11 @@
 		var h frame.Header
 		if c.Parse(src, &h) != frame.OK {
 			if h != (frame.Header{}) {
-				t.Fatalf("refused frame left %v", h)
+				t.Fatalf("refused frame changed the header: %v", h)
 			}
 			return
 		}
-		// What was parsed comes out the same when it is put again.
+		// A parsed header is the same after another round trip.
 		var again frame.Header
 		if verdict := c.Parse(put(c, h), &again); verdict != frame.OK || again != h {
 			t.Fatalf("%v: %v, then %v", verdict, h, again)
