--- a/quicheader/quicheader.go
+++ b/quicheader/quicheader.go
@@ -2,13 +2,13 @@
 
 import "encoding/binary"
 
-// Sizes that the protocol fixes.
+// Sizes defined by the protocol.
 const (
-	// MinInitialSize is the least length in bytes of a datagram with an
-	// Initial packet of a caller (RFC 9000, 14.1).
+	// MinInitialSize is the minimum size in bytes of a datagram with an Initial packet
+	// of a caller (RFC 9000, 14.1).
 	MinInitialSize = 1200
-	// MinInitialIDLength is the least length in bytes of the destination connection
-	// ID that a caller makes up for its first packet (RFC 9000, 7.2).
+	// MinInitialIDLength is the minimum length in bytes of the destination connection
+	// ID that a caller chooses for its first packet (RFC 9000, 7.2).
 	MinInitialIDLength = 8
 )
 
@@ -29,7 +29,7 @@
 	version2           = 0x6b3343cf
 )
 
-// Type is the type of a packet as far as it can be told.
+// Type is the type of a packet.
 type Type uint8
 
 // Types of packets.
@@ -38,16 +38,16 @@
 	Short Type = iota
 	// Initial opens a connection.
 	Initial
-	// ZeroRTT carries data that a caller sends along with its first packet.
+	// ZeroRTT carries early data of a caller.
 	ZeroRTT
-	// Handshake follows an answered Initial.
+	// Handshake follows a reply to an Initial.
 	Handshake
 	// Retry is sent by servers only.
 	Retry
 	// VersionNegotiation is sent by servers only.
 	VersionNegotiation
-	// UnknownVersion is a long-header packet of a version whose types are
-	// not known. A server answers a first one by negotiating the version.
+	// UnknownVersion is a long-header packet of an unsupported version. A server
+	// replies to a first one with a Version Negotiation packet.
 	UnknownVersion
 )
 
@@ -74,8 +74,7 @@
 }
 
 // MayOpenConnection reports whether a packet of this type may belong to a connection
-// that no server has answered yet, so that its destination connection ID is
-// one the caller made up.
+// without a reply so far, so that the caller chose its destination connection ID.
 func (t Type) MayOpenConnection() bool {
 	return t == Initial || t == ZeroRTT || t == UnknownVersion
 }
@@ -85,16 +84,16 @@
 	Type Type
 	// Version is zero in short headers.
 	Version uint32
-	// Destination is the destination connection ID, part of the datagram.
+	// Destination is the destination connection ID, a slice of the datagram.
 	Destination []byte
 	// Source is the source connection ID, nil in short headers.
 	Source []byte
 }
 
-// Parse reads the header of the first packet of a datagram and reports
-// whether there is a whole one. A short header does not tell the length of
-// its connection ID: shortIDLength is the one that the receiver issues, in
-// bytes. Parse allocates nothing; the IDs in h share memory with datagram.
+// Parse parses the header of the first packet of a datagram and returns false if it is
+// truncated. A short header does not contain the length of its connection ID, so
+// shortIDLength is the length in bytes that the receiver issues. Parse does not
+// allocate; the IDs in h share memory with datagram.
 func Parse(datagram []byte, shortIDLength int) (h Header, ok bool) {
 	if len(datagram) == 0 {
 		return Header{}, false
@@ -134,7 +133,7 @@
 	}, true
 }
 
-// cutID splits b, which starts with a length byte, behind the ID.
+// cutID splits b, which starts with a length byte, after the ID.
 func cutID(b []byte) (id, rest []byte, ok bool) {
 	if len(b) == 0 {
 		return nil, nil, false
--- a/quicheader/quicheader_test.go
+++ b/quicheader/quicheader_test.go
@@ -14,8 +14,8 @@
 
 const idLength = 20
 
-// long builds the invariant part of a long-header packet.
-func long(first byte, version uint32, destination, source []byte) []byte {
+// longHeader returns the invariant part of a long-header packet.
+func longHeader(first byte, version uint32, destination, source []byte) []byte {
 	b := []byte{first, byte(version >> 24), byte(version >> 16), byte(version >> 8), byte(version)}
 	b = append(b, byte(len(destination)))
 	b = append(b, destination...)
@@ -50,7 +50,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h, ok := quicheader.Parse(long(tt.first, tt.version, []byte("destination"), []byte("source")), idLength)
+			h, ok := quicheader.Parse(longHeader(tt.first, tt.version, []byte("destination"), []byte("source")), idLength)
 			is.True(ok)
 			is.Equal(h.Type, tt.want)
 			is.Equal(h.Type.MayOpenConnection(), tt.mayOpen)
@@ -73,17 +73,17 @@
 	is.Equal(h.Destination, id)
 
 	_, ok = quicheader.Parse(datagram[:idLength], idLength)
-	is.True(!ok) // the ID is cut
+	is.True(!ok) // the ID is truncated
 }
 
-func TestCutLongHeaderIsRefused(t *testing.T) {
+func TestTruncatedLongHeaderIsRefused(t *testing.T) {
 	is := is.New(t)
-	whole := long(0xc0, 1, bytes.Repeat([]byte{1}, 255), []byte("source"))
+	whole := longHeader(0xc0, 1, bytes.Repeat([]byte{1}, 255), []byte("source"))
 	_, ok := quicheader.Parse(whole, idLength)
 	is.True(ok) // RFC 8999 allows IDs of up to 255 bytes
 	for length := range whole {
 		_, ok := quicheader.Parse(whole[:length], idLength)
-		is.True(!ok) // no part of it is a whole header
+		is.True(!ok) // truncated
 	}
 }
 
@@ -96,7 +96,7 @@
 		first := rapid.Byte().Draw(t, "first") | 0x80
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
 
-		h, ok := quicheader.Parse(append(long(first, version, destination, source), payload...), idLength)
+		h, ok := quicheader.Parse(append(longHeader(first, version, destination, source), payload...), idLength)
 		is.True(ok)
 		is.True(bytes.Equal(h.Destination, destination))
 		is.True(bytes.Equal(h.Source, source))
@@ -104,9 +104,9 @@
 	})
 }
 
-func TestNothingIsAllocated(t *testing.T) {
+func TestNoAllocations(t *testing.T) {
 	is := is.New(t)
-	datagram := long(0xc0, 1, make([]byte, 8), nil)
+	datagram := longHeader(0xc0, 1, make([]byte, 8), nil)
 	is.Equal(testing.AllocsPerRun(1000, func() { quicheader.Parse(datagram, idLength) }), 0.0)
 }
 
@@ -114,9 +114,9 @@
 	f.Add([]byte{})
 	f.Add([]byte{0x40})
 	f.Add(append([]byte{0x40}, make([]byte, idLength)...))
-	f.Add(long(0xc0, 1, []byte("12345678"), nil))
-	f.Add(long(0xc0, 1, make([]byte, idLength), make([]byte, idLength)))
-	f.Add(long(0xd0, 0x6b3343cf, make([]byte, 255), []byte("source")))
+	f.Add(longHeader(0xc0, 1, []byte("12345678"), nil))
+	f.Add(longHeader(0xc0, 1, make([]byte, idLength), make([]byte, idLength)))
+	f.Add(longHeader(0xd0, 0x6b3343cf, make([]byte, 255), []byte("source")))
 	f.Add([]byte{0xc0, 0, 0, 0, 1, 255, 0})
 
 	f.Fuzz(func(t *testing.T, datagram []byte) {
@@ -134,7 +134,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	datagram := long(0xc0, 1, make([]byte, 8), make([]byte, 8))
+	datagram := longHeader(0xc0, 1, make([]byte, 8), make([]byte, 8))
 	b.ReportAllocs()
 	for b.Loop() {
 		quicheader.Parse(datagram, idLength)
