--- a/internal/processtest/observe.go
+++ b/internal/processtest/observe.go
@@ -13,7 +13,7 @@
 )
 
 // actingMessage is the log message of a subscriber that goes to a version.
-const actingMessage = "acting on version"
+const actingMessage = "configuration version in use"
 
 // SegmentFiles matches the segments of a log.
 const SegmentFiles = "*.wal"
--- a/internal/subscriber/announcer.go
+++ b/internal/subscriber/announcer.go
@@ -20,25 +20,23 @@
 )
 
 const (
-	// DefaultLease is assumed until a control host has named the length.
+	// DefaultLease is used until a control host has sent the duration of the lease.
 	DefaultLease = 9 * time.Second
 	// DefaultCallTimeout bounds one registration or announcement.
 	DefaultCallTimeout = 3 * time.Second
-	// renewalsPerLease is how often a lease is renewed within its length, so
-	// that two renewals in a row may get lost.
+	// renewalsPerLease allows two renewals in a row to be lost.
 	renewalsPerLease = 3
 )
 
-// errRefused is returned for a registration or announcement that a control
-// host refuses.
+// errRefused is returned if a control host refuses a registration or announcement.
 var errRefused = errors.New("refused by the control host")
 
-// Status is the part of an announced target that changes.
+// Status is the variable part of an announced target.
 type Status struct {
 	State controlpb.TargetState
-	// Ill is the agent's verdict on its backend server.
+	// Ill is set if the agent judges the backend server unhealthy.
 	Ill bool
-	// Slots is how many requests the target runs at a time.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots uint32
 }
 
@@ -47,27 +45,25 @@
 	Client *link.Client
 	Scope  tally.Scope
 	Log    *zap.Logger
-	// Service and Target name the target; Process is the random identity of
-	// this agent process, 16 bytes say.
+	// Service and Target are the names; Process is a random identity of this agent
+	// process, for example 16 bytes.
 	Service string
 	Target  string
 	Process []byte
-	// CreateService has the service made if the configuration does not name it.
+	// CreateService creates the service if the configuration does not have it.
 	CreateService bool
-	// FailureDomain and Address (ip:port of the frame socket) go into the
-	// record.
+	// FailureDomain and Address (ip:port of the frame socket) are part of the record.
 	FailureDomain string
 	Address       string
 	// Started is the time of the backend server's cold start.
 	Started time.Time
-	// Status is what is announced first.
+	// Status is the initial status.
 	Status Status
 	// CallTimeout, RetryMin and RetryMax are as in Options.
 	CallTimeout time.Duration
 	RetryMin    time.Duration
 	RetryMax    time.Duration
-	// Rand drives jitter; by default it is seeded at random. The announcer
-	// alone may use it.
+	// Rand is used for jitter, by the announcer alone. The default has a random seed.
 	Rand *rand.Rand
 }
 
@@ -83,7 +79,7 @@
 	return o
 }
 
-// Announcer registers a target and keeps its lease.
+// Announcer registers a target and renews its lease.
 type Announcer struct {
 	opts         AnnouncerOptions
 	ctx          context.Context
@@ -93,20 +89,20 @@
 	registration atomic.Pointer[configpb.Registration]
 	// changed is signalled when the record has changed.
 	changed chan struct{}
-	// lastRefusal is used by the goroutine of run only.
-	lastRefusal string
+	// lastLoggedError is used by the goroutine of run only.
+	lastLoggedError string
 
 	// mu guards the fields below.
 	mu       sync.Mutex
 	status   Status
 	started  time.Time
 	sequence uint64
-	// announced is the newest sequence that a control host took.
+	// announced is the newest sequence accepted by a control host.
 	announced uint64
 }
 
-// StartAnnouncer registers the target, however long that takes, and then
-// announces it until Close.
+// StartAnnouncer registers the target, retrying without limit, and announces it until
+// Close.
 func StartAnnouncer(opts AnnouncerOptions) *Announcer {
 	opts = opts.withDefaults()
 	a := &Announcer{
@@ -122,13 +118,13 @@
 	return a
 }
 
-// Registered is closed once the target has its number and incarnation.
+// Registered is closed once the target has a number and an incarnation.
 func (a *Announcer) Registered() <-chan struct{} { return a.registered }
 
 // Registration returns the number and incarnation, nil before Registered.
 func (a *Announcer) Registration() *configpb.Registration { return a.registration.Load() }
 
-// Update announces a changed status at once.
+// Update announces a changed status immediately.
 func (a *Announcer) Update(s Status) {
 	a.mu.Lock()
 	same := a.status == s
@@ -138,27 +134,26 @@
 	}
 	a.mu.Unlock()
 	if !same {
-		a.wake()
+		a.notifyChanged()
 	}
 }
 
-// Restarted announces at once that the backend server has had another cold
-// start.
+// Restarted announces another cold start of the backend server immediately.
 func (a *Announcer) Restarted(at time.Time) {
 	a.mu.Lock()
 	a.started = at
 	a.sequence++
 	a.mu.Unlock()
-	a.wake()
+	a.notifyChanged()
 }
 
-// WaitAnnounced waits until a control host has taken the status as it is
-// now. An agent that leaves calls it after the update that says so.
+// WaitAnnounced waits until a control host has accepted the current status. An agent
+// that shuts down calls it after the update to draining.
 func (a *Announcer) WaitAnnounced(ctx context.Context) error {
 	a.mu.Lock()
 	want := a.sequence
 	a.mu.Unlock()
-	ticker := time.NewTicker(awaitPeriod)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		a.mu.Lock()
@@ -177,11 +172,9 @@
 	}
 }
 
-// Unregister tells the control hosts that the target is gone for good, until one has
-// taken it or ctx ends. It stops announcing. A registration that stays behind costs a
-// lease's wait after the next start of all control hosts: no caller is told until then
-// that its flow is gone. A call that was not repeated kept the callers of
-// lost flows waiting for 2 s after a loss of all power.
+// Unregister stops announcing and removes the registration. It retries until a control
+// host accepts the call or ctx ends: after a restart of all control hosts, callers of
+// lost flows wait for the leases of targets that are still registered.
 func (a *Announcer) Unregister(ctx context.Context) error {
 	a.Close()
 	reg := a.Registration()
@@ -191,21 +184,21 @@
 	req := &controlpb.Request{Body: &controlpb.Request_Unregister{
 		Unregister: &configpb.UnregisterTarget{Number: reg.GetTargetNumber(), Incarnation: reg.GetIncarnation()},
 	}}
-	retry := a.opts.RetryMin
+	backoff := a.opts.RetryMin
 	for {
 		err := a.callOnce(ctx, req)
 		if err == nil {
 			return nil
 		}
-		a.opts.Log.Info("target not unregistered, tried again", zap.Error(err))
-		if sleep.For(ctx, max(jitter(a.opts.Rand, retry), requestedPause(err))) != nil {
+		a.opts.Log.Info("failed to unregister target, retrying", zap.Error(err))
+		if sleep.For(ctx, max(jitter(a.opts.Rand, backoff), requestedDelay(err))) != nil {
 			return errors.Wrap(err, "unregister")
 		}
-		retry = min(2*retry, a.opts.RetryMax)
+		backoff = min(2*backoff, a.opts.RetryMax)
 	}
 }
 
-// callOnce makes a call that has no answer but a fault.
+// callOnce makes a call whose reply has no content except a fault.
 func (a *Announcer) callOnce(ctx context.Context, req *controlpb.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, a.opts.CallTimeout)
 	defer cancel()
@@ -216,15 +209,15 @@
 	return link.FaultOf(res)
 }
 
-const awaitPeriod = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
-// Close stops announcing. The lease ends by itself.
+// Close stops announcing. The lease expires.
 func (a *Announcer) Close() {
 	a.cancel()
 	a.wg.Wait()
 }
 
-func (a *Announcer) wake() {
+func (a *Announcer) notifyChanged() {
 	select {
 	case a.changed <- struct{}{}:
 	default:
@@ -235,47 +228,47 @@
 	if !a.register() {
 		return
 	}
-	retry := a.opts.RetryMin
+	backoff := a.opts.RetryMin
 	for {
-		moved := a.opts.Client.Opened()
+		reconnected := a.opts.Client.Opened()
 		lease, err := a.announce()
 		wait := jitter(a.opts.Rand, lease/renewalsPerLease)
 		if err != nil {
-			a.failed("announce", err)
-			wait = max(jitter(a.opts.Rand, retry), requestedPause(err))
-			retry = min(2*retry, a.opts.RetryMax)
+			a.recordFailure("announce", err)
+			wait = max(jitter(a.opts.Rand, backoff), requestedDelay(err))
+			backoff = min(2*backoff, a.opts.RetryMax)
 		} else {
-			retry = a.opts.RetryMin
-			a.lastRefusal = ""
+			backoff = a.opts.RetryMin
+			a.lastLoggedError = ""
 		}
 		if err != nil {
-			moved = nil // as the client dials again and again
+			reconnected = nil // it changes with every redial
 		}
-		if !a.pause(wait, moved) {
+		if !a.waitForChange(wait, reconnected) {
 			return
 		}
 	}
 }
 
-// pause waits, or until the record changes or the client has moved: the next
-// control host may not have heard of the target. It reports whether to go on.
-func (a *Announcer) pause(d time.Duration, moved <-chan struct{}) bool {
+// waitForChange waits for d, a changed record or another connection, as a new control
+// host may not know the target. It returns false once the announcer is closed.
+func (a *Announcer) waitForChange(d time.Duration, reconnected <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-a.ctx.Done():
 		return false
 	case <-a.changed:
-	case <-moved:
+	case <-reconnected:
 	case <-timer.C:
 	}
 	return true
 }
 
-// register asks for number and incarnation until it gets them. A lost answer
-// does no harm: the same process gets the same registration again.
+// register retries until the target is registered. Repeating a call whose reply was
+// lost is safe: the same process gets the same registration.
 func (a *Announcer) register() bool {
-	retry := a.opts.RetryMin
+	backoff := a.opts.RetryMin
 	req := &controlpb.Request{Body: &controlpb.Request_Register{Register: &configpb.RegisterTarget{
 		Service: a.opts.Service,
 		Target:  a.opts.Target,
@@ -287,7 +280,7 @@
 		res, err := a.call(req)
 		reg := res.GetRegistration()
 		if err == nil {
-			err = refusal(reg != nil, reg.GetRefusal())
+			err = refusalError(reg != nil, reg.GetRefusal())
 		}
 		if err == nil {
 			a.registration.Store(reg)
@@ -297,11 +290,11 @@
 				zap.Uint32("incarnation", reg.GetIncarnation()))
 			return true
 		}
-		a.failed("register", err)
-		if !a.pause(max(jitter(a.opts.Rand, retry), requestedPause(err)), nil) {
+		a.recordFailure("register", err)
+		if !a.waitForChange(max(jitter(a.opts.Rand, backoff), requestedDelay(err)), nil) {
 			return false
 		}
-		retry = min(2*retry, a.opts.RetryMax)
+		backoff = min(2*backoff, a.opts.RetryMax)
 	}
 	return false
 }
@@ -315,7 +308,7 @@
 		return 0, err
 	}
 	reply := res.GetAnnounce()
-	if err := refusal(reply != nil, reply.GetRefusal()); err != nil {
+	if err := refusalError(reply != nil, reply.GetRefusal()); err != nil {
 		return 0, err
 	}
 	a.mu.Lock()
@@ -356,9 +349,9 @@
 	}
 }
 
-func refusal(answered bool, text string) error {
-	if !answered {
-		return errors.Wrap(errRefused, "answer of another kind")
+func refusalError(replied bool, text string) error {
+	if !replied {
+		return errors.Wrap(errRefused, "unexpected kind of reply")
 	}
 	if text != "" {
 		return errors.Wrap(errRefused, text)
@@ -366,8 +359,8 @@
 	return nil
 }
 
-// failed counts a failure; the log hears of a refusal once.
-func (a *Announcer) failed(step string, err error) {
+// recordFailure counts a failure and logs it unless it repeats the last one.
+func (a *Announcer) recordFailure(step string, err error) {
 	if a.ctx.Err() != nil {
 		return
 	}
@@ -377,8 +370,8 @@
 		reason = step + "_refused"
 	}
 	byReason(a.opts.Scope, metricAnnounceFailures, reason).Inc(1)
-	if text := err.Error(); text != a.lastRefusal {
-		a.lastRefusal = text
-		a.opts.Log.Warn("target not announced", zap.String("reason", reason), zap.Error(err))
+	if text := err.Error(); text != a.lastLoggedError {
+		a.lastLoggedError = text
+		a.opts.Log.Warn("failed to announce target", zap.String("reason", reason), zap.Error(err))
 	}
 }
--- a/internal/subscriber/announcer_test.go
+++ b/internal/subscriber/announcer_test.go
@@ -39,7 +39,7 @@
 		Address:       "127.0.0.1:4000",
 		Started:       time.Now().Add(-time.Minute),
 		Status:        serving,
-		CallTimeout:   testLimit, // no test here has one run out
+		CallTimeout:   testTimeout, // must not expire
 		RetryMin:      5 * time.Millisecond,
 		RetryMax:      20 * time.Millisecond,
 		Rand:          rand.New(rand.NewPCG(9, 10)),
@@ -52,19 +52,19 @@
 	t.Helper()
 	select {
 	case <-a.Registered():
-	case <-time.After(testLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("not registered")
 	}
 }
 
-func TestRegistrationSurvivesLostAnswers(t *testing.T) {
+func TestRegistrationRetriesAfterLostReply(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(1), true)
 	h.register = func(n int) *controlpb.Response {
 		switch n {
 		case 1:
-			return nil // the answer is lost
+			return nil // the reply is lost
 		case 2:
 			return registered("no such service")
 		}
@@ -97,14 +97,14 @@
 		return n
 	}
 	eventually(t, "renewals", func() bool { return renewed() >= 5 })
-	// From now on no renewal is due: only the change itself is announced.
+	// From now on only a change is announced, as no renewal is due.
 	h.read(func() { lease = time.Hour })
 	before := renewed()
 	eventually(t, "the long lease", func() bool { return renewed() > before })
 	a.Update(serving) // no change
 	draining := Status{State: controlpb.TargetState_TARGET_STATE_DRAINING, Slots: 4}
 	a.Update(draining)
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(a.WaitAnnounced(ctx))
 	h.read(func() {
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestRefusedAnnouncementIsCountedAndRepeated(t *testing.T) {
+func TestRefusedAnnouncementIsCountedAndRetried(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(1), true)
@@ -132,52 +132,52 @@
 		return announced(time.Hour, "")
 	}
 	a, scope := startAnnouncer(t, d.client(d.listen(anyPort, h)))
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(a.WaitAnnounced(ctx))
 	is.Equal(count(scope, metricAnnounceFailures, "announce_refused"), int64(2))
 }
 
-// A control host may go before it has told the others of a target: the next one
-// hears of it at once, not when the lease is due for renewal.
-func TestNewLinkIsAnnouncedToAtOnce(t *testing.T) {
+// A control host may stop before it has replicated a target, so the next one must get
+// the announcement at once, not when the lease is due for renewal.
+func TestAnnouncesAtOnceAfterReconnect(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
-	make1 := func() *controlHost {
+	newHost := func() *controlHost {
 		h := newControlHost(configuration(1), true)
 		h.register = func(int) *controlpb.Response { return registered("") }
 		h.announce = func(int) *controlpb.Response { return announced(time.Hour, "") }
 		return h
 	}
-	heard := func(h *controlHost) func() bool {
+	announcedTo := func(h *controlHost) func() bool {
 		return func() (yes bool) {
 			h.read(func() { yes = len(h.announces) > 0 })
 			return yes
 		}
 	}
-	former, next := make1(), make1()
+	former, next := newHost(), newHost()
 	server := d.listen(anyPort, former)
 	startAnnouncer(t, d.client(server))
-	eventually(t, "announced", heard(former))
+	eventually(t, "announced", announcedTo(former))
 	is.NoErr(server.Close())
 	d.listen(server.Addr().String(), next)
-	eventually(t, "announced to the next one", heard(next))
+	eventually(t, "announced to the next host", announcedTo(next))
 }
 
-func TestAnnouncerFollowsARestartedControlHost(t *testing.T) {
+func TestAnnouncesToRestartedControlHost(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
-	make1 := func() *controlHost {
+	newHost := func() *controlHost {
 		h := newControlHost(configuration(1), true)
 		h.register = func(int) *controlpb.Response { return registered("") }
 		h.announce = func(int) *controlpb.Response { return announced(30*time.Millisecond, "") }
 		return h
 	}
-	server := d.listen(anyPort, make1())
+	server := d.listen(anyPort, newHost())
 	a, _ := startAnnouncer(t, d.client(server))
 	awaitRegistered(t, a)
 	is.NoErr(server.Close())
-	next := make1()
+	next := newHost()
 	d.listen(server.Addr().String(), next)
 	eventually(t, "announced again", func() bool {
 		var n int
@@ -186,7 +186,7 @@
 	})
 }
 
-func TestUnregistersUntilItIsTaken(t *testing.T) {
+func TestUnregisterRetriesUntilAccepted(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(1), true)
@@ -195,7 +195,7 @@
 	h.unregister = func(n int) *controlpb.Response {
 		switch n {
 		case 1:
-			return nil // the answer is lost
+			return nil // the reply is lost
 		case 2:
 			return &controlpb.Response{Body: &controlpb.Response_Fault{Fault: &controlpb.Fault{
 				Kind: controlpb.FaultKind_FAULT_NOT_DONE, Text: "no leader",
@@ -215,5 +215,5 @@
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	h.set(func() { h.unregister = func(int) *controlpb.Response { return nil } })
-	is.True(a.Unregister(ended) != nil) // ends with its context
+	is.True(a.Unregister(ended) != nil) // returns with its context
 }
--- a/internal/subscriber/counters.go
+++ b/internal/subscriber/counters.go
@@ -20,22 +20,22 @@
 	metricRefusedUpdates     = "subscriber_refused_updates"
 	metricEndedSubscriptions = "subscriber_ended_subscriptions"
 	metricUnconfirmed        = "subscriber_unconfirmed_starts"
-	metricAsked              = "subscriber_rounds_of_asking"
-	metricOlderRecords       = "subscriber_refused_records"
+	metricQueryRounds        = "subscriber_rounds_of_asking"
+	metricRefusedRecords     = "subscriber_refused_records"
 	metricDirectoryRecords   = "subscriber_directory_records"
-	metricForgotten          = "subscriber_forgotten_departures"
+	metricEvictedDepartures  = "subscriber_forgotten_departures"
 	metricAnnounceFailures   = "announcer_failures"
 )
 
 type counters struct {
 	scope             tally.Scope
 	unconfirmed       tally.Counter
-	asked             tally.Counter
+	queryRounds       tally.Counter
 	unansweredQueries tally.Counter
-	moved             tally.Counter
-	olderRecords      tally.Counter
-	repeatedUpdates   tally.Counter
-	forgotten         tally.Counter
+	movesToNewer      tally.Counter
+	staleRecords      tally.Counter
+	duplicateUpdates  tally.Counter
+	evictedDepartures tally.Counter
 	version           tally.Gauge
 	targets           tally.Gauge
 	connected         tally.Gauge
@@ -45,12 +45,12 @@
 	return counters{
 		scope:             scope,
 		unconfirmed:       scope.Counter(metricUnconfirmed),
-		asked:             scope.Counter(metricAsked),
+		queryRounds:       scope.Counter(metricQueryRounds),
 		unansweredQueries: scope.Counter("subscriber_unanswered_version_queries"),
-		moved:             scope.Counter("subscriber_moves_to_newer"),
-		olderRecords:      byReason(scope, metricOlderRecords, "older"),
-		repeatedUpdates:   byReason(scope, metricRefusedUpdates, "repeated_directory"),
-		forgotten:         scope.Counter(metricForgotten),
+		movesToNewer:      scope.Counter("subscriber_moves_to_newer"),
+		staleRecords:      byReason(scope, metricRefusedRecords, "older"),
+		duplicateUpdates:  byReason(scope, metricRefusedUpdates, "repeated_directory"),
+		evictedDepartures: scope.Counter(metricEvictedDepartures),
 		version:           scope.Gauge("subscriber_version"),
 		targets:           scope.Gauge("subscriber_targets"),
 		connected:         scope.Gauge("subscriber_connected"),
@@ -61,8 +61,7 @@
 	return scope.Tagged(map[string]string{tagReason: reason}).Counter(metric)
 }
 
-// directory counts an update of the list of targets: its records by how it
-// came, and what was refused.
+// directory counts the records of a directory update by kind, and the refused ones.
 func (c *counters) directory(u *controlpb.DirectoryUpdate, change membership.Change) {
 	kind := "delta"
 	switch {
@@ -72,10 +71,10 @@
 		kind = "difference"
 	}
 	c.scope.Tagged(map[string]string{tagKind: kind}).Counter(metricDirectoryRecords).Inc(int64(len(u.GetPut())))
-	c.olderRecords.Inc(int64(change.Stale))
-	c.forgotten.Inc(int64(change.Evicted))
+	c.staleRecords.Inc(int64(change.Stale))
+	c.evictedDepartures.Inc(int64(change.Evicted))
 	if change.Duplicate {
-		c.repeatedUpdates.Inc(1)
+		c.duplicateUpdates.Inc(1)
 	}
 }
 
@@ -104,9 +103,9 @@
 		return "fault"
 	case errors.Is(err, errIsolated):
 		return "isolated"
-	case errors.Is(err, errBehind):
+	case errors.Is(err, errLagging):
 		return "behind"
-	case errors.Is(err, errAskedToMove):
+	case errors.Is(err, errMoveRequested):
 		return "asked"
 	case errors.Is(err, config.ErrBaseMismatch):
 		return "gap"
--- a/internal/subscriber/doc.go
+++ b/internal/subscriber/doc.go
@@ -1,19 +1,16 @@
-// Package subscriber is the near end of a subscription to configuration and
-// directory, and of the announcement of a target.
+// Package subscriber subscribes to the configuration and the directory of targets, and
+// announces a target.
 //
-// A Subscriber never acts on a version older than one it has acted on,
-// whatever control host it reaches. A process that has just started has
-// nothing to compare with: a version that a quorum confirmed makes it ready
-// at once; otherwise it asks every control host, takes the newest version that
-// any of them knows as the least it will act on, and acts on an unconfirmed
-// one only after the time UnconfirmedWait. Asking all waits for an unconfirmed
-// version and then for a moment more, because a confirmed answer settles the
-// matter alone, and 14,000 processes that restart together would make 15
-// handshakes each.
+// The active version of a Subscriber never reverts to an older one, whatever control
+// host it is connected to. After a start there is no active version to compare with. A
+// version confirmed by a quorum is activated at once. Otherwise the subscriber queries
+// all control hosts, ignores versions older than the newest one reported, and activates
+// an unconfirmed version only after UnconfirmedDelay. The query is delayed, as a
+// confirmation makes it unnecessary, and a restart of all processes would cause a
+// handshake with every control host for each of them.
 //
-// The directory of targets is soft: the last one known stays in use while the
-// process is cut off. Within it a record never replaces a newer one of its
-// target, by incarnation and sequence.
+// While disconnected, the last known directory stays in use. A record never replaces a
+// newer one of its target, by incarnation and sequence.
 //
-// An Announcer registers a target and keeps its lease.
+// An Announcer registers a target and renews its lease.
 package subscriber
--- a/internal/subscriber/fixture_test.go
+++ b/internal/subscriber/fixture_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	testLimit = unittest.Patience
-	anyPort   = "127.0.0.1:0"
+	testTimeout = unittest.Patience
+	anyPort     = "127.0.0.1:0"
 )
 
 var (
@@ -39,33 +39,33 @@
 	return &deployment{Authority: unittest.NewAuthority(t), t: t}
 }
 
-// configuration is a version with one service named after it.
+// configuration returns a version whose service has the version as number of slots.
 func configuration(version uint64) *configpb.Configuration {
 	return &configpb.Configuration{Version: version, Services: []*configpb.Service{
 		{Number: 1, Name: "lodgement", Slots: uint32(version)},
 	}}
 }
 
-// controlHost is a fake control host: it serves a state that the test sets.
+// controlHost is a fake control host with a state set by the test.
 type controlHost struct {
 	mu        sync.Mutex
 	config    *configpb.Configuration
 	confirmed bool
 	directory *controlpb.DirectoryUpdate
-	// whole is told with each message.
-	whole   bool
-	changed chan struct{}
-	// raw are updates sent as they are.
+	// directoryComplete is sent with each message.
+	directoryComplete bool
+	changed           chan struct{}
+	// raw has updates that are sent unchanged.
 	raw chan *controlpb.SubscribeUpdate
-	// subscribes are the requests received, beats the versions reported.
+	// subscribes are the received requests, heartbeats the reported versions.
 	subscribes []*controlpb.Subscribe
-	beats      []uint64
-	// announces are the records received; register and announce may be set.
+	heartbeats []uint64
+	// announces are the received records; register and announce may be set.
 	announces []*controlpb.TargetRecord
 	registers []*configpb.RegisterTarget
 	register  func(n int) *controlpb.Response
 	announce  func(n int) *controlpb.Response
-	// unregisters are those received; unregister may be set.
+	// unregisters are the received requests; unregister may be set.
 	unregisters []*configpb.UnregisterTarget
 	unregister  func(n int) *controlpb.Response
 }
@@ -119,7 +119,7 @@
 				return
 			}
 			h.mu.Lock()
-			h.beats = append(h.beats, b.GetVersion())
+			h.heartbeats = append(h.heartbeats, b.GetVersion())
 			h.mu.Unlock()
 		}
 	}()
@@ -128,10 +128,10 @@
 	defer beat.Stop()
 	for {
 		h.mu.Lock()
-		c, confirmed, dir, whole, changed := h.config, h.confirmed, h.directory, h.whole, h.changed
+		c, confirmed, dir, directoryComplete, changed := h.config, h.confirmed, h.directory, h.directoryComplete, h.changed
 		h.mu.Unlock()
 		u := &controlpb.SubscribeUpdate{
-			Directory: dir, DirectoryWhole: whole, Heartbeat: &controlpb.Heartbeat{Version: c.GetVersion()},
+			Directory: dir, DirectoryWhole: directoryComplete, Heartbeat: &controlpb.Heartbeat{Version: c.GetVersion()},
 		}
 		switch {
 		case sent == nil || c.GetVersion() < sent.GetVersion():
@@ -163,7 +163,7 @@
 		case <-beat:
 			h.mu.Lock()
 			u = &controlpb.SubscribeUpdate{
-				DirectoryWhole: h.whole, Heartbeat: &controlpb.Heartbeat{Version: h.config.GetVersion()},
+				DirectoryWhole: h.directoryComplete, Heartbeat: &controlpb.Heartbeat{Version: h.config.GetVersion()},
 			}
 			h.mu.Unlock()
 		}
@@ -199,7 +199,7 @@
 		LocalIP:          netip.MustParseAddr("127.0.0.1"),
 		DialTimeout:      500 * time.Millisecond,
 		HeartbeatPeriod:  50 * time.Millisecond,
-		HeartbeatTimeout: testLimit, // silence is not tested here
+		HeartbeatTimeout: testTimeout, // not tested here
 		BackoffMin:       10 * time.Millisecond,
 		BackoffMax:       50 * time.Millisecond,
 		Rand:             rand.New(rand.NewPCG(5, 6)),
@@ -208,7 +208,7 @@
 	return c
 }
 
-// recorder keeps the versions of all views, in order.
+// recorder records the versions of all views in order.
 type recorder struct {
 	mu       sync.Mutex
 	versions []uint64
@@ -223,14 +223,14 @@
 	r.versions = append(r.versions, v.Config.GetVersion())
 }
 
-// neverBack fails the test if a view had an older version than one before.
-func (r *recorder) neverBack(t *testing.T) {
+// requireMonotonic fails the test if a view has an older version than the view before.
+func (r *recorder) requireMonotonic(t *testing.T) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := 1; i < len(r.versions); i++ {
 		if r.versions[i] < r.versions[i-1] {
-			t.Fatalf("versions went back: %v", r.versions)
+			t.Fatalf("versions are not monotonic: %v", r.versions)
 		}
 	}
 }
@@ -244,8 +244,8 @@
 		Scope:      scope,
 		OnView:     rec.onView,
 		QueryDelay: 10 * time.Millisecond,
-		// Long enough that a test which reaches it has failed.
-		UnconfirmedDelay: testLimit,
+		// A test must not reach it.
+		UnconfirmedDelay: testTimeout,
 		RetryMin:         5 * time.Millisecond,
 		RetryMax:         20 * time.Millisecond,
 		Rand:             rand.New(rand.NewPCG(7, 8)),
@@ -262,7 +262,7 @@
 	t.Helper()
 	select {
 	case <-s.Ready():
-	case <-time.After(testLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("not ready")
 	}
 }
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -32,64 +32,61 @@
 	DefaultRetryMax         = 5 * time.Second
 )
 
-// errBehind ends a subscription to a control host that serves an older version
-// than the one acted on.
-var errBehind = errors.New("control host is behind")
+// errLagging ends a subscription to a control host whose version stays older than the
+// active one.
+var errLagging = errors.New("control host has an older version")
 
-// errIsolated ends a subscription to a control host that knows no leader.
+// errIsolated ends a subscription to a control host without a leader.
 var errIsolated = errors.New("control host is isolated")
 
-// Bounds of the pause after a control host was left because it is isolated, until
-// another one is left for the same reason. Without any quorum all are isolated, and
-// subscribers must not go round among them for nothing.
+// Bounds of the delay between two moves away from isolated control hosts. Without a
+// quorum all of them are isolated, and moving among them is of no use.
 const (
-	isolationPauseMin = time.Second
-	isolationPauseMax = 30 * time.Second
+	minIsolationBackoff = time.Second
+	maxIsolationBackoff = 30 * time.Second
 )
 
-// errAskedToMove ends a subscription because its control host has too many.
-var errAskedToMove = errors.New("control host asked to move")
+// errMoveRequested ends a subscription because its control host has too many of them.
+var errMoveRequested = errors.New("control host requested a move")
 
 // Options configure a Subscriber. Zero durations mean the defaults.
 type Options struct {
 	Client *link.Client
 	Scope  tally.Scope
 	Log    *zap.Logger
-	// OnView is called with each new view, one call at a time. It must not
-	// block and must not close the subscriber.
+	// OnView is called with each new view, one call at a time. It must not block or
+	// close the subscriber.
 	OnView func(*View)
 	// Services limits the directory to these service numbers; empty means all.
 	Services []uint32
-	// ScopedConfig limits the configuration to Services, too. The version
-	// number moves with each version all the same.
+	// ScopedConfig limits the configuration to Services, too. The version number still
+	// counts all versions.
 	ScopedConfig bool
 	// FailureDomains limits the directory to these; empty means all.
 	FailureDomains []string
-	// FailureDomain is told to the control host.
+	// FailureDomain is sent to the control host.
 	FailureDomain string
-	// QueryDelay is how long after an unconfirmed version a confirmation is
-	// waited for before every control host is asked, and the least pause
-	// between two rounds of asking. Control hosts try again to confirm a
-	// version after a second.
+	// QueryDelay is the time to wait for a confirmation before the control hosts are
+	// queried, and the least interval of queries. Control hosts retry a confirmation
+	// after a second.
 	QueryDelay time.Duration
-	// QueryTimeout bounds one round of asking.
+	// QueryTimeout bounds one query of all control hosts.
 	QueryTimeout time.Duration
-	// UnconfirmedDelay is how long after its arrival an unconfirmed version may
-	// be acted on by a process that has acted on none.
+	// UnconfirmedDelay is the time from receipt after which an unconfirmed version may
+	// be activated if no version is active.
 	UnconfirmedDelay time.Duration
-	// ReceiveTimeout ends a subscription on which nothing arrives.
+	// ReceiveTimeout ends a subscription on which nothing is received.
 	ReceiveTimeout time.Duration
-	// MaxLagTime is how long a control host may be behind the version acted
-	// on before the subscriber leaves it for another one.
+	// MaxLagTime is how long a control host may have an older version than the active
+	// one before the subscriber moves to another one.
 	MaxLagTime time.Duration
-	// ReportPeriod is the time between reports of the version acted on; a new
-	// version is reported at once.
+	// ReportPeriod is the interval of reports of the active version; a new version is
+	// reported at once.
 	ReportPeriod time.Duration
-	// RetryMin and RetryMax bound the pause before another subscription.
+	// RetryMin and RetryMax bound the backoff between subscriptions.
 	RetryMin time.Duration
 	RetryMax time.Duration
-	// Rand drives jitter; by default it is seeded at random. The subscriber
-	// alone may use it.
+	// Rand is used for jitter, by the subscriber alone. The default has a random seed.
 	Rand *rand.Rand
 }
 
@@ -113,7 +110,7 @@
 	return o
 }
 
-// Subscriber keeps a view of configuration and directory up to date.
+// Subscriber maintains a view of the configuration and the directory.
 type Subscriber struct {
 	opts     Options
 	counters counters
@@ -124,27 +121,27 @@
 	// candidate is closed once a configuration has been received.
 	candidate chan struct{}
 	view      atomic.Pointer[View]
-	// report is signalled when another version is acted on.
+	// report is signalled when another version is activated.
 	report chan struct{}
 
-	// mu guards the fields below and orders calls of OnView. It is taken before
-	// the lock of link.Client, never after.
-	mu          sync.Mutex
-	versions    versions
-	targets     membership.List
-	connected   bool
-	behindSince time.Time
-	// directoryWhole is what the control host said last about its list.
-	directoryWhole bool
-	// stayUntil is when a control host may be left again because it is isolated,
-	// isolationPause the pause after that.
-	stayUntil      time.Time
-	isolationPause time.Duration
-	// wantSnapshot asks for a whole configuration after a delta did not fit.
+	// mu guards the fields below and orders calls of OnView. It is acquired before the
+	// lock of link.Client, never after.
+	mu           sync.Mutex
+	versions     versions
+	targets      membership.List
+	connected    bool
+	laggingSince time.Time
+	// directoryComplete is the last value sent by the control host.
+	directoryComplete bool
+	// nextIsolationMove is the earliest time of another move away from an isolated
+	// control host, isolationBackoff the current delay between such moves.
+	nextIsolationMove time.Time
+	isolationBackoff  time.Duration
+	// wantSnapshot requests a full configuration after a delta that did not match.
 	wantSnapshot bool
 }
 
-// Start subscribes and keeps subscribed until Close.
+// Start subscribes and resubscribes until Close.
 func Start(opts Options) *Subscriber {
 	opts = opts.withDefaults()
 	s := &Subscriber{
@@ -156,19 +153,19 @@
 	}
 	s.view.Store(&View{})
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	settleRand := rand.New(rand.NewPCG(opts.Rand.Uint64(), opts.Rand.Uint64()))
+	queryRand := rand.New(rand.NewPCG(opts.Rand.Uint64(), opts.Rand.Uint64()))
 	s.wg.Go(s.run)
-	s.wg.Go(func() { s.settle(settleRand) })
+	s.wg.Go(func() { s.chooseInitialVersion(queryRand) })
 	return s
 }
 
 // View returns the current view. It never returns nil.
 func (s *Subscriber) View() *View { return s.view.Load() }
 
-// Ready is closed once there is a version to act on.
+// Ready is closed once a version is active.
 func (s *Subscriber) Ready() <-chan struct{} { return s.ready }
 
-// Close ends the subscription. The last view stays readable.
+// Close ends the subscription. The last view can still be read.
 func (s *Subscriber) Close() {
 	s.cancel()
 	s.wg.Wait()
@@ -176,23 +173,23 @@
 
 // run opens one subscription after another.
 func (s *Subscriber) run() {
-	pause := s.opts.RetryMin
+	backoff := s.opts.RetryMin
 	for s.ctx.Err() == nil {
-		received, err := s.follow()
+		received, err := s.subscribeOnce()
 		s.setConnected(false)
 		if s.ctx.Err() != nil {
 			return
 		}
 		s.counters.ended(err)
 		if received {
-			pause = s.opts.RetryMin
+			backoff = s.opts.RetryMin
 		}
-		_ = sleep.For(s.ctx, max(jitter(s.opts.Rand, pause), requestedPause(err)))
-		pause = min(2*pause, s.opts.RetryMax)
+		_ = sleep.For(s.ctx, max(jitter(s.opts.Rand, backoff), requestedDelay(err)))
+		backoff = min(2*backoff, s.opts.RetryMax)
 	}
 }
 
-func requestedPause(err error) time.Duration {
+func requestedDelay(err error) time.Duration {
 	var fault *link.FaultError
 	if errors.As(err, &fault) {
 		return fault.RetryAfter
@@ -200,8 +197,8 @@
 	return 0
 }
 
-// follow serves one subscription. It reports whether any update arrived.
-func (s *Subscriber) follow() (received bool, err error) {
+// subscribeOnce handles one subscription. It reports whether an update was received.
+func (s *Subscriber) subscribeOnce() (received bool, err error) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	stream, err := s.opts.Client.Subscribe(ctx, s.request())
@@ -222,7 +219,7 @@
 			return received, err
 		}
 		received = true
-		if err := s.take(u, time.Now()); err != nil {
+		if err := s.applyUpdate(u, time.Now()); err != nil {
 			return received, err
 		}
 	}
@@ -238,7 +235,7 @@
 		ScopedConfig:   s.opts.ScopedConfig,
 	}
 	if !s.wantSnapshot {
-		req.Version = s.versions.held().GetVersion()
+		req.Version = s.versions.latest().GetVersion()
 	}
 	position := s.targets.Position()
 	req.DirectoryEpoch, req.DirectorySequence = position.Epoch, position.Sequence
@@ -246,7 +243,7 @@
 	return req
 }
 
-// reportVersions tells the control host which version is acted on.
+// reportVersions reports the active version to the control host.
 func (s *Subscriber) reportVersions(ctx context.Context, stream *link.ClientStream) {
 	ticker := time.NewTicker(s.opts.ReportPeriod)
 	defer ticker.Stop()
@@ -264,73 +261,73 @@
 	}
 }
 
-// take applies one message of the subscription.
-func (s *Subscriber) take(u *controlpb.SubscribeUpdate, now time.Time) error {
+// applyUpdate applies one message of the subscription.
+func (s *Subscriber) applyUpdate(u *controlpb.SubscribeUpdate, now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := !s.connected
 	s.connected = true
 	if c := u.GetConfig(); c != nil {
-		acted, err := s.takeConfig(c, now)
+		activated, err := s.applyConfig(c, now)
 		if err != nil {
 			return err
 		}
-		changed = changed || acted
+		changed = changed || activated
 	}
 	s.opts.Client.Learn(u.GetHosts().GetAddresses())
 	if d := u.GetDirectory(); d != nil {
-		changed = s.takeDirectory(d, now) || changed
+		changed = s.applyDirectory(d, now) || changed
 	}
-	changed = changed || s.directoryWhole != u.GetDirectoryWhole()
-	s.directoryWhole = u.GetDirectoryWhole()
+	changed = changed || s.directoryComplete != u.GetDirectoryWhole()
+	s.directoryComplete = u.GetDirectoryWhole()
 	if h := u.GetHeartbeat(); h != nil {
-		s.noteVersion(h.GetVersion(), now)
+		s.trackLag(h.GetVersion(), now)
 	}
 	if changed {
 		s.publish()
 	}
-	if s.leavesIsolated(u, now) {
+	if s.shouldLeaveIsolated(u, now) {
 		s.opts.Client.Move("")
 		return errIsolated
 	}
 	if u.GetMove() != nil {
 		s.opts.Client.Move(u.GetMove().GetAddress())
-		return errAskedToMove
+		return errMoveRequested
 	}
-	if !s.behindSince.IsZero() && now.Sub(s.behindSince) >= s.opts.MaxLagTime {
-		s.behindSince = time.Time{}
+	if !s.laggingSince.IsZero() && now.Sub(s.laggingSince) >= s.opts.MaxLagTime {
+		s.laggingSince = time.Time{}
 		s.opts.Client.Move("")
-		return errBehind
+		return errLagging
 	}
 	return nil
 }
 
-// leavesIsolated reports whether the control host is to be left because it knows no
+// shouldLeaveIsolated reports whether to move away because the control host has no
 // leader.
-func (s *Subscriber) leavesIsolated(u *controlpb.SubscribeUpdate, now time.Time) bool {
+func (s *Subscriber) shouldLeaveIsolated(u *controlpb.SubscribeUpdate, now time.Time) bool {
 	if u.GetConfig().GetConfirmed() {
-		s.isolationPause = 0
+		s.isolationBackoff = 0
 	}
-	if !u.GetHeartbeat().GetIsolated() || now.Before(s.stayUntil) {
+	if !u.GetHeartbeat().GetIsolated() || now.Before(s.nextIsolationMove) {
 		return false
 	}
-	s.isolationPause = min(max(2*s.isolationPause, isolationPauseMin), isolationPauseMax)
-	s.stayUntil = now.Add(s.isolationPause)
+	s.isolationBackoff = min(max(2*s.isolationBackoff, minIsolationBackoff), maxIsolationBackoff)
+	s.nextIsolationMove = now.Add(s.isolationBackoff)
 	s.opts.Log.Info("leaving an isolated control host", zap.String("address", s.opts.Client.Address()),
-		zap.Duration("none_again_for", s.isolationPause))
+		zap.Duration("backoff", s.isolationBackoff))
 	return true
 }
 
-func (s *Subscriber) takeConfig(u *controlpb.ConfigUpdate, now time.Time) (bool, error) {
-	first := s.versions.held() == nil
-	acted, err := s.versions.receive(u, now)
-	if first && s.versions.held() != nil {
+func (s *Subscriber) applyConfig(u *controlpb.ConfigUpdate, now time.Time) (bool, error) {
+	first := s.versions.latest() == nil
+	activated, err := s.versions.receive(u, now)
+	if first && s.versions.latest() != nil {
 		close(s.candidate)
 	}
 	if errors.Is(err, config.ErrOlderVersion) {
-		// The control host is behind; it may catch up.
+		// The control host has an older version and may catch up.
 		s.counters.refused(err)
-		s.noteVersion(u.GetVersion(), now)
+		s.trackLag(u.GetVersion(), now)
 		return false, nil
 	}
 	if err != nil {
@@ -339,23 +336,23 @@
 		return false, err
 	}
 	s.wantSnapshot = false
-	s.noteVersion(u.GetVersion(), now)
-	return acted, nil
+	s.trackLag(u.GetVersion(), now)
+	return activated, nil
 }
 
-func (s *Subscriber) takeDirectory(u *controlpb.DirectoryUpdate, now time.Time) bool {
+func (s *Subscriber) applyDirectory(u *controlpb.DirectoryUpdate, now time.Time) bool {
 	change := s.targets.Apply(u, now)
 	s.counters.directory(u, change)
 	return change.Changed
 }
 
-// noteVersion remembers since when the control host is behind.
-func (s *Subscriber) noteVersion(version uint64, now time.Time) {
+// trackLag updates the time since when the control host has an older version.
+func (s *Subscriber) trackLag(version uint64, now time.Time) {
 	switch {
-	case version >= s.versions.held().GetVersion():
-		s.behindSince = time.Time{}
-	case s.behindSince.IsZero():
-		s.behindSince = now
+	case version >= s.versions.latest().GetVersion():
+		s.laggingSince = time.Time{}
+	case s.laggingSince.IsZero():
+		s.laggingSince = now
 	}
 }
 
@@ -366,34 +363,34 @@
 		return
 	}
 	s.connected = connected
-	s.behindSince = time.Time{}
+	s.laggingSince = time.Time{}
 	s.publish()
 }
 
-// publish makes a new view. The caller holds mu.
+// publish creates a new view. The caller holds mu.
 func (s *Subscriber) publish() {
 	old := s.view.Load()
-	targets, heardAt := s.targets.Records()
+	targets, receivedAt := s.targets.Records()
 	v := &View{
-		Config:            s.versions.acted,
+		Config:            s.versions.active,
 		Targets:           targets,
 		Connected:         s.connected,
-		DirectoryComplete: s.connected && s.directoryWhole,
-		heardAt:           heardAt,
+		DirectoryComplete: s.connected && s.directoryComplete,
+		receivedAt:        receivedAt,
 	}
 	s.view.Store(v)
 	s.counters.observe(v)
 	if old.Config != v.Config {
-		s.announceVersion(old, v)
+		s.notifyVersion(old, v)
 	}
 	if old.Connected != v.Connected {
-		s.opts.Log.Info("subscription", zap.Bool("connected", v.Connected))
+		s.opts.Log.Info("subscription state changed", zap.Bool("connected", v.Connected))
 	}
 	s.opts.OnView(v)
 }
 
-func (s *Subscriber) announceVersion(old, v *View) {
-	s.opts.Log.Info("acting on version", zap.Uint64("version", v.Config.GetVersion()))
+func (s *Subscriber) notifyVersion(old, v *View) {
+	s.opts.Log.Info("configuration version in use", zap.Uint64("version", v.Config.GetVersion()))
 	if old.Config == nil {
 		close(s.ready)
 	}
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -10,22 +10,22 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-func TestConfirmedVersionMakesReadyAtOnce(t *testing.T) {
+func TestConfirmedVersionIsUsedAtOnce(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(3), true)
 	c := d.client(d.listen(anyPort, h))
-	s, scope, _ := start(t, c, func(o *Options) { o.QueryDelay = testLimit })
+	s, scope, _ := start(t, c, func(o *Options) { o.QueryDelay = testTimeout })
 	awaitReady(t, s)
 	is.Equal(s.View().Config.GetVersion(), uint64(3))
 	is.True(s.View().Connected)
-	is.Equal(count(scope, metricAsked, ""), int64(0)) // nobody else was asked
+	is.Equal(count(scope, metricQueryRounds, ""), int64(0)) // no other host was queried
 	h.set(func() { h.config = configuration(4) })
 	eventually(t, "version 4", func() bool { return s.View().Config.GetVersion() == 4 })
 	is.Equal(s.View().Config.GetServices()[0].GetSlots(), uint32(4))
 	eventually(t, "version 4 reported", func() bool {
 		var last uint64
-		h.read(func() { last = h.beats[len(h.beats)-1] })
+		h.read(func() { last = h.heartbeats[len(h.heartbeats)-1] })
 		return last == 4
 	})
 }
@@ -41,7 +41,7 @@
 	eventually(t, "version 1", func() bool { return s.View().Config.GetVersion() == 1 })
 }
 
-func TestUnconfirmedOnlyAfterTheWait(t *testing.T) {
+func TestUnconfirmedVersionAfterDelay(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(3), false)
@@ -49,27 +49,27 @@
 	begun := time.Now()
 	s, scope, _ := start(t, d.client(d.listen(anyPort, h)), func(o *Options) { o.UnconfirmedDelay = wait })
 	awaitReady(t, s)
-	is.True(time.Since(begun) >= wait) // not a bar: it can only be later
+	is.True(time.Since(begun) >= wait) // it can only be later
 	is.Equal(count(scope, metricUnconfirmed, ""), int64(1))
-	is.True(count(scope, metricAsked, "") >= 1)
+	is.True(count(scope, metricQueryRounds, "") >= 1)
 	is.Equal(s.View().Config.GetVersion(), uint64(3))
 }
 
-func TestLateConfirmationEndsTheWait(t *testing.T) {
+func TestConfirmationEndsDelay(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(3), false)
 	s, scope, _ := start(t, d.client(d.listen(anyPort, h)), nil)
-	eventually(t, "asked", func() bool { return count(scope, metricAsked, "") >= 2 })
+	eventually(t, "queried", func() bool { return count(scope, metricQueryRounds, "") >= 2 })
 	is.Equal(s.View().Config, nil)
 	h.set(func() { h.confirmed = true })
 	awaitReady(t, s)
 	is.Equal(count(scope, metricUnconfirmed, ""), int64(0))
 }
 
-// A process restarts beside a control host that was cut off and returned with
-// an old view: it acts on the newest version that any control host knows.
-func TestStartTakesTheNewest(t *testing.T) {
+// A restarted process must not use the old version of a stale control host if another
+// one has a newer version.
+func TestStartUsesNewestVersion(t *testing.T) {
 	for _, first := range []int{0, 1} {
 		is := is.New(t)
 		d := newDeployment(t)
@@ -84,42 +84,42 @@
 		awaitReady(t, s)
 		is.Equal(s.View().Config.GetVersion(), uint64(9))
 		is.Equal(count(scope, metricUnconfirmed, ""), int64(1))
-		rec.neverBack(t)
+		rec.requireMonotonic(t)
 	}
 }
 
-// The control host that knows the newer version may be out of reach by now:
-// neither the wait nor a confirmation of an older one puts that one in force.
-func TestKnownNewerVersionIsWaitedFor(t *testing.T) {
+// If the control host with the newer version becomes unreachable, neither the delay nor
+// a confirmation activates an older version.
+func TestStartWaitsForKnownNewerVersion(t *testing.T) {
 	is := is.New(t)
 	var v versions
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	_, err := v.receive(&controlpb.ConfigUpdate{Snapshot: configuration(5), Version: 5}, at(0))
 	is.NoErr(err)
-	changed, newer := v.learn([]answer{{address: "a", version: 5}, {address: "b", version: 9}})
+	changed, newer := v.recordVersions([]hostVersion{{address: "a", version: 5}, {address: "b", version: 9}})
 	is.True(!changed)
 	is.Equal(newer, "b")
-	is.True(!v.settleUnconfirmed(at(3600), time.Second))
+	is.True(!v.activateUnconfirmed(at(3600), time.Second))
 	changed, err = v.receive(&controlpb.ConfigUpdate{Snapshot: configuration(5), Version: 5, Confirmed: true}, at(3601))
 	is.NoErr(err)
 	is.True(!changed)
 	changed, err = v.receive(&controlpb.ConfigUpdate{Snapshot: configuration(9), Version: 9, Confirmed: true}, at(3602))
 	is.NoErr(err)
 	is.True(changed)
-	is.Equal(v.acted.GetVersion(), uint64(9))
+	is.Equal(v.active.GetVersion(), uint64(9))
 }
 
-// A control host restarts with an older state while it serves us.
+// A connected control host restarts with an older state.
 func TestStaleControlHostNeverReverts(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(9), true)
 	server := d.listen(anyPort, h)
 	c := d.client(server)
-	s, scope, rec := start(t, c, func(o *Options) { o.MaxLagTime = testLimit })
+	s, scope, rec := start(t, c, func(o *Options) { o.MaxLagTime = testTimeout })
 	awaitReady(t, s)
 	is.NoErr(server.Close())
-	eventually(t, "cut off", func() bool { return !s.View().Connected })
+	eventually(t, "disconnected", func() bool { return !s.View().Connected })
 
 	stale := newControlHost(configuration(5), true)
 	d.listen(server.Addr().String(), stale)
@@ -127,14 +127,14 @@
 	is.Equal(s.View().Config.GetVersion(), uint64(9))
 	var asked uint64
 	stale.read(func() { asked = stale.subscribes[0].GetVersion() })
-	is.Equal(asked, uint64(9)) // the control host was told what is acted on
+	is.Equal(asked, uint64(9)) // the request has the active version
 
 	stale.set(func() { stale.config = configuration(10) })
 	eventually(t, "version 10", func() bool { return s.View().Config.GetVersion() == 10 })
-	rec.neverBack(t)
+	rec.requireMonotonic(t)
 }
 
-func TestControlHostThatStaysBehindIsLeft(t *testing.T) {
+func TestLaggingControlHostIsLeft(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	one, two := newControlHost(configuration(9), true), newControlHost(configuration(9), true)
@@ -146,13 +146,13 @@
 	first := c.Address()
 	hosts[first].set(func() { hosts[first].config = configuration(7) })
 	eventually(t, "left", func() bool { return count(scope, metricEndedSubscriptions, "behind") == 1 })
-	eventually(t, "with the other one", func() bool { return s.View().Connected && c.Address() != first })
+	eventually(t, "connected to the other host", func() bool { return s.View().Connected && c.Address() != first })
 	is.Equal(s.View().Config.GetVersion(), uint64(9))
-	rec.neverBack(t)
+	rec.requireMonotonic(t)
 }
 
-// A control host that is cut off from the others may still be reached: its subscribers
-// go to another one at once, and do not go round among hosts that are all cut off.
+// Subscribers leave a control host that is partitioned from the others, but do not
+// cycle among hosts that all are.
 func TestIsolatedControlHostIsLeft(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
@@ -166,14 +166,14 @@
 	first := c.Address()
 	hosts[first].raw <- isolated
 	eventually(t, "left", func() bool { return count(scope, metricEndedSubscriptions, "isolated") == 1 })
-	eventually(t, "with the other one", func() bool { return s.View().Connected && c.Address() != first })
+	eventually(t, "connected to the other host", func() bool { return s.View().Connected && c.Address() != first })
 	second := c.Address()
 	hosts[second].raw <- isolated
-	hosts[second].raw <- isolated // taken from a subscription that has stayed
+	hosts[second].raw <- isolated // received on a subscription that was kept
 	is.Equal(c.Address(), second)
 }
 
-func TestGapIsFilledByASnapshot(t *testing.T) {
+func TestSnapshotAfterDeltaGap(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(3), true)
@@ -185,8 +185,8 @@
 	eventually(t, "version 300", func() bool { return s.View().Config.GetVersion() == 300 })
 	var again uint64
 	h.read(func() { again = h.subscribes[1].GetVersion() })
-	is.Equal(again, uint64(0)) // asks for a whole configuration
-	// No version between was shown.
+	is.Equal(again, uint64(0)) // requests a full configuration
+	// No version in between was active.
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	for _, v := range rec.versions {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestLastDirectoryIsKeptWhenCutOff(t *testing.T) {
+func TestDirectoryIsKeptWhileDisconnected(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newControlHost(configuration(1), true)
@@ -204,16 +204,16 @@
 	awaitReady(t, s)
 	eventually(t, "directory", func() bool { return len(s.View().Targets) == 1 })
 	is.NoErr(server.Close())
-	eventually(t, "cut off", func() bool { return !s.View().Connected })
+	eventually(t, "disconnected", func() bool { return !s.View().Connected })
 	is.Equal(len(s.View().Targets), 1)
 	is.Equal(s.View().Config.GetVersion(), uint64(1))
 	is.True(s.View().Age(0, time.Now()) >= time.Second) // the record is a second old
 }
 
-func TestSilentSubscriptionIsLeft(t *testing.T) {
+func TestInactiveSubscriptionIsEnded(t *testing.T) {
 	d := newDeployment(t)
 	h := newControlHost(configuration(1), true)
 	s, scope, _ := start(t, d.client(d.listen(anyPort, h)), func(o *Options) { o.ReceiveTimeout = time.Millisecond })
-	eventually(t, "silence noticed", func() bool { return count(scope, metricEndedSubscriptions, "silent") > 0 })
+	eventually(t, "receive timeout", func() bool { return count(scope, metricEndedSubscriptions, "silent") > 0 })
 	s.Close()
 }
--- a/internal/subscriber/versions.go
+++ b/internal/subscriber/versions.go
@@ -10,48 +10,47 @@
 	"eelgrasswharf.example/eelgrasswharf/config"
 )
 
-// versions decides which version of the configuration is acted on. It has no
-// clock of its own.
+// versions decides which version of the configuration is active. It has no clock.
 type versions struct {
-	// acted is the version acted on, nil before the first one.
-	acted *configpb.Configuration
-	// candidate is received but not acted on yet. Only before the first one.
+	// active is the version in use, nil before the first one.
+	active *configpb.Configuration
+	// candidate is received but not active. It is nil once a version is active.
 	candidate      *configpb.Configuration
 	candidateSince time.Time
 	confirmed      bool
-	// floor is the newest version that any control host said to know.
-	floor uint64
-	// asked is set once every control host was asked and at least one answered.
-	asked bool
+	// minVersion is the newest version reported by any control host.
+	minVersion uint64
+	// queried is set once a control host has replied to a query of all.
+	queried bool
 }
 
-// ready reports whether there is a version to act on.
-func (v *versions) ready() bool { return v.acted != nil }
+// ready reports whether a version is active.
+func (v *versions) ready() bool { return v.active != nil }
 
-// held returns the newest configuration received, acted on or not.
-func (v *versions) held() *configpb.Configuration {
-	if v.acted != nil {
-		return v.acted
+// latest returns the newest configuration received, active or not.
+func (v *versions) latest() *configpb.Configuration {
+	if v.active != nil {
+		return v.active
 	}
 	return v.candidate
 }
 
-// receive takes an update. It reports whether another version is acted on
-// from now on. Errors: config.ErrOlder for an update that leads back, and
-// config.ErrBase for a delta from a version that is not held.
+// receive applies an update and reports whether it activated another version. It
+// returns config.ErrOlderVersion for an older version and config.ErrBaseMismatch for a
+// delta from another version than the latest one.
 func (v *versions) receive(u *controlpb.ConfigUpdate, now time.Time) (bool, error) {
-	next, err := config.Merge(v.held(), u)
+	next, err := config.Merge(v.latest(), u)
 	if err != nil {
 		return false, err
 	}
 	if next == nil {
-		// There is no version yet, and that is what the control host says.
+		// The control host has no version yet.
 		next = &configpb.Configuration{}
 	}
 	if v.ready() {
-		changed := next.GetVersion() > v.acted.GetVersion()
+		changed := next.GetVersion() > v.active.GetVersion()
 		if changed {
-			v.acted = next
+			v.active = next
 		}
 		return changed, nil
 	}
@@ -61,53 +60,53 @@
 	sameVersion := v.candidate.GetVersion() == next.GetVersion() && v.candidate != nil
 	v.confirmed = u.GetConfirmed() || (v.confirmed && sameVersion)
 	v.candidate = next
-	return v.settleConfirmed(), nil
+	return v.activateConfirmed(), nil
 }
 
-// settleConfirmed acts on the candidate if a quorum confirmed it.
-func (v *versions) settleConfirmed() bool {
-	if v.candidate == nil || !v.confirmed || v.candidate.GetVersion() < v.floor {
+// activateConfirmed activates the candidate if a quorum confirmed it.
+func (v *versions) activateConfirmed() bool {
+	if v.candidate == nil || !v.confirmed || v.candidate.GetVersion() < v.minVersion {
 		return false
 	}
-	return v.act()
+	return v.activate()
 }
 
-// settleUnconfirmed acts on an unconfirmed candidate if the wait is over, all
-// control hosts were asked, and none that answered knows a newer version.
-func (v *versions) settleUnconfirmed(now time.Time, wait time.Duration) bool {
-	if v.candidate == nil || !v.asked || v.candidate.GetVersion() < v.floor {
+// activateUnconfirmed activates an unconfirmed candidate if wait has passed, all
+// control hosts were queried, and none reported a newer version.
+func (v *versions) activateUnconfirmed(now time.Time, wait time.Duration) bool {
+	if v.candidate == nil || !v.queried || v.candidate.GetVersion() < v.minVersion {
 		return false
 	}
 	if now.Sub(v.candidateSince) < wait {
 		return false
 	}
-	return v.act()
+	return v.activate()
 }
 
-func (v *versions) act() bool {
-	v.acted = v.candidate
+func (v *versions) activate() bool {
+	v.active = v.candidate
 	v.candidate = nil
 	return true
 }
 
-// answer is what one control host said of its newest version.
-type answer struct {
+// hostVersion is the newest version reported by one control host.
+type hostVersion struct {
 	address   string
 	version   uint64
 	confirmed bool
 }
 
-// learn takes the answers of a round of asking. It reports whether a version
-// is acted on from now on, and the address that has a newer version than is
-// held, if any.
-func (v *versions) learn(answers []answer) (changed bool, newer string) {
+// recordVersions applies the replies of a query. It reports whether a version was
+// activated, and the address of a control host with a newer version than the latest
+// one, if any.
+func (v *versions) recordVersions(reported []hostVersion) (changed bool, newer string) {
 	if v.ready() {
 		return false, ""
 	}
-	best := v.held().GetVersion()
-	for _, a := range answers {
-		v.asked = true
-		v.floor = max(v.floor, a.version)
+	best := v.latest().GetVersion()
+	for _, a := range reported {
+		v.queried = true
+		v.minVersion = max(v.minVersion, a.version)
 		if a.version > best {
 			best, newer = a.version, a.address
 		}
@@ -115,10 +114,10 @@
 			v.confirmed = true
 		}
 	}
-	return v.settleConfirmed(), newer
+	return v.activateConfirmed(), newer
 }
 
-// refusalReason names the reason of a refused update for its counter.
+// refusalReason returns the metric tag of a refused update.
 func refusalReason(err error) string {
 	switch {
 	case errors.Is(err, config.ErrOlderVersion):
--- a/internal/subscriber/rules_test.go
+++ b/internal/subscriber/versions_test.go
@@ -22,44 +22,44 @@
 	var d membership.List
 	d.Apply(&controlpb.DirectoryUpdate{Epoch: 1, Full: true, Put: []*controlpb.TargetRecord{record(2, 1, 1)}}, time.Unix(100, 0))
 	d.Apply(&controlpb.DirectoryUpdate{Epoch: 1, Sequence: 1, Put: []*controlpb.TargetRecord{record(1, 1, 1)}}, time.Unix(110, 0))
-	targets, heardAt := d.Records()
-	v := &View{Targets: targets, heardAt: heardAt}
+	targets, receivedAt := d.Records()
+	v := &View{Targets: targets, receivedAt: receivedAt}
 	is.Equal(v.Age(0, time.Unix(112, 0)), 3*time.Second)
 	is.Equal(v.Age(1, time.Unix(112, 0)), 13*time.Second)
 }
 
-// Whatever control hosts send in whatever order, the version acted on never
-// goes back, and none is acted on that is older than one known to exist.
-func TestVersionsNeverGoBack(t *testing.T) {
+// For any updates in any order, the active version never reverts and the first one is
+// not older than any reported version.
+func TestVersionNeverReverts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var v versions
 		now := time.Unix(0, 0)
-		var acted uint64
-		var floor uint64
+		var active uint64
+		var minVersion uint64
 		steps := rapid.IntRange(1, 60).Draw(rt, "steps")
 		for range steps {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * time.Millisecond)
 			wasReady := v.ready()
-			step(rt, &v, now, &floor)
+			randomStep(rt, &v, now, &minVersion)
 			if !v.ready() {
 				if wasReady {
-					rt.Fatal("was ready before")
+					rt.Fatal("no longer ready")
 				}
 				continue
 			}
-			got := v.acted.GetVersion()
-			if got < acted {
-				rt.Fatalf("acts on %d after %d", got, acted)
+			got := v.active.GetVersion()
+			if got < active {
+				rt.Fatalf("version %d activated after %d", got, active)
 			}
-			if !wasReady && got < floor {
-				rt.Fatalf("starts with %d though %d is known", got, floor)
+			if !wasReady && got < minVersion {
+				rt.Fatalf("first version %d is older than reported version %d", got, minVersion)
 			}
-			acted = got
+			active = got
 		}
 	})
 }
 
-func step(rt *rapid.T, v *versions, now time.Time, floor *uint64) {
+func randomStep(rt *rapid.T, v *versions, now time.Time, minVersion *uint64) {
 	version := rapid.Uint64Range(0, 12).Draw(rt, "version")
 	confirmed := rapid.Bool().Draw(rt, "confirmed")
 	switch rapid.IntRange(0, 3).Draw(rt, "step") {
@@ -73,35 +73,35 @@
 		_, _ = v.receive(u, now)
 	case 2:
 		if !v.ready() {
-			*floor = max(*floor, version)
+			*minVersion = max(*minVersion, version)
 		}
-		v.learn([]answer{{address: "a", version: version, confirmed: confirmed}})
+		v.recordVersions([]hostVersion{{address: "a", version: version, confirmed: confirmed}})
 	case 3:
 		if !v.ready() {
-			v.settleUnconfirmed(now, time.Second)
+			v.activateUnconfirmed(now, time.Second)
 		}
 	}
 }
 
-func TestUnconfirmedNeedsAnAnswer(t *testing.T) {
+func TestUnconfirmedVersionNeedsReply(t *testing.T) {
 	is := is.New(t)
 	var v versions
 	_, err := v.receive(&controlpb.ConfigUpdate{Snapshot: configuration(5), Version: 5}, time.Unix(0, 0))
 	is.NoErr(err)
-	is.True(!v.settleUnconfirmed(time.Unix(3600, 0), time.Second)) // nobody was asked
-	v.learn(nil)
-	is.True(!v.settleUnconfirmed(time.Unix(3600, 0), time.Second)) // nobody answered
-	v.learn([]answer{{address: "a", version: 5}})
-	is.True(!v.settleUnconfirmed(time.Unix(0, 1), time.Second)) // the wait is not over
-	is.True(v.settleUnconfirmed(time.Unix(1, 0), time.Second))
+	is.True(!v.activateUnconfirmed(time.Unix(3600, 0), time.Second)) // no query yet
+	v.recordVersions(nil)
+	is.True(!v.activateUnconfirmed(time.Unix(3600, 0), time.Second)) // no reply
+	v.recordVersions([]hostVersion{{address: "a", version: 5}})
+	is.True(!v.activateUnconfirmed(time.Unix(0, 1), time.Second)) // before the delay
+	is.True(v.activateUnconfirmed(time.Unix(1, 0), time.Second))
 }
 
-// The confirmation of one version says nothing of the next one.
+// The confirmation of one version does not apply to the next one.
 func TestConfirmationBelongsToItsVersion(t *testing.T) {
 	is := is.New(t)
 	var v versions
 	now := time.Unix(0, 0)
-	v.learn([]answer{{address: "b", version: 9}})
+	v.recordVersions([]hostVersion{{address: "b", version: 9}})
 	receive := func(version uint64, confirmed bool) bool {
 		changed, err := v.receive(&controlpb.ConfigUpdate{
 			Snapshot: configuration(version), Version: version, Confirmed: confirmed,
@@ -109,7 +109,7 @@
 		is.NoErr(err)
 		return changed
 	}
-	is.True(!receive(5, true)) // 9 is known
+	is.True(!receive(5, true)) // version 9 was reported
 	is.True(!receive(9, false))
 	is.True(!v.ready())
 	is.True(receive(9, true))
@@ -119,6 +119,6 @@
 	is := is.New(t)
 	is.Equal(refusalReason(config.ErrOlderVersion), "older")
 	is.Equal(refusalReason(config.ErrBaseMismatch), "gap")
-	is.Equal(endReason(errBehind), "behind")
+	is.Equal(endReason(errLagging), "behind")
 	is.Equal(endReason(config.ErrBaseMismatch), "gap")
 }
--- a/internal/subscriber/view.go
+++ b/internal/subscriber/view.go
@@ -12,41 +12,40 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// View is what a process knows at one moment. It is immutable.
+// View is an immutable snapshot of the configuration and the directory.
 type View struct {
-	// Config is the version that the process acts on, nil until it is ready.
+	// Config is the active version, nil until the subscriber is ready.
 	Config *configpb.Configuration
-	// Targets are the known targets by target number.
+	// Targets are the known targets, sorted by number.
 	Targets []*controlpb.TargetRecord
-	// Connected tells whether a subscription is open. Without one the view is
-	// the last one known.
+	// Connected is set while a subscription is open. Otherwise the view is the last
+	// known one.
 	Connected bool
-	// DirectoryComplete tells that Targets are all that have a lease, as the
-	// control host says over an open subscription.
+	// DirectoryComplete is set if Targets are all targets with a lease, according to
+	// the control host of an open subscription.
 	DirectoryComplete bool
 
-	// heardAt is when each record of Targets was received.
-	heardAt []time.Time
+	// receivedAt is the time of receipt of each record of Targets.
+	receivedAt []time.Time
 }
 
-// NewView returns the view of an open subscription that holds a version and all targets,
-// which were heard of at a moment.
-func NewView(c *configpb.Configuration, targets []*controlpb.TargetRecord, heard time.Time) *View {
+// NewView returns the view of an open subscription with a complete directory, received
+// at the given time.
+func NewView(c *configpb.Configuration, targets []*controlpb.TargetRecord, received time.Time) *View {
 	v := &View{Config: c, Targets: targets, Connected: true, DirectoryComplete: true}
 	for range targets {
-		v.heardAt = append(v.heardAt, heard)
+		v.receivedAt = append(v.receivedAt, received)
 	}
 	return v
 }
 
-// Evacuated reports whether the target of a record stands in a failure domain whose targets
-// get no new flows.
+// Evacuated reports whether the failure domain of a target is evacuated.
 func (v *View) Evacuated(record *controlpb.TargetRecord) bool {
 	return config.IsEvacuated(v.Config, record.GetFailureDomain())
 }
 
-// AvailableTargets returns the known targets that new flows may go to, as far as evacuations
-// tell. The list must not be changed.
+// AvailableTargets returns the known targets outside evacuated failure domains. The
+// list must not be modified.
 func (v *View) AvailableTargets() []*controlpb.TargetRecord {
 	if len(v.Config.GetEvacuations()) == 0 {
 		return v.Targets
@@ -60,8 +59,8 @@
 	return open
 }
 
-// TargetOf returns the target of a record, without its age. The error tells that its
-// address cannot be read.
+// TargetOf returns the target of a record without its age. It returns an error if the
+// address is invalid.
 func TargetOf(record *controlpb.TargetRecord) (routing.Target, error) {
 	address, err := netip.ParseAddrPort(record.GetAddress())
 	if err != nil {
@@ -78,9 +77,9 @@
 	}, nil
 }
 
-// Age returns the time since the cold start of a target, by its index in
-// Targets. It grows with the process's own monotonic clock.
+// Age returns the time since the cold start of the target at index i of Targets. It
+// depends on the monotonic clock of this process only.
 func (v *View) Age(i int, now time.Time) time.Duration {
 	age := time.Duration(v.Targets[i].GetAgeMs()) * time.Millisecond
-	return age + max(now.Sub(v.heardAt[i]), 0)
+	return age + max(now.Sub(v.receivedAt[i]), 0)
 }
--- a/test/stale_test.go
+++ b/test/stale_test.go
@@ -17,7 +17,7 @@
 // to have a newer version, or because the host says that it knows no leader. Which one
 // comes first depends on how long the host has been cut off.
 const (
-	movingMessage  = "moving to a control host that knows more"
+	movingMessage  = "moving to a control host with a newer version"
 	leavingMessage = "leaving an isolated control host"
 )
 
