--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,10 +1,9 @@
-// Package operator is the HTTPS API of a control host and its client: patches,
-// configurations, status and membership, as JSON under mutual TLS for the role
+// Package operator implements the HTTPS API of a control host and its client: patches,
+// configurations, status and membership, as JSON over mutual TLS with the role
 // operator.
 //
-// Every call ends within a named timeout. An answer belongs to one of three
-// kinds: the thing was done or refused (the answer says which), it was not
-// done (ErrNotDone, with a reason), or it is not known (ErrUnknown). A patch
-// whose outcome is not known may be sent again under the same identifier: it
-// never applies twice.
+// Every call has a timeout. A call has a result, or it was not applied (ErrNotApplied,
+// with a reason), or its outcome is unknown (ErrOutcomeUnknown). A patch with an
+// unknown outcome may be submitted again with the same identifier, as it never applies
+// twice.
 package operator
--- a/internal/operator/strangers_test.go
+++ b/internal/operator/errorlog_test.go
@@ -15,13 +15,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// Strangers are counted and write no log line, or a scan would fill the log.
-func TestStrangersAreCounted(t *testing.T) {
+// Failed handshakes are counted and not logged, as a port scan would fill the log.
+func TestFailedHandshakesAreCounted(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newDeployment(t)
 	scope := tally.NewTestScope("", nil)
 	core, lines := observer.New(zap.DebugLevel)
-	server, err := operator.Listen("127.0.0.1:0", s.credentials(keys.RoleControl, "c1"), &fake{}, zap.New(core), scope)
+	server, err := operator.Listen("127.0.0.1:0", s.credentials(keys.RoleControl, "c1"), &fakeHandler{}, zap.New(core), scope)
 	is.NoErr(err)
 	defer func() { _ = server.Shutdown(t.Context()) }()
 
@@ -30,9 +30,9 @@
 	defer conn.Close()
 	_, err = conn.Write([]byte("neither TLS nor HTTP\r\n\r\n"))
 	is.NoErr(err)
-	_, _ = io.ReadAll(conn) // until the server ends it
+	_, _ = io.ReadAll(conn) // until the server closes it
 
-	unittest.Eventually(t, "the stranger is counted", func() bool {
+	unittest.Eventually(t, "the failed handshake is counted", func() bool {
 		return unittest.Counter(scope, "operator.refused_handshakes", "") == 1
 	})
 	is.Equal(lines.Len(), 0)
--- a/internal/operator/fuzz_test.go
+++ b/internal/operator/fuzz_test.go
@@ -16,26 +16,26 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// taker keeps what reaches it of a call.
-type taker struct {
+// recordingHandler records the submitted patch.
+type recordingHandler struct {
 	Handler
 	patch *configpb.Patch
 }
 
-func (h *taker) Submit(_ context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
+func (h *recordingHandler) Submit(_ context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
 	h.patch = p
 	return &configpb.Outcome{}, nil
 }
 
-func (h *taker) AddLearner(context.Context, string) error { return nil }
-func (h *taker) Promote(context.Context, MemberRef) error { return nil }
-func (h *taker) Remove(context.Context, MemberRef) error  { return ErrNotApplied }
+func (h *recordingHandler) AddLearner(context.Context, string) error { return nil }
+func (h *recordingHandler) Promote(context.Context, MemberRef) error { return nil }
+func (h *recordingHandler) Remove(context.Context, MemberRef) error  { return ErrNotApplied }
 
-func (h *taker) Status() *Status { return &Status{} }
+func (h *recordingHandler) Status() *Status { return &Status{} }
 
-// FuzzCall sends bodies to every call that takes one: each gets an answer in
-// the documented form, and an unreadable patch reaches nobody.
-func FuzzCall(f *testing.F) {
+// Every body gets a valid JSON response, and an invalid patch does not reach the
+// handler.
+func FuzzRequestBody(f *testing.F) {
 	paths := []string{"/v1/patches", "/v1/members", "/v1/members/promote", "/v1/members/remove"}
 	f.Add(0, `{"base":"1","id":"p","operations":[{"putService":{"name":"lodgement","addresses":["127.0.0.1:1"],"slots":4}}]}`)
 	f.Add(0, `{"base":-1}`)
@@ -45,13 +45,13 @@
 	f.Add(3, `{"name":"c1","unknown":1}`)
 	f.Add(3, `[`)
 	f.Fuzz(func(t *testing.T, which int, body string) {
-		b := &taker{}
+		b := &recordingHandler{}
 		s := &Server{handler: b, scope: tally.NoopScope}
 		path := paths[uint(which)%uint(len(paths))]
 		w := httptest.NewRecorder()
 		s.routes().ServeHTTP(w, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
 		if !json.Valid(w.Body.Bytes()) {
-			t.Fatalf("%s: answered %d %q", path, w.Code, w.Body)
+			t.Fatalf("%s: response %d %q", path, w.Code, w.Body)
 		}
 		if path != paths[0] {
 			return
@@ -59,27 +59,26 @@
 		var patch configpb.Patch
 		readable := protojson.Unmarshal([]byte(body), &patch) == nil
 		if readable != (b.patch != nil) || readable && !proto.Equal(&patch, b.patch) {
-			t.Fatalf("readable %t, taken %v", readable, b.patch)
+			t.Fatalf("readable %t, received %v", readable, b.patch)
 		}
 	})
 }
 
-// FuzzRefusal reads refusals of a control host: without a readable one it is
-// not known what became of the call.
-func FuzzRefusal(f *testing.F) {
+// The outcome of a call is unknown unless the response has a known kind of error.
+func FuzzErrorResponse(f *testing.F) {
 	f.Add([]byte(`{"kind":"not-done","reason":"no leader"}`))
 	f.Add([]byte(`{"kind":"not-found"}`))
 	f.Add([]byte(`{"kind":7}`))
 	f.Add([]byte(`not done`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		err := faultError("127.0.0.1:1", data)
-		var told faultAnswer
-		readable := json.Unmarshal(data, &told) == nil
-		if errors.Is(err, ErrNotApplied) && (!readable || told.Kind != faultNotDone) {
-			t.Fatalf("%q is taken for a call that changed nothing", data)
+		err := responseError("127.0.0.1:1", data)
+		var response errorResponse
+		readable := json.Unmarshal(data, &response) == nil
+		if errors.Is(err, ErrNotApplied) && (!readable || response.Kind != errorNotApplied) {
+			t.Fatalf("%q must not be ErrNotApplied", data)
 		}
 		if !errors.Is(err, ErrNotApplied) && !errors.Is(err, ErrNotFound) && !errors.Is(err, ErrOutcomeUnknown) {
-			t.Fatalf("error of another kind: %v", err)
+			t.Fatalf("unexpected error: %v", err)
 		}
 	})
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,82 +19,82 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// fake answers what a test wants.
-type fake struct {
-	submit  func(context.Context, *configpb.Patch) (*configpb.Outcome, error)
-	members error
-	// answers are given to changes of members in turn, before members.
-	answers []error
-	asked   []string
+// fakeHandler records its calls and returns what a test sets.
+type fakeHandler struct {
+	submit    func(context.Context, *configpb.Patch) (*configpb.Outcome, error)
+	changeErr error
+	// changeErrs are returned by changes in turn, then changeErr.
+	changeErrs []error
+	calls      []string
 }
 
-func (f *fake) Submit(ctx context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
-	f.asked = append(f.asked, "submit "+p.GetId())
+func (f *fakeHandler) Submit(ctx context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
+	f.calls = append(f.calls, "submit "+p.GetId())
 	return f.submit(ctx, p)
 }
 
-func (f *fake) Outcome(context.Context, string) (*configpb.Outcome, error) {
+func (f *fakeHandler) Outcome(context.Context, string) (*configpb.Outcome, error) {
 	return nil, operator.ErrNotFound
 }
 
-func (f *fake) Config(_ context.Context, version uint64) (*configpb.Configuration, bool, error) {
+func (f *fakeHandler) Config(_ context.Context, version uint64) (*configpb.Configuration, bool, error) {
 	return &configpb.Configuration{Version: version}, true, nil
 }
 
-func (f *fake) Evacuate(_ context.Context, o *configpb.EvacuationOrder) (*configpb.EvacuationOutcome, error) {
-	f.asked = append(f.asked, fmt.Sprintf("evacuate %s %v %s", o.GetFailureDomain(), o.GetEnd(), o.GetId()))
+func (f *fakeHandler) Evacuate(_ context.Context, o *configpb.EvacuationOrder) (*configpb.EvacuationOutcome, error) {
+	f.calls = append(f.calls, fmt.Sprintf("evacuate %s %v %s", o.GetFailureDomain(), o.GetEnd(), o.GetId()))
 	return &configpb.EvacuationOutcome{Verdict: configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED, Version: 3}, f.change()
 }
 
-func (f *fake) Status() *operator.Status { return &operator.Status{Host: "c1"} }
+func (f *fakeHandler) Status() *operator.Status { return &operator.Status{Host: "c1"} }
 
-func (f *fake) AddLearner(_ context.Context, address string) error {
-	f.asked = append(f.asked, "add "+address)
+func (f *fakeHandler) AddLearner(_ context.Context, address string) error {
+	f.calls = append(f.calls, "add "+address)
 	return f.change()
 }
 
-func (f *fake) Promote(_ context.Context, m operator.MemberRef) error {
-	f.asked = append(f.asked, "promote "+m.Name)
+func (f *fakeHandler) Promote(_ context.Context, m operator.MemberRef) error {
+	f.calls = append(f.calls, "promote "+m.Name)
 	return f.change()
 }
 
-func (f *fake) Remove(_ context.Context, m operator.MemberRef) error {
-	f.asked = append(f.asked, "remove "+m.Name)
+func (f *fakeHandler) Remove(_ context.Context, m operator.MemberRef) error {
+	f.calls = append(f.calls, "remove "+m.Name)
 	return f.change()
 }
 
-func (f *fake) SetRetention(_ context.Context, r operator.Retention) error {
-	f.asked = append(f.asked, fmt.Sprint("retention ", r.Answered, " ", r.Held))
+func (f *fakeHandler) SetRetention(_ context.Context, r operator.Retention) error {
+	f.calls = append(f.calls, fmt.Sprint("retention ", r.Answered, " ", r.Held))
 	return f.change()
 }
 
-func (f *fake) change() error {
-	if len(f.answers) == 0 {
-		return f.members
+func (f *fakeHandler) change() error {
+	if len(f.changeErrs) == 0 {
+		return f.changeErr
 	}
-	err := f.answers[0]
-	f.answers = f.answers[1:]
+	err := f.changeErrs[0]
+	f.changeErrs = f.changeErrs[1:]
 	return err
 }
 
-// site has the keys of a test deployment.
-type site struct {
+// deployment has the keys of a test deployment.
+type deployment struct {
 	t    *testing.T
 	keys *unittest.KeyFolder
 }
 
-func newSite(t *testing.T) *site {
+func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	s := &site{t: t, keys: unittest.NewKeyFolder(t)}
+	s := &deployment{t: t, keys: unittest.NewKeyFolder(t)}
 	return s
 }
 
-func (s *site) credentials(role keys.Role, name string) *keys.Credentials {
+func (s *deployment) credentials(role keys.Role, name string) *keys.Credentials {
 	s.t.Helper()
 	return s.keys.Credentials(role, name, "")
 }
 
-func (s *site) serve(f *fake) *operator.Server {
+func (s *deployment) serve(f *fakeHandler) *operator.Server {
 	s.t.Helper()
 	server, err := operator.Listen("127.0.0.1:0", s.credentials(keys.RoleControl, "c1"), f, zap.NewNop(), tally.NoopScope)
 	if err != nil {
@@ -104,17 +104,17 @@
 	return server
 }
 
-func (s *site) client(addrs ...string) *operator.Client {
+func (s *deployment) client(addrs ...string) *operator.Client {
 	c := operator.NewClient(addrs, s.credentials(keys.RoleOperator, "ada"))
 	s.t.Cleanup(c.Close)
 	return c
 }
 
-func answering(out *configpb.Outcome, err error) *fake {
-	return &fake{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) { return out, err }}
+func submitHandler(out *configpb.Outcome, err error) *fakeHandler {
+	return &fakeHandler{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) { return out, err }}
 }
 
-func TestOutcomesAreToldApart(t *testing.T) {
+func TestSubmitOutcomes(t *testing.T) {
 	accepted := &configpb.Outcome{Id: "p", Verdict: configpb.Verdict_VERDICT_ACCEPTED, Version: 7, Digest: []byte{1, 2}}
 	refused := &configpb.Outcome{Id: "p", Verdict: configpb.Verdict_VERDICT_REFUSED_FINDINGS,
 		Findings: []*configpb.Finding{{Place: "a.ini:3", Text: "slots"}}}
@@ -126,15 +126,15 @@
 	}{
 		{"accepted", accepted, nil, nil},
 		{"refused", refused, nil, nil},
-		{"not done", nil, errors.Wrap(operator.ErrNotApplied, "no leader"), operator.ErrNotApplied},
-		{"not known", nil, errors.Wrap(operator.ErrOutcomeUnknown, "timeout"), operator.ErrOutcomeUnknown},
-		{"another error is not known", nil, errors.New("surprise"), operator.ErrOutcomeUnknown},
+		{"not applied", nil, errors.Wrap(operator.ErrNotApplied, "no leader"), operator.ErrNotApplied},
+		{"outcome unknown", nil, errors.Wrap(operator.ErrOutcomeUnknown, "timeout"), operator.ErrOutcomeUnknown},
+		{"other errors mean outcome unknown", nil, errors.New("surprise"), operator.ErrOutcomeUnknown},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t)
-			c := s.client(s.serve(answering(test.out, test.err)).Addr().String())
+			s := newDeployment(t)
+			c := s.client(s.serve(submitHandler(test.out, test.err)).Addr().String())
 			out, err := c.Submit(context.Background(), &configpb.Patch{Id: "p"})
 			if test.want != nil {
 				is.True(errors.Is(err, test.want))
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestPatchGoesToTheNextHost(t *testing.T) {
+func TestSubmitTriesNextHost(t *testing.T) {
 	accepted := &configpb.Outcome{Verdict: configpb.Verdict_VERDICT_ACCEPTED}
 	tests := []struct {
 		name          string
@@ -162,68 +162,67 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t)
-			a := s.serve(answering(nil, test.first))
-			b := s.serve(answering(accepted, test.second))
+			s := newDeployment(t)
+			a := s.serve(submitHandler(nil, test.first))
+			b := s.serve(submitHandler(accepted, test.second))
 			_, err := s.client(a.Addr().String(), b.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
 			is.True(errors.Is(err, test.want) || (err == nil && test.want == nil))
 		})
 	}
 }
 
-func TestMemberChangeStopsAtUnknown(t *testing.T) {
+func TestMembershipChangeStopsAtUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	first := &fake{members: operator.ErrOutcomeUnknown}
-	second := &fake{}
+	s := newDeployment(t)
+	first := &fakeHandler{changeErr: operator.ErrOutcomeUnknown}
+	second := &fakeHandler{}
 	c := s.client(s.serve(first).Addr().String(), s.serve(second).Addr().String())
 	_, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrOutcomeUnknown))
-	is.Equal(len(second.asked), 0)
+	is.Equal(len(second.calls), 0)
 
-	first.members = operator.ErrNotApplied
+	first.changeErr = operator.ErrNotApplied
 	_, err = c.Promote(context.Background(), operator.MemberRef{Name: "c3"})
 	is.NoErr(err)
-	is.Equal(second.asked, []string{"promote c3"})
+	is.Equal(second.calls, []string{"promote c3"})
 	_, err = c.AddLearner(context.Background(), "192.0.2.1:7000")
 	is.NoErr(err)
-	is.Equal(second.asked[1], "add 192.0.2.1:7000")
+	is.Equal(second.calls[1], "add 192.0.2.1:7000")
 }
 
-// TestGroupsWithDifferentLeaders removes a member when each host leads one
-// group: none of them makes the whole change, and afterwards none knows the
-// member.
+// Each host leads one group and removes the member from it, so none makes the whole
+// change and afterwards none knows the member.
 func TestGroupsWithDifferentLeaders(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	first := &fake{answers: []error{operator.ErrPartiallyApplied}, members: operator.ErrNotFound}
-	second := &fake{answers: []error{operator.ErrPartiallyApplied}, members: operator.ErrNotFound}
+	s := newDeployment(t)
+	first := &fakeHandler{changeErrs: []error{operator.ErrPartiallyApplied}, changeErr: operator.ErrNotFound}
+	second := &fakeHandler{changeErrs: []error{operator.ErrPartiallyApplied}, changeErr: operator.ErrNotFound}
 	c := s.client(s.serve(first).Addr().String(), s.serve(second).Addr().String(), "127.0.0.1:1")
 	status, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.NoErr(err)
 	is.Equal(status.Host, "c1")
-	// A member that no host ever knew is an error all the same.
+	// A member that no host ever knew is still an error.
 	_, err = c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrNotFound))
 	_, err = c.Promote(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrNotFound))
 }
 
-// TestChangeThatNeverSucceeds ends after some rounds, and as not done.
-func TestChangeThatNeverSucceeds(t *testing.T) {
+// A change that is never fully applied returns ErrNotApplied after some retries.
+func TestChangeGivesUp(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	f := &fake{members: operator.ErrPartiallyApplied}
+	s := newDeployment(t)
+	f := &fakeHandler{changeErr: operator.ErrPartiallyApplied}
 	c := s.client(s.serve(f).Addr().String())
 	_, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrNotApplied))
-	is.True(len(f.asked) > 1)
+	is.True(len(f.calls) > 1)
 }
 
-func TestUnreachableHostChangedNothing(t *testing.T) {
+func TestUnreachableHostIsNotApplied(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	server := s.serve(&fake{})
+	s := newDeployment(t)
+	server := s.serve(&fakeHandler{})
 	addr := server.Addr().String()
 	is.NoErr(server.Shutdown(context.Background()))
 	_, err := s.client(addr).Submit(context.Background(), &configpb.Patch{Id: "p"})
@@ -235,9 +234,9 @@
 
 func TestShutdownWaitsForCall(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newDeployment(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
-	server := s.serve(&fake{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) {
+	server := s.serve(&fakeHandler{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) {
 		close(entered)
 		<-leave
 		return &configpb.Outcome{Verdict: configpb.Verdict_VERDICT_ACCEPTED}, nil
@@ -257,11 +256,11 @@
 	is.Equal(out.GetVerdict(), configpb.Verdict_VERDICT_ACCEPTED)
 }
 
-func TestCallsOnTheHostAreBounded(t *testing.T) {
+func TestHandlerDeadline(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newDeployment(t)
 	var left time.Duration
-	server := s.serve(&fake{submit: func(ctx context.Context, _ *configpb.Patch) (*configpb.Outcome, error) {
+	server := s.serve(&fakeHandler{submit: func(ctx context.Context, _ *configpb.Patch) (*configpb.Outcome, error) {
 		deadline, _ := ctx.Deadline()
 		left = time.Until(deadline)
 		return nil, operator.ErrOutcomeUnknown
@@ -270,10 +269,10 @@
 	is.True(left > 0 && left <= operator.SubmitTimeout)
 }
 
-func TestVersionIsPassedOn(t *testing.T) {
+func TestConfigVersionParameter(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	c := s.client(s.serve(&fake{}).Addr().String())
+	s := newDeployment(t)
+	c := s.client(s.serve(&fakeHandler{}).Addr().String())
 	cfg, confirmed, err := c.Config(context.Background(), 1<<60)
 	is.NoErr(err)
 	is.Equal(cfg.GetVersion(), uint64(1<<60))
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -25,7 +25,7 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// ioTimeout bounds reading a call and writing its answer; it exceeds the
+	// ioTimeout bounds reading a request and writing its response. It exceeds the
 	// longest call.
 	ioTimeout   = 30 * time.Second
 	idleTimeout = time.Minute
@@ -56,17 +56,16 @@
 		ReadTimeout:       ioTimeout,
 		WriteTimeout:      ioTimeout,
 		IdleTimeout:       idleTimeout,
-		ErrorLog:          stdlog.New(newServerErrors(s.scope, log), "", 0),
+		ErrorLog:          stdlog.New(newErrorLogWriter(s.scope, log), "", 0),
 	}
 	s.wg.Go(func() { _ = s.http.Serve(s.listener) })
 	return s, nil
 }
 
-// Addr returns the address that the server listens on.
+// Addr returns the listen address.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Shutdown stops the server and waits for the calls in progress, no longer
-// than the context.
+// Shutdown stops the server and waits for active calls until the context is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err != nil {
@@ -98,28 +97,28 @@
 	ctx, cancel := context.WithTimeout(r.Context(), SubmitTimeout)
 	defer cancel()
 	out, err := s.handler.Submit(ctx, &p)
-	s.answerOutcome(w, out, err)
+	s.writeOutcome(w, out, err)
 }
 
 func (s *Server) outcome(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), ReadTimeout)
 	defer cancel()
 	out, err := s.handler.Outcome(ctx, r.PathValue("id"))
-	s.answerOutcome(w, out, err)
+	s.writeOutcome(w, out, err)
 }
 
-func (s *Server) answerOutcome(w http.ResponseWriter, out *configpb.Outcome, err error) {
+func (s *Server) writeOutcome(w http.ResponseWriter, out *configpb.Outcome, err error) {
 	if err != nil {
-		s.fault(w, err)
+		s.writeError(w, err)
 		return
 	}
 	data, err := protojson.Marshal(out)
 	if err != nil {
-		s.fault(w, err)
+		s.writeError(w, err)
 		return
 	}
 	s.scope.Tagged(map[string]string{"verdict": out.GetVerdict().String()}).Counter("outcomes").Inc(1)
-	answer(w, http.StatusOK, &outcomeAnswer{Outcome: data})
+	writeResponse(w, http.StatusOK, &outcomeResponse{Outcome: data})
 }
 
 func (s *Server) config(w http.ResponseWriter, r *http.Request) {
@@ -127,7 +126,7 @@
 	if text := r.URL.Query().Get("version"); text != "" {
 		var err error
 		if version, err = strconv.ParseUint(text, 10, 64); err != nil {
-			s.fault(w, errors.Wrap(ErrNotApplied, "version is no number"))
+			s.writeError(w, errors.Wrap(ErrNotApplied, "version is not a number"))
 			return
 		}
 	}
@@ -135,15 +134,15 @@
 	defer cancel()
 	cfg, confirmed, err := s.handler.Config(ctx, version)
 	if err != nil {
-		s.fault(w, err)
+		s.writeError(w, err)
 		return
 	}
 	data, err := protojson.Marshal(cfg)
 	if err != nil {
-		s.fault(w, err)
+		s.writeError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, &configAnswer{Config: data, Confirmed: confirmed})
+	writeResponse(w, http.StatusOK, &configResponse{Config: data, Confirmed: confirmed})
 }
 
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request) {
@@ -155,19 +154,19 @@
 	defer cancel()
 	out, err := s.handler.Evacuate(ctx, &o)
 	if err != nil {
-		s.fault(w, err)
+		s.writeError(w, err)
 		return
 	}
 	data, err := protojson.Marshal(out)
 	if err != nil {
-		s.fault(w, err)
+		s.writeError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, &outcomeAnswer{Outcome: data})
+	writeResponse(w, http.StatusOK, &outcomeResponse{Outcome: data})
 }
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, s.handler.Status())
+	writeResponse(w, http.StatusOK, s.handler.Status())
 }
 
 func (s *Server) addLearner(w http.ResponseWriter, r *http.Request) {
@@ -175,7 +174,7 @@
 	if !s.readJSON(w, r, &req) {
 		return
 	}
-	s.change(w, r, func(ctx context.Context) error { return s.handler.AddLearner(ctx, req.Address) })
+	s.applyChange(w, r, func(ctx context.Context) error { return s.handler.AddLearner(ctx, req.Address) })
 }
 
 func (s *Server) promote(w http.ResponseWriter, r *http.Request) {
@@ -183,7 +182,7 @@
 	if !s.readJSON(w, r, &m) {
 		return
 	}
-	s.change(w, r, func(ctx context.Context) error { return s.handler.Promote(ctx, m) })
+	s.applyChange(w, r, func(ctx context.Context) error { return s.handler.Promote(ctx, m) })
 }
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
@@ -191,25 +190,25 @@
 	if !s.readJSON(w, r, &m) {
 		return
 	}
-	s.change(w, r, func(ctx context.Context) error { return s.handler.Remove(ctx, m) })
+	s.applyChange(w, r, func(ctx context.Context) error { return s.handler.Remove(ctx, m) })
 }
 
 func (s *Server) setRetention(w http.ResponseWriter, r *http.Request) {
-	var keep Retention
-	if !s.readJSON(w, r, &keep) {
+	var retention Retention
+	if !s.readJSON(w, r, &retention) {
 		return
 	}
-	s.change(w, r, func(ctx context.Context) error { return s.handler.SetRetention(ctx, keep) })
+	s.applyChange(w, r, func(ctx context.Context) error { return s.handler.SetRetention(ctx, retention) })
 }
 
-func (s *Server) change(w http.ResponseWriter, r *http.Request, f func(context.Context) error) {
+func (s *Server) applyChange(w http.ResponseWriter, r *http.Request, f func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(r.Context(), MembershipTimeout)
 	defer cancel()
 	if err := f(ctx); err != nil {
-		s.fault(w, err)
+		s.writeError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, s.handler.Status())
+	writeResponse(w, http.StatusOK, s.handler.Status())
 }
 
 func (s *Server) readProto(w http.ResponseWriter, r *http.Request, m proto.Message) bool {
@@ -217,47 +216,48 @@
 	if err == nil {
 		err = protojson.Unmarshal(data, m)
 	}
-	return s.taken(w, err)
+	return s.checkBody(w, err)
 }
 
 func (s *Server) readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxRequestBody))
 	d.DisallowUnknownFields()
-	return s.taken(w, d.Decode(v))
+	return s.checkBody(w, d.Decode(v))
 }
 
-// taken answers a call whose body could not be read.
-func (s *Server) taken(w http.ResponseWriter, err error) bool {
+// checkBody responds with an error if the body could not be read, and reports whether
+// it was.
+func (s *Server) checkBody(w http.ResponseWriter, err error) bool {
 	if err == nil {
 		return true
 	}
-	s.fault(w, errors.Wrapf(ErrNotApplied, "unreadable call: %v", err))
+	s.writeError(w, errors.Wrapf(ErrNotApplied, "invalid request body: %v", err))
 	return false
 }
 
-func (s *Server) fault(w http.ResponseWriter, err error) {
-	kind, code := faultOf(err)
+func (s *Server) writeError(w http.ResponseWriter, err error) {
+	kind, code := classifyError(err)
 	s.scope.Tagged(map[string]string{"reason": string(kind)}).Counter("faults").Inc(1)
-	answer(w, code, &faultAnswer{Kind: kind, Reason: err.Error()})
+	writeResponse(w, code, &errorResponse{Kind: kind, Reason: err.Error()})
 }
 
-func faultOf(err error) (faultKind, int) {
+func classifyError(err error) (errorKind, int) {
 	switch {
 	case errors.Is(err, ErrPartiallyApplied):
-		return faultNotEverywhere, http.StatusServiceUnavailable
+		return errorPartiallyApplied, http.StatusServiceUnavailable
 	case errors.Is(err, ErrRefused):
-		return faultRefused, http.StatusConflict
+		return errorRefused, http.StatusConflict
 	case errors.Is(err, ErrNotApplied):
-		return faultNotDone, http.StatusServiceUnavailable
+		return errorNotApplied, http.StatusServiceUnavailable
 	case errors.Is(err, ErrNotFound):
-		return faultNotFound, http.StatusNotFound
+		return errorNotFound, http.StatusNotFound
 	}
-	return faultUnknown, http.StatusGatewayTimeout
+	return errorOutcomeUnknown, http.StatusGatewayTimeout
 }
 
-func answer(w http.ResponseWriter, code int, v any) {
+func writeResponse(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	// A failed write shows at the far end as a cut answer.
+	// The client notices a failed write as a truncated response.
 	_ = json.NewEncoder(w).Encode(v)
 }
