--- a/connid/connid.go
+++ b/connid/connid.go
@@ -38,7 +38,7 @@
 	Address netip.AddrPort
 	// Number is the stable number of the target, at most MaxNumber.
 	Number uint32
-	// Incarnation counts the restarts of the target, at most MaxNumber.
+	// Incarnation distinguishes restarts of the target, at most MaxNumber.
 	Incarnation uint32
 }
 
--- a/routing/target.go
+++ b/routing/target.go
@@ -7,7 +7,7 @@
 
 // Target is a target as announced in the directory.
 type Target struct {
-	// Number is stable; Incarnation counts the restarts of the target.
+	// Number is stable; Incarnation distinguishes restarts of the target.
 	Number, Incarnation uint32
 	// Service is the number of its service.
 	Service uint32
