--- a/frame/frame_test.go
+++ b/frame/frame_test.go
@@ -78,7 +78,7 @@
 			Incarnation: rapid.Uint32Range(0, frame.MaxNumber).Draw(t, "incarnation"),
 			Load:        rapid.Uint16().Draw(t, "load"),
 			Draining:    rapid.Bool().Draw(t, "draining"),
-			Unhealthy:   rapid.Bool().Draw(t, "ill"),
+			Unhealthy:   rapid.Bool().Draw(t, "unhealthy"),
 		}
 		if rapid.Bool().Draw(t, "has alternate") {
 			want.Alternate = drawIPv4(t, "alternate")
--- a/internal/entryd/apply_test.go
+++ b/internal/entryd/apply_test.go
@@ -41,8 +41,8 @@
 		is.Equal(datagram, packet)
 		is.Equal(h.Service, uint32(lodgement))
 		agent.send(encodeFrame(t, replyTo(h), datagram), from)
-		answer, _ := caller.receive()
-		is.Equal(answer, packet)
+		reply, _ := caller.receive()
+		is.Equal(reply, packet)
 	}
 	is.Equal(r.local(publicOne), local) // the address stayed open
 }
@@ -91,9 +91,9 @@
 	// Replies of the established flow leave through the address that its caller knows,
 	// whatever the service of the frame.
 	for _, h := range []frame.Header{before, after} {
-		agent.send(encodeFrame(t, replyTo(h), []byte("answer")), from)
-		answer, _ := caller.receive()
-		is.Equal(string(answer), "answer")
+		agent.send(encodeFrame(t, replyTo(h), []byte("reply")), from)
+		reply, _ := caller.receive()
+		is.Equal(string(reply), "reply")
 	}
 }
 
@@ -115,9 +115,9 @@
 	caller.send(shortPacket(t, oneSecret, target, ""), local)
 	h, _, from := agent.receiveFrame()
 	is.Equal(h.Kind, frame.Forward)
-	agent.send(encodeFrame(t, replyTo(h), []byte("answer")), from)
-	answer, _ := caller.receive()
-	is.Equal(string(answer), "answer")
+	agent.send(encodeFrame(t, replyTo(h), []byte("reply")), from)
+	reply, _ := caller.receive()
+	is.Equal(string(reply), "reply")
 
 	r.apply(view(3, services(serviceAt(lodgement, publicTwo)), record(lodgement, 1, agent.addr())))
 	is.Equal(r.f.PublicAddrs()[publicOne.String()], "") // closed
@@ -132,13 +132,13 @@
 	o.Log = zap.New(core)
 	r := start(t, o)
 
-	holder, free := newSocket(t), newSocket(t)
-	taken, other := holder.addr(), free.addr()
+	blocker, free := newSocket(t), newSocket(t)
+	inUse, other := blocker.addr(), free.addr()
 	is.NoErr(free.conn.Close())
 	agent, caller := newSocket(t), newSocket(t)
 	packet := shortPacket(t, oneSecret, connid.Target{Address: agent.addr(), Number: 1}, "")
 
-	r.apply(view(1, services(serviceAt(lodgement, taken, other))))
+	r.apply(view(1, services(serviceAt(lodgement, inUse, other))))
 	r.await("several attempts", func() bool { return r.counter("public_address_open_failed", "") > 3 })
 	is.Equal(r.f.PublicAddrs(), map[string]string{other.String(): other.String()})
 	caller.send(packet, other)
@@ -147,14 +147,14 @@
 
 	lines := logs.FilterMessage("failed to open public address, will retry").All()
 	is.Equal(len(lines), 1) // logged once, not for each attempt
-	is.Equal(lines[0].ContextMap()["public"], taken.String())
+	is.Equal(lines[0].ContextMap()["public"], inUse.String())
 	is.True(lines[0].ContextMap()["error"] != nil)
 
-	is.NoErr(holder.conn.Close())
+	is.NoErr(blocker.conn.Close())
 	r.await("the address to open", func() bool { return len(r.f.PublicAddrs()) == 2 })
-	caller.send(packet, taken)
+	caller.send(packet, inUse)
 	h, _, _ := agent.receiveFrame()
-	is.Equal(h.Public, taken)
+	is.Equal(h.Public, inUse)
 }
 
 func TestPublicAddressOfIPv6(t *testing.T) {
@@ -180,9 +180,9 @@
 	is.Equal(datagram, packet)
 	is.Equal(h.Caller, caller.addr())
 	is.Equal(h.Public, public)
-	agent.send(encodeFrame(t, replyTo(h), []byte("answer")), from)
-	answer, source := caller.receive()
-	is.Equal(string(answer), "answer")
+	agent.send(encodeFrame(t, replyTo(h), []byte("reply")), from)
+	reply, source := caller.receive()
+	is.Equal(string(reply), "reply")
 	is.Equal(source, r.local(public))
 }
 
--- a/internal/entryd/bench_test.go
+++ b/internal/entryd/bench_test.go
@@ -145,9 +145,9 @@
 		r, v := fleet(b, n)
 		all := v.Targets
 		without := slices.Delete(slices.Clone(all), n/2, n/2+1)
-		turned := slices.Clone(all)
-		turned[n/2] = proto.CloneOf(all[n/2])
-		turned[n/2].Ill = true
+		modified := slices.Clone(all)
+		modified[n/2] = proto.CloneOf(all[n/2])
+		modified[n/2].Ill = true
 		run := func(name string, others []*controlpb.TargetRecord, prepare func()) {
 			b.Run(name+"/"+strconv.Itoa(n), func(b *testing.B) {
 				b.ReportAllocs()
@@ -158,9 +158,9 @@
 				}
 			})
 		}
-		run("record", turned, func() {})
+		run("record", modified, func() {})
 		run("target", without, func() {})
-		run("whole", turned, func() { r.f.directory.records = []*controlpb.TargetRecord{all[0], all[0]} })
+		run("rebuild", modified, func() { r.f.directory.records = []*controlpb.TargetRecord{all[0], all[0]} })
 	}
 }
 
--- a/internal/entryd/configuration.go
+++ b/internal/entryd/configuration.go
@@ -55,7 +55,7 @@
 }
 
 func (f *Forwarder) reportInvalidAddress(s *configpb.Service, address, reason string) {
-	f.counters.badAddress.Inc(1)
+	f.counters.invalidAddresses.Inc(1)
 	f.log.Error("invalid public address ignored",
 		zap.String("public", address),
 		zap.String("service", s.GetName()),
--- a/internal/entryd/counters.go
+++ b/internal/entryd/counters.go
@@ -35,13 +35,13 @@
 	toCallerFailed tally.Counter
 
 	// Changes of state.
-	viewsApplied  tally.Counter
-	viewsOlder    tally.Counter
-	openFailed    tally.Counter
-	badAddress    tally.Counter
-	badTarget     tally.Counter
-	openAddresses tally.Gauge
-	version       tally.Gauge
+	viewsApplied     tally.Counter
+	viewsOlder       tally.Counter
+	openFailed       tally.Counter
+	invalidAddresses tally.Counter
+	unusableTargets  tally.Counter
+	openAddresses    tally.Gauge
+	version          tally.Gauge
 	// candidates is the number of targets available to new flows.
 	candidates tally.Gauge
 	// damped is the number of targets without new flows because they flap.
@@ -57,18 +57,18 @@
 		refusalsSent:        scope.Counter("connections_refused"),
 		refusalsRateLimited: scope.Counter("connections_refused_over_budget"),
 
-		readFailed:     scope.Counter("read_failed"),
-		toAgentFailed:  scope.Counter("send_to_agent_failed"),
-		toCallerFailed: scope.Counter("send_to_caller_failed"),
-		viewsApplied:   scope.Counter("views_applied"),
-		viewsOlder:     scope.Counter("views_older_refused"),
-		openFailed:     scope.Counter("public_address_open_failed"),
-		badAddress:     scope.Counter("public_address_unusable"),
-		badTarget:      scope.Counter("target_address_unusable"),
-		openAddresses:  scope.Gauge("public_addresses_open"),
-		version:        scope.Gauge("configuration_version"),
-		candidates:     scope.Gauge("candidates"),
-		damped:         scope.Gauge("targets_damped"),
+		readFailed:       scope.Counter("read_failed"),
+		toAgentFailed:    scope.Counter("send_to_agent_failed"),
+		toCallerFailed:   scope.Counter("send_to_caller_failed"),
+		viewsApplied:     scope.Counter("views_applied"),
+		viewsOlder:       scope.Counter("views_older_refused"),
+		openFailed:       scope.Counter("public_address_open_failed"),
+		invalidAddresses: scope.Counter("public_address_unusable"),
+		unusableTargets:  scope.Counter("target_address_unusable"),
+		openAddresses:    scope.Gauge("public_addresses_open"),
+		version:          scope.Gauge("configuration_version"),
+		candidates:       scope.Gauge("candidates"),
+		damped:           scope.Gauge("targets_damped"),
 	}
 	for r := range c.first {
 		c.first[r] = tagged(scope, routing.Reason(r).String()).Counter("first_forwarded")
--- a/internal/entryd/directory_test.go
+++ b/internal/entryd/directory_test.go
@@ -29,7 +29,7 @@
 			r.Incarnation = uint32(rapid.IntRange(1, 3).Draw(t, "incarnation"))
 			r.Sequence = uint64(rapid.IntRange(1, 5).Draw(t, "sequence"))
 			r.AgeMs = uint64(rapid.IntRange(0, 5_000).Draw(t, "age"))
-			r.Ill = rapid.Bool().Draw(t, "ill")
+			r.Ill = rapid.Bool().Draw(t, "unhealthy")
 			held[number] = r
 		}
 	}
--- a/internal/entryd/forward_test.go
+++ b/internal/entryd/forward_test.go
@@ -37,8 +37,8 @@
 	is.Equal(from, r.f.FrameAddr()) // the agent replies to this address
 
 	agent.send(encodeFrame(t, replyTo(h), []byte("stamped")), from)
-	answer, source := caller.receive()
-	is.Equal(string(answer), "stamped")
+	reply, source := caller.receive()
+	is.Equal(string(reply), "stamped")
 	is.Equal(source, local) // the caller accepts it from this address only
 	is.Equal(r.counter("datagrams_forwarded", ""), int64(1))
 	is.Equal(r.counter("datagrams_replied", ""), int64(1))
@@ -203,7 +203,7 @@
 	agent, caller := newSocket(t), newSocket(t)
 
 	h := frame.Header{Kind: frame.Reply, Service: lodgement, Caller: caller.addr(), Public: publicOne}
-	agent.send(encodeFrame(t, h, []byte("answer")), r.f.FrameAddr())
+	agent.send(encodeFrame(t, h, []byte("reply")), r.f.FrameAddr())
 	r.await("the refusal", func() bool { return r.counter("refused", "outside_networks") == 1 })
 }
 
@@ -220,8 +220,8 @@
 	is.Equal(datagram, packet)
 
 	agent.send(encodeFrame(t, replyTo(h), packet), from)
-	answer, _ := caller.receive()
-	is.Equal(answer, packet)
+	reply, _ := caller.receive()
+	is.Equal(reply, packet)
 }
 
 func TestSeveralWorkersShareAnAddress(t *testing.T) {
@@ -241,8 +241,8 @@
 		is.Equal(datagram, packet)
 		is.Equal(from, r.f.FrameAddr())
 		agent.send(encodeFrame(t, replyTo(h), datagram), from)
-		answer, source := caller.receive()
-		is.Equal(answer, packet)
+		reply, source := caller.receive()
+		is.Equal(reply, packet)
 		is.Equal(source, local)
 	}
 }
--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -241,7 +241,7 @@
 		f.markIncomplete()
 	}
 	f.directory = newDirectory(f.directory, v.Targets, f.now(), f.usable)
-	f.counters.badTarget.Inc(int64(f.directory.unusable))
+	f.counters.unusableTargets.Inc(int64(f.directory.unusable))
 	f.dropChanged()
 	if newVersion || len(f.openErrors) > 0 {
 		f.reconcile(ctx)
--- a/internal/entryd/options_test.go
+++ b/internal/entryd/options_test.go
@@ -180,6 +180,6 @@
 
 	fw := &frameWorker{f: r.f}
 	h := frame.Header{Kind: frame.Reply, Service: lodgement, Caller: from, Public: publicOne, Target: 1, Incarnation: 1}
-	n := copy(fw.buf[:], encodeFrame(t, h, []byte("answer")))
+	n := copy(fw.buf[:], encodeFrame(t, h, []byte("reply")))
 	is.Equal(testing.AllocsPerRun(1000, func() { fw.validateReply(n, agent.addr()) }), 0.0)
 }
--- a/internal/entryd/refuser.go
+++ b/internal/entryd/refuser.go
@@ -35,9 +35,10 @@
 // transport reads them from here, and its replies are sent through the public address.
 // Buffers are allocated once, and the limiter bounds the work caused by a flood.
 type refuser struct {
-	counters      *counters
-	transport     *quic.Transport
-	limiter       refusalLimiter
+	counters  *counters
+	transport *quic.Transport
+	limiter   refusalLimiter
+	// free and pending hold the preallocated buffers.
 	free, pending chan *refusedInitial
 	// inFlight bounds the refusals that quic-go has accepted and not yet sent.
 	inFlight chan struct{}
--- a/internal/entryd/refuser_test.go
+++ b/internal/entryd/refuser_test.go
@@ -146,17 +146,17 @@
 	b.Run("refused", func(b *testing.B) {
 		b.ReportAllocs()
 		into, from := make([]byte, maxDatagram), caller.addr()
-		before, answer := processorTime(b), 0
+		before, replyLength := processorTime(b), 0
 		for b.Loop() {
 			w.handle(length, from)
 			n, _, err := caller.conn.ReadFromUDPAddrPort(into)
 			if err != nil {
 				b.Fatal(err)
 			}
-			answer = n
+			replyLength = n
 		}
 		b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(b.N), "cpu-µs/op")
-		b.ReportMetric(float64(answer), "B/answer")
+		b.ReportMetric(float64(replyLength), "B/reply")
 	})
 	r.f.refuser.limiter.perSecond = 0
 	b.Run("over limit", func(b *testing.B) {
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -125,9 +125,9 @@
 	d.listen(server.Addr().String(), stale)
 	eventually(t, "older update refused", func() bool { return count(scope, metricRefusedUpdates, "older") > 0 })
 	is.Equal(s.View().Config.GetVersion(), uint64(9))
-	var asked uint64
-	stale.read(func() { asked = stale.subscribes[0].GetVersion() })
-	is.Equal(asked, uint64(9)) // the request has the active version
+	var requested uint64
+	stale.read(func() { requested = stale.subscribes[0].GetVersion() })
+	is.Equal(requested, uint64(9)) // the request has the active version
 
 	stale.set(func() { stale.config = configuration(10) })
 	eventually(t, "version 10", func() bool { return s.View().Config.GetVersion() == 10 })
--- a/quicheader/quicheader_test.go
+++ b/quicheader/quicheader_test.go
@@ -78,11 +78,11 @@
 
 func TestTruncatedLongHeaderIsRefused(t *testing.T) {
 	is := is.New(t)
-	whole := longHeader(0xc0, 1, bytes.Repeat([]byte{1}, 255), []byte("source"))
-	_, ok := quicheader.Parse(whole, idLength)
+	complete := longHeader(0xc0, 1, bytes.Repeat([]byte{1}, 255), []byte("source"))
+	_, ok := quicheader.Parse(complete, idLength)
 	is.True(ok) // RFC 8999 allows IDs of up to 255 bytes
-	for length := range whole {
-		_, ok := quicheader.Parse(whole[:length], idLength)
+	for length := range complete {
+		_, ok := quicheader.Parse(complete[:length], idLength)
 		is.True(!ok) // truncated
 	}
 }
--- a/routing/hasher.go
+++ b/routing/hasher.go
@@ -17,10 +17,10 @@
 	blockLength = 16
 )
 
-// Hasher hashes a flow that no target has answered yet. All hosts with the same secret
-// compute the same hash, so a repeated first packet gets the same candidates at every
-// entry host. Without the secret nobody can craft flows that hit one target. It is safe
-// for concurrent use.
+// Hasher hashes a flow that has no reply yet. All hosts with the same secret compute
+// the same hash, so a repeated first packet gets the same candidates at every entry
+// host. Without the secret nobody can craft flows that hit one target. It is safe for
+// concurrent use.
 type Hasher struct {
 	block   cipher.Block
 	scratch sync.Pool
--- a/routing/loadreports.go
+++ b/routing/loadreports.go
@@ -30,8 +30,7 @@
 	states map[uint32]*reportState
 }
 
-// reportState holds the last report of one incarnation and what it has not answered
-// yet.
+// reportState holds the last report of one incarnation and tracks unanswered packets.
 type reportState struct {
 	// report is a packed Report with its time, zero if there is none.
 	report atomic.Uint64
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -36,16 +36,16 @@
 			Service:     service + number%3,
 			Address:     address(number),
 			Draining:    rapid.Bool().Draw(t, "draining"),
-			Unhealthy:   rapid.Bool().Draw(t, "ill"),
+			Unhealthy:   rapid.Bool().Draw(t, "unhealthy"),
 			Age:         time.Duration(rapid.IntRange(0, 30_000).Draw(t, "age")) * time.Millisecond,
 		})
 	}
 	return list
 }
 
-// newest returns the targets of the service in their newest incarnation, with all
+// newestRecords returns the targets of the service in their newest incarnation, with all
 // records of that incarnation.
-func newest(list []routing.Target) map[uint32][]routing.Target {
+func newestRecords(list []routing.Target) map[uint32][]routing.Target {
 	out := make(map[uint32][]routing.Target)
 	for _, target := range list {
 		if target.Service != service {
@@ -78,7 +78,7 @@
 		is := is.New(t)
 		policy := drawPolicy(t)
 		list := drawTargets(t)
-		own := newest(list)
+		own := newestRecords(list)
 		loads := routing.NewLoadReports(nil, list)
 		reportsDraining := make(map[uint32]bool)
 		for range rapid.IntRange(0, 10).Draw(t, "reports") {
@@ -86,7 +86,7 @@
 			report := routing.Report{
 				Load:      rapid.Uint16().Draw(t, "load"),
 				Draining:  rapid.Bool().Draw(t, "reports draining"),
-				Unhealthy: rapid.Bool().Draw(t, "reports ill"),
+				Unhealthy: rapid.Bool().Draw(t, "reports unhealthy"),
 			}
 			if records := own[number]; len(records) > 0 {
 				is.True(loads.Record(number, records[0].Incarnation, report, start))
--- a/routing/refresh_test.go
+++ b/routing/refresh_test.go
@@ -26,7 +26,7 @@
 			for _, target := range list {
 				if rapid.Bool().Draw(t, "reports") {
 					r := routing.Report{Load: rapid.Uint16Range(0, 1_500).Draw(t, "load"), Unhealthy: target.Unhealthy, Draining: target.Draining}
-					if rapid.IntRange(0, 9).Draw(t, "turns") == 0 {
+					if rapid.IntRange(0, 9).Draw(t, "health changes") == 0 {
 						r.Unhealthy = !r.Unhealthy
 					}
 					loads.Record(target.Number, target.Incarnation, r, now)
