--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -9,8 +9,8 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-// long is after the time in which an agent may lack flows of its target.
-const long = 10 * time.Minute
+// wellAfterStart is a time at which an agent knows all flows of its target.
+const wellAfterStart = 10 * time.Minute
 
 func serving() flow.Server {
 	return flow.Server{State: flow.Serving, Service: lodgement, Slots: 4, Number: 7, Incarnation: 2}
@@ -32,8 +32,8 @@
 
 func search(entry flow.Endpoint) flow.Frame { return flow.Frame{Kind: flow.Search, Entry: entry} }
 
-// opened returns an agent whose target has one open flow.
-func opened(t *testing.T, port uint16, at time.Duration) *flow.Agent {
+// agentWithOpenFlow returns an agent whose target has one open flow.
+func agentWithOpenFlow(t *testing.T, port uint16, at time.Duration) *flow.Agent {
 	t.Helper()
 	is := is.New(t)
 	a := newAgent(serving())
@@ -49,28 +49,28 @@
 
 func TestFlowOverTwoEntryHosts(t *testing.T) {
 	is := is.New(t)
-	a := opened(t, 1, long)
-	v := a.FromEntry(search(entryB), request(1, firstA), long)
+	a := agentWithOpenFlow(t, 1, wellAfterStart)
+	v := a.FromEntry(search(entryB), request(1, firstA), wellAfterStart)
 	is.Equal(v.Action, flow.Deliver)
 	found := a.HeldNotice(key(1))
 	is.Equal(found.Entry, entryB)
 	is.True(found.Opened)
 }
 
-func TestAgentThatDoesNotHoldAFlow(t *testing.T) {
+func TestAgentDoesNotHoldFlow(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
-	v := a.FromEntry(data(entryA), request(1, firstA), long)
+	v := a.FromEntry(data(entryA), request(1, firstA), wellAfterStart)
 	is.Equal(v.Action, flow.Return)
 	is.Equal(v.To, entryA)
-	v = a.FromEntry(search(entryA), request(1, firstA), long)
+	v = a.FromEntry(search(entryA), request(1, firstA), wellAfterStart)
 	is.Equal(v.Action, flow.Deny)
 	is.Equal(v.Frame, flow.Frame{Kind: flow.Denied, Key: key(1)})
 }
 
-// A target that has started after its agent holds no flow that the agent has not
-// seen: no packet of another flow reaches it.
-func TestAgentThatSawItsTargetStart(t *testing.T) {
+// A target that started after its agent holds no flow that the agent has not seen, so
+// it gets no packet of an unknown flow.
+func TestAgentStartedBeforeTarget(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
 	a.MarkComplete(0)
@@ -78,22 +78,20 @@
 	is.Equal(a.FromEntry(data(entryA), request(1, firstA), time.Second).Action, flow.Return)
 }
 
-// The target's answer to an opening and the caller's choice of another target cross:
-// the packet must not reach this one.
-func TestFlowThatTheCallerOpenedElsewhere(t *testing.T) {
+// The caller has selected another target before this one's reply arrived.
+func TestFlowOpenedElsewhere(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
-	a.FromEntry(open(entryA), syn(1), long)
-	a.FromTarget(synAck(1, firstA), long)
-	v := a.FromEntry(data(entryA), request(1, firstB), long)
+	a.FromEntry(open(entryA), syn(1), wellAfterStart)
+	a.FromTarget(synAck(1, firstA), wellAfterStart)
+	v := a.FromEntry(data(entryA), request(1, firstB), wellAfterStart)
 	is.Equal(v.Action, flow.Return)
 	is.Equal(v.Reason, flow.ReasonOpenedElsewhere)
 }
 
-// A target that was offered a flow which the caller opened with another one still holds
-// half of it, and would take a later packet for one of its own: an agent that may lack
-// flows does not ask it.
-func TestTargetIsNotAskedForAFlowThatOpenedElsewhere(t *testing.T) {
+// A target with a half-open flow would accept packets that are meant for the target that
+// the caller selected.
+func TestTargetNotProbedForFlowOpenedElsewhere(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		is := is.New(t)
 		a := newAgent(serving())
@@ -107,33 +105,33 @@
 		is.Equal(v.Reason, flow.ReasonOpenedElsewhere)
 		v = a.FromEntry(search(entryB), p, time.Second)
 		is.Equal(v.Action, flow.Deny)
-		gaveUp := synAck(1, firstA)
-		gaveUp.Flags = flow.RST
-		verdict, notice := a.FromTarget(gaveUp, time.Second)
-		is.Equal(verdict.Action, flow.Drop) // the caller's flow lives
+		targetReset := synAck(1, firstA)
+		targetReset.Flags = flow.RST
+		verdict, notice := a.FromTarget(targetReset, time.Second)
+		is.Equal(verdict.Action, flow.Drop) // the caller's flow is open elsewhere
 		is.True(notice == nil)
-		// The half stays at the target for longer than a sender waits between two copies.
+		// The half-open flow lasts longer than a retransmission interval.
 		a.Sweep(10*time.Second, time.Minute, time.Minute)
 		v = a.FromEntry(search(entryB), p, 10*time.Second)
 		is.Equal(v.Action, flow.Deny)
-		v = a.FromEntry(open(entryA), syn(1), 10*time.Second) // the port is used again
+		v = a.FromEntry(open(entryA), syn(1), 10*time.Second) // the port is reused
 		is.Equal(v.Action, flow.Deliver)
 	}
 }
 
-func TestOpeningsThatATargetDoesNotTake(t *testing.T) {
-	leaving := serving()
-	leaving.State = flow.Draining
+func TestRefusedOpenings(t *testing.T) {
+	draining := serving()
+	draining.State = flow.Draining
 	absent := serving()
 	absent.State = flow.Absent
 	other := serving()
-	other.Service = copies
+	other.Service = certificates
 	for _, tt := range []struct {
 		name   string
 		server flow.Server
 		want   flow.Reason
 	}{
-		{"leaving", leaving, flow.ReasonDraining},
+		{"draining", draining, flow.ReasonDraining},
 		{"gone", absent, flow.ReasonNoServer},
 		{"another service", other, flow.ReasonOtherService},
 	} {
@@ -142,70 +140,70 @@
 			a := newAgent(tt.server)
 			m := open(entryA)
 			m.Alternate = agentB
-			v := a.FromEntry(m, syn(1), long)
+			v := a.FromEntry(m, syn(1), wellAfterStart)
 			is.Equal(v.Action, flow.Send)
 			is.Equal(v.Reason, tt.want)
 			is.Equal(v.To, agentB)
 			is.Equal(v.Frame, flow.Frame{Kind: flow.Open, Hops: 1, Service: lodgement, Entry: entryA})
 
 			m.Alternate = flow.Endpoint{}
-			is.Equal(a.FromEntry(m, syn(2), long).Action, flow.Reset) // nobody else is known
+			is.Equal(a.FromEntry(m, syn(2), wellAfterStart).Action, flow.Reset) // no other agent
 			m.Hops = 3
 			m.Alternate = agentB
-			is.Equal(a.FromEntry(m, syn(3), long).Action, flow.Reset) // no endless rounds
+			is.Equal(a.FromEntry(m, syn(3), wellAfterStart).Action, flow.Reset) // hop limit
 		})
 	}
 }
 
-func TestLeavingTargetKeepsItsFlows(t *testing.T) {
+func TestDrainingTargetKeepsFlows(t *testing.T) {
 	is := is.New(t)
-	a := opened(t, 1, long)
-	leaving := serving()
-	leaving.State = flow.Draining
-	a.SetServer(leaving)
-	is.Equal(a.FromEntry(data(entryA), request(1, firstA), long).Action, flow.Deliver)
-	is.Equal(a.FromEntry(open(entryA), syn(2), long).Action, flow.Reset)
+	a := agentWithOpenFlow(t, 1, wellAfterStart)
+	draining := serving()
+	draining.State = flow.Draining
+	a.SetServer(draining)
+	is.Equal(a.FromEntry(data(entryA), request(1, firstA), wellAfterStart).Action, flow.Deliver)
+	is.Equal(a.FromEntry(open(entryA), syn(2), wellAfterStart).Action, flow.Reset)
 	a.SetPeers([]flow.Endpoint{agentC}, []flow.Endpoint{agentA, agentC}, agentA)
-	is.Equal(a.FromEntry(open(entryA), syn(2), long).To, agentC)
+	is.Equal(a.FromEntry(open(entryA), syn(2), wellAfterStart).To, agentC)
 }
 
-func TestOpeningThatTheTargetSendsBack(t *testing.T) {
+func TestOpeningReturnedByTarget(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
 	m := open(entryA)
 	m.Alternate = agentB
-	a.FromEntry(m, syn(1), long)
-	v, _ := a.FromTarget(sentBack(syn(1)), long)
+	a.FromEntry(m, syn(1), wellAfterStart)
+	v, _ := a.FromTarget(returned(syn(1)), wellAfterStart)
 	is.Equal(v.Action, flow.Send)
 	is.Equal(v.To, agentB)
 	is.Equal(v.Frame.Entry, entryA)
 }
 
-// The target held the flow and does not any more: nobody else holds it.
-func TestFlowThatTheTargetHasLost(t *testing.T) {
+// The target held the flow and no longer does, so nobody does.
+func TestFlowLostByTarget(t *testing.T) {
 	is := is.New(t)
-	a := opened(t, 1, long)
-	v, _ := a.FromTarget(sentBack(request(1, firstA)), long)
+	a := agentWithOpenFlow(t, 1, wellAfterStart)
+	v, _ := a.FromTarget(returned(request(1, firstA)), wellAfterStart)
 	is.Equal(v.Action, flow.Reset)
 	is.Equal(v.Reason, flow.ReasonLostByTarget)
-	is.Equal(a.FromEntry(data(entryA), request(1, firstA), long).Action, flow.Return)
+	is.Equal(a.FromEntry(data(entryA), request(1, firstA), wellAfterStart).Action, flow.Return)
 }
 
-// An agent that has just started asks its target, and takes its word: a packet that
-// comes back goes on to whoever holds the flow, and no second one reaches the target.
-func TestAgentThatHasJustStarted(t *testing.T) {
+// An agent that has just started delivers packets of unknown flows to its target. If one
+// comes back it is returned, and the target gets no second one.
+func TestAgentJustStarted(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
 	v := a.FromEntry(data(entryA), request(1, firstA), time.Second)
 	is.Equal(v.Action, flow.Deliver)
 	is.Equal(v.Reason, flow.ReasonUncertain)
-	v, _ = a.FromTarget(sentBack(request(1, firstA)), time.Second)
+	v, _ = a.FromTarget(returned(request(1, firstA)), time.Second)
 	is.Equal(v.Action, flow.Return)
 	is.Equal(v.To, entryA)
 	is.Equal(a.FromEntry(data(entryA), request(1, firstA), time.Second).Action, flow.Return)
 
 	is.Equal(a.FromEntry(search(entryB), request(3, firstA), time.Second).Action, flow.Deliver)
-	v, _ = a.FromTarget(sentBack(request(3, firstA)), time.Second)
+	v, _ = a.FromTarget(returned(request(3, firstA)), time.Second)
 	is.Equal(v.Action, flow.Deny)
 	is.Equal(v.To, entryB)
 
@@ -216,10 +214,10 @@
 	is.True(notice.Opened)
 }
 
-func TestAgentThatHasJustStartedBesideAnotherService(t *testing.T) {
+func TestAgentJustStartedOtherService(t *testing.T) {
 	is := is.New(t)
 	other := serving()
-	other.Service = copies
+	other.Service = certificates
 	a := newAgent(other)
 	is.Equal(a.FromEntry(data(entryA), request(1, firstA), time.Second).Action, flow.Return)
 }
@@ -229,22 +227,22 @@
 	a := newAgent(serving())
 	idle := a.LoadFrame().LoadPermille
 	for port := uint16(1); port <= 4; port++ {
-		a.FromEntry(open(entryA), syn(port), long)
-		a.FromTarget(synAck(port, firstA), long)
-		a.FromEntry(data(entryA), request(port, firstA), long)
+		a.FromEntry(open(entryA), syn(port), wellAfterStart)
+		a.FromTarget(synAck(port, firstA), wellAfterStart)
+		a.FromEntry(data(entryA), request(port, firstA), wellAfterStart)
 	}
 	busy := a.LoadFrame().LoadPermille
 	is.True(busy >= idle+1000) // all four slots
 	for port := uint16(1); port <= 4; port++ {
-		a.FromTarget(response(port, firstA), long+30*time.Millisecond)
+		a.FromTarget(response(port, firstA), wellAfterStart+30*time.Millisecond)
 	}
-	a.Sweep(long+10*time.Second, 20*time.Second, time.Minute)
+	a.Sweep(wellAfterStart+10*time.Second, 20*time.Second, time.Minute)
 	is.True(a.LoadFrame().LoadPermille < busy/2)
 }
 
-// A request counts as in progress until it is answered or one end of its flow no longer
-// waits, and a copy of its packet does not begin it anew.
-func TestRequestsThatEnd(t *testing.T) {
+// A request is in progress until the response starts or one end closes the flow.
+// Retransmissions do not restart it.
+func TestRequestAccounting(t *testing.T) {
 	finish := func(p flow.Packet) flow.Packet {
 		p.Flags |= flow.FIN
 		p.Length = 0
@@ -260,36 +258,36 @@
 	}{
 		"in progress": {func(*flow.Agent) {}, true},
 		"answered":    {func(a *flow.Agent) { a.FromTarget(response(1, firstA), time.Second) }, false},
-		"copied after the answer": {func(a *flow.Agent) {
+		"retransmitted after the response": {func(a *flow.Agent) {
 			a.FromTarget(response(1, firstA), time.Second)
 			a.FromEntry(data(entryA), request(1, firstA), time.Second)
 		}, false},
-		"followed by another one": {func(a *flow.Agent) {
+		"followed by another request": {func(a *flow.Agent) {
 			a.FromTarget(response(1, firstA), time.Second)
 			a.FromEntry(data(entryA), next, time.Second)
 		}, true},
-		"ended by the caller":   {func(a *flow.Agent) { a.FromEntry(data(entryA), finish(request(1, firstA)), time.Second) }, false},
+		"closed by the caller":  {func(a *flow.Agent) { a.FromEntry(data(entryA), finish(request(1, firstA)), time.Second) }, false},
 		"aborted by the caller": {func(a *flow.Agent) { a.FromEntry(data(entryA), abort, time.Second) }, false},
-		"ended by the target":   {func(a *flow.Agent) { a.FromTarget(finish(response(1, firstA)), time.Second) }, false},
-		"sent after the target's end": {func(a *flow.Agent) {
+		"closed by the target":  {func(a *flow.Agent) { a.FromTarget(finish(response(1, firstA)), time.Second) }, false},
+		"sent after the target closed": {func(a *flow.Agent) {
 			a.FromTarget(finish(response(1, firstA)), time.Second)
 			a.FromEntry(data(entryA), next, time.Second)
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a := opened(t, 1, time.Second)
+			a := agentWithOpenFlow(t, 1, time.Second)
 			tt.after(a)
-			a.Sweep(3*time.Second, time.Minute, time.Minute) // the average has followed
+			a.Sweep(3*time.Second, time.Minute, time.Minute) // let the average decay
 			is.Equal(a.LoadFrame().LoadPermille >= 250, tt.busy)
 		})
 	}
 }
 
-func TestAgentForgets(t *testing.T) {
+func TestAgentExpiresFlows(t *testing.T) {
 	is := is.New(t)
-	a := opened(t, 1, long)
-	a.Sweep(long+21*time.Second, 20*time.Second, time.Minute)
+	a := agentWithOpenFlow(t, 1, wellAfterStart)
+	a.Sweep(wellAfterStart+21*time.Second, 20*time.Second, time.Minute)
 	is.Equal(a.Len(), 0)
 	is.True(a.LoadFrame().LoadPermille == 0 || a.LoadFrame().LoadPermille < 1000)
 }
--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -8,10 +8,10 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-// benchmarkFlows is how many flows the tables of the benchmarks hold.
+// benchmarkFlows is the number of flows in the benchmarked tables.
 const benchmarkFlows = 10_000
 
-// perFlow reports the heap that filling a table took, by flow.
+// perFlow reports the heap size per flow of a filled table.
 func perFlow(b *testing.B, fill func() any) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -36,10 +36,10 @@
 func agentWithFlows() *flow.Agent {
 	a := newAgent(serving())
 	for port := range uint16(benchmarkFlows) {
-		a.FromEntry(open(entryA), syn(port), long)
-		a.FromTarget(synAck(port, firstA), long)
-		a.FromEntry(data(entryA), request(port, firstA), long)
-		a.FromTarget(response(port, firstA), long) // the next one finds room
+		a.FromEntry(open(entryA), syn(port), wellAfterStart)
+		a.FromTarget(synAck(port, firstA), wellAfterStart)
+		a.FromEntry(data(entryA), request(port, firstA), wellAfterStart)
+		a.FromTarget(response(port, firstA), wellAfterStart) // frees the slot
 	}
 	return a
 }
@@ -60,14 +60,13 @@
 		port := uint16(n % benchmarkFlows)
 		next := request(port, firstA)
 		next.Seq += uint32(n/benchmarkFlows+1) * uint32(next.Length)
-		a.FromEntry(data(entryA), next, long)
-		a.FromTarget(response(port, firstA), long)
+		a.FromEntry(data(entryA), next, wellAfterStart)
+		a.FromTarget(response(port, firstA), wellAfterStart)
 	}
 	perFlow(b, func() any { return agentWithFlows() })
 }
 
-// BenchmarkRegister is what a change of the list of agents costs one that holds many
-// flows: it tells the agents that are to know of them.
+// BenchmarkRegister measures the registrations that follow a change of the agent list.
 func BenchmarkRegister(b *testing.B) {
 	a := agentWithFlows()
 	all := agents(44)
@@ -76,7 +75,7 @@
 		list := all[:43+n%2]
 		a.SetPeers(list[1:], list, list[0])
 		frames, keys = 0, 0
-		for _, r := range a.DueRegistrations(long + time.Duration(n)) {
+		for _, r := range a.DueRegistrations(wellAfterStart + time.Duration(n)) {
 			frames++
 			keys += len(r.Keys)
 		}
@@ -90,7 +89,7 @@
 		perFlow(b, func() any {
 			a := newAgent(serving())
 			for port := range uint16(benchmarkFlows) {
-				a.Register([]flow.Key{key(port)}, agentB, long)
+				a.Register([]flow.Key{key(port)}, agentB, wellAfterStart)
 			}
 			return a
 		})
--- a/flow/doc.go
+++ b/flow/doc.go
@@ -1,24 +1,23 @@
-// Package flow decides what entry hosts and agents do with the packets of flows
-// that the two ends carry by themselves: callers and backend servers speak to each
-// other in packets that nothing in between may change.
+// Package flow makes the forwarding decisions of entry hosts and agents for packets
+// that callers and backend servers exchange end to end. Nothing in between may
+// change these packets.
 //
-// The contract: the truth about a flow lies beside its target. The agent there sees
-// every packet in both directions and knows whether its target holds the flow. An
-// entry host only remembers where the flows that pass through it live, and is told
-// so by agents. A packet of a flow that an entry host does not know goes to all
-// agents of the services of its route; the one whose target holds the flow delivers
-// it and says so. So entry hosts may come, go and start anew at any time.
+// Agents are authoritative: an agent sees every packet of its target in both
+// directions and knows which flows the target holds. An entry host only caches which
+// agent holds a flow. It sends a packet of an unknown flow to the agents of the
+// services of its route. The agent whose target holds the flow delivers the packet and
+// reports itself as the holder. Entry hosts can therefore restart at any time.
 //
-// A packet is never handed to a target that is known not to hold its flow, and a
-// caller is told of the end of a flow only by an agent whose own target no longer
-// holds it, or by an entry host once no target can hold it. Where neither is known a packet is dropped: its sender sends it again. An
-// entry host that stood still tells nobody that a flow is gone until it has read what
-// changed meanwhile.
+// A packet is never delivered to a target that is known not to hold its flow. A flow
+// is reset only by an agent whose own target no longer holds it, or by an entry host
+// once no target can hold it. Otherwise the packet is dropped and its sender
+// retransmits it. After a stall an entry host resets no flow until it has processed
+// the updates that arrived meanwhile.
 //
-// A target is let in what its slots take in soon. Further openings wait with its agent, the
-// newest goes first, and one that has waited in vain is refused by its entry host.
+// An agent admits new flows only as fast as the slots of its target allow. Further
+// openings are queued, newest first, and refused by the entry host when they expire.
 //
-// Both halves are step functions over tables of bounded size. Time is the time since
-// an arbitrary origin, on a clock that never goes back. Neither half is safe for
+// Entry and Agent are state machines with tables of bounded size. Time is passed in as
+// the duration since an arbitrary origin on a monotonic clock. Neither is safe for
 // concurrent use.
 package flow
--- a/flow/entry_test.go
+++ b/flow/entry_test.go
@@ -9,7 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-func TestFlowStaysWhereItBegan(t *testing.T) {
+func TestFlowStaysWithTarget(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}, entryA)
 	v := e.Packet(syn(1), 0)
@@ -24,23 +24,22 @@
 	}
 }
 
-// A copy of an opening that nobody has answered goes to another target; one that was
-// answered goes to the same.
-func TestCopiesOfAnOpening(t *testing.T) {
+// A retransmitted opening goes to a second target unless the first one has answered.
+func TestRetransmittedOpening(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA, agentB, agentC}}, entryA)
 	is.Equal(e.Packet(syn(1), 0).To, agentA)
 	v := e.Packet(syn(1), 200*time.Millisecond)
 	is.Equal(v.To, agentB)
 	is.Equal(v.Reason, flow.ReasonPlacedAgain)
-	is.Equal(e.Packet(syn(1), 600*time.Millisecond).To, agentB) // two are enough
+	is.Equal(e.Packet(syn(1), 600*time.Millisecond).To, agentB) // at most two targets
 
 	is.Equal(e.Packet(syn(2), 0).To, agentC)
 	e.Held(heldBy(2, firstA, false), agentC, 0)
 	is.Equal(e.Packet(syn(2), 200*time.Millisecond).To, agentC)
 }
 
-func TestCallerSettlesWhichOfTwoTargetsHasTheFlow(t *testing.T) {
+func TestCallerSelectsTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		first uint32
@@ -59,8 +58,8 @@
 	}
 }
 
-// An agent may hand an opening on: the flow is where it was answered.
-func TestOpeningThatWasHandedOn(t *testing.T) {
+// An agent may forward an opening: the flow is held by the agent that answers.
+func TestForwardedOpening(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA}}, entryA)
 	e.Packet(syn(1), 0)
@@ -68,7 +67,7 @@
 	is.Equal(e.Packet(request(1, firstB), time.Second).To, agentB)
 }
 
-func TestUnknownFlowIsSearchedFor(t *testing.T) {
+func TestUnknownFlowIsSearched(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}, entryB)
 	v := e.Packet(request(1, firstA), 0)
@@ -81,7 +80,7 @@
 	is.Equal(v.To, agentA)
 }
 
-// The packets of one flow that nobody holds must not flood the agents.
+// Packets of a flow that nobody holds must not flood the agents.
 func TestSearchesAreBounded(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA}}, entryA)
@@ -92,10 +91,10 @@
 		}
 	}
 	is.True(searches < 10)
-	is.Equal(e.Packet(request(1, firstA), time.Second).Action, flow.SendAll) // but it is tried again
+	is.Equal(e.Packet(request(1, firstA), time.Second).Action, flow.SendAll) // retried later
 }
 
-func TestPacketThatAnAgentDoesNotHold(t *testing.T) {
+func TestMissedPacketIsSearched(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}, entryA)
 	e.Packet(syn(1), 0)
@@ -103,18 +102,18 @@
 	e.Packet(request(1, firstA), 0)
 	v := e.Missed(request(1, firstA), agentA, 0)
 	is.Equal(v.Action, flow.SendAll)
-	is.Equal(v.All, []flow.Endpoint{agentB}) // not to the one that has just said no
+	is.Equal(v.All, []flow.Endpoint{agentB}) // not the agent that denied it
 }
 
-// A host that has just started knows no routes: it must not tell callers anything.
-func TestNothingIsResetBeforeTheRoutesAreKnown(t *testing.T) {
+// A host without routes must not reset flows.
+func TestNoResetBeforeReady(t *testing.T) {
 	is := is.New(t)
-	e := flow.NewEntry(&fixedPlacer{reason: flow.ReasonNotReady, unready: true}, entryA)
+	e := flow.NewEntry(&fixedPlacer{reason: flow.ReasonNotReady, notReady: true}, entryA)
 	is.Equal(e.Packet(syn(1), 0).Action, flow.Wait)
 	is.Equal(e.Packet(request(2, firstA), 0).Action, flow.Wait)
 }
 
-func TestOpeningThatCannotBeServedIsResetAtOnce(t *testing.T) {
+func TestUnplaceableOpeningIsReset(t *testing.T) {
 	for _, reason := range []flow.Reason{flow.ReasonNoRoute, flow.ReasonNoTarget} {
 		is := is.New(t)
 		e := flow.NewEntry(&fixedPlacer{reason: reason}, entryA)
@@ -124,15 +123,14 @@
 	}
 }
 
-// A later packet to an address without a route may belong to a flow that opened under
-// a newer version than this host has.
-func TestLaterPacketIsNeverReset(t *testing.T) {
+// The flow may have been opened under a newer configuration than this host has.
+func TestPacketWithoutRouteIsDropped(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{reason: flow.ReasonNoRoute}, entryA)
 	is.Equal(e.Packet(request(1, firstA), 0).Action, flow.Drop)
 }
 
-func TestPortThatIsUsedAgain(t *testing.T) {
+func TestReusedCallerPort(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}, entryA)
 	e.Packet(syn(1), 0)
@@ -143,7 +141,7 @@
 	is.Equal(e.Packet(again, time.Second).To, agentB)
 }
 
-func TestEntryForgetsIdleAndOldFlows(t *testing.T) {
+func TestEntryExpiresFlows(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA}}, entryA)
 	e.Packet(syn(1), 0)
@@ -167,11 +165,10 @@
 	is.Equal(e.Len(), flow.MaxEntryFlows)
 }
 
-// Only once all agents that could hold a flow have said that they do not, and no
-// other one can, is its caller told.
-func TestFlowThatNobodyHolds(t *testing.T) {
+// A flow is reset only after all agents have denied it and the list is complete.
+func TestFlowHeldByNone(t *testing.T) {
 	is := is.New(t)
-	p := &fixedPlacer{agents: []flow.Endpoint{agentA, agentB}, doubtful: true}
+	p := &fixedPlacer{agents: []flow.Endpoint{agentA, agentB}, incomplete: true}
 	e := flow.NewEntry(p, entryA)
 	e.Packet(request(1, firstA), 0)
 	denied := func(from flow.Endpoint) flow.Verdict {
@@ -179,9 +176,9 @@
 		return v
 	}
 	is.Equal(denied(agentA).Action, flow.Drop)
-	is.Equal(denied(agentA).Action, flow.Drop) // the same one again
-	is.Equal(denied(agentB).Action, flow.Drop) // there may be others
-	p.doubtful = false
+	is.Equal(denied(agentA).Action, flow.Drop) // a duplicate
+	is.Equal(denied(agentB).Action, flow.Drop) // the list is incomplete
+	p.incomplete = false
 	v, packet := e.Denied(key(1), agentB, 0)
 	is.Equal(v.Action, flow.Reset)
 	is.Equal(packet.Key, key(1))
@@ -189,44 +186,43 @@
 	is.Equal(e.Len(), 0)
 }
 
-func TestDenialsDoNotOutweighTheHolder(t *testing.T) {
+func TestHeldOverridesDenials(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}, entryA)
 	e.Packet(request(1, firstA), 0)
 	e.Denied(key(1), agentA, 0)
 	e.Held(heldBy(1, firstB, true), agentB, 0)
-	v, _ := e.Denied(key(1), agentB, 0) // late
+	v, _ := e.Denied(key(1), agentB, 0) // a late denial
 	is.Equal(v.Action, flow.Drop)
 	is.Equal(e.Packet(request(1, firstB), 0).To, agentB)
 }
 
-func TestFlowOfATargetWhoseLeaseHasEnded(t *testing.T) {
+func TestFlowOfTargetWithExpiredLease(t *testing.T) {
 	is := is.New(t)
 	p := &fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}
 	e := flow.NewEntry(p, entryA)
 	e.Packet(syn(1), 0)
 	e.Held(heldBy(1, firstA, false), agentA, 0)
 	e.Packet(request(1, firstA), 0)
-	p.lost, p.doubtful = agentA, true
-	is.Equal(e.Packet(request(1, firstA), time.Second).To, agentA) // the list may lack it
-	p.doubtful = false
+	p.gone, p.incomplete = agentA, true
+	is.Equal(e.Packet(request(1, firstA), time.Second).To, agentA) // the list is incomplete
+	p.incomplete = false
 	v := e.Packet(request(1, firstA), 2*time.Second)
 	is.Equal(v.To, agentA)
-	is.Equal(v.Frame.Kind, flow.Search) // it has to answer
+	is.Equal(v.Frame.Kind, flow.Search) // a probe
 	e.MarkSeen(agentA, 2*time.Second)
-	is.Equal(e.Packet(request(1, firstA), 3*time.Second).To, agentA) // it lives
+	is.Equal(e.Packet(request(1, firstA), 3*time.Second).To, agentA) // it replied
 	is.Equal(e.Packet(request(1, firstA), 3*time.Second+50*time.Millisecond).To, agentA)
 	v = e.Packet(request(1, firstA), 3*time.Second+200*time.Millisecond)
 	is.Equal(v.Action, flow.Reset)
 	is.Equal(v.Reason, flow.ReasonTargetGone)
 }
 
-// A flow that is known to have lived beside an agent that is gone is not searched for
-// any further.
-func TestHintAtATargetThatIsGone(t *testing.T) {
+// A flow located at an agent without a target is reset without another search.
+func TestLocatedAtGoneTarget(t *testing.T) {
 	is := is.New(t)
 	all := agents(40)
-	p := &fixedPlacer{agents: all, lost: agentA}
+	p := &fixedPlacer{agents: all, gone: agentA}
 	e := flow.NewEntry(p, entryA)
 	e.Packet(request(1, firstA), 0)
 	e.Located(flow.Frame{Kind: flow.Located, Key: key(1), Alternate: agentA}, time.Millisecond)
@@ -234,9 +230,9 @@
 	is.Equal(v.Action, flow.Reset)
 }
 
-// The caller's first packet after the opening may overtake what the agent says of it. Until
-// then it is not known which of the targets has the flow, or that any of them has it.
-func TestPacketThatOvertakesTheAgentsWord(t *testing.T) {
+// The first packet after the opening may arrive before the Held frame, when the holder is
+// not known yet.
+func TestRequestBeforeHeldFrame(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA, agentB, agentC}}, entryA)
 	e.Packet(syn(1), 0)
@@ -251,17 +247,16 @@
 	is.Equal(v.To, agentB)
 }
 
-// A flow may open through another entry host, by a copy of its opening. A target that was
-// offered it here and never answered is not known to have had it: that the target is gone
-// says nothing of the flow.
-func TestFlowThatOpenedThroughAnotherHost(t *testing.T) {
+// A retransmitted opening may open the flow through another entry host. A candidate here
+// that has not answered may never have held it, so the flow must survive its loss.
+func TestFlowOpenedThroughOtherEntryHost(t *testing.T) {
 	is := is.New(t)
 	p := &fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}
 	e := flow.NewEntry(p, entryA)
 	is.Equal(e.Packet(syn(1), 0).To, agentA)
-	p.lost = agentA
+	p.gone = agentA
 	is.Equal(e.Packet(request(1, firstB), time.Second).All, []flow.Endpoint{agentA})
-	is.Equal(e.Packet(request(1, firstB), time.Second+50*time.Millisecond).All, []flow.Endpoint{agentA}) // of one burst
+	is.Equal(e.Packet(request(1, firstB), time.Second+50*time.Millisecond).All, []flow.Endpoint{agentA}) // same burst
 	v := e.Packet(request(1, firstB), time.Second+200*time.Millisecond)
 	is.Equal(v.Action, flow.SendAll)
 	is.Equal(v.Reason, flow.ReasonUnknown)
@@ -270,38 +265,36 @@
 	is.Equal(e.Packet(request(1, firstB), 2*time.Second).To, agentB)
 }
 
-// The same where the first target answered too, but too late for the caller.
-func TestFlowThatOpenedWithALaterAnswer(t *testing.T) {
+// The first target has answered as well, but after the caller had selected the second.
+func TestFlowOpenedWithLaterReply(t *testing.T) {
 	is := is.New(t)
 	p := &fixedPlacer{agents: []flow.Endpoint{agentA, agentB}}
 	e := flow.NewEntry(p, entryA)
 	is.Equal(e.Packet(syn(1), 0).To, agentA)
 	e.Held(heldBy(1, firstA, false), agentA, time.Millisecond)
-	p.lost = agentA
+	p.gone = agentA
 	is.Equal(e.Packet(request(1, firstB), time.Second).Action, flow.SendAll)
 	is.Equal(e.Packet(request(1, firstB), time.Second+200*time.Millisecond).Action, flow.SendAll)
 }
 
-// The agent's word waits before a full link, for longer than a caller waits between two
-// packets: the targets that were offered the flow are asked, and not all agents, since that
-// would keep the link full.
-func TestWordThatComesLateCostsNoSearch(t *testing.T) {
+// A Held frame delayed by a full link must not cause searches: only the candidates are
+// asked.
+func TestLateHeldFrameCausesNoSearch(t *testing.T) {
 	is := is.New(t)
 	all := agents(40)
 	e := flow.NewEntry(&fixedPlacer{agents: all}, entryA)
-	home := e.Packet(syn(1), 0).To
+	target := e.Packet(syn(1), 0).To
 	for at := 50 * time.Millisecond; at < time.Second; at += 100 * time.Millisecond {
 		v := e.Packet(request(1, firstA), at)
 		is.Equal(v.Reason, flow.ReasonUnconfirmed)
-		is.Equal(v.All, []flow.Endpoint{home})
+		is.Equal(v.All, []flow.Endpoint{target})
 	}
-	e.Held(heldBy(1, firstA, true), home, time.Second)
-	is.Equal(e.Packet(request(1, firstA), time.Second).To, home)
+	e.Held(heldBy(1, firstA, true), target, time.Second)
+	is.Equal(e.Packet(request(1, firstA), time.Second).To, target)
 }
 
-// Each target that was offered the flow says that it opened elsewhere: the next packet is
-// searched with at once.
-func TestHomesThatDenyAreAskedNoMore(t *testing.T) {
+// After all candidates have denied the flow the next packet is searched with at once.
+func TestDenyingCandidatesAreDropped(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: agents(40)}, entryA)
 	first := e.Packet(syn(1), 0).To
--- a/flow/evacuation_test.go
+++ b/flow/evacuation_test.go
@@ -14,11 +14,11 @@
 	return s
 }
 
-// A target in an evacuated failure domain keeps its flows; new ones are handed on, those
-// that already wait as well.
+// A target in an evacuated failure domain keeps its flows. New openings are forwarded,
+// queued ones as well.
 func TestEvacuatedTargetTakesNoNewFlows(t *testing.T) {
 	is := is.New(t)
-	a := full(t)
+	a := saturatedAgent(t)
 	a.SetPeers([]flow.Endpoint{agentB}, []flow.Endpoint{agentA, agentB}, agentA)
 	is.Equal(a.FromEntry(open(entryA), syn(11), 0).Action, flow.Wait)
 	a.SetServer(evacuated())
@@ -33,15 +33,15 @@
 	is.Equal(v.Action, flow.Send)
 	is.Equal(v.To, agentB)
 
-	is.Equal(a.FromEntry(data(entryA), request(1, firstA), 0).Action, flow.Deliver) // an open flow
-	is.True(!a.LoadFrame().Draining)                                                // it is taken back by a version alone
+	is.Equal(a.FromEntry(data(entryA), request(1, firstA), 0).Action, flow.Deliver)
+	is.True(!a.LoadFrame().Draining) // entry hosts learn of it from the configuration
 
 	a.SetServer(serving())
 	a.FromTarget(response(1, firstA), 0)
 	is.Equal(a.FromEntry(open(entryA), syn(13), 0).Action, flow.Deliver)
 }
 
-func TestEvacuatedTargetWithoutPeersRefusesAtOnce(t *testing.T) {
+func TestEvacuatedTargetWithoutPeersRefuses(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(evacuated())
 	v := a.FromEntry(open(entryA), syn(1), 0)
--- a/flow/frame.go
+++ b/flow/frame.go
@@ -6,44 +6,43 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrFrame tells that bytes are no frame.
+// ErrFrame reports bytes that are not a valid frame.
 var ErrFrame = errors.New("not a frame")
 
-// Kind tells what a frame is for.
+// Kind is the type of a frame.
 type Kind uint8
 
-// Kinds of frames. The first four carry a packet behind the header.
+// Kinds of frames. The first four carry a packet after the header.
 const (
-	// Open: an opening packet for the target beside the receiver.
+	// Open carries an opening for the receiver's target.
 	Open Kind = 1 + iota
-	// Data: a later packet of a flow that the sender believes to live beside the
-	// receiver.
+	// Data carries a later packet of a flow that the sender expects the receiver to
+	// hold.
 	Data
-	// Search: a later packet of a flow that the sender does not know, sent to all
-	// agents that may hold it.
+	// Search carries a later packet of a flow whose holder the sender does not know.
 	Search
-	// Missed: a packet on its way back from an agent that does not hold its flow.
+	// Missed carries a packet back from an agent that does not hold its flow.
 	Missed
-	// Held: an agent tells an entry host that it holds a flow.
+	// Held reports to an entry host that the sender holds a flow.
 	Held
-	// Load: an agent tells an entry host of its target's load, nothing else.
+	// Load reports only the load of the sender's target to an entry host.
 	Load
-	// Denied: an agent tells an entry host that searches for a flow that its target
-	// does not hold it.
+	// Denied reports to an entry host that searches for a flow that the sender's
+	// target does not hold it.
 	Denied
-	// Located: an agent tells an entry host that searches for a flow where it has heard
-	// that the flow lives.
+	// Located names the registered holder of a flow to an entry host that searches
+	// for it.
 	Located
-	// Register: an agent tells another one that it holds flows. Keys follow.
+	// Register reports to another agent that the sender holds flows. Keys follow.
 	Register
-	// Query: an agent asks another one which flows its target holds. Keys follow.
+	// Query asks another agent which of these flows its target holds. Keys follow.
 	Query
-	// NotHeld and May answer: the target does not hold the flows, or may hold them. Keys
-	// follow.
+	// NotHeld and MayHold reply to a Query: the target does not hold these flows, or
+	// may hold them. Keys follow.
 	NotHeld
 	MayHold
-	// HeldByNone: an agent tells an entry host that searches for a flow that no target of its
-	// service holds it.
+	// HeldByNone reports to an entry host that searches for a flow that no target of
+	// the sender's service holds it.
 	HeldByNone
 
 	// KindCount is one more than the highest kind.
@@ -78,32 +77,32 @@
 // Frame is a message between entry hosts and agents.
 type Frame struct {
 	Kind Kind
-	// Hops counts how often an opening packet was handed on. In a search it is 0, 1 if
-	// an agent has passed it on, or Wide.
+	// Hops counts how often an opening was forwarded. In a search it is 0, 1 if an
+	// agent has forwarded it, or HopsLookup.
 	Hops uint8
-	// Service is the hash of the name of the service that the packet is for, or of
-	// the sender's target in Held.
+	// Service is the hash of the name of the packet's service, in Held that of the
+	// sender's target.
 	Service uint64
-	// Entry is where agents answer: the entry host's end.
+	// Entry is the entry host's address for replies of agents.
 	Entry Endpoint
-	// Alternate is another agent for an opening packet, or zero. In Hinted it is the
+	// Alternate is another agent for an opening, or zero. In Located it is the
 	// holder.
 	Alternate Endpoint
 
-	// Digest stands in Cleared for the list of agents that were asked.
+	// Digest identifies the list of agents that were queried, in HeldByNone.
 	Digest uint64
 
-	// The rest is set in Held and Load only.
+	// The rest is set in Held and Load only, but for the key.
 
-	// Key of the flow, in Held, Denied, Hinted and Cleared.
+	// Key of the flow, in Held, Denied, Located and HeldByNone.
 	Key Key
-	// First is the number of the target's first byte, in Held. Known tells whether
-	// the agent saw it.
+	// First is the initial sequence number of the target, in Held. Known tells
+	// whether the agent saw it.
 	First uint32
 	Known bool
-	// Opened: the caller has acknowledged it.
+	// Opened: the caller has acknowledged First.
 	Opened bool
-	// Number and Incarnation name the target, Report is its load.
+	// Number and Incarnation identify the target.
 	Number, Incarnation uint32
 	// LoadPermille is the load of the target in thousandths of its capacity.
 	LoadPermille uint16
@@ -121,8 +120,8 @@
 	clearedLength = deniedLength + 8
 )
 
-// HopsLookup asks the receiver of a search to ask all agents of its service: links of entry
-// hosts may be narrow.
+// HopsLookup in a search asks the receiver to look the flow up among all agents of its
+// service, which saves traffic on the entry host's link.
 const HopsLookup = 2
 
 // Bits of the second byte of Held and Load.
@@ -187,11 +186,11 @@
 	return binary.BigEndian.AppendUint16(b, e.Port)
 }
 
-func endpoint(b []byte) Endpoint {
+func parseEndpoint(b []byte) Endpoint {
 	return Endpoint{IP: [4]byte(b[:4]), Port: binary.BigEndian.Uint16(b[4:6])}
 }
 
-// ParseFrame decodes a frame and returns the packet behind it. Errors: ErrFrame.
+// ParseFrame decodes a frame and returns the bytes that follow it. Errors: ErrFrame.
 func ParseFrame(b []byte) (f Frame, packet []byte, err error) {
 	if len(b) < 2 {
 		return Frame{}, nil, ErrFrame
@@ -204,8 +203,8 @@
 		}
 		f.Hops = b[1]
 		f.Service = binary.BigEndian.Uint64(b[2:10])
-		f.Entry = endpoint(b[10:16])
-		f.Alternate = endpoint(b[16:22])
+		f.Entry = parseEndpoint(b[10:16])
+		f.Alternate = parseEndpoint(b[16:22])
 		return f, b[packetHeader:], nil
 	case Held, Load:
 		return parseReport(f, b)
@@ -213,20 +212,20 @@
 		if len(b) != deniedLength {
 			return Frame{}, nil, ErrFrame
 		}
-		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
+		f.Key = Key{Caller: parseEndpoint(b[2:8]), Public: parseEndpoint(b[8:14])}
 		return f, nil, nil
 	case Located:
 		if len(b) != hintedLength {
 			return Frame{}, nil, ErrFrame
 		}
-		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
-		f.Alternate = endpoint(b[14:20])
+		f.Key = Key{Caller: parseEndpoint(b[2:8]), Public: parseEndpoint(b[8:14])}
+		f.Alternate = parseEndpoint(b[14:20])
 		return f, nil, nil
 	case HeldByNone:
 		if len(b) != clearedLength {
 			return Frame{}, nil, ErrFrame
 		}
-		f.Key = Key{Caller: endpoint(b[2:8]), Public: endpoint(b[8:14])}
+		f.Key = Key{Caller: parseEndpoint(b[2:8]), Public: parseEndpoint(b[8:14])}
 		f.Digest = binary.BigEndian.Uint64(b[14:22])
 		return f, nil, nil
 	case Register, Query, NotHeld, MayHold:
@@ -250,7 +249,7 @@
 	f.Incarnation = binary.BigEndian.Uint32(b[6:10])
 	f.LoadPermille = binary.BigEndian.Uint16(b[10:12])
 	if f.Kind == Held {
-		f.Key = Key{Caller: endpoint(b[12:18]), Public: endpoint(b[18:24])}
+		f.Key = Key{Caller: parseEndpoint(b[12:18]), Public: parseEndpoint(b[18:24])}
 		f.First = binary.BigEndian.Uint32(b[24:28])
 		f.Service = binary.BigEndian.Uint64(b[28:36])
 	}
@@ -262,7 +261,7 @@
 // AppendRegister encodes a Register frame.
 func AppendRegister(b []byte, keys []Key) []byte { return AppendKeys(b, Register, keys) }
 
-// AppendKeys encodes a frame of a kind that keys follow.
+// AppendKeys encodes a frame of a kind that carries keys.
 func AppendKeys(b []byte, kind Kind, keys []Key) []byte {
 	b = append(b, byte(kind), 0)
 	for _, key := range keys {
@@ -272,21 +271,20 @@
 	return b
 }
 
-// ParseKeys decodes what follows in a frame of keys. Errors: ErrFrame.
+// ParseKeys decodes the keys of a frame. Errors: ErrFrame.
 func ParseKeys(b []byte) ([]Key, error) {
 	if len(b)%keyLength != 0 || len(b) > MaxKeys*keyLength {
 		return nil, ErrFrame
 	}
 	keys := make([]Key, 0, len(b)/keyLength)
 	for ; len(b) > 0; b = b[keyLength:] {
-		keys = append(keys, Key{Caller: endpoint(b[:6]), Public: endpoint(b[6:12])})
+		keys = append(keys, Key{Caller: parseEndpoint(b[:6]), Public: parseEndpoint(b[6:12])})
 	}
 	return keys, nil
 }
 
-// ServiceHash names a service in a frame (FNV-1a). Agents compare it with the
-// service of their own target, also before any control host has told them its
-// number.
+// ServiceHash returns the hash of a service name that frames carry (FNV-1a). Agents can
+// compare it with their own service before they know its number.
 func ServiceHash(name string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(name) {
--- a/flow/frame_test.go
+++ b/flow/frame_test.go
@@ -14,7 +14,7 @@
 	held.Draining, held.Unhealthy = true, true
 	return []flow.Frame{
 		{Kind: flow.Open, Hops: 2, Service: lodgement, Entry: entryA, Alternate: agentB},
-		{Kind: flow.Data, Service: copies, Entry: entryB},
+		{Kind: flow.Data, Service: certificates, Entry: entryB},
 		{Kind: flow.Search, Entry: entryA},
 		{Kind: flow.Missed, Entry: entryA},
 		held,
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestFramesThereAndBack(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	for _, f := range frames() {
 		is := is.New(t)
 		var packet []byte
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestNothingIsAllocatedForAKnownFlow(t *testing.T) {
+func TestKnownFlowDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: []flow.Endpoint{agentA}}, entryA)
 	e.Packet(syn(1), 0)
@@ -63,9 +63,9 @@
 		v := e.Packet(request(1, firstA), 0)
 		buffer = v.Frame.Append(buffer[:0])
 	}), 0.0)
-	a := opened(t, 1, long)
+	a := agentWithOpenFlow(t, 1, wellAfterStart)
 	is.Equal(testing.AllocsPerRun(100, func() {
-		a.FromEntry(data(entryA), request(1, firstA), long)
-		a.FromTarget(response(1, firstA), long)
+		a.FromEntry(data(entryA), request(1, firstA), wellAfterStart)
+		a.FromTarget(response(1, firstA), wellAfterStart)
 	}), 0.0)
 }
--- a/flow/helpers_test.go
+++ b/flow/helpers_test.go
@@ -10,17 +10,17 @@
 func endpoint(text string) flow.Endpoint { return flow.EndpointOf(netip.MustParseAddrPort(text)) }
 
 var (
-	public    = endpoint("198.18.0.1:443")
-	entryA    = endpoint("10.1.0.1:7721")
-	entryB    = endpoint("10.1.0.2:7721")
-	agentA    = endpoint("10.1.0.11:8172")
-	agentB    = endpoint("10.1.0.12:8172")
-	agentC    = endpoint("10.1.0.13:8172")
-	lodgement = flow.ServiceHash("lodgement")
-	copies    = flow.ServiceHash("certificates")
+	public       = endpoint("198.18.0.1:443")
+	entryA       = endpoint("10.1.0.1:7721")
+	entryB       = endpoint("10.1.0.2:7721")
+	agentA       = endpoint("10.1.0.11:8172")
+	agentB       = endpoint("10.1.0.12:8172")
+	agentC       = endpoint("10.1.0.13:8172")
+	lodgement    = flow.ServiceHash("lodgement")
+	certificates = flow.ServiceHash("certificates")
 )
 
-// caller's sequence number of the opening, and the targets' first ones.
+// Initial sequence numbers of the caller and of the targets.
 const (
 	opening = 1000
 	firstA  = 5000
@@ -33,7 +33,7 @@
 
 func syn(port uint16) flow.Packet { return flow.Packet{Key: key(port), Flags: flow.SYN, Seq: opening} }
 
-// request is the first packet after the opening: it acknowledges first.
+// request is the first packet after the opening, acknowledging first.
 func request(port uint16, first uint32) flow.Packet {
 	return flow.Packet{Key: key(port), Flags: flow.ACK, Seq: opening + 1, Ack: first + 1, Length: 100}
 }
@@ -46,20 +46,20 @@
 	return flow.Packet{Key: key(port), Flags: flow.ACK, Seq: first + 1, Ack: opening + 101, Length: 1000}
 }
 
-func sentBack(p flow.Packet) flow.Packet {
+func returned(p flow.Packet) flow.Packet {
 	p.Flags |= flow.Returned
 	return p
 }
 
-// fixedPlacer places flows at the agents of a list in turn.
+// fixedPlacer places flows round-robin.
 type fixedPlacer struct {
 	agents []flow.Endpoint
 	reason flow.Reason
 	next   int
-	// doubtful: there may be more agents, lost is one without a target.
-	doubtful bool
-	unready  bool
-	lost     flow.Endpoint
+	// incomplete: there may be other agents. gone is an agent without a target.
+	incomplete bool
+	notReady   bool
+	gone       flow.Endpoint
 }
 
 func (p *fixedPlacer) Place(_ flow.Key, avoid flow.Endpoint, _ time.Duration) (flow.Placement, flow.Reason) {
@@ -76,7 +76,7 @@
 }
 
 func (p *fixedPlacer) Holders(to []flow.Endpoint, _ flow.Endpoint) ([]flow.Endpoint, bool) {
-	return append(to, p.agents...), !p.doubtful
+	return append(to, p.agents...), !p.incomplete
 }
 
 func (p *fixedPlacer) Registrars(to []flow.Endpoint, key flow.Key) []flow.Endpoint {
@@ -91,10 +91,10 @@
 	return append(to, p.agents...)
 }
 
-func (p *fixedPlacer) Ready() bool { return !p.unready }
+func (p *fixedPlacer) Ready() bool { return !p.notReady }
 
 func (p *fixedPlacer) HasTarget(agent flow.Endpoint) (known, whole bool) {
-	return agent != p.lost, !p.doubtful
+	return agent != p.gone, !p.incomplete
 }
 
 func heldBy(port uint16, first uint32, opened bool) flow.Frame {
--- a/flow/load.go
+++ b/flow/load.go
@@ -6,66 +6,64 @@
 )
 
 const (
-	// loadWindow is the time over which the requests in progress are averaged: a
-	// few times what a request takes.
+	// loadWindow is the averaging time of the requests in progress.
 	loadWindow = 500 * time.Millisecond
-	// flowPermille is what an open flow adds to the load of a target, in
-	// thousandths of one slot: an idle one is a request to come. Callers that keep a
-	// flow open for many requests send one every 3 s on it, of 30 ms each.
-	flowPermille = 10
-	// fullLoad is the load of a target whose slots are all taken, maxLoad the
-	// largest that a frame carries. Targets far above their capacity still differ.
+	// openFlowLoad is the load of an open flow without a request, in thousandths of
+	// one slot.
+	openFlowLoad = 10
+	// fullLoad is the load of a target whose slots are all in use, maxLoad the largest
+	// that a frame carries.
 	fullLoad = 1000
 	maxLoad  = math.MaxUint16
 )
 
-// request notes that a request goes to the target.
-func (a *Agent) request(f *agentFlow, p Packet, now time.Duration) {
+// startRequest accounts for a request that is delivered to the target.
+func (a *Agent) startRequest(f *agentFlow, p Packet, now time.Duration) {
 	end := p.Seq + uint32(p.Length)
-	if p.Length == 0 || f.sent && int32(end-f.upTo) <= 0 {
-		// Nothing new: a copy may come after the answer.
+	if p.Length == 0 || f.sent && int32(end-f.nextSeq) <= 0 {
+		// No new data: a retransmission may arrive after the response.
 		return
 	}
 	if !f.sent {
-		a.warmup.request(f, now)
+		a.warmup.startRequest(f, now)
 	}
-	f.sent, f.upTo = true, end
+	f.sent, f.nextSeq = true, end
 	if f.running || f.targetDone {
 		return
 	}
-	a.advance(now)
+	a.updateAverage(now)
 	f.running, f.requested = true, now
 	a.running++
 }
 
-// answer notes that the target answers a request: its first data do.
-func (a *Agent) answer(f *agentFlow, p Packet, now time.Duration) {
+// finishRequest accounts for the first data of a response.
+func (a *Agent) finishRequest(f *agentFlow, p Packet, now time.Duration) {
 	if p.Length == 0 || !f.running {
 		return
 	}
-	a.advance(now)
-	a.stop(f)
+	a.updateAverage(now)
+	a.endRequest(f)
 }
 
-func (a *Agent) stop(f *agentFlow) {
+func (a *Agent) endRequest(f *agentFlow) {
 	if f.running {
 		f.running = false
 		a.running--
 	}
 }
 
-// advance takes the time since the last change into the average.
-func (a *Agent) advance(now time.Duration) {
+// updateAverage adds the time since the last update to the average.
+func (a *Agent) updateAverage(now time.Duration) {
 	elapsed := now - a.averagedAt
 	if elapsed <= 0 {
 		return
 	}
 	a.averagedAt = now
-	share := min(float64(elapsed)/float64(loadWindow), 1)
-	a.average += (float64(a.running) - a.average) * share
+	weight := min(float64(elapsed)/float64(loadWindow), 1)
+	a.average += (float64(a.running) - a.average) * weight
 }
 
-// LoadFrame returns a Load frame.
+// LoadFrame returns a Load frame with the current load.
 func (a *Agent) LoadFrame() Frame {
 	return Frame{
 		Kind:         Load,
@@ -77,11 +75,11 @@
 	}
 }
 
-// load returns the load of the target in thousandths of its slots: the requests in
-// progress, now or lately, and a little for each open flow.
+// load returns the load of the target in thousandths of its slots: current or averaged
+// requests in progress, queued openings and open flows.
 func (a *Agent) load() uint16 {
 	slots := max(a.server.Slots, 1)
 	busy := max(float64(a.running), a.average) + float64(len(a.queue.openings))
-	load := (busy*fullLoad + float64(a.live*flowPermille)) / float64(slots)
+	load := (busy*fullLoad + float64(a.activeFlows*openFlowLoad)) / float64(slots)
 	return uint16(min(load, maxLoad))
 }
--- /dev/null
+++ b/flow/lookup.go
@@ -0,0 +1,239 @@
+package flow
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// coordinatorCount is how many agents of a service share its lookups, so that their
+	// queries can be batched.
+	coordinatorCount = 8
+	// queryInterval is the minimum time between two rounds of queries of one agent.
+	// Flows that are searched for meanwhile are batched in the next round.
+	queryInterval = 20 * time.Millisecond
+	// queryIntervalPerAgent extends queryInterval in large services: an agent sends at
+	// most 2,000 queries a second.
+	queryIntervalPerAgent = 500 * time.Microsecond
+	// maxLookups bounds the lookups of one agent, about 200 bytes each.
+	maxLookups = 8192
+)
+
+// AppendCoordinators appends the two agents of a list that look a flow up among all of
+// the list, the second one in case the first is lost. Each turn selects other agents.
+func AppendCoordinators(to []Endpoint, key Key, turn int, list []Endpoint) []Endpoint {
+	group := Key{Caller: Endpoint{Port: uint16((key.Hash(0) + uint64(turn)) % coordinatorCount)}}
+	return AppendRegistrars(to, group, list)
+}
+
+// Digest identifies a list of agents, independent of their order.
+func Digest(agents []Endpoint) uint64 {
+	var sum uint64
+	for _, agent := range agents {
+		sum += Key{Caller: agent}.Hash(0)
+	}
+	return sum
+}
+
+// lookup is the state of a flow that an agent looks up among all others.
+type lookup struct {
+	// entry is the entry host that searches for the flow.
+	entry Endpoint
+	// notHeld has a bit for each agent of the list listVersion whose target does not
+	// hold the flow, pending counts the other agents.
+	notHeld     []uint64
+	listVersion uint32
+	pending     int
+	// candidates are the agents that may hold the flow, holder the one that does.
+	candidates []Endpoint
+	holder     Endpoint
+	// reported: the outcome was sent to the entry host since its last search.
+	reported  bool
+	queriedAt time.Duration
+	lastSeen  time.Duration
+}
+
+// reset discards the replies of agents of another list.
+func (q *lookup) reset(count int, listVersion uint32) {
+	*q = lookup{entry: q.entry, lastSeen: q.lastSeen, listVersion: listVersion, pending: count}
+	q.notHeld = make([]uint64, (count+63)/64)
+}
+
+// markNotHeld records that the target of an agent does not hold the flow.
+func (q *lookup) markNotHeld(index int) {
+	bit := uint64(1) << (index % 64)
+	if q.notHeld[index/64]&bit == 0 {
+		q.notHeld[index/64] |= bit
+		q.pending--
+	}
+}
+
+// needsQuery reports whether an agent has to be queried.
+func (q *lookup) needsQuery(index int, agent Endpoint) bool {
+	return q.notHeld[index/64]&(1<<(index%64)) == 0 && !contains(q.candidates, agent)
+}
+
+// lookups are the lookups of one agent.
+type lookups struct {
+	flows map[Key]*lookup
+	// queriedAt is when the last round began, due is set if another one is needed.
+	queriedAt time.Duration
+	due       bool
+}
+
+// Notice is a frame for an entry host or another agent. A Search is followed by the
+// packet of the flow.
+type Notice struct {
+	Key   Key
+	To    Endpoint
+	Frame Frame
+}
+
+// Lookup starts or continues the lookup of a flow for an entry host and returns the
+// notices that can be sent at once. The result for the own target is recorded by
+// HandleNotHeld or RecordHolder.
+func (a *Agent) Lookup(entry Endpoint, key Key, now time.Duration) []Notice {
+	q := a.lookups.flows[key]
+	if q == nil {
+		if len(a.lookups.flows) >= maxLookups {
+			return nil
+		}
+		if a.lookups.flows == nil {
+			a.lookups.flows = make(map[Key]*lookup)
+		}
+		q = &lookup{}
+		a.lookups.flows[key] = q
+	}
+	q.entry, q.lastSeen, q.reported = entry, now, false
+	if len(q.notHeld) == 0 || q.listVersion != a.listVersion {
+		q.reset(len(a.all), a.listVersion)
+	}
+	if q.pending > 0 && q.holder.IsZero() {
+		a.lookups.due = true
+	}
+	var out []Notice
+	for _, agent := range q.candidates {
+		out = append(out, a.probeNotice(key, agent))
+	}
+	return a.appendOutcome(out, q, key)
+}
+
+// probeNotice returns the search for an agent that may hold a flow. It replies to this
+// agent, so that the entry host only receives the outcome.
+func (a *Agent) probeNotice(key Key, agent Endpoint) Notice {
+	return Notice{Key: key, To: agent, Frame: Frame{Kind: Search, Hops: 1, Entry: a.self}}
+}
+
+// appendOutcome appends the notice for the entry host once the outcome is known.
+func (a *Agent) appendOutcome(out []Notice, q *lookup, key Key) []Notice {
+	switch {
+	case q.reported:
+		return out
+	case !q.holder.IsZero():
+		q.reported = true
+		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: Located, Key: key, Alternate: q.holder}})
+	case q.pending == 0 && len(q.notHeld) > 0:
+		q.reported = true
+		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: HeldByNone, Key: key, Digest: Digest(a.all)}})
+	}
+	return out
+}
+
+// NextQueryIn returns the time until the next round of queries, false if none is
+// needed.
+func (a *Agent) NextQueryIn(now time.Duration) (time.Duration, bool) {
+	if !a.lookups.due {
+		return 0, false
+	}
+	if a.lookups.queriedAt == 0 {
+		return 0, true
+	}
+	pause := max(queryInterval, time.Duration(len(a.all))*queryIntervalPerAgent)
+	return max(a.lookups.queriedAt+pause-now, 0), true
+}
+
+// Queries begins a round and returns the flows to query each of the other agents for.
+func (a *Agent) Queries(now time.Duration) []Registration {
+	a.lookups.due = false
+	a.lookups.queriedAt = max(now, 1)
+	a.due = a.due[:0]
+	index := map[Endpoint]int{}
+	for key, q := range a.lookups.flows {
+		if q.listVersion != a.listVersion || q.pending == 0 || !q.holder.IsZero() || q.queriedAt != 0 && q.lastSeen <= q.queriedAt {
+			continue
+		}
+		q.queriedAt = max(now, 1)
+		for place, agent := range a.all {
+			if agent != a.self && q.needsQuery(place, agent) {
+				a.addKey(index, agent, key)
+			}
+		}
+	}
+	return a.due
+}
+
+// AnswerQuery splits the queried flows into those that the target does not hold and
+// those that it may hold, which only a packet of the flow can tell.
+func (a *Agent) AnswerQuery(keys []Key, now time.Duration) (notHeld, mayHold []Key) {
+	for _, key := range keys {
+		f := a.flows[key]
+		if f == nil && now >= a.completeAt || f != nil && f.stage == stageNotHeld {
+			notHeld = append(notHeld, key)
+			continue
+		}
+		mayHold = append(mayHold, key)
+	}
+	return notHeld, mayHold
+}
+
+// HandleNotHeld records that the target of an agent, or the own one, does not hold flows.
+func (a *Agent) HandleNotHeld(keys []Key, from Endpoint) []Notice {
+	return a.applyReply(keys, from, func(out []Notice, q *lookup, place int, _ Key) []Notice {
+		q.markNotHeld(place)
+		return out
+	})
+}
+
+// HandleMayHold records that the target of another agent may hold flows.
+func (a *Agent) HandleMayHold(keys []Key, from Endpoint) []Notice {
+	return a.applyReply(keys, from, func(out []Notice, q *lookup, place int, key Key) []Notice {
+		if !q.needsQuery(place, from) {
+			return out
+		}
+		q.candidates = append(q.candidates, from)
+		return append(out, a.probeNotice(key, from))
+	})
+}
+
+// RecordHolder records that the target of an agent, or the own one, holds a flow.
+func (a *Agent) RecordHolder(key Key, from Endpoint) []Notice {
+	return a.applyReply([]Key{key}, from, func(out []Notice, q *lookup, _ int, _ Key) []Notice {
+		q.holder = from
+		return out
+	})
+}
+
+// applyReply applies an agent's reply to the lookups of these flows.
+func (a *Agent) applyReply(keys []Key, from Endpoint, apply func([]Notice, *lookup, int, Key) []Notice) []Notice {
+	index := slices.Index(a.all, from)
+	if index < 0 {
+		return nil
+	}
+	var out []Notice
+	for _, key := range keys {
+		q := a.lookups.flows[key]
+		if q == nil || q.listVersion != a.listVersion || len(q.notHeld) == 0 {
+			continue
+		}
+		out = a.appendOutcome(apply(out, q, index, key), q, key)
+	}
+	return out
+}
+
+func (i *lookups) sweep(now time.Duration) {
+	for key, q := range i.flows {
+		if now-q.lastSeen > notHeldFor {
+			delete(i.flows, key)
+		}
+	}
+}
--- a/flow/packet.go
+++ b/flow/packet.go
@@ -5,15 +5,14 @@
 	"net/netip"
 )
 
-// Endpoint is an IPv4 address and port, without pointers, so that big tables of
-// flows cost the garbage collector nothing.
+// Endpoint is an IPv4 address and port. It has no pointers, so that the garbage
+// collector does not scan the flow tables.
 type Endpoint struct {
 	IP   [4]byte
 	Port uint16
 }
 
-// EndpointOf converts an address. It is the zero endpoint unless the address is
-// IPv4.
+// EndpointOf converts an address, zero unless it is IPv4.
 func EndpointOf(a netip.AddrPort) Endpoint {
 	ip := a.Addr().Unmap()
 	if !ip.Is4() {
@@ -22,28 +21,28 @@
 	return Endpoint{IP: ip.As4(), Port: a.Port()}
 }
 
-// AddrPort converts back.
+// AddrPort converts the endpoint to a netip.AddrPort.
 func (e Endpoint) AddrPort() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(e.IP), e.Port)
 }
 
-// IsZero reports whether the endpoint names nothing.
+// IsZero reports whether the endpoint is unset.
 func (e Endpoint) IsZero() bool { return e == Endpoint{} }
 
 // String returns ip:port.
 func (e Endpoint) String() string { return e.AddrPort().String() }
 
-// Key names a flow by its two ends.
+// Key identifies a flow by its two endpoints.
 type Key struct {
-	// Caller is the caller's end, Public the address that it called.
+	// Caller is the caller's endpoint, Public the address that it connects to.
 	Caller, Public Endpoint
 }
 
-// String returns both ends.
+// String returns both endpoints.
 func (k Key) String() string { return fmt.Sprintf("%s>%s", k.Caller, k.Public) }
 
-// Hash returns 64 well mixed bits of the key and a salt (FNV-1a, then the
-// finalizer of SplitMix64).
+// Hash returns a 64-bit hash of the key and a salt (FNV-1a, then the finalizer of
+// SplitMix64).
 func (k Key) Hash(salt uint64) uint64 {
 	const (
 		offset = 14695981039346656037
@@ -70,7 +69,7 @@
 	ACK
 	FIN
 	RST
-	// Returned: the target sent the packet back, because it holds no such flow or
+	// Returned: the target sent the packet back because it does not hold the flow or
 	// cannot take it.
 	Returned
 )
@@ -78,16 +77,16 @@
 // Has reports whether all bits of f2 are set.
 func (f Flags) Has(f2 Flags) bool { return f&f2 == f2 }
 
-// Packet is what a packet says of itself, whichever end sent it.
+// Packet has the header fields of a packet of either end.
 type Packet struct {
 	Key   Key
 	Flags Flags
 	// Seq and Ack count bytes of the sender and of its peer. In a caller's opening
-	// packet Ack counts the copies sent before.
+	// Ack counts the previous transmissions.
 	Seq, Ack uint32
 	// Length of the data in bytes.
 	Length int
 }
 
-// IsOpening reports whether a caller's packet asks for a new flow.
+// IsOpening reports whether a caller's packet opens a flow.
 func (p *Packet) IsOpening() bool { return p.Flags.Has(SYN) }
--- a/flow/waiting_test.go
+++ b/flow/packetbuffer_test.go
@@ -9,19 +9,19 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-func TestWaitingPackets(t *testing.T) {
+func TestPacketBuffer(t *testing.T) {
 	is := is.New(t)
 	var w flow.PacketBuffer
 	is.True(w.Put(key(1), []byte("old"), 0))
 	is.True(w.Put(key(2), []byte("first"), time.Second))
 	is.True(w.Put(key(2), []byte("second"), time.Second))
 	got := w.TakeAll(2 * time.Second)
-	is.Equal(len(got), 1) // the other one's sender has sent it again meanwhile
+	is.Equal(len(got), 1) // the other one has expired
 	is.Equal(string(got[0]), "second")
 	is.Equal(w.Len(), 0)
 }
 
-func TestWaitingPacketsAreBounded(t *testing.T) {
+func TestPacketBufferIsBounded(t *testing.T) {
 	is := is.New(t)
 	var w flow.PacketBuffer
 	kept := 0
@@ -32,19 +32,19 @@
 	}
 	is.True(kept < 5000)
 	is.Equal(w.Len(), kept)
-	is.True(w.Put(key(1), []byte("newer"), 0)) // of a flow that waits already
+	is.True(w.Put(key(1), []byte("newer"), 0)) // replaces a buffered packet
 }
 
-// Until a host knows routes and targets, packets wait; the flows that it knows go on.
-func TestPacketsWaitForTheRoutes(t *testing.T) {
+// Packets wait until routes and targets are known, except those of known flows.
+func TestPacketsWaitForRoutes(t *testing.T) {
 	is := is.New(t)
-	p := &fixedPlacer{agents: []flow.Endpoint{agentA}, unready: true}
+	p := &fixedPlacer{agents: []flow.Endpoint{agentA}, notReady: true}
 	e := flow.NewEntry(p, entryA)
 	is.Equal(e.Packet(syn(1), 0).Action, flow.Wait)
 	is.Equal(e.Packet(request(2, firstA), 0).Action, flow.Wait)
 	e.Held(heldBy(3, firstA, true), agentA, 0)
 	is.Equal(e.Packet(request(3, firstA), 0).Action, flow.Send)
-	p.unready = false
+	p.notReady = false
 	is.Equal(e.Packet(syn(1), 0).Action, flow.Send)
 	is.Equal(e.Packet(request(2, firstA), 0).Action, flow.SendAll)
 }
--- a/flow/registry.go
+++ b/flow/registry.go
@@ -3,34 +3,33 @@
 import "time"
 
 const (
-	// Registrars is how many agents know where a flow lives, besides its own: one of
-	// them may be lost.
+	// registrars is the number of agents at which a flow is registered, besides its
+	// holder, so that one may be lost.
 	registrars = 2
-	// maxRegistered bounds the flows of others that an agent remembers: twice its
-	// share of 40 million open flows at 12,000 targets. An entry takes 66 bytes (BenchmarkRegistry).
+	// maxRegistered bounds the flows of other agents that an agent remembers.
 	maxRegistered = 16_384
-	// registeredFor is how long an agent remembers where a flow of another one lives
-	// without being told again, and refreshAfter when it is told.
-	registeredFor = 75 * time.Second
-	refreshAfter  = 30 * time.Second
-	// MaxKeys bounds the flows of one Register frame: 64 make 770 bytes.
+	// registrationTTL is the lifetime of a registration, refreshInterval the time after
+	// which it is sent again.
+	registrationTTL = 75 * time.Second
+	refreshInterval = 30 * time.Second
+	// MaxKeys bounds the keys of one frame: 64 take 770 bytes.
 	MaxKeys = 64
 )
 
-// AppendRegistrars appends the agents of a list that are to know where a flow lives:
-// those whose addresses hash highest with its key, so that everybody who knows the same
-// list names the same ones, and a change of the list moves few flows.
+// AppendRegistrars appends the agents of a list at which a flow is registered (rendezvous
+// hashing): all hosts with the same list select the same agents, and a change of the list
+// affects few flows.
 func AppendRegistrars(to []Endpoint, key Key, list []Endpoint) []Endpoint {
 	var first, second Endpoint
-	var most, next uint64
+	var firstHash, secondHash uint64
 	for _, agent := range list {
 		h := key.Hash(agent.salt())
 		switch {
-		case first.IsZero() || h > most:
-			second, next = first, most
-			first, most = agent, h
-		case second.IsZero() || h > next:
-			second, next = agent, h
+		case first.IsZero() || h > firstHash:
+			second, secondHash = first, firstHash
+			first, firstHash = agent, h
+		case second.IsZero() || h > secondHash:
+			second, secondHash = agent, h
 		}
 	}
 	for _, agent := range [registrars]Endpoint{first, second} {
@@ -41,13 +40,13 @@
 	return to
 }
 
-// salt mixes an endpoint into a number for Key.Hash.
+// salt returns a number for Key.Hash.
 func (e Endpoint) salt() uint64 {
 	n := uint64(e.IP[0])<<40 | uint64(e.IP[1])<<32 | uint64(e.IP[2])<<24 | uint64(e.IP[3])<<16 | uint64(e.Port)
 	return n * 0x9e3779b97f4a7c15
 }
 
-// registry remembers where flows of other agents live.
+// registry has the registered flows of other agents.
 type registry struct {
 	flows map[Key]registered
 }
@@ -57,8 +56,7 @@
 	until  time.Duration
 }
 
-// put notes where a flow lives. If there is no room the flow is found by asking all
-// agents.
+// put registers a flow. If the table is full the flow has to be found by a lookup.
 func (r *registry) put(key Key, holder Endpoint, now time.Duration) {
 	if r.flows == nil {
 		r.flows = make(map[Key]registered)
@@ -66,10 +64,10 @@
 	if _, known := r.flows[key]; !known && len(r.flows) >= maxRegistered {
 		return
 	}
-	r.flows[key] = registered{holder: holder, until: now + registeredFor}
+	r.flows[key] = registered{holder: holder, until: now + registrationTTL}
 }
 
-// holder returns where a flow lives, or zero.
+// holder returns the holder of a flow, or zero.
 func (r *registry) holder(key Key) Endpoint { return r.flows[key].holder }
 
 func (r *registry) sweep(now time.Duration) {
@@ -80,21 +78,21 @@
 	}
 }
 
-// Registration is what an agent tells another one: that it holds these flows.
+// Registration has the flows that one agent is notified of or queried for.
 type Registration struct {
 	To   Endpoint
 	Keys []Key
 }
 
-// Register takes in that another agent holds flows.
+// Register records that another agent holds flows.
 func (a *Agent) Register(keys []Key, holder Endpoint, now time.Duration) {
 	for _, key := range keys {
 		a.registry.put(key, holder, now)
 	}
 }
 
-// DueRegistrations returns the registrations that are to be sent: of flows that have opened, whose
-// registrars have changed, or that were registered a while ago.
+// DueRegistrations returns the registrations to be sent: of newly opened flows, after a
+// change of the agent list, and as refresh.
 func (a *Agent) DueRegistrations(now time.Duration) []Registration {
 	a.due = a.due[:0]
 	if len(a.peers) == 0 {
@@ -102,26 +100,25 @@
 	}
 	index := map[Endpoint]int{}
 	for key, f := range a.flows {
-		if f.stage != opened || f.targetDone || f.callerDone {
+		if f.stage != stageOpened || f.targetDone || f.callerDone {
 			continue
 		}
-		if f.registeredAt != 0 && f.registeredIn == a.listed && now-f.registeredAt < refreshAfter {
+		if f.registeredAt != 0 && f.registeredVersion == a.listVersion && now-f.registeredAt < refreshInterval {
 			continue
 		}
-		f.registeredAt, f.registeredIn = max(now, 1), a.listed
-		a.chosen = AppendRegistrars(a.chosen[:0], key, a.all)
-		for _, to := range a.chosen {
+		f.registeredAt, f.registeredVersion = max(now, 1), a.listVersion
+		a.registrarScratch = AppendRegistrars(a.registrarScratch[:0], key, a.all)
+		for _, to := range a.registrarScratch {
 			if to != a.self {
-				a.add(index, to, key)
+				a.addKey(index, to, key)
 			}
 		}
 	}
 	return a.due
 }
 
-// add puts a key into the registration for an agent, and begins another one when that
-// is full.
-func (a *Agent) add(index map[Endpoint]int, to Endpoint, key Key) {
+// addKey adds a key to the batch for an agent and starts another one when it is full.
+func (a *Agent) addKey(index map[Endpoint]int, to Endpoint, key Key) {
 	i, known := index[to]
 	if !known || len(a.due[i].Keys) >= MaxKeys {
 		i = len(a.due)
--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// Everybody who knows the same agents names the same two, and one more or one less
-// agent changes few.
+// The selection depends on the agent list only, and changes little when an agent is added
+// or removed.
 func TestRegistrars(t *testing.T) {
 	is := is.New(t)
 	all := agents(40)
@@ -44,37 +44,36 @@
 	is.Equal(len(flow.AppendRegistrars(nil, key(1), nil)), 0)
 }
 
-// An agent registers its open flows once, again when the list of agents has changed,
-// and again after a while.
+// Open flows are registered once, again after a change of the agent list, and as refresh.
 func TestFlowsAreRegistered(t *testing.T) {
 	is := is.New(t)
 	all := agents(20)
-	a := opened(t, 1, long)
+	a := agentWithOpenFlow(t, 1, wellAfterStart)
 	a.SetPeers(all[1:], all, all[0])
-	first := a.DueRegistrations(long)
+	first := a.DueRegistrations(wellAfterStart)
 	is.True(len(first) > 0)
 	for _, r := range first {
 		is.Equal(r.Keys, []flow.Key{key(1)})
-		is.True(r.To != all[0]) // not to itself
+		is.True(r.To != all[0])
 	}
-	is.Equal(len(a.DueRegistrations(long+time.Second)), 0)
+	is.Equal(len(a.DueRegistrations(wellAfterStart+time.Second)), 0)
 	a.SetPeers(all[1:19], all[:19], all[0])
-	is.True(len(a.DueRegistrations(long+2*time.Second)) > 0)
-	is.Equal(len(a.DueRegistrations(long+3*time.Second)), 0)
-	is.True(len(a.DueRegistrations(long+40*time.Second)) > 0)
+	is.True(len(a.DueRegistrations(wellAfterStart+2*time.Second)) > 0)
+	is.Equal(len(a.DueRegistrations(wellAfterStart+3*time.Second)), 0)
+	is.True(len(a.DueRegistrations(wellAfterStart+40*time.Second)) > 0)
 }
 
 func TestRegistrationsAreBounded(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
 	for port := range uint16(500) {
-		a.FromEntry(open(entryA), syn(port), long)
-		a.FromTarget(synAck(port, firstA), long)
-		a.FromEntry(data(entryA), request(port, firstA), long)
+		a.FromEntry(open(entryA), syn(port), wellAfterStart)
+		a.FromTarget(synAck(port, firstA), wellAfterStart)
+		a.FromEntry(data(entryA), request(port, firstA), wellAfterStart)
 	}
 	a.SetPeers([]flow.Endpoint{agentB}, []flow.Endpoint{agentA, agentB}, agentA)
 	keys := 0
-	for _, r := range a.DueRegistrations(long) {
+	for _, r := range a.DueRegistrations(wellAfterStart) {
 		is.True(len(r.Keys) <= flow.MaxKeys)
 		got, err := flow.ParseKeys(flow.AppendRegister(nil, r.Keys)[2:])
 		is.NoErr(err)
@@ -84,25 +83,25 @@
 	is.Equal(keys, 500)
 }
 
-// An agent that is told of a flow passes a search for it on to the holder, once.
+// An agent forwards a search for a registered flow to its holder, once.
 func TestRegisteredFlowIsFound(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
 	a.MarkComplete(0)
-	a.Register([]flow.Key{key(1)}, agentB, long)
-	v := a.FromEntry(search(entryA), request(1, firstA), long)
+	a.Register([]flow.Key{key(1)}, agentB, wellAfterStart)
+	v := a.FromEntry(search(entryA), request(1, firstA), wellAfterStart)
 	is.Equal(v.Action, flow.Send)
 	is.Equal(v.To, agentB)
 	is.Equal(v.Frame, flow.Frame{Kind: flow.Search, Hops: 1, Entry: entryA})
 	is.Equal(v.Holder, agentB)
-	is.Equal(a.FromEntry(v.Frame, request(1, firstA), long).Action, flow.Deny) // no endless rounds
-	a.Sweep(long+2*time.Minute, time.Minute, time.Minute)
-	is.Equal(a.FromEntry(search(entryA), request(1, firstA), long+2*time.Minute).Action, flow.Deny)
+	is.Equal(a.FromEntry(v.Frame, request(1, firstA), wellAfterStart).Action, flow.Deny) // forwarded only once
+	a.Sweep(wellAfterStart+2*time.Minute, time.Minute, time.Minute)
+	is.Equal(a.FromEntry(search(entryA), request(1, firstA), wellAfterStart+2*time.Minute).Action, flow.Deny)
 }
 
-// In a large service only those are asked first that should know; the others are asked
-// with the same packet when these deny, or with the next one when they do not answer.
-func TestSearchInALargeService(t *testing.T) {
+// A large service is searched in stages: the registrars first, the coordinators when these
+// deny the flow or do not reply.
+func TestSearchInLargeService(t *testing.T) {
 	is := is.New(t)
 	all := agents(40)
 	e := flow.NewEntry(&fixedPlacer{agents: all}, entryA)
@@ -117,7 +116,7 @@
 	is.Equal(v.Action, flow.SendAll)
 	is.True(v.UseCopy)
 	is.Equal(p.Key, key(1))
-	is.Equal(v.All, asked[:1]) // it passes the packet on to all others
+	is.Equal(v.All, asked[:1]) // the coordinator
 	is.Equal(v.Frame.Hops, uint8(flow.HopsLookup))
 	var rest []flow.Endpoint
 	for _, agent := range all {
@@ -130,10 +129,10 @@
 		is.Equal(v.Action == flow.Reset, i == len(rest)-1)
 	}
 
-	for range 3 { // a burst goes one way
+	for range 3 { // a burst belongs to one round
 		is.Equal(len(e.Packet(request(2, firstA), 0).All), 2)
 	}
-	for i := range 20 { // by one, by another, and so on
+	for i := range 20 { // one coordinator in each round
 		is.Equal(len(e.Packet(request(2, firstA), time.Duration(i+1)*time.Second).All), 1)
 	}
 }
--- a/flow/search.go
+++ b/flow/search.go
@@ -5,100 +5,99 @@
 	"time"
 )
 
-// firstWide is the round of a search in which an agent is asked to ask all others.
-const firstWide = 2
+// firstLookupRound is the first round of a search that uses a coordinator.
+const firstLookupRound = 2
 
-// search sends a packet to all agents that may hold its flow.
+// search handles a packet of a flow without a known holder.
 func (e *Entry) search(f *entryFlow, p Packet, now time.Duration) Verdict {
 	if p.Flags.Has(RST) {
-		// There is nobody to tell but the holder, who does not need to know.
+		// The holder can do without the packet, and nobody waits for a reply.
 		return Verdict{Action: Drop, Reason: ReasonUnknown}
 	}
 	e.all, _ = e.placer.Holders(e.all[:0], p.Key.Public)
 	if len(e.all) == 0 {
 		return Verdict{Action: Drop, Reason: ReasonNoRoute}
 	}
-	if e.budget.full(now) {
-		// Its caller sends it again; the flows that are known come first.
+	if e.budget.exhausted(now) {
+		// Open flows come first, and the caller retransmits the packet.
 		return Verdict{Action: Drop, Reason: ReasonLinkFull}
 	}
 	if f == nil {
 		if len(e.flows) >= MaxEntryFlows {
 			return Verdict{Action: Drop, Reason: ReasonTableFull}
 		}
-		f = &entryFlow{seen: now, born: now, searched: now}
+		f = &entryFlow{lastSeen: now, createdAt: now, searchedAt: now}
 		e.flows[p.Key] = f
 	}
-	if now-f.searched >= searchPause {
-		f.searched, f.searches = now, 0
+	if now-f.searchedAt >= searchInterval {
+		f.searchedAt, f.searchCount = now, 0
 	}
-	asks := len(e.all) > smallService
-	if f.searches >= searchLimit(asks) {
+	staged := len(e.all) > maxBroadcast
+	if f.searchCount >= searchLimit(staged) {
 		return Verdict{Action: Drop, Reason: ReasonSearchLimit}
 	}
-	f.searches++
-	f.ack = p.Ack
-	if asks {
-		return e.ask(f, p, now)
+	f.searchCount++
+	f.lastAck = p.Ack
+	if staged {
+		return e.searchStaged(f, p, now)
 	}
 	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: e.all, Frame: Frame{Kind: Search, Entry: e.self}}
 }
 
-// searchLimit is how many packets of a flow are searched with in a pause.
-func searchLimit(asks bool) uint8 {
-	if asks {
-		return maxAsks
+// searchLimit returns the number of searches for a flow within searchInterval.
+func searchLimit(staged bool) uint8 {
+	if staged {
+		return maxStagedSearches
 	}
 	return maxSearches
 }
 
-// ask searches in a large service: first by the agents that should know where the flow
-// lives, then by an agent that asks all others of its service, and after that by one other
-// of these after another. A packet that comes after a pause begins the next round; those of one
-// burst go the same way.
-func (e *Entry) ask(f *entryFlow, p Packet, now time.Duration) Verdict {
-	if f.round == 0 || now-f.roundAt >= searchPause {
-		f.round = min(f.round, math.MaxUint8-1) + 1
-		f.roundAt = now
-	}
-	if f.round == 1 {
+// searchStaged searches in a large service: in the first round at the registrars, after
+// that through one coordinator, another one in each round. A packet after searchInterval
+// starts the next round. The packets of a burst belong to one round.
+func (e *Entry) searchStaged(f *entryFlow, p Packet, now time.Duration) Verdict {
+	if f.searchRound == 0 || now-f.roundStart >= searchInterval {
+		f.searchRound = min(f.searchRound, math.MaxUint8-1) + 1
+		f.roundStart = now
+	}
+	if f.searchRound == 1 {
 		e.all = e.placer.Registrars(e.all[:0], p.Key)
-		f.askedOf = append(f.askedOf[:0], e.all...)
+		f.askedRegistrars = append(f.askedRegistrars[:0], e.all...)
 		return Verdict{Action: SendAll, Reason: ReasonRegistered, All: e.all, Frame: Frame{Kind: Search, Entry: e.self}, KeepCopy: true}
 	}
-	f.askedOf = nil
-	asked := int(f.round) - firstWide
-	e.all = e.placer.Coordinators(e.all[:0], p.Key, asked/registrars)
-	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: each(e.all, asked%registrars), Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}}
+	f.askedRegistrars = nil
+	attempt := int(f.searchRound) - firstLookupRound
+	e.all = e.placer.Coordinators(e.all[:0], p.Key, attempt/registrars)
+	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: pickFromPairs(e.all, attempt%registrars), Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}}
 }
 
-// each returns the agent at a place of each pair, in place.
-func each(pairs []Endpoint, place int) []Endpoint {
+// pickFromPairs returns the agent at an index of each pair, in place.
+func pickFromPairs(pairs []Endpoint, index int) []Endpoint {
 	out := pairs[:0]
-	for i := 0; i+place < len(pairs); i += registrars {
-		out = append(out, pairs[i+place])
+	for i := 0; i+index < len(pairs); i += registrars {
+		out = append(out, pairs[i+index])
 	}
 	return out
 }
 
-// Denied decides on a flow that an agent's target does not hold. Once all that could
-// hold it have said so, its caller is told at once that it is gone. The packet stands
-// for the caller's last one. While the list of agents may be old, denials say nothing.
+// Denied handles a Denied frame. Once no agent can hold the flow it is reset. The packet
+// stands for the caller's last one. Denials are ignored while the list of agents may be
+// outdated.
 func (e *Entry) Denied(key Key, from Endpoint, now time.Duration) (Verdict, Packet) {
 	f := e.flows[key]
 	if !e.MayReset(now) {
 		if f != nil {
-			f.denied, f.cleared = nil, nil
+			f.denied, f.heldByNone = nil, nil
 		}
 		return Verdict{Action: Drop, Reason: ReasonStalled}, Packet{}
 	}
-	if f != nil && f.count == 1 && f.homes[0].agent == from && (f.doubted != 0 || !f.homes[0].answered) {
-		// It was said to live there, or has lived there and was asked again.
-		f.count, f.opened = 0, false
+	if f != nil && f.count == 1 && f.candidates[0].agent == from && (f.probedAt != 0 || !f.candidates[0].answered) {
+		// It was located there or probed, and is not held there.
+		f.count, f.confirmed = 0, false
 	}
-	if f != nil && !f.opened && f.asked != 0 {
-		// It was asked whether the flow has opened there.
-		f.drop(from)
+	if f != nil && !f.confirmed && f.confirmSince != 0 {
+		// It was asked to confirm that it holds the flow.
+		f.removeCandidate(from)
 	}
 	if f == nil || f.count > 0 {
 		return Verdict{Action: Drop, Reason: ReasonKnown}, Packet{}
@@ -106,14 +105,14 @@
 	if !contains(f.denied, from) && len(f.denied) < maxDenials {
 		f.denied = append(f.denied, from)
 	}
-	if f.askedOf != nil {
-		return e.widen(f, key)
+	if f.askedRegistrars != nil {
+		return e.startLookup(f, key)
 	}
-	return e.nowhere(f, key)
+	return e.resetIfHeldByNone(f, key)
 }
 
-// HeldByNone decides on a flow of which an agent says that it has asked all agents of its
-// service. That counts only if this host knows the same ones.
+// HeldByNone handles a HeldByNone frame. It only counts if the agent has queried the same
+// list of agents that this host knows.
 func (e *Entry) HeldByNone(m Frame, from Endpoint, now time.Duration) (Verdict, Packet) {
 	f := e.flows[m.Key]
 	if !e.MayReset(now) {
@@ -122,56 +121,57 @@
 	if f == nil || f.count > 0 {
 		return Verdict{Action: Drop, Reason: ReasonKnown}, Packet{}
 	}
-	e.fellows = e.placer.ServiceAgents(e.fellows[:0], from)
-	if len(e.fellows) == 0 || Digest(e.fellows) != m.Digest {
+	e.serviceAgents = e.placer.ServiceAgents(e.serviceAgents[:0], from)
+	if len(e.serviceAgents) == 0 || Digest(e.serviceAgents) != m.Digest {
 		return Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}
 	}
-	f.askedOf = nil
-	if !contains(f.cleared, from) {
-		f.cleared = append(f.cleared, from)
+	f.askedRegistrars = nil
+	if !contains(f.heldByNone, from) {
+		f.heldByNone = append(f.heldByNone, from)
 	}
-	return e.nowhere(f, m.Key)
+	return e.resetIfHeldByNone(f, m.Key)
 }
 
-// nowhere decides whether all that could hold a flow have said that they do not.
-func (e *Entry) nowhere(f *entryFlow, key Key) (Verdict, Packet) {
+// resetIfHeldByNone resets a flow once all agents that could hold it have denied it.
+func (e *Entry) resetIfHeldByNone(f *entryFlow, key Key) (Verdict, Packet) {
 	var all bool
 	e.all, all = e.placer.Holders(e.all[:0], key.Public)
 	if !all || len(e.all) == 0 {
 		return Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}
 	}
-	e.excuse(f)
+	e.collectCovered(f)
 	for _, agent := range e.all {
-		if !e.excused[agent] && !contains(f.denied, agent) {
+		if !e.covered[agent] && !contains(f.denied, agent) {
 			return Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}
 		}
 	}
 	delete(e.flows, key)
-	return Verdict{Action: Reset, Reason: ReasonHeldNowhere}, Packet{Key: key, Ack: f.ack}
+	return Verdict{Action: Reset, Reason: ReasonHeldNowhere}, Packet{Key: key, Ack: f.lastAck}
 }
 
-// excuse collects the agents that others have spoken for.
-func (e *Entry) excuse(f *entryFlow) {
-	clear(e.excused)
-	for _, from := range f.cleared {
-		e.fellows = e.placer.ServiceAgents(e.fellows[:0], from)
-		for _, agent := range e.fellows {
-			e.excused[agent] = true
+// collectCovered collects the agents that are covered by HeldByNone frames.
+func (e *Entry) collectCovered(f *entryFlow) {
+	clear(e.covered)
+	for _, from := range f.heldByNone {
+		e.serviceAgents = e.placer.ServiceAgents(e.serviceAgents[:0], from)
+		for _, agent := range e.serviceAgents {
+			e.covered[agent] = true
 		}
 	}
 }
 
-// widen asks all agents once those that should know where a flow lives have denied it.
-func (e *Entry) widen(f *entryFlow, key Key) (Verdict, Packet) {
-	for _, agent := range f.askedOf {
+// startLookup continues the search at the coordinators once all registrars have denied
+// the flow.
+func (e *Entry) startLookup(f *entryFlow, key Key) (Verdict, Packet) {
+	for _, agent := range f.askedRegistrars {
 		if !contains(f.denied, agent) {
 			return Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}
 		}
 	}
-	e.all = each(e.placer.Coordinators(e.all[:0], key, 0), 0)
-	f.askedOf = nil
-	f.round = max(f.round, firstWide)
-	f.roundAt = f.searched
+	e.all = pickFromPairs(e.placer.Coordinators(e.all[:0], key, 0), 0)
+	f.askedRegistrars = nil
+	f.searchRound = max(f.searchRound, firstLookupRound)
+	f.roundStart = f.searchedAt
 	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: e.all, Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}, UseCopy: true}, Packet{Key: key}
 }
 
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Action tells what to do with a packet.
+// Action is what to do with a packet.
 type Action uint8
 
 // Actions.
 const (
-	// Drop: nothing.
+	// Drop the packet.
 	Drop Action = iota
 	// Send the packet to one agent.
 	Send
-	// SendAll: send the packet to several agents.
+	// SendAll sends the packet to several agents.
 	SendAll
-	// Reset: tell the caller that the flow is gone or was never opened.
+	// Reset tells the caller that the flow is gone or was never opened.
 	Reset
 	// Deliver the packet to the own target.
 	Deliver
 	// Return the packet to the entry host.
 	Return
-	// Reply: send the target's packet to the caller.
+	// Reply sends the target's packet to the caller.
 	Reply
-	// Deny: tell the entry host that the target does not hold the flow.
+	// Deny reports to the entry host that the target does not hold the flow.
 	Deny
-	// Wait: keep the packet until it can be decided on. An entry host does so until it is
-	// ready or has caught up, an agent until its target has room.
+	// Wait buffers the packet: on an entry host until it is ready or has caught up after a
+	// stall, at an agent until its target has room.
 	Wait
 )
 
-// Reason tells what decided an action.
+// Reason is why an action was chosen.
 type Reason string
 
 // Reasons.
@@ -70,20 +70,20 @@
 type Verdict struct {
 	Action Action
 	Reason Reason
-	// To is the receiver of Send. All has those of SendAll, valid until the next
+	// To is the receiver for Send, All has those for SendAll, valid until the next
 	// call.
 	To  Endpoint
 	All []Endpoint
 	// Frame is the header for Send, SendAll and Return.
 	Frame Frame
-	// KeepCopy asks for a copy of the packet until it is known who holds its flow. UseCopy
-	// stands for that copy, in place of a packet.
+	// KeepCopy requests that a copy of the packet is kept until the flow's holder is
+	// known. UseCopy: the verdict applies to that copy.
 	KeepCopy, UseCopy bool
-	// ResponseTime is how long the target took to answer what this packet is the first
-	// answer to: an opening packet, if Began, else a request. 0 if it answers neither.
+	// ResponseTime is how long the target took if this packet is its first reply, 0
+	// otherwise. Opening: it replies to the opening, otherwise to a request.
 	ResponseTime time.Duration
 	Opening      bool
-	// Holder is where the entry host is to be told that the flow lives, or zero.
+	// Holder is the agent to be named to the entry host in a Located frame, or zero.
 	Holder Endpoint
 }
 
--- a/flow/warmup_test.go
+++ b/flow/warmup_test.go
@@ -9,24 +9,24 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-// warming returns an agent, long started, whose target is warming up from time begin on for
-// four seconds and may be let in some flows a second.
-func warming(most int, begin time.Duration) *flow.Agent {
+// warming returns an agent whose target warms up for four seconds from begin on, with a
+// limit of new flows a second.
+func warming(limit int, begin time.Duration) *flow.Agent {
 	a := newAgent(serving())
-	a.SetWarmup(flow.Warmup{Until: begin + 4*time.Second, MaxFlows: most})
+	a.SetWarmup(flow.Warmup{Until: begin + 4*time.Second, MaxFlows: limit})
 	return a
 }
 
 const longAfterStart = time.Minute
 
-func TestWarmingTargetIsLetInWhatItBears(t *testing.T) {
+func TestWarmingTargetIsLimited(t *testing.T) {
 	is := is.New(t)
 	a := warming(2, longAfterStart)
 	a.SetPeers([]flow.Endpoint{agentB}, []flow.Endpoint{agentA, agentB}, agentA)
 	now := longAfterStart
 	is.Equal(a.FromEntry(open(entryA), syn(1), now).Action, flow.Deliver)
 	is.Equal(a.FromEntry(open(entryA), syn(2), now).Action, flow.Deliver)
-	is.Equal(a.LoadFrame().LoadPermille, uint16(flow.SaturatedLoad)) // entry hosts take it for full
+	is.Equal(a.LoadFrame().LoadPermille, uint16(flow.SaturatedLoad)) // as if it were full
 
 	v := a.FromEntry(open(entryA), syn(3), now)
 	is.Equal(v.Action, flow.Send)
@@ -35,8 +35,8 @@
 
 	handedOn := open(entryA)
 	handedOn.Hops = 3
-	is.Equal(a.FromEntry(handedOn, syn(4), now).Action, flow.Wait) // nobody else takes it
-	nothing(t, a, now+400*millisecond)
+	is.Equal(a.FromEntry(handedOn, syn(4), now).Action, flow.Wait) // hop limit reached
+	wantNoneQueued(t, a, now+400*millisecond)
 
 	a.FromTarget(synAck(1, firstA), now)
 	a.FromEntry(data(entryA), request(1, firstA), now+300*millisecond)
@@ -44,11 +44,11 @@
 	is.Equal(a.FromEntry(open(entryA), syn(6), now+1400*millisecond).Action, flow.Deliver)
 }
 
-// Whatever comes, and from however many entry hosts, no second holds more than the bound.
-func TestNoSecondHoldsMoreThanTheBound(t *testing.T) {
+// The limit holds in every second, whatever arrives from any entry host.
+func TestWarmupLimitPerSecond(t *testing.T) {
 	is := is.New(t)
-	const most, length = 11, 4 * time.Second
-	a := warming(most, longAfterStart)
+	const limit, length = 11, 4 * time.Second
+	a := warming(limit, longAfterStart)
 	var at []time.Duration
 	port := uint16(0)
 	for now := longAfterStart; now < longAfterStart+length; now += 7 * millisecond {
@@ -67,23 +67,23 @@
 		a.FromEntry(data(entryA), request(port, firstA), now)
 	}
 	for i := range at {
-		if i >= most {
-			is.True(at[i]-at[i-most] > time.Second) // a sliding second
+		if i >= limit {
+			is.True(at[i]-at[i-limit] > time.Second) // sliding window
 		}
 	}
-	is.True(len(at) >= 3*most) // it is let in what it bears
+	is.True(len(at) >= 3*limit) // the limit is used
 	is.Equal(a.FromEntry(open(entryA), syn(9999), longAfterStart+length).Action, flow.Deliver)
 }
 
-// An agent that has just started cannot know what its target was let in before.
-func TestAgentThatHasJustStartedLetsNothingIn(t *testing.T) {
+// An agent that has just started does not know what was admitted before.
+func TestWarmupAfterAgentStart(t *testing.T) {
 	is := is.New(t)
 	a := warming(11, 0)
 	is.Equal(a.FromEntry(open(entryA), syn(1), 500*millisecond).Action, flow.Wait)
 	is.Equal(a.FromEntry(open(entryA), syn(2), 1100*millisecond).Action, flow.Deliver)
 }
 
-func TestWarmTargetIsNotBounded(t *testing.T) {
+func TestWarmTargetIsNotLimited(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(serving())
 	a.SetWarmup(flow.Warmup{Until: time.Hour})
@@ -92,19 +92,19 @@
 	}
 }
 
-func TestFlowsWhileWarming(t *testing.T) {
+func TestWarmupFlowLimit(t *testing.T) {
 	for name, tt := range map[string]struct {
 		perSecond, overshoot, slack float64
 		want                        int
 	}{
-		"nothing stated":   {0, 1.5, 5, 0},
+		"not configured":   {0, 1.5, 5, 0},
 		"negative":         {-3, 1.5, 5, 0},
-		"stated":           {4, 1.5, 5, 11},
-		"a part":           {0.5, 1.5, 0.1, 1},
-		"very little":      {0.1, 1, 0, 1},
+		"configured":       {4, 1.5, 5, 11},
+		"fraction":         {0.5, 1.5, 0.1, 1},
+		"below one":        {0.1, 1, 0, 1},
 		"no margin":        {4, 0, 0, 4},
 		"a margin below 1": {4, 0.5, -1, 4},
-		"more than can be": {1e300, 1e300, 0, 1<<31 - 1},
+		"overflow":         {1e300, 1e300, 0, 1<<31 - 1},
 		"rounded down":     {3.9, 1, 0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
