--- a/flow/entry.go
+++ b/flow/entry.go
@@ -60,7 +60,7 @@
 	Ready() bool
 	// HasTarget reports whether an agent still has a target, and whether the list of
 	// targets is complete.
-	HasTarget(agent Endpoint) (known, whole bool)
+	HasTarget(agent Endpoint) (known, complete bool)
 }
 
 // Entry is the flow table of an entry host.
@@ -160,8 +160,8 @@
 	if !f.selectCandidate(p) {
 		return e.unconfirmed(f, p, now)
 	}
-	h := &f.candidates[0]
-	v := Verdict{Action: Send, Reason: ReasonKnown, To: h.agent, Frame: Frame{Kind: Data, Service: h.service, Entry: e.self}}
+	c := &f.candidates[0]
+	v := Verdict{Action: Send, Reason: ReasonKnown, To: c.agent, Frame: Frame{Kind: Data, Service: c.service, Entry: e.self}}
 	if e.placer.Ready() {
 		e.probe(f, p.Key, &v, now)
 	}
@@ -191,8 +191,8 @@
 // confirmTimeoutOf returns how long the candidates have to confirm, which is short if
 // one of them is gone.
 func (e *Entry) confirmTimeoutOf(f *entryFlow) time.Duration {
-	for _, h := range f.candidates[:f.count] {
-		if known, _ := e.placer.HasTarget(h.agent); !known {
+	for _, c := range f.candidates[:f.count] {
+		if known, _ := e.placer.HasTarget(c.agent); !known {
 			return searchInterval
 		}
 	}
@@ -243,8 +243,8 @@
 // reports whether the flow is confirmed.
 func (f *entryFlow) selectCandidate(p Packet) bool {
 	for i := range f.count {
-		if h := f.candidates[i]; !f.confirmed && h.answered && acknowledges(p.Ack, h.first) {
-			f.candidates[0], f.count, f.confirmed = h, 1, true
+		if c := f.candidates[i]; !f.confirmed && c.answered && acknowledges(p.Ack, c.first) {
+			f.candidates[0], f.count, f.confirmed = c, 1, true
 		}
 	}
 	return f.confirmed
@@ -320,16 +320,16 @@
 	}
 	f.lastSeen = now
 	f.denied, f.heldByNone, f.searchRound, f.askedRegistrars = nil, nil, 0, nil
-	h := candidate{agent: from, service: m.Service, answered: true, first: m.First}
+	c := candidate{agent: from, service: m.Service, answered: true, first: m.First}
 	if m.Opened {
 		// The caller has selected this target.
-		f.candidates[0], f.count, f.confirmed = h, 1, true
+		f.candidates[0], f.count, f.confirmed = c, 1, true
 		return
 	}
 	for i := range f.count {
 		if f.candidates[i].agent == from {
-			h.service = f.candidates[i].service
-			f.candidates[i] = h
+			c.service = f.candidates[i].service
+			f.candidates[i] = c
 			return
 		}
 	}
@@ -339,12 +339,12 @@
 	// The opening was forwarded: this agent replaces a candidate that has not answered.
 	for i := range f.count {
 		if !f.candidates[i].answered {
-			f.candidates[i] = h
+			f.candidates[i] = c
 			return
 		}
 	}
 	if int(f.count) < len(f.candidates) {
-		f.candidates[f.count] = h
+		f.candidates[f.count] = c
 		f.count++
 	}
 }
@@ -361,8 +361,8 @@
 			f.denied = append(f.denied, from)
 		}
 		if f.count > 0 {
-			h := f.candidates[0]
-			return Verdict{Action: Send, Reason: ReasonKnown, To: h.agent, Frame: Frame{Kind: Data, Service: h.service, Entry: e.self}}
+			c := f.candidates[0]
+			return Verdict{Action: Send, Reason: ReasonKnown, To: c.agent, Frame: Frame{Kind: Data, Service: c.service, Entry: e.self}}
 		}
 		f.confirmed = false
 	}
--- a/flow/helpers_test.go
+++ b/flow/helpers_test.go
@@ -93,7 +93,7 @@
 
 func (p *fixedPlacer) Ready() bool { return !p.notReady }
 
-func (p *fixedPlacer) HasTarget(agent flow.Endpoint) (known, whole bool) {
+func (p *fixedPlacer) HasTarget(agent flow.Endpoint) (known, complete bool) {
 	return agent != p.gone, !p.incomplete
 }
 
--- a/internal/flowd/agent.go
+++ b/internal/flowd/agent.go
@@ -18,27 +18,26 @@
 )
 
 const (
-	// sweepPeriod is the time between two sweeps of an agent's table. It also
-	// bounds the age of the count of its flows.
+	// sweepPeriod is the time between two sweeps of the flow table and updates of its
+	// size.
 	sweepPeriod = 250 * time.Millisecond
-	// admitPeriod is the time between two looks at openings that wait: flows that were
-	// let in and bring no request count for 50 ms.
+	// admitPeriod is the time between two checks of queued openings. An admitted flow
+	// without a request stops counting after 50 ms.
 	admitPeriod = 20 * time.Millisecond
-	// reportPause is the least time between two load figures to one entry host.
-	// Placing uses none that is older than a second.
-	reportPause = 250 * time.Millisecond
-	// missedReports is after how many periods without a report from the backend
-	// server it is told to be ill.
+	// loadReportInterval is the minimum time between two load reports to one entry host.
+	// Placement ignores reports older than a second.
+	loadReportInterval = 250 * time.Millisecond
+	// missedReports is the number of report periods without a report after which the
+	// backend server is unhealthy.
 	missedReports = 2.5
-	// againMargin is how much later than told before a backend server has to be warm to
-	// count as slow anew: reports take time.
-	againMargin = time.Second
-	// newSequence is the highest sequence number of a first report by which the
-	// backend server has just started: it counts calls, and calls again at once
-	// while the agent does not listen yet.
-	newSequence = 3
-	// maxEntries bounds the entry hosts that are remembered for load figures.
-	maxEntries = 4096
+	// rewarmMargin is how much the announced end of the warmup has to move for a new cold
+	// start. It covers the delay of reports.
+	rewarmMargin = time.Second
+	// maxInitialSequence is the highest sequence number in the first report of a backend
+	// server that has just started. It counts attempts that fail until the agent listens.
+	maxInitialSequence = 3
+	// maxReportedEntries bounds the entry hosts whose last load report is remembered.
+	maxReportedEntries = 4096
 )
 
 // AgentOptions configure an Agent.
@@ -47,41 +46,40 @@
 	Log   *zap.Logger
 	Scope tally.Scope
 	Creds *keys.Credentials
-	// Service and Target name the target; FailureDomain is where it stands.
+	// Service and Target are names, FailureDomain is that of the target.
 	Service, Target, FailureDomain string
 	// Control has the link addresses (ip:port) of control hosts.
 	Control []string
-	// FrameListen is the address (ip:port) of frames from entry hosts and other
-	// agents, TargetListen that of the packets of the backend server, and Server
-	// where the backend server takes packets.
+	// FrameListen is the address (ip:port) for frames of entry hosts and other agents,
+	// TargetListen that for packets of the backend server. Server is the backend
+	// server's address for packets.
 	FrameListen, TargetListen, Server string
-	// CallerPort is the port at which callers take packets.
+	// CallerPort is the port at which callers receive packets.
 	CallerPort uint16
 	// ReportPeriod is the time between two reports of the backend server.
 	ReportPeriod time.Duration
-	// Warmup is how far a warming backend server may be loaded over what its service
-	// states.
+	// Warmup is how far the configured warmup rate may be exceeded.
 	Warmup WarmupMargin
 	Limits Limits
 }
 
-// WarmupMargin is how far the requests of a warming backend server may go over those that
-// its service states: by a factor, and by a number of requests a second beside it.
+// WarmupMargin is how far the configured request rate of a warming backend server may be
+// exceeded: by a factor, and by an additional number of requests a second.
 type WarmupMargin struct {
 	Overshoot, Slack float64
 }
 
-// Agent carries packets between a backend server, entry hosts and callers.
+// Agent forwards packets between a backend server, entry hosts and callers.
 type Agent struct {
-	opts    AgentOptions
-	began   time.Time
-	service uint64
-	server  flow.Endpoint
-	frames  *socket
-	targets *socket
-	reasons *reasons
-	latency latency
-	client  *link.Client
+	opts      AgentOptions
+	startedAt time.Time
+	service   uint64
+	server    flow.Endpoint
+	frames    *socket
+	targets   *socket
+	counters  *counters
+	latency   latency
+	client    *link.Client
 	// ctx ends when the agent stops.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -89,34 +87,34 @@
 	// mu guards the fields below.
 	mu    sync.Mutex
 	flows *flow.Agent
-	// queued has the openings that wait, admitting tells that they are looked at soon.
-	queued    flow.PacketBuffer
-	admitting bool
-	// searched has packets whose flows this agent asks the others about, asking tells
-	// that the next round of questions is due soon.
-	searched flow.PacketBuffer
-	asking   bool
-	tracker  incarnation.Tracker
-	heardAt  time.Time
-	ill      bool
+	// queued has the packets of queued openings, admitScheduled is set while a check is
+	// scheduled.
+	queued         flow.PacketBuffer
+	admitScheduled bool
+	// lookupPackets has the packets of flows that are looked up, queryScheduled is set
+	// while a round of queries is scheduled.
+	lookupPackets  flow.PacketBuffer
+	queryScheduled bool
+	tracker        incarnation.Tracker
+	lastSeen       time.Time
+	unhealthy      bool
 	// evacuated: the own failure domain takes no new flows.
 	evacuated bool
-	// warmup is what the service states of its targets' start, told that its configuration
-	// is known. warmAt is when the backend server is warm by its own word.
-	warmup    *configpb.Warmup
-	told      bool
-	warmAt    time.Duration
-	announcer *subscriber.Announcer
-	// following is the subscription to the service's targets, once its number is
-	// known.
-	following *subscriber.Subscriber
-	reported  map[flow.Endpoint]time.Duration
-	buffer    []byte
-	workers   conc.WaitGroup
+	// warmup is the configuration of the service, valid if configKnown. warmUntil is
+	// when the backend server expects to be warm.
+	warmup      *configpb.Warmup
+	configKnown bool
+	warmUntil   time.Duration
+	announcer   *subscriber.Announcer
+	// subscription follows the targets of the service, nil until its number is known.
+	subscription   *subscriber.Subscriber
+	loadReportedAt map[flow.Endpoint]time.Duration
+	buffer         []byte
+	workers        conc.WaitGroup
 }
 
-// NewAgent opens the sockets and a link to a control host. Nothing is read before
-// Run, which has to follow.
+// NewAgent opens the sockets and a link to a control host. Run has to be called to receive
+// anything.
 func NewAgent(o AgentOptions) (*Agent, error) {
 	server, err := parseEndpoint(o.Server)
 	if err != nil {
@@ -133,16 +131,16 @@
 		return nil, err
 	}
 	a := &Agent{
-		opts:     o,
-		began:    time.Now(),
-		service:  flow.ServiceHash(o.Service),
-		server:   server,
-		frames:   frames,
-		targets:  targets,
-		reasons:  newReasons(scope),
-		latency:  newLatency(scope),
-		reported: map[flow.Endpoint]time.Duration{},
-		buffer:   make([]byte, 0, maxDatagram),
+		opts:           o,
+		startedAt:      time.Now(),
+		service:        flow.ServiceHash(o.Service),
+		server:         server,
+		frames:         frames,
+		targets:        targets,
+		counters:       newCounters(scope),
+		latency:        newLatency(scope),
+		loadReportedAt: map[flow.Endpoint]time.Duration{},
+		buffer:         make([]byte, 0, maxDatagram),
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.client = link.NewClient(o.Control, o.Creds, linkOptions(o.Log, o.Scope))
@@ -159,9 +157,9 @@
 	stop := context.AfterFunc(ctx, a.cancel)
 	defer stop()
 	ctx = a.ctx
-	a.workers.Go(func() { a.frames.serve(ctx, a.fromPeer) })
-	a.workers.Go(func() { a.targets.serve(ctx, a.fromTarget) })
-	a.workers.Go(func() { a.keep(ctx) })
+	a.workers.Go(func() { a.frames.serve(ctx, a.handleFrame) })
+	a.workers.Go(func() { a.targets.serve(ctx, a.handleTargetPacket) })
+	a.workers.Go(func() { a.maintain(ctx) })
 	<-ctx.Done()
 	a.workers.Wait()
 	a.stop()
@@ -170,24 +168,24 @@
 
 func (a *Agent) stop() {
 	a.mu.Lock()
-	announcer, following := a.announcer, a.following
+	announcer, subscription := a.announcer, a.subscription
 	a.mu.Unlock()
 	if announcer != nil {
 		announcer.Close()
 	}
-	if following != nil {
-		following.Close()
+	if subscription != nil {
+		subscription.Close()
 	}
 	a.client.Close()
 }
 
-func (a *Agent) now() time.Duration { return time.Since(a.began) }
+func (a *Agent) now() time.Duration { return time.Since(a.startedAt) }
 
-// keep sweeps the table and notices when the backend server falls silent.
-func (a *Agent) keep(ctx context.Context) {
+// maintain sweeps the table, registers flows and detects an unresponsive backend server.
+func (a *Agent) maintain(ctx context.Context) {
 	ticker := time.NewTicker(sweepPeriod)
 	defer ticker.Stop()
-	patience := time.Duration(missedReports * float64(a.opts.ReportPeriod))
+	timeout := time.Duration(missedReports * float64(a.opts.ReportPeriod))
 	for {
 		select {
 		case <-ctx.Done():
@@ -196,20 +194,20 @@
 		}
 		a.mu.Lock()
 		a.flows.Sweep(a.now(), a.opts.Limits.Idle, a.opts.Limits.Age)
-		silent := !a.heardAt.IsZero() && time.Since(a.heardAt) > patience
-		if silent && !a.ill {
-			a.ill = true
+		unresponsive := !a.lastSeen.IsZero() && time.Since(a.lastSeen) > timeout
+		if unresponsive && !a.unhealthy {
+			a.unhealthy = true
 			a.tracker.MarkUnresponsive()
-			a.opts.Log.Info("backend server is silent", zap.Duration("for", time.Since(a.heardAt)))
+			a.opts.Log.Info("backend server stopped reporting", zap.Duration("for", time.Since(a.lastSeen)))
 			a.refresh()
 		}
-		a.searched.Sweep(a.now())
+		a.lookupPackets.Sweep(a.now())
 		for _, r := range a.flows.DueRegistrations(a.now()) {
 			a.buffer = flow.AppendRegister(a.buffer[:0], r.Keys)
 			a.frames.sendFrame(a.buffer, r.To)
 		}
 		count := a.flows.Len()
 		a.mu.Unlock()
-		a.reasons.flows.Update(float64(count))
+		a.counters.flows.Update(float64(count))
 	}
 }
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -15,67 +15,65 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// HandleReport takes in a report of the backend server. When it returns, what the report
-// says is in force here: no opening packet reaches one that leaves.
+// HandleReport applies a report of the backend server. The new state is effective when it
+// returns: no opening is delivered to a draining backend server.
 func (a *Agent) HandleReport(r incarnation.Report) incarnation.Result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before, known := a.tracker.Current()
-	verdict := a.tracker.Apply(r)
-	if verdict != incarnation.NewInstance && verdict != incarnation.Update {
-		a.opts.Log.Info("report passed over", zap.String("reason", string(verdict)),
+	result := a.tracker.Apply(r)
+	if result != incarnation.NewInstance && result != incarnation.Update {
+		a.opts.Log.Info("report ignored", zap.String("reason", string(result)),
 			zap.String("server", r.Instance.ID), zap.Int64("started_ms", r.Instance.StartedMS), zap.Uint64("sequence", r.Sequence))
-		return verdict
+		return result
 	}
-	a.heardAt, a.ill = time.Now(), false
+	a.lastSeen, a.unhealthy = time.Now(), false
 	current, _ := a.tracker.Current()
-	a.noteWarmup(current.WarmupLeft)
-	if verdict == incarnation.NewInstance || !known || before.Draining != current.Draining || before.Stopped != current.Stopped {
-		a.opts.Log.Info("backend server", zap.String("server", current.Instance.ID), zap.Int64("started_ms", current.Instance.StartedMS),
-			zap.Uint64("sequence", current.Sequence), zap.Bool("leaving", current.Draining), zap.Bool("gone", current.Stopped))
+	a.updateWarmup(current.WarmupLeft)
+	if result == incarnation.NewInstance || !known || before.Draining != current.Draining || before.Stopped != current.Stopped {
+		a.opts.Log.Info("backend server state changed", zap.String("server", current.Instance.ID), zap.Int64("started_ms", current.Instance.StartedMS),
+			zap.Uint64("sequence", current.Sequence), zap.Bool("draining", current.Draining), zap.Bool("stopped", current.Stopped))
 	}
 	if current.Stopped && !before.Stopped {
-		a.withdraw()
+		a.unregister()
 	}
-	if verdict == incarnation.NewInstance {
+	if result == incarnation.NewInstance {
 		if known || a.startedBefore(r) {
 			a.flows.MarkComplete(a.now())
 		}
 		a.announce(current)
 	}
 	a.refresh()
-	return verdict
+	return result
 }
 
-// withdraw tells the control hosts that the target is gone for good. The lock is
-// held.
-func (a *Agent) withdraw() {
-	former := a.announcer
-	if former == nil || a.ctx.Err() != nil {
+// unregister removes the stopped target from the directory. The lock is held.
+func (a *Agent) unregister() {
+	previous := a.announcer
+	if previous == nil || a.ctx.Err() != nil {
 		return
 	}
 	a.announcer = nil
-	former.Update(subscriber.Status{State: controlpb.TargetState_TARGET_STATE_DRAINING})
+	previous.Update(subscriber.Status{State: controlpb.TargetState_TARGET_STATE_DRAINING})
 	a.workers.Go(func() {
-		if err := former.Unregister(a.ctx); err != nil {
-			a.opts.Log.Info("target left registered", zap.Error(err))
+		if err := previous.Unregister(a.ctx); err != nil {
+			a.opts.Log.Info("failed to unregister target", zap.Error(err))
 		}
 	})
 }
 
-// startedBefore reports whether this agent has started before the backend server that
-// sends its first report. It has to be sure: an agent that takes flows of its target
-// for none has their callers told that they are gone.
+// startedBefore reports whether this agent has certainly started before the backend server
+// that sends its first report. If wrong, open flows of the target would be reset.
 func (a *Agent) startedBefore(r incarnation.Report) bool {
-	told := r.Instance.StartedMS != 0
-	return r.Sequence <= newSequence && (!told || r.Instance.StartedMS >= a.began.UnixMilli())
+	startKnown := r.Instance.StartedMS != 0
+	return r.Sequence <= maxInitialSequence && (!startKnown || r.Instance.StartedMS >= a.startedAt.UnixMilli())
 }
 
-// announce registers another life of the target. The lock is held.
+// announce registers a new instance of the target. The lock is held.
 func (a *Agent) announce(r incarnation.Report) {
 	if a.announcer != nil {
-		former := a.announcer
-		a.workers.Go(former.Close)
+		previous := a.announcer
+		a.workers.Go(previous.Close)
 	}
 	if a.ctx.Err() != nil || r.Stopped {
 		a.announcer = nil
@@ -88,29 +86,29 @@
 		Service:       a.opts.Service,
 		CreateService: true,
 		Target:        a.opts.Target,
-		Process:       processOf(r.Instance),
+		Process:       instanceID(r.Instance),
 		FailureDomain: a.opts.FailureDomain,
 		Address:       a.frames.local().String(),
 		Started:       coldStart(r.WarmupLeft),
 		Status:        a.status(r),
 		CallTimeout:   callTimeout,
-		RetryMax:      retryMax,
+		RetryMax:      maxBackoff,
 	})
 	a.announcer = announcer
-	a.workers.Go(func() { a.awaitNumber(announcer) })
+	a.workers.Go(func() { a.awaitRegistration(announcer) })
 }
 
-// processOf identifies a life of the backend server: an agent that starts again
-// beside it gets the same registration.
-func processOf(l incarnation.Instance) []byte {
+// instanceID identifies an instance of the backend server, so that a restarted agent gets
+// the same registration.
+func instanceID(i incarnation.Instance) []byte {
 	h := fnv.New128a()
-	_, _ = h.Write([]byte(l.ID))
-	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(l.StartedMS)))
+	_, _ = h.Write([]byte(i.ID))
+	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(i.StartedMS)))
 	return h.Sum(nil)
 }
 
-// awaitNumber takes in the number of the target once it is registered.
-func (a *Agent) awaitNumber(announcer *subscriber.Announcer) {
+// awaitRegistration applies the number of the target once it is registered.
+func (a *Agent) awaitRegistration(announcer *subscriber.Announcer) {
 	select {
 	case <-announcer.Registered():
 	case <-a.ctx.Done():
@@ -122,28 +120,28 @@
 		return
 	}
 	a.refresh()
-	if a.following == nil {
-		a.following = subscriber.Start(subscriber.Options{
+	if a.subscription == nil {
+		a.subscription = subscriber.Start(subscriber.Options{
 			Client:        a.client,
 			Log:           a.opts.Log,
 			Scope:         a.opts.Scope,
 			FailureDomain: a.opts.FailureDomain,
 			Services:      []uint32{announcer.Registration().GetServiceNumber()},
 			ScopedConfig:  true,
-			RetryMax:      retryMax,
+			RetryMax:      maxBackoff,
 			OnView:        a.onView,
 		})
 	}
 }
 
-// onView takes in the other targets of the service.
+// onView applies changes of the targets of the service and of its configuration.
 func (a *Agent) onView(v *subscriber.View) {
 	own := flow.EndpointOf(a.frames.local())
 	var peers, all []flow.Endpoint
 	for _, record := range v.Targets {
 		t, err := subscriber.TargetOf(record)
 		if err != nil {
-			continue // counted by entry hosts, which name it
+			continue // entry hosts log it
 		}
 		agent := flow.EndpointOf(t.Address)
 		all = append(all, agent)
@@ -155,12 +153,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.flows.SetPeers(peers, all, own)
-	a.warmup, a.told = warmupOf(v.Config, a.opts.Service), v.Config != nil
-	a.boundWarmup()
-	a.noteEvacuation(config.IsEvacuated(v.Config, a.opts.FailureDomain))
+	a.warmup, a.configKnown = warmupOf(v.Config, a.opts.Service), v.Config != nil
+	a.applyWarmup()
+	a.setEvacuated(config.IsEvacuated(v.Config, a.opts.FailureDomain))
 }
 
-// warmupOf returns what a service states of its targets' start, nil if it states nothing.
+// warmupOf returns the warmup configuration of a service, nil if there is none.
 func warmupOf(c *configpb.Configuration, service string) *configpb.Warmup {
 	for _, s := range c.GetServices() {
 		if s.GetName() == service {
@@ -170,39 +168,39 @@
 	return nil
 }
 
-// noteWarmup takes in how much longer the backend server is slow. One whose failure domain
-// was evacuated may have become so again without a start. The lock is held.
-func (a *Agent) noteWarmup(left time.Duration) {
-	before := a.warmAt
-	a.warmAt = a.now() + left
-	a.boundWarmup()
-	if a.announcer != nil && left > 0 && a.warmAt > before+againMargin {
+// updateWarmup sets the remaining warmup time of the backend server. After an evacuation it
+// may become cold again without a restart. The lock is held.
+func (a *Agent) updateWarmup(left time.Duration) {
+	before := a.warmUntil
+	a.warmUntil = a.now() + left
+	a.applyWarmup()
+	if a.announcer != nil && left > 0 && a.warmUntil > before+rewarmMargin {
 		a.announcer.Restarted(coldStart(left))
 	}
 }
 
-// coldStart returns the cold start that the ramp of entry hosts is to begin at for a backend
-// server that is slow for that much longer.
+// coldStart returns the start time from which the ramp of entry hosts ends after the
+// remaining warmup time.
 func coldStart(left time.Duration) time.Time { return time.Now().Add(left - rampMS*time.Millisecond) }
 
-// boundWarmup brings the bound of a warming target into force. An agent that does not know
-// yet what the service states keeps to what any may be given. The lock is held.
-func (a *Agent) boundWarmup() {
+// applyWarmup sets the limit of a warming target, the smallest one until the configuration
+// is known. The lock is held.
+func (a *Agent) applyWarmup() {
 	margin := a.opts.Warmup
-	most := flow.WarmupFlowLimit(a.warmup.GetRequestsPerSecond(), margin.Overshoot, margin.Slack)
-	if !a.told {
-		most = max(int(margin.Slack), 1)
+	limit := flow.WarmupFlowLimit(a.warmup.GetRequestsPerSecond(), margin.Overshoot, margin.Slack)
+	if !a.configKnown {
+		limit = max(int(margin.Slack), 1)
 	}
-	a.flows.SetWarmup(flow.Warmup{Until: a.warmAt, MaxFlows: most})
+	a.flows.SetWarmup(flow.Warmup{Until: a.warmUntil, MaxFlows: limit})
 }
 
-// noteEvacuation takes in whether the own failure domain takes new flows. The lock is held.
-func (a *Agent) noteEvacuation(evacuated bool) {
+// setEvacuated sets whether the own failure domain is evacuated. The lock is held.
+func (a *Agent) setEvacuated(evacuated bool) {
 	if a.evacuated == evacuated {
 		return
 	}
 	a.evacuated = evacuated
-	a.opts.Log.Info("failure domain", zap.String("failure_domain", a.opts.FailureDomain), zap.Bool("evacuated", evacuated))
+	a.opts.Log.Info("failure domain evacuation changed", zap.String("failure_domain", a.opts.FailureDomain), zap.Bool("evacuated", evacuated))
 	a.refresh()
 }
 
@@ -211,14 +209,14 @@
 	if r.Draining || r.Stopped {
 		state = controlpb.TargetState_TARGET_STATE_DRAINING
 	}
-	return subscriber.Status{State: state, Ill: a.ill, Slots: uint32(r.Slots)}
+	return subscriber.Status{State: state, Ill: a.unhealthy, Slots: uint32(r.Slots)}
 }
 
-// refresh brings what is known of the backend server into force here and tells it
-// to the control hosts. The lock is held.
+// refresh applies the state of the backend server and reports it to the control hosts. The
+// lock is held.
 func (a *Agent) refresh() {
 	r, known := a.tracker.Current()
-	s := flow.Server{Service: a.service, Slots: r.Slots, Unhealthy: a.ill, Evacuated: a.evacuated}
+	s := flow.Server{Service: a.service, Slots: r.Slots, Unhealthy: a.unhealthy, Evacuated: a.evacuated}
 	switch {
 	case !known || r.Stopped:
 		s.State = flow.Absent
--- a/internal/flowd/codec.go
+++ b/internal/flowd/codec.go
@@ -8,22 +8,22 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-// ErrPacket tells that a datagram is no packet.
+// ErrPacket reports a datagram that is not a valid packet.
 var ErrPacket = errors.New("not a packet")
 
-// Codec reads and writes the packets of callers and backend servers. Its methods
-// allocate nothing and may be called concurrently.
+// Codec decodes and encodes the packets of callers and backend servers. Its methods
+// don't allocate and may be called concurrently.
 type Codec interface {
-	// FromCaller reads a packet that a caller sent. Errors: ErrPacket.
+	// FromCaller decodes a packet that a caller sent. Errors: ErrPacket.
 	FromCaller(datagram []byte) (flow.Packet, error)
-	// FromTarget reads a packet that a backend server sent or sent back; its key has
-	// the caller's end and the public one all the same. Errors: ErrPacket.
+	// FromTarget decodes a packet that a backend server sent or sent back. Its key has
+	// the caller's endpoint and the public one as well. Errors: ErrPacket.
 	FromTarget(datagram []byte) (flow.Packet, error)
-	// AppendReset appends a packet that tells a caller that its flow is gone. Seq is
-	// the number that the caller expects next.
+	// AppendReset appends a packet that resets a flow. Seq is the sequence number that
+	// the caller expects next.
 	AppendReset(to []byte, key flow.Key, seq uint32) []byte
-	// Restore turns a packet that a backend server sent back into what its caller
-	// sent, in place.
+	// Restore turns a packet that a backend server sent back into the caller's original,
+	// in place.
 	Restore(datagram []byte)
 }
 
--- a/internal/flowd/doc.go
+++ b/internal/flowd/doc.go
@@ -1,8 +1,7 @@
-// Package flowd runs the two halves of package flow on sockets: an Entry reads the
-// packets of callers and sends them to agents, an Agent stands beside a backend
-// server and carries packets between it, entry hosts and callers. Both follow the
-// configuration and the directory over a subscription.
+// Package flowd runs the state machines of package flow on sockets. An Entry receives
+// packets of callers and sends them to agents. An Agent forwards packets between its
+// backend server, entry hosts and callers. Both subscribe to the configuration and the
+// directory. A Codec implements the packet format.
 //
-// What a packet looks like is the business of a Codec. Lock order: the lock of a
-// Placer is taken within the lock of an Entry, never the other way round.
+// Lock order: Entry before placer.
 package flowd
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -17,36 +17,34 @@
 )
 
 const (
-	// tablePeriod is the time between two looks at ages and load figures.
-	tablePeriod = 250 * time.Millisecond
-	// releasePeriod is the time between two looks whether packets that wait can be
-	// decided on.
-	releasePeriod = 20 * time.Millisecond
-	// decayTables is how many of these pass between two halvings of the counts of
-	// unanswered flows: a second.
-	decayTables = 4
-	// maxAhead is the most that the time of day runs ahead of the steady clock in 20 ms
-	// while the machine runs: what a correction takes in, 0.5 ms a second, is far less.
-	maxAhead = 100 * time.Millisecond
-	// linkHeartbeat and linkTimeout bound how long a link that has fallen silent
-	// goes unnoticed: 2.2 s, since a change has to be in force within 3 s.
+	// refreshPeriod is the time between two updates of target ages and loads.
+	refreshPeriod = 250 * time.Millisecond
+	// retryPeriod is the time between two attempts to handle undecided packets.
+	retryPeriod = 20 * time.Millisecond
+	// decayRounds is the number of refresh rounds between two halvings of the counts of
+	// unanswered flows.
+	decayRounds = 4
+	// maxClockDrift is how far the wall clock may advance beyond the monotonic clock in
+	// 20 ms. Slewing is limited to 0.5 ms a second, so more indicates a suspension.
+	maxClockDrift = 100 * time.Millisecond
+	// linkHeartbeat and linkTimeout detect a dead link within 2.2 s: changes have to be
+	// effective within 3 s.
 	linkHeartbeat = time.Second
 	linkTimeout   = time.Second
 	// callTimeout bounds a registration or announcement.
 	callTimeout = time.Second
-	// dialTimeout is how long an attempt at one control host has no answer before the next
-	// one is tried. A host without power answers nothing, and the next one may be back
-	// already; a handshake between regions takes 80 ms. dialPatience bounds an attempt:
-	// behind a full link a handshake of two round trips takes seconds.
-	dialTimeout  = 400 * time.Millisecond
-	dialPatience = 3 * time.Second
-	// retryMax bounds the pause between attempts.
-	retryMax = 250 * time.Millisecond
+	// dialTimeout is when the next control host is tried in parallel. A handshake
+	// between regions takes 80 ms. dialAttemptTimeout ends an attempt: a handshake over a
+	// full link takes seconds.
+	dialTimeout        = 400 * time.Millisecond
+	dialAttemptTimeout = 3 * time.Second
+	// maxBackoff bounds the backoff between attempts.
+	maxBackoff = 250 * time.Millisecond
 )
 
-// Limits bound what is remembered of a flow.
+// Limits bound the lifetime of flows in the table.
 type Limits struct {
-	// Idle is how long a flow without packets is remembered, Age how long any is.
+	// Idle is the lifetime of a flow without packets, Age that of any flow.
 	Idle, Age time.Duration
 }
 
@@ -56,43 +54,43 @@
 	Log   *zap.Logger
 	Scope tally.Scope
 	Creds *keys.Credentials
-	// FailureDomain is told to control hosts.
+	// FailureDomain of this host.
 	FailureDomain string
 	// Control has the link addresses (ip:port) of control hosts.
 	Control []string
-	// CallerListen is the address (ip:port) that callers' packets arrive at, and
-	// AgentListen that of frames from agents.
+	// CallerListen is the address (ip:port) for packets of callers, AgentListen that for
+	// frames of agents.
 	CallerListen, AgentListen string
-	// CallerPort is the port at which callers take packets.
+	// CallerPort is the port at which callers receive packets.
 	CallerPort uint16
-	// LinkBitsPerSecond is the width of the host's link for both directions together, 0 if
-	// it is not known.
+	// LinkBitsPerSecond is the rate of the host's link for both directions together, 0 if
+	// unknown.
 	LinkBitsPerSecond float64
 	Limits            Limits
 }
 
 // Entry forwards the packets of callers.
 type Entry struct {
-	opts    EntryOptions
-	began   time.Time
-	placer  *placer
-	callers *socket
-	agents  *socket
-	reasons *reasons
-	client  *link.Client
+	opts      EntryOptions
+	startedAt time.Time
+	placer    *placer
+	callers   *socket
+	agents    *socket
+	counters  *counters
+	client    *link.Client
 
-	// mu guards flows, clocks, waiting and buffer.
-	mu      sync.Mutex
-	flows   *flow.Entry
-	clocks  stall.SuspendDetector
-	waiting flow.PacketBuffer
-	// kept has packets whose flows are searched for.
-	kept   flow.PacketBuffer
-	buffer []byte
+	// mu guards flows, suspends, undecided, searchCopies and buffer.
+	mu        sync.Mutex
+	flows     *flow.Entry
+	suspends  stall.SuspendDetector
+	undecided flow.PacketBuffer
+	// searchCopies has packets of flows that are searched for.
+	searchCopies flow.PacketBuffer
+	buffer       []byte
 }
 
-// NewEntry opens the sockets and a link to a control host. Nothing is read before
-// Run, which has to follow.
+// NewEntry opens the sockets and a link to a control host. Run has to be called to receive
+// anything.
 func NewEntry(o EntryOptions) (*Entry, error) {
 	scope := o.Scope.SubScope("flow_entry")
 	callers, err := listen(o.CallerListen, "callers", o.Log, scope)
@@ -105,14 +103,14 @@
 		return nil, err
 	}
 	e := &Entry{
-		opts:    o,
-		began:   time.Now(),
-		placer:  newPlacer(o.Log, scope),
-		callers: callers,
-		agents:  agents,
-		reasons: newReasons(scope),
-		buffer:  make([]byte, 0, maxDatagram),
-		clocks:  stall.SuspendDetector{Threshold: maxAhead},
+		opts:      o,
+		startedAt: time.Now(),
+		placer:    newPlacer(o.Log, scope),
+		callers:   callers,
+		agents:    agents,
+		counters:  newCounters(scope),
+		buffer:    make([]byte, 0, maxDatagram),
+		suspends:  stall.SuspendDetector{Threshold: maxClockDrift},
 	}
 	e.client = link.NewClient(o.Control, o.Creds, linkOptions(o.Log, o.Scope))
 	e.flows = flow.NewEntry(e.placer, flow.EndpointOf(agents.local()))
@@ -120,16 +118,16 @@
 	return e, nil
 }
 
-// linkOptions are those of the link of an entry host or agent.
+// linkOptions returns the options for links of entry hosts and agents.
 func linkOptions(log *zap.Logger, scope tally.Scope) link.ClientOptions {
 	return link.ClientOptions{
 		Log:              log,
 		Scope:            scope,
 		DialTimeout:      dialTimeout,
-		DialPatience:     dialPatience,
+		DialPatience:     dialAttemptTimeout,
 		HeartbeatPeriod:  linkHeartbeat,
 		HeartbeatTimeout: linkTimeout,
-		BackoffMax:       retryMax,
+		BackoffMax:       maxBackoff,
 	}
 }
 
@@ -145,15 +143,15 @@
 		Log:           e.opts.Log,
 		Scope:         e.opts.Scope,
 		FailureDomain: e.opts.FailureDomain,
-		RetryMax:      retryMax,
+		RetryMax:      maxBackoff,
 		OnView:        func(v *subscriber.View) { e.placer.apply(v, e.now()) },
 	})
 	defer sub.Close()
 	var workers conc.WaitGroup
-	workers.Go(func() { e.callers.serve(ctx, e.fromCaller) })
-	workers.Go(func() { e.agents.serve(ctx, e.fromAgent) })
-	workers.Go(func() { e.keep(ctx) })
-	workers.Go(func() { e.release(ctx) })
+	workers.Go(func() { e.callers.serve(ctx, e.handleCallerPacket) })
+	workers.Go(func() { e.agents.serve(ctx, e.handleAgentFrame) })
+	workers.Go(func() { e.maintain(ctx) })
+	workers.Go(func() { e.retryUndecided(ctx) })
 	workers.Wait()
 	return nil
 }
@@ -161,22 +159,22 @@
 // Ready reports whether new flows can be placed.
 func (e *Entry) Ready() bool { return e.placer.ready() }
 
-func (e *Entry) now() time.Duration { return time.Since(e.began) }
+func (e *Entry) now() time.Duration { return time.Since(e.startedAt) }
 
-// look returns the time, and takes in that the machine was suspended until a moment ago:
-// what was decided before may be old. The lock is held.
-func (e *Entry) look() time.Duration {
+// observeClocks returns the time and reports a suspension of the machine, after which the
+// information of this host may be outdated. The lock is held.
+func (e *Entry) observeClocks() time.Duration {
 	t := time.Now()
-	now := t.Sub(e.began)
-	if gap := e.clocks.Observe(now, t.Round(0).Sub(e.began.Round(0))); gap > 0 {
+	now := t.Sub(e.startedAt)
+	if gap := e.suspends.Observe(now, t.Round(0).Sub(e.startedAt.Round(0))); gap > 0 {
 		e.flows.ReportStall(now, gap)
 	}
 	return now
 }
 
-// keep sweeps the table and refreshes the figures that placing uses.
-func (e *Entry) keep(ctx context.Context) {
-	ticker := time.NewTicker(tablePeriod)
+// maintain sweeps the table and refreshes target ages and loads.
+func (e *Entry) maintain(ctx context.Context) {
+	ticker := time.NewTicker(refreshPeriod)
 	defer ticker.Stop()
 	for round := 1; ; round++ {
 		select {
@@ -184,23 +182,23 @@
 			return
 		case <-ticker.C:
 		}
-		decay := round%decayTables == 0
+		decay := round%decayRounds == 0
 		e.placer.refresh(e.now(), decay)
 		if !decay {
 			continue
 		}
 		e.mu.Lock()
 		e.flows.Sweep(e.now(), e.opts.Limits.Idle, e.opts.Limits.Age)
-		e.kept.Sweep(e.now())
+		e.searchCopies.Sweep(e.now())
 		count := e.flows.Len()
 		e.mu.Unlock()
-		e.reasons.flows.Update(float64(count))
+		e.counters.flows.Update(float64(count))
 	}
 }
 
-// release decides on the packets that wait, once that is possible.
-func (e *Entry) release(ctx context.Context) {
-	ticker := time.NewTicker(releasePeriod)
+// retryUndecided handles buffered packets once a decision is possible.
+func (e *Entry) retryUndecided(ctx context.Context) {
+	ticker := time.NewTicker(retryPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -208,59 +206,59 @@
 			return
 		case <-ticker.C:
 		}
-		e.noticeStandstill()
+		e.detectStall()
 		if e.placer.Ready() {
-			e.decideWaiting()
+			e.handleUndecided()
 		}
 	}
 }
 
-// noticeStandstill tells that this host stood still.
-func (e *Entry) noticeStandstill() {
+// detectStall counts and logs stalls of this process.
+func (e *Entry) detectStall() {
 	e.mu.Lock()
-	gap := e.flows.ObserveClock(e.look())
+	gap := e.flows.ObserveClock(e.observeClocks())
 	e.mu.Unlock()
 	if gap > 0 {
-		e.reasons.standstills.Inc(1)
-		e.opts.Log.Warn("this process stood still", zap.Duration("for", gap))
+		e.counters.stalls.Inc(1)
+		e.opts.Log.Warn("process stalled", zap.Duration("duration", gap))
 	}
 }
 
-// decideWaiting decides on the packets that wait.
-func (e *Entry) decideWaiting() {
+// handleUndecided handles all buffered packets.
+func (e *Entry) handleUndecided() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.flows.MayReset(e.look()) {
+	if !e.flows.MayReset(e.observeClocks()) {
 		return
 	}
-	for _, packet := range e.waiting.TakeAll(e.now()) {
-		// It was read before.
+	for _, packet := range e.undecided.TakeAll(e.now()) {
+		// The packet was decoded before.
 		p, err := e.opts.Codec.FromCaller(packet)
 		if err == nil {
-			e.act(e.flows.Packet(p, e.now()), p, packet)
+			e.applyVerdict(e.flows.Packet(p, e.now()), p, packet)
 		}
 	}
 }
 
-func (e *Entry) fromCaller(b []byte, _ flow.Endpoint) {
+func (e *Entry) handleCallerPacket(b []byte, _ flow.Endpoint) {
 	e.callers.in.packets.add(len(b))
 	p, err := e.opts.Codec.FromCaller(b)
 	if err != nil {
-		e.reasons.malformed.Inc(1)
+		e.counters.malformed.Inc(1)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := e.look()
+	now := e.observeClocks()
 	e.flows.CountTraffic(len(b), now)
-	e.act(e.flows.Packet(p, now), p, b)
+	e.applyVerdict(e.flows.Packet(p, now), p, b)
 }
 
-func (e *Entry) fromAgent(b []byte, from flow.Endpoint) {
+func (e *Entry) handleAgentFrame(b []byte, from flow.Endpoint) {
 	e.agents.in.frame(b)
 	m, packet, err := flow.ParseFrame(b)
 	if err != nil {
-		e.reasons.malformed.Inc(1)
+		e.counters.malformed.Inc(1)
 		return
 	}
 	now := e.now()
@@ -270,61 +268,61 @@
 	e.mu.Unlock()
 	switch m.Kind {
 	case flow.Load:
-		e.placer.learn(m, now)
+		e.placer.updateLoad(m, now)
 	case flow.Located:
 		e.mu.Lock()
 		e.flows.Located(m, now)
 		e.mu.Unlock()
 	case flow.Held:
-		e.placer.learn(m, now)
+		e.placer.updateLoad(m, now)
 		e.mu.Lock()
 		e.flows.Held(m, from, now)
 		e.mu.Unlock()
 	case flow.Denied:
 		e.mu.Lock()
-		v, p := e.flows.Denied(m.Key, from, e.look())
-		e.act(v, p, nil)
+		v, p := e.flows.Denied(m.Key, from, e.observeClocks())
+		e.applyVerdict(v, p, nil)
 		e.mu.Unlock()
 	case flow.HeldByNone:
 		e.mu.Lock()
-		v, p := e.flows.HeldByNone(m, from, e.look())
-		e.act(v, p, nil)
+		v, p := e.flows.HeldByNone(m, from, e.observeClocks())
+		e.applyVerdict(v, p, nil)
 		e.mu.Unlock()
 	case flow.Missed:
 		p, err := e.opts.Codec.FromCaller(packet)
 		if err != nil {
-			e.reasons.malformed.Inc(1)
+			e.counters.malformed.Inc(1)
 			return
 		}
 		e.mu.Lock()
-		e.act(e.flows.Missed(p, from, now), p, packet)
+		e.applyVerdict(e.flows.Missed(p, from, now), p, packet)
 		e.mu.Unlock()
 	}
 }
 
-// act does what a verdict says. The lock is held.
-func (e *Entry) act(v flow.Verdict, p flow.Packet, packet []byte) {
-	e.reasons.count(v)
-	trace(e.opts.Log, &v, &p, e.placer.inputs)
-	if v.KeepCopy && !e.kept.Put(p.Key, packet, e.now()) {
-		e.reasons.overflow.Inc(1)
+// applyVerdict carries out a verdict. The lock is held.
+func (e *Entry) applyVerdict(v flow.Verdict, p flow.Packet, packet []byte) {
+	e.counters.count(v)
+	logVerdict(e.opts.Log, &v, &p, e.placer.decisionInputs)
+	if v.KeepCopy && !e.searchCopies.Put(p.Key, packet, e.now()) {
+		e.counters.overflow.Inc(1)
 	}
 	if v.UseCopy {
-		if packet = e.kept.TakeOne(p.Key, e.now()); packet == nil {
+		if packet = e.searchCopies.TakeOne(p.Key, e.now()); packet == nil {
 			return
 		}
 	}
 	switch v.Action {
 	case flow.Send:
-		e.toAgent(e.framed(&v.Frame, packet), v.To)
+		e.sendToAgent(e.encoded(&v.Frame, packet), v.To)
 	case flow.SendAll:
-		framed := e.framed(&v.Frame, packet)
+		encoded := e.encoded(&v.Frame, packet)
 		for _, to := range v.All {
-			e.toAgent(framed, to)
+			e.sendToAgent(encoded, to)
 		}
 	case flow.Wait:
-		if !e.waiting.Put(p.Key, packet, e.now()) {
-			e.reasons.overflow.Inc(1)
+		if !e.undecided.Put(p.Key, packet, e.now()) {
+			e.counters.overflow.Inc(1)
 		}
 	case flow.Reset:
 		e.buffer = e.opts.Codec.AppendReset(e.buffer[:0], p.Key, p.Ack)
@@ -332,13 +330,13 @@
 	}
 }
 
-// toAgent sends a frame within the budget of the link. The lock is held.
-func (e *Entry) toAgent(framed []byte, to flow.Endpoint) {
-	e.flows.CountTraffic(len(framed), e.now())
-	e.agents.sendFrame(framed, to)
+// sendToAgent sends a frame and accounts for it on the link. The lock is held.
+func (e *Entry) sendToAgent(frame []byte, to flow.Endpoint) {
+	e.flows.CountTraffic(len(frame), e.now())
+	e.agents.sendFrame(frame, to)
 }
 
-func (e *Entry) framed(f *flow.Frame, packet []byte) []byte {
+func (e *Entry) encoded(f *flow.Frame, packet []byte) []byte {
 	e.buffer = append(f.Append(e.buffer[:0]), packet...)
 	return e.buffer
 }
--- a/internal/flowd/latency.go
+++ b/internal/flowd/latency.go
@@ -7,8 +7,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/metrics"
 )
 
-// latency is how long the target takes for its first answers to opening packets and to
-// requests.
+// latency has the response times of the target to openings and requests.
 type latency struct {
 	openings, requests tally.Histogram
 }
@@ -20,7 +19,7 @@
 	}
 }
 
-// count counts how long the target has taken for what the verdict passes on.
+// count records the response time in a verdict, if any.
 func (l *latency) count(v flow.Verdict) {
 	switch {
 	case v.ResponseTime == 0:
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -19,77 +19,74 @@
 )
 
 const (
-	// rampMS is how long a target that has just started gets fewer flows, in
-	// milliseconds. Backend servers are slow for some seconds after a start.
+	// rampMS is the length of the slow start of a new target in milliseconds.
 	rampMS = 3000
-	// maxHolders bounds the agents that may hold one unknown flow: all of the largest
-	// deployment.
+	// maxHolders bounds the agents that may hold an unknown flow.
 	maxHolders = 16_384
 	// maxRegistrars bounds the agents that are asked first: two of each service.
 	maxRegistrars = 16
-	// redraws bounds the draws of a target other than one that did not answer.
-	redraws = 4
-	// settledAfter is how long the list of agents has to stay as it is in order to
-	// count as whole, where the control host does not say so: agents that start
-	// together register within a second.
-	settledAfter = 2 * time.Second
-	// gatherFor is how long a host that has just started waits for more targets
-	// before it places flows: control hosts tell each other of targets within 50 ms,
-	// and their subscribers within 100 ms more. A caller's next copy of an opening
-	// comes after 200 ms.
-	gatherFor = 180 * time.Millisecond
-	// unfamiliarFor is how long after its start an entry host takes any agent for a
-	// possible holder: a flow stays with its service when a route moves to another
-	// one, and this host has not seen that.
-	unfamiliarFor = 60 * time.Second
+	// maxRedraws bounds the attempts to choose a target other than one that has not
+	// answered.
+	maxRedraws = 4
+	// completeAfter is how long the list of agents has to stay unchanged to count as
+	// complete if the control host does not say so. Agents that start together register
+	// within a second.
+	completeAfter = 2 * time.Second
+	// discoveryTime is how long a host that has just started waits for more targets
+	// before it places flows: control hosts propagate targets within 150 ms, callers
+	// retransmit openings after 200 ms.
+	discoveryTime = 180 * time.Millisecond
+	// historyUnknownFor is how long after its start an entry host considers all agents
+	// possible holders: it does not know to which services a route led before.
+	historyUnknownFor = 60 * time.Second
 )
 
-// placer chooses targets by the newest view. It is safe for concurrent use.
+// placer chooses targets from the latest view. It is safe for concurrent use.
 type placer struct {
-	log   *zap.Logger
-	began time.Time
-
-	mu      sync.Mutex
-	view    *subscriber.View
-	viewAt  time.Time
-	table   *configpb.RouteTable
-	routes  map[flow.Endpoint]*placement.Route
-	targets map[uint32]*serviceTargets
-	// agents are those of all targets of the view.
+	log       *zap.Logger
+	startedAt time.Time
+
+	mu             sync.Mutex
+	view           *subscriber.View
+	viewReceivedAt time.Time
+	table          *configpb.RouteTable
+	routes         map[flow.Endpoint]*placement.Route
+	targets        map[uint32]*serviceTargets
+	// agents has the agents of all targets of the view.
 	agents []flow.Endpoint
 	known  map[flow.Endpoint]bool
 	loads  *routing.LoadReports
-	// firstAt is when the first targets were known, gathered that the wait for more
-	// is over.
-	firstAt  time.Time
-	gathered bool
-	// changedAt is when an agent came or went last.
-	changedAt time.Time
-	// loadAge is how old the load figures are by which flows are placed.
+	// firstTargetsAt is when the first targets were known, discovered is set when the
+	// wait for more is over.
+	firstTargetsAt time.Time
+	discovered     bool
+	// agentsChangedAt is when an agent was last added or removed.
+	agentsChangedAt time.Time
+	// loadAge is the age of the load reports that flows are placed by.
 	loadAge tally.Histogram
 }
 
 // serviceTargets are the targets of one service.
 type serviceTargets struct {
-	// list has those that new flows may go to, index the place of each in the view.
-	list  []routing.Target
-	index []int
-	// agents has the agents of all, also of those in evacuated failure domains, which keep
-	// their open flows.
+	// list has the targets for new flows, viewIndex their indexes in the view.
+	list      []routing.Target
+	viewIndex []int
+	// agents has the agents of all targets, including evacuated ones, which keep their
+	// flows.
 	agents []flow.Endpoint
 	table  *routing.Table
 }
 
 func newPlacer(log *zap.Logger, scope tally.Scope) *placer {
 	loadAge := scope.Histogram("load_age_seconds", metrics.Durations)
-	return &placer{log: log, loadAge: loadAge, began: time.Now(), loads: routing.NewLoadReports(nil, nil), routes: map[flow.Endpoint]*placement.Route{}, targets: map[uint32]*serviceTargets{}}
+	return &placer{log: log, loadAge: loadAge, startedAt: time.Now(), loads: routing.NewLoadReports(nil, nil), routes: map[flow.Endpoint]*placement.Route{}, targets: map[uint32]*serviceTargets{}}
 }
 
-// apply brings a view into force. now is the time on the flows' clock.
+// apply activates a view. now is the time on the clock of the flow table.
 func (p *placer) apply(v *subscriber.View, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view, p.viewAt = v, time.Now()
+	p.view, p.viewReceivedAt = v, time.Now()
 	if table := v.Config.GetTable(); table != nil && table != p.table {
 		p.applyRoutes(v.Config)
 	}
@@ -105,18 +102,18 @@
 	for _, r := range c.GetTable().GetRoutes() {
 		address, err := netip.ParseAddrPort(r.GetAddress())
 		if err != nil {
-			p.log.Error("route left out", zap.String("route", r.GetName()), zap.Error(err))
+			p.log.Error("route skipped", zap.String("route", r.GetName()), zap.Error(err))
 			continue
 		}
 		key := flow.EndpointOf(address)
 		next[key] = routeFrom(r, numbers, p.routes[key])
 	}
 	p.routes, p.table = next, c.GetTable()
-	p.log.Info("routes in force",
+	p.log.Info("routes applied",
 		zap.Uint64("revision", p.table.GetRevision()), zap.Uint64("version", c.GetVersion()), zap.Int("routes", len(next)))
 }
 
-func routeFrom(r *configpb.Route, numbers map[string]uint32, before *placement.Route) *placement.Route {
+func routeFrom(r *configpb.Route, numbers map[string]uint32, previous *placement.Route) *placement.Route {
 	shares := make([]placement.WeightedService, 0, len(r.GetServices()))
 	for _, s := range r.GetServices() {
 		shares = append(shares, placement.WeightedService{
@@ -125,42 +122,42 @@
 			Weight:  uint64(s.GetWeight()),
 		})
 	}
-	return placement.NewRoute(shares, before)
+	return placement.NewRoute(shares, previous)
 }
 
 func (p *placer) applyTargets(v *subscriber.View, now time.Duration) {
 	lists := map[uint32]*serviceTargets{}
 	all := make([]routing.Target, 0, len(v.Targets))
 	p.agents = p.agents[:0]
-	before := p.known
+	previous := p.known
 	p.known = make(map[flow.Endpoint]bool, len(v.Targets))
 	for i, record := range v.Targets {
 		t, err := subscriber.TargetOf(record)
 		if err != nil {
-			p.log.Error("target left out", zap.String("target", record.GetName()), zap.Error(err))
+			p.log.Error("target skipped", zap.String("target", record.GetName()), zap.Error(err))
 			continue
 		}
-		t.Age = v.Age(i, p.viewAt)
-		of := lists[t.Service]
-		if of == nil {
-			of = &serviceTargets{}
-			lists[t.Service] = of
+		t.Age = v.Age(i, p.viewReceivedAt)
+		st := lists[t.Service]
+		if st == nil {
+			st = &serviceTargets{}
+			lists[t.Service] = st
 		}
 		if !v.Evacuated(record) {
-			of.list = append(of.list, t)
-			of.index = append(of.index, i)
+			st.list = append(st.list, t)
+			st.viewIndex = append(st.viewIndex, i)
 		}
 		all = append(all, t)
 		agent := flow.EndpointOf(t.Address)
-		of.agents = append(of.agents, agent)
+		st.agents = append(st.agents, agent)
 		p.agents = append(p.agents, agent)
 		p.known[agent] = true
 	}
-	if len(before) == 0 && !p.gathered {
-		p.firstAt = p.viewAt
+	if len(previous) == 0 && !p.discovered {
+		p.firstTargetsAt = p.viewReceivedAt
 	}
-	if !maps.Equal(before, p.known) {
-		p.changedAt = p.viewAt
+	if !maps.Equal(previous, p.known) {
+		p.agentsChangedAt = p.viewReceivedAt
 	}
 	p.loads = routing.NewLoadReports(p.loads, all)
 	p.targets = lists
@@ -169,14 +166,14 @@
 
 var policy = &configpb.Policy{RampMs: rampMS}
 
-// rebuild makes the tables anew. The lock is held.
+// rebuild recreates the routing tables. The lock is held.
 func (p *placer) rebuild(now time.Duration) {
-	for number, of := range p.targets {
-		of.table = routing.NewTable(policy, number, of.list, p.loads, now)
+	for number, st := range p.targets {
+		st.table = routing.NewTable(policy, number, st.list, p.loads, now)
 	}
 }
 
-// refresh takes in ages and load figures.
+// refresh updates target ages and loads.
 func (p *placer) refresh(now time.Duration, decay bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,9 +181,9 @@
 		return
 	}
 	wall := time.Now()
-	for _, of := range p.targets {
-		for i := range of.list {
-			of.list[i].Age = p.view.Age(of.index[i], wall)
+	for _, st := range p.targets {
+		for i := range st.list {
+			st.list[i].Age = p.view.Age(st.viewIndex[i], wall)
 		}
 	}
 	if decay {
@@ -195,8 +192,8 @@
 	p.rebuild(now)
 }
 
-// learn takes in what an agent says of the load of its target.
-func (p *placer) learn(m flow.Frame, now time.Duration) {
+// updateLoad applies the load report in a frame.
+func (p *placer) updateLoad(m flow.Frame, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loads.Record(m.Number, m.Incarnation, routing.Report{Load: m.LoadPermille, Draining: m.Draining, Unhealthy: m.Unhealthy}, now)
@@ -206,7 +203,7 @@
 func (p *placer) Place(key flow.Key, avoid flow.Endpoint, now time.Duration) (flow.Placement, flow.Reason) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.decides() {
+	if !p.canPlace() {
 		return flow.Placement{}, flow.ReasonNotReady
 	}
 	r := p.routes[key.Public]
@@ -214,34 +211,34 @@
 		return flow.Placement{}, flow.ReasonNoRoute
 	}
 	placed, reason := r.Choose(key.Hash(p.table.GetRevision()), func(s placement.WeightedService) (placement.Candidate, bool) {
-		return p.offer(s, key, avoid, now)
+		return p.candidate(s, key, avoid, now)
 	})
 	if reason != flow.ReasonNoTarget {
 		return placed, reason
 	}
 	if !p.view.DirectoryComplete {
-		// The control host has started a moment ago, and so may the agents have: the
-		// caller sends its packet again by itself before it gives up.
+		// The control host and the agents may have just started: the caller
+		// retransmits the packet before it gives up.
 		return flow.Placement{}, flow.ReasonNotReady
 	}
-	if p.evacuated(r) {
+	if p.allEvacuated(r) {
 		return flow.Placement{}, flow.ReasonEvacuated
 	}
 	return flow.Placement{}, flow.ReasonNoTarget
 }
 
-// evacuated reports whether a route has targets, all of them in evacuated failure domains.
+// allEvacuated reports whether a route has targets, but all in evacuated failure domains.
 // The lock is held.
-func (p *placer) evacuated(r *placement.Route) bool {
+func (p *placer) allEvacuated(r *placement.Route) bool {
 	found := false
-	for number, of := range p.targets {
+	for number, st := range p.targets {
 		if !r.RoutesTo(number) {
 			continue
 		}
-		if len(of.list) > 0 {
+		if len(st.list) > 0 {
 			return false
 		}
-		found = found || len(of.agents) > 0
+		found = found || len(st.agents) > 0
 	}
 	return found
 }
@@ -250,46 +247,46 @@
 func (p *placer) Ready() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.decides()
+	return p.canPlace()
 }
 
-// decides reports whether routes and targets are known. The lock is held.
-func (p *placer) decides() bool {
-	return p.table != nil && p.view != nil && !p.gathering()
+// canPlace reports whether routes and targets are known. The lock is held.
+func (p *placer) canPlace() bool {
+	return p.table != nil && p.view != nil && !p.discovering()
 }
 
-// gathering reports whether this host may know only the first few of targets that
-// start with it. All flows would go to those, and long ones stay there.
-func (p *placer) gathering() bool {
-	if p.view.DirectoryComplete || p.gathered {
+// discovering reports whether this host may not know all targets yet that have started
+// with it. All flows would be placed on the first few.
+func (p *placer) discovering() bool {
+	if p.view.DirectoryComplete || p.discovered {
 		return false
 	}
-	p.gathered = len(p.known) > 0 && time.Since(p.firstAt) >= gatherFor
-	return !p.gathered
+	p.discovered = len(p.known) > 0 && time.Since(p.firstTargetsAt) >= discoveryTime
+	return !p.discovered
 }
 
-// offer chooses a target of one service, other than avoid if there is one. The lock is
+// candidate chooses a target of one service, other than avoid if possible. The lock is
 // held.
-func (p *placer) offer(s placement.WeightedService, key flow.Key, avoid flow.Endpoint, now time.Duration) (placement.Candidate, bool) {
-	of := p.targets[s.Service]
-	if of == nil {
+func (p *placer) candidate(s placement.WeightedService, key flow.Key, avoid flow.Endpoint, now time.Duration) (placement.Candidate, bool) {
+	st := p.targets[s.Service]
+	if st == nil {
 		return placement.Candidate{}, false
 	}
-	var offer placement.Candidate
-	for salt := range uint64(redraws) {
-		c, ok := of.table.Choose(key.Hash(salt+uint64(now)), now)
+	var candidate placement.Candidate
+	for salt := range uint64(maxRedraws) {
+		c, ok := st.table.Choose(key.Hash(salt+uint64(now)), now)
 		if !ok || c.Reason == routing.LastResort {
 			return placement.Candidate{}, false
 		}
-		offer = p.offerOf(s, c, now)
-		if offer.Placement.Agent != avoid {
+		candidate = p.newCandidate(s, c, now)
+		if candidate.Placement.Agent != avoid {
 			break
 		}
 	}
-	return offer, true
+	return candidate, true
 }
 
-func (p *placer) offerOf(s placement.WeightedService, c routing.Choice, now time.Duration) placement.Candidate {
+func (p *placer) newCandidate(s placement.WeightedService, c routing.Choice, now time.Duration) placement.Candidate {
 	number, incarnation := c.Target.Number, c.Target.Incarnation
 	if age, known := p.loads.Age(number, incarnation, now); known {
 		p.loadAge.RecordDuration(age)
@@ -310,42 +307,42 @@
 	if r == nil || p.view == nil {
 		return to, false
 	}
-	all := p.whole()
-	if time.Since(p.began) < unfamiliarFor {
+	all := p.complete()
+	if time.Since(p.startedAt) < historyUnknownFor {
 		return append(to, p.agents[:min(len(p.agents), maxHolders)]...), all && len(p.agents) <= maxHolders
 	}
-	for number, of := range p.targets {
+	for number, st := range p.targets {
 		if !r.EverHad(number) {
 			continue
 		}
 		room := maxHolders - len(to)
-		if len(of.agents) > room {
-			return append(to, of.agents[:room]...), false
+		if len(st.agents) > room {
+			return append(to, st.agents[:room]...), false
 		}
-		to = append(to, of.agents...)
+		to = append(to, st.agents...)
 	}
 	return to, all
 }
 
 // Registrars implements flow.Placer.
 func (p *placer) Registrars(to []flow.Endpoint, key flow.Key) []flow.Endpoint {
-	return p.ofServices(to, key, false, flow.AppendRegistrars)
+	return p.appendFromServices(to, key, false, flow.AppendRegistrars)
 }
 
-// ofServices appends the agents that are drawn for a flow from each service that its route
-// leads or has led to. With former, a host that has started lately takes all services for
-// such: it has not seen what routes were before.
-func (p *placer) ofServices(to []flow.Endpoint, key flow.Key, former bool, draw func(to []flow.Endpoint, key flow.Key, list []flow.Endpoint) []flow.Endpoint) []flow.Endpoint {
+// appendFromServices appends the agents picked for a flow from each service that its route
+// has or has had. With includeFormer, a host that has just started includes all services,
+// since it does not know the earlier ones.
+func (p *placer) appendFromServices(to []flow.Endpoint, key flow.Key, includeFormer bool, pick func(to []flow.Endpoint, key flow.Key, list []flow.Endpoint) []flow.Endpoint) []flow.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.routes[key.Public]
 	if r == nil {
 		return to
 	}
-	unfamiliar := former && time.Since(p.began) < unfamiliarFor
-	for number, of := range p.targets {
-		if (unfamiliar || r.EverHad(number)) && len(to) < maxRegistrars {
-			to = draw(to, key, of.agents)
+	historyUnknown := includeFormer && time.Since(p.startedAt) < historyUnknownFor
+	for number, st := range p.targets {
+		if (historyUnknown || r.EverHad(number)) && len(to) < maxRegistrars {
+			to = pick(to, key, st.agents)
 		}
 	}
 	return to
@@ -353,7 +350,7 @@
 
 // Coordinators implements flow.Placer.
 func (p *placer) Coordinators(to []flow.Endpoint, key flow.Key, turn int) []flow.Endpoint {
-	return p.ofServices(to, key, true, func(to []flow.Endpoint, key flow.Key, list []flow.Endpoint) []flow.Endpoint {
+	return p.appendFromServices(to, key, true, func(to []flow.Endpoint, key flow.Key, list []flow.Endpoint) []flow.Endpoint {
 		return flow.AppendCoordinators(to, key, turn, list)
 	})
 }
@@ -362,16 +359,16 @@
 func (p *placer) ServiceAgents(to []flow.Endpoint, agent flow.Endpoint) []flow.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, of := range p.targets {
-		if slices.Contains(of.agents, agent) {
-			return append(to, of.agents...)
+	for _, st := range p.targets {
+		if slices.Contains(st.agents, agent) {
+			return append(to, st.agents...)
 		}
 	}
 	return to
 }
 
-// inputs are what decisions here rest on, for the log.
-func (p *placer) inputs() []zap.Field {
+// decisionInputs returns the state behind a verdict for the log.
+func (p *placer) decisionInputs() []zap.Field {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view == nil {
@@ -380,26 +377,26 @@
 	return []zap.Field{
 		zap.Uint64("revision", p.table.GetRevision()),
 		zap.Int("targets", len(p.view.Targets)),
-		zap.Duration("view_age", time.Since(p.viewAt)),
-		zap.Bool("whole", p.view.DirectoryComplete),
+		zap.Duration("view_age", time.Since(p.viewReceivedAt)),
+		zap.Bool("complete", p.view.DirectoryComplete),
 	}
 }
 
 // HasTarget implements flow.Placer.
-func (p *placer) HasTarget(agent flow.Endpoint) (known, whole bool) {
+func (p *placer) HasTarget(agent flow.Endpoint) (known, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known[agent], p.whole()
+	return p.known[agent], p.complete()
 }
 
-// whole reports whether the list of targets has all that there are. The lock is held.
-func (p *placer) whole() bool {
-	return p.view.Connected && (p.view.DirectoryComplete || time.Since(p.changedAt) > settledAfter)
+// complete reports whether the list of targets is complete. The lock is held.
+func (p *placer) complete() bool {
+	return p.view.Connected && (p.view.DirectoryComplete || time.Since(p.agentsChangedAt) > completeAfter)
 }
 
-// ready reports whether there are routes and targets to place flows by.
+// ready reports whether there are routes, and targets to place flows on.
 func (p *placer) ready() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.decides() && (p.view.DirectoryComplete || len(p.view.Targets) > 0)
+	return p.canPlace() && (p.view.DirectoryComplete || len(p.view.Targets) > 0)
 }
--- a/internal/flowd/placer_test.go
+++ b/internal/flowd/placer_test.go
@@ -17,9 +17,9 @@
 
 const lodgement = 1
 
-// view has two targets of a service in each of these failure domains, those given being
-// evacuated.
-func view(domains []string, evacuated ...string) *subscriber.View {
+// newTestView returns a view with two targets of a service in each failure domain, some of
+// which are evacuated.
+func newTestView(domains []string, evacuated ...string) *subscriber.View {
 	c := &configpb.Configuration{
 		Version:  1,
 		Services: []*configpb.Service{{Number: lodgement, Name: "lodgement"}},
@@ -43,7 +43,7 @@
 	return subscriber.NewView(c, targets, time.Now())
 }
 
-func placerOf(v *subscriber.View) *placer {
+func newTestPlacer(v *subscriber.View) *placer {
 	p := newPlacer(zap.NewNop(), tally.NoopScope)
 	p.apply(v, 0)
 	return p
@@ -56,8 +56,8 @@
 	}
 }
 
-// placed counts the flows that go to each agent.
-func placed(t *testing.T, p *placer, flows int) map[string]int {
+// placeFlows counts the flows placed on each agent.
+func placeFlows(t *testing.T, p *placer, flows int) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for i := range flows {
@@ -70,13 +70,13 @@
 	return counts
 }
 
-// The targets in an evacuated failure domain get nothing, the others share all of it, and
-// flows that are open there are still found.
+// Evacuated targets get no new flows, the others share them. Open flows of the evacuated
+// targets are still found.
 func TestEvacuatedTargetsGetNoNewFlows(t *testing.T) {
 	is := is.New(t)
 	domains := []string{"a", "b", "c", "d"}
-	p := placerOf(view(domains, "b"))
-	counts := placed(t, p, 6000)
+	p := newTestPlacer(newTestView(domains, "b"))
+	counts := placeFlows(t, p, 6000)
 	is.Equal(counts["10.0.0.3:7000"]+counts["10.0.0.4:7000"], 0)
 	is.Equal(len(counts), 6)
 	for _, n := range counts {
@@ -86,16 +86,16 @@
 	is.Equal(len(holders), 8)
 	is.True(all)
 
-	p.apply(view(domains), 0)
-	is.Equal(len(placed(t, p, 6000)), 8)
+	p.apply(newTestView(domains), 0)
+	is.Equal(len(placeFlows(t, p, 6000)), 8)
 }
 
-// Where all targets of a route are evacuated its callers are told so at once.
+// A flow is refused at once if all targets of its route are evacuated.
 func TestAllTargetsEvacuated(t *testing.T) {
 	is := is.New(t)
-	p := placerOf(view([]string{"a", "b"}, "a", "b"))
+	p := newTestPlacer(newTestView([]string{"a", "b"}, "a", "b"))
 	_, reason := p.Place(callerKey(1), flow.Endpoint{}, 0)
 	is.Equal(reason, flow.ReasonEvacuated)
-	_, reason = placerOf(view(nil, "a")).Place(callerKey(1), flow.Endpoint{}, 0)
+	_, reason = newTestPlacer(newTestView(nil, "a")).Place(callerKey(1), flow.Endpoint{}, 0)
 	is.Equal(reason, flow.ReasonNoTarget)
 }
--- a/internal/flowd/socket.go
+++ b/internal/flowd/socket.go
@@ -15,28 +15,27 @@
 )
 
 const (
-	// maxDatagram is more than the longest packet with a frame before it, in bytes.
+	// maxDatagram is above the size of the longest packet with a frame header, in bytes.
 	maxDatagram = 2048
-	// socketBuffer is what the kernel is asked to hold of datagrams that wait, in
-	// bytes: 100 ms of a link of 100 Mbit/s.
+	// socketBuffer is the receive buffer size in bytes: 100 ms at 100 Mbit/s.
 	socketBuffer = 1 << 20
-	// errorLogPause is the least time between two log lines on failed sends.
-	errorLogPause = time.Second
+	// errorLogInterval is the minimum time between two log lines for receive errors.
+	errorLogInterval = time.Second
 )
 
-// socket is a UDP socket whose failures are counted, and logged now and then.
+// socket is a UDP socket with counters and rate-limited error logs.
 type socket struct {
 	conn   *net.UDPConn
 	log    *zap.Logger
 	failed tally.Counter
-	// in and out count what it receives and sends.
+	// in and out count received and sent datagrams.
 	in, out *traffic
-	// handling is how long datagrams take from the read to the last send.
-	handling tally.Histogram
-	loggedAt time.Time
+	// handling is the time from receiving a datagram to the last send it causes.
+	handling     tally.Histogram
+	lastErrorLog time.Time
 }
 
-// listen opens a socket for datagrams from one kind of peer.
+// listen opens a socket for datagrams of one kind of peer.
 func listen(address, from string, log *zap.Logger, scope tally.Scope) (*socket, error) {
 	resolved, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -47,7 +46,7 @@
 		return nil, errors.Wrapf(err, "listen at %s", address)
 	}
 	if err := conn.SetReadBuffer(socketBuffer); err != nil {
-		log.Info("receive buffer stays as it is", zap.String("address", address), zap.Error(err))
+		log.Info("failed to set receive buffer size", zap.String("address", address), zap.Error(err))
 	}
 	return &socket{
 		conn:     conn,
@@ -59,14 +58,14 @@
 	}, nil
 }
 
-// local returns the address that the socket opened.
+// local returns the socket's address.
 func (s *socket) local() netip.AddrPort {
 	return s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// sendFrame sends a datagram that begins with a frame, sendPacket one that is a packet of
-// a caller or backend server, sendReset one that tells a caller that its flow is gone. What
-// is lost is sent again by the ends of the flow.
+// sendFrame sends a datagram that begins with a frame, sendPacket a packet of a caller or
+// backend server, sendReset a reset. Failures are only counted: both ends of a flow
+// retransmit lost packets.
 func (s *socket) sendFrame(b []byte, to flow.Endpoint) {
 	s.out.frame(b)
 	s.send(b, to)
@@ -88,8 +87,8 @@
 	}
 }
 
-// serve calls handle for each datagram until the context ends. The slice is valid
-// during the call only.
+// serve calls handle for each datagram until the context ends. The slice is only valid
+// during the call.
 func (s *socket) serve(ctx context.Context, handle func(b []byte, from flow.Endpoint)) {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
@@ -100,11 +99,11 @@
 			return
 		}
 		if err != nil {
-			// A socket may report that an earlier datagram found nobody.
+			// ICMP errors for earlier datagrams are reported here.
 			s.failed.Inc(1)
-			if now := time.Now(); now.Sub(s.loggedAt) >= errorLogPause {
-				s.loggedAt = now
-				s.log.Info("datagram not received", zap.Error(err))
+			if now := time.Now(); now.Sub(s.lastErrorLog) >= errorLogInterval {
+				s.lastErrorLog = now
+				s.log.Info("failed to receive datagram", zap.Error(err))
 			}
 			continue
 		}
--- a/internal/flowd/trace.go
+++ b/internal/flowd/trace.go
@@ -6,37 +6,37 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-// traced lists the decisions that touch a flow as a whole. What happens to each of its
-// later packets is counted only.
-var traced = []struct {
+// tracedVerdicts lists the verdicts that are logged: those that concern a flow, not single
+// packets.
+var tracedVerdicts = []struct {
 	message string
 	action  flow.Action
 	reasons []flow.Reason
 }{
 	{"flow placed", flow.Send, []flow.Reason{flow.ReasonPlaced, flow.ReasonPlacedAgain, flow.ReasonOverflow}},
 	{"flow placed", flow.Deliver, []flow.Reason{flow.ReasonPlaced}},
-	{"flow handed on", flow.Send, []flow.Reason{flow.ReasonDraining, flow.ReasonEvacuated, flow.ReasonWarmingUp, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull}},
-	{"flow waits for its target", flow.Wait, []flow.Reason{flow.ReasonQueued}},
-	{"flow not taken", flow.Return, []flow.Reason{flow.ReasonQueueExpired, flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonHopLimit, flow.ReasonTableFull}},
-	{"flow searched for", flow.SendAll, []flow.Reason{flow.ReasonUnknown, flow.ReasonRegistered}},
-	{"flow searched for", flow.Send, []flow.Reason{flow.ReasonRegistered}},
+	{"flow forwarded", flow.Send, []flow.Reason{flow.ReasonDraining, flow.ReasonEvacuated, flow.ReasonWarmingUp, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull}},
+	{"flow queued", flow.Wait, []flow.Reason{flow.ReasonQueued}},
+	{"queued flow returned", flow.Return, []flow.Reason{flow.ReasonQueueExpired, flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonHopLimit, flow.ReasonTableFull}},
+	{"searching for flow", flow.SendAll, []flow.Reason{flow.ReasonUnknown, flow.ReasonRegistered}},
+	{"searching for flow", flow.Send, []flow.Reason{flow.ReasonRegistered}},
 	{"flow not held", flow.Return, []flow.Reason{flow.ReasonNotHeld, flow.ReasonOpenedElsewhere}},
 	{"flow not held", flow.Deny, []flow.Reason{flow.ReasonNotHeld, flow.ReasonOpenedElsewhere}},
-	{"flow asked of its target", flow.Deliver, []flow.Reason{flow.ReasonUncertain}},
+	{"flow probed at target", flow.Deliver, []flow.Reason{flow.ReasonUncertain}},
 	{"flow reset", flow.Reset, []flow.Reason{flow.ReasonNoRoute, flow.ReasonNoTarget, flow.ReasonHeldNowhere, flow.ReasonLostByTarget, flow.ReasonHopLimit,
 		flow.ReasonDraining, flow.ReasonNoServer, flow.ReasonOtherService, flow.ReasonRefusedByTarget, flow.ReasonTableFull,
 		flow.ReasonQueueExpired, flow.ReasonTargetGone, flow.ReasonEvacuated}},
 	{"packet dropped", flow.Drop, []flow.Reason{flow.ReasonNoRoute, flow.ReasonSearchLimit, flow.ReasonTableFull, flow.ReasonLinkFull}},
-	{"packet waits", flow.Wait, []flow.Reason{flow.ReasonNotReady, flow.ReasonStalled}},
+	{"packet buffered", flow.Wait, []flow.Reason{flow.ReasonNotReady, flow.ReasonStalled}},
 }
 
-// traceMessages has the message of each of these decisions. The bound on the lines of
-// a message holds for each message apart.
-var traceMessages = messagesOf()
+// traceMessages has the log message of each traced verdict. The log rate is limited for
+// each message separately.
+var traceMessages = buildTraceMessages()
 
-func messagesOf() map[verdictKey]string {
+func buildTraceMessages() map[verdictKey]string {
 	out := map[verdictKey]string{}
-	for _, t := range traced {
+	for _, t := range tracedVerdicts {
 		for _, reason := range t.reasons {
 			out[verdictKey{t.action, reason}] = t.message
 		}
@@ -44,9 +44,9 @@
 	return out
 }
 
-// trace writes a line for a decision that touches a flow as a whole, with what decided
-// it. It allocates nothing for other decisions and above the bound of the log.
-func trace(log *zap.Logger, v *flow.Verdict, p *flow.Packet, inputs func() []zap.Field) {
+// logVerdict logs a traced verdict with its inputs. It does not allocate for other verdicts
+// or above the rate limit of the log.
+func logVerdict(log *zap.Logger, v *flow.Verdict, p *flow.Packet, inputs func() []zap.Field) {
 	message := traceMessages[verdictKey{v.Action, v.Reason}]
 	if message == "" {
 		return
--- a/internal/flowd/traffic.go
+++ b/internal/flowd/traffic.go
@@ -6,7 +6,7 @@
 	"eelgrasswharf.example/eelgrasswharf/flow"
 )
 
-// direction of a datagram as its process sees it.
+// direction of a datagram.
 type direction string
 
 const (
@@ -14,44 +14,44 @@
 	received direction = "received"
 )
 
-// Kinds of datagrams that are no frames.
+// Kinds of datagrams other than frames.
 const (
 	kindPacket = "packet"
 	kindReset  = "reset"
 	kindOther  = "other"
 )
 
-// traffic counts the datagrams of one kind of peer, and their bytes of payload, by direction
-// and kind: what fills a narrow link. Its methods may be called concurrently.
+// traffic counts datagrams and payload bytes of one kind of peer by direction and kind. Its
+// methods may be called concurrently.
 type traffic struct {
-	frames [flow.KindCount]volume
-	// packets are those of callers and backend servers, as they are.
-	packets, resets, others volume
+	frames [flow.KindCount]datagramCounters
+	// packets are those of callers and backend servers without a frame header.
+	packets, resets, others datagramCounters
 }
 
-// volume counts datagrams of one kind in one direction.
-type volume struct {
+// datagramCounters count the datagrams of one kind in one direction.
+type datagramCounters struct {
 	datagrams, bytes tally.Counter
 }
 
-func newVolume(scope tally.Scope, peer string, d direction, kind string) volume {
+func newDatagramCounters(scope tally.Scope, peer string, d direction, kind string) datagramCounters {
 	tagged := scope.Tagged(map[string]string{"peer": peer, "direction": string(d), "kind": kind})
-	return volume{datagrams: tagged.Counter("datagrams"), bytes: tagged.Counter("bytes")}
+	return datagramCounters{datagrams: tagged.Counter("datagrams"), bytes: tagged.Counter("bytes")}
 }
 
-func (v *volume) add(size int) {
+func (v *datagramCounters) add(size int) {
 	v.datagrams.Inc(1)
 	v.bytes.Inc(int64(size))
 }
 
 func newTraffic(scope tally.Scope, peer string, d direction) *traffic {
 	t := &traffic{
-		packets: newVolume(scope, peer, d, kindPacket),
-		resets:  newVolume(scope, peer, d, kindReset),
-		others:  newVolume(scope, peer, d, kindOther),
+		packets: newDatagramCounters(scope, peer, d, kindPacket),
+		resets:  newDatagramCounters(scope, peer, d, kindReset),
+		others:  newDatagramCounters(scope, peer, d, kindOther),
 	}
 	for kind := range t.frames {
-		t.frames[kind] = newVolume(scope, peer, d, flow.Kind(kind).String())
+		t.frames[kind] = newDatagramCounters(scope, peer, d, flow.Kind(kind).String())
 	}
 	return t
 }
--- a/soak/internal/mutants/defects.go
+++ b/soak/internal/mutants/defects.go
@@ -25,7 +25,7 @@
 	{"reset on doubt", "flow/search.go",
 		"if !e.covered[agent] && !contains(f.denied, agent) {\n\t\t\treturn Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}\n\t\t}\n\t}\n\tdelete(", "if len(f.denied) == 0 || agent.IsZero() {\n\t\t\treturn Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}\n\t\t}\n\t}\n\tdelete("},
 	{"targets of another service", "internal/flowd/placer.go",
-		"of := p.targets[s.Service]", "of := p.targets[1]"},
+		"st := p.targets[s.Service]", "st := p.targets[1]"},
 	{"routes never renewed", "internal/flowd/placer.go",
 		"if table := v.Config.GetTable(); table != nil && table != p.table {", "if table := v.Config.GetTable(); table != nil && p.table == nil {"},
 	{"reload ends the process", "platform/watch.go",
