--- a/flow/warmup_test.go
+++ b/flow/warmup_test.go
@@ -33,9 +33,9 @@
 	is.Equal(v.Reason, flow.ReasonWarmingUp)
 	is.Equal(v.To, agentB)
 
-	handedOn := open(entryA)
-	handedOn.Hops = 3
-	is.Equal(a.FromEntry(handedOn, syn(4), now).Action, flow.Wait) // hop limit reached
+	forwarded := open(entryA)
+	forwarded.Hops = 3
+	is.Equal(a.FromEntry(forwarded, syn(4), now).Action, flow.Wait) // hop limit reached
 	wantNoneQueued(t, a, now+400*millisecond)
 
 	a.FromTarget(synAck(1, firstA), now)
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,10 +1,9 @@
-// Package placement decides which service of a route a new flow goes to.
+// Package placement chooses the service of a route for a new flow.
 //
-// The contract: the weights of the route decide, by a hash of the flow, so that all
-// hosts with one route table agree on the service. Two things come before them: a
-// service without a target that can take the flow is passed over, and so is one whose
-// targets are full while another service of the route has room. A service of weight 0
-// never gets a new flow.
+// The choice follows the weights of the route by a hash of the flow, so that all hosts
+// with the same route table choose the same service. A service is skipped if it has no
+// target that can take the flow, or if its targets are full and another service of the
+// route has capacity. A service of weight 0 never gets a new flow.
 //
-// The package has no clock, lock or input of its own. A Route is immutable.
+// The package has no clock and no locks. A Route is immutable.
 package placement
--- a/placement/route.go
+++ b/placement/route.go
@@ -2,8 +2,8 @@
 
 import "eelgrasswharf.example/eelgrasswharf/flow"
 
-// overflowRatio is how many times as loaded as a target of another service a full one has
-// to be: load figures are up to 250 ms old, and a burst meets both services.
+// overflowRatio is how many times higher the load of a full target has to be for overflow
+// to another service: loads are up to 250 ms old, and bursts hit both services.
 const overflowRatio = 2
 
 // WeightedService is a service of a route.
@@ -14,37 +14,37 @@
 	Weight  uint64
 }
 
-// Route is a public address that new flows come to.
+// Route is a public address with its services.
 type Route struct {
-	shares []WeightedService
-	sum    uint64
-	// had has the numbers of all services that the route has had so far: open flows stay
-	// with them.
-	had map[uint32]bool
+	services    []WeightedService
+	totalWeight uint64
+	// history has the numbers of all services that the route has ever had. Open flows
+	// stay with them.
+	history map[uint32]bool
 }
 
-// NewRoute returns a route with these services. Before is the route of the address until
-// now, nil if there was none.
-func NewRoute(shares []WeightedService, before *Route) *Route {
-	r := &Route{shares: shares, had: map[uint32]bool{}}
-	if before != nil {
-		for service := range before.had {
-			r.had[service] = true
+// NewRoute returns a route with these services. previous is the earlier route of the
+// address, nil if there was none.
+func NewRoute(services []WeightedService, previous *Route) *Route {
+	r := &Route{services: services, history: map[uint32]bool{}}
+	if previous != nil {
+		for service := range previous.history {
+			r.history[service] = true
 		}
 	}
-	for _, s := range shares {
-		r.had[s.Service] = true
-		r.sum += s.Weight
+	for _, s := range services {
+		r.history[s.Service] = true
+		r.totalWeight += s.Weight
 	}
 	return r
 }
 
-// EverHad reports whether the route has, or has had, a service.
-func (r *Route) EverHad(service uint32) bool { return r.had[service] }
+// EverHad reports whether the route has or has had a service.
+func (r *Route) EverHad(service uint32) bool { return r.history[service] }
 
 // RoutesTo reports whether new flows of the route may go to a service.
 func (r *Route) RoutesTo(service uint32) bool {
-	for _, s := range r.shares {
+	for _, s := range r.services {
 		if s.Service == service && s.Weight > 0 {
 			return true
 		}
@@ -52,32 +52,31 @@
 	return false
 }
 
-// Candidate is a target of one service that would take a flow.
+// Candidate is a target that can take a flow.
 type Candidate struct {
 	Placement flow.Placement
 	// Load of the target in thousandths of its slots.
 	Load uint16
 }
 
-// Choose decides on a new flow by a hash that is evenly spread. Offers returns the target
-// of a service that would take it, or false. The reason is ReasonNoTarget if there is
-// none.
-func (r *Route) Choose(hash uint64, offers func(WeightedService) (Candidate, bool)) (flow.Placement, flow.Reason) {
+// Choose places a new flow by a uniformly distributed hash. candidateOf returns the target
+// of a service that can take it, or false. The reason is ReasonNoTarget if there is none.
+func (r *Route) Choose(hash uint64, candidateOf func(WeightedService) (Candidate, bool)) (flow.Placement, flow.Reason) {
 	best, reason := Candidate{}, flow.ReasonNoTarget
-	first := r.draw(hash)
-	for i := range r.shares {
-		s := r.shares[(first+i)%len(r.shares)]
+	first := r.pick(hash)
+	for i := range r.services {
+		s := r.services[(first+i)%len(r.services)]
 		if s.Weight == 0 {
 			continue
 		}
-		offer, ok := offers(s)
+		candidate, ok := candidateOf(s)
 		switch {
 		case !ok:
 			continue
 		case reason == flow.ReasonNoTarget:
-			best, reason = offer, flow.ReasonPlaced
-		case overflows(best.Load, offer.Load):
-			best, reason = offer, flow.ReasonOverflow
+			best, reason = candidate, flow.ReasonPlaced
+		case overflows(best.Load, candidate.Load):
+			best, reason = candidate, flow.ReasonOverflow
 		}
 		if best.Load < flow.SaturatedLoad {
 			break
@@ -86,23 +85,23 @@
 	return best.Placement, reason
 }
 
-// overflows reports whether a flow that would go to a target goes to one of another
-// service: new flows wait beside the first one. Loads are in thousandths of slots.
+// overflows reports whether a flow for a target at load to goes to another service with a
+// target at load other. Loads are in thousandths of slots.
 func overflows(to, other uint16) bool {
 	return to >= flow.SaturatedLoad && uint32(other)*overflowRatio <= uint32(to)
 }
 
-// draw returns the index of the service that the weights give.
-func (r *Route) draw(hash uint64) int {
-	if r.sum == 0 {
+// pick returns the index of the service that the weights select.
+func (r *Route) pick(hash uint64) int {
+	if r.totalWeight == 0 {
 		return 0
 	}
-	left := hash % r.sum
-	for i, s := range r.shares {
-		if left < s.Weight {
+	rest := hash % r.totalWeight
+	for i, s := range r.services {
+		if rest < s.Weight {
 			return i
 		}
-		left -= s.Weight
+		rest -= s.Weight
 	}
 	return 0
 }
--- a/placement/route_test.go
+++ b/placement/route_test.go
@@ -9,7 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/placement"
 )
 
-// route gives hashes 0 to 89 to service 1, 90 to 99 to service 2 and none to service 3.
+// route maps hashes 0 to 89 to service 1, 90 to 99 to service 2 and none to service 3.
 func route() *placement.Route {
 	return placement.NewRoute([]placement.WeightedService{
 		{Service: 1, Hash: 101, Weight: 90},
@@ -18,8 +18,7 @@
 	}, nil)
 }
 
-// loads offers one target of each service at these loads; a negative one stands for a
-// service without a target.
+// loads returns a candidate of each service at these loads, none for a negative load.
 func loads(of ...int) func(placement.WeightedService) (placement.Candidate, bool) {
 	return func(s placement.WeightedService) (placement.Candidate, bool) {
 		load := of[s.Service-1]
@@ -31,24 +30,24 @@
 }
 
 func TestChoose(t *testing.T) {
-	const drawnFirst, drawnSecond = 89, 90
+	const hashFirst, hashSecond = 89, 90
 	for name, tt := range map[string]struct {
 		hash    uint64
 		loads   []int
 		service uint64
 		reason  flow.Reason
 	}{
-		"by weight, the first":             {drawnFirst, []int{500, 0, 0}, 101, flow.ReasonPlaced},
-		"by weight, the second":            {drawnSecond, []int{0, 500, 0}, 102, flow.ReasonPlaced},
-		"loaded, but it has room":          {drawnFirst, []int{1999, 0, 0}, 101, flow.ReasonPlaced},
-		"full":                             {drawnFirst, []int{2000, 1000, 0}, 102, flow.ReasonOverflow},
-		"full, the other way":              {drawnSecond, []int{100, 6000, 0}, 101, flow.ReasonOverflow},
-		"full, the other one nearly as":    {drawnFirst, []int{2000, 1001, 0}, 101, flow.ReasonPlaced},
-		"both far over":                    {drawnFirst, []int{6000, 2900, 0}, 102, flow.ReasonOverflow},
-		"the only one with a target, full": {drawnFirst, []int{6000, -1, 0}, 101, flow.ReasonPlaced},
-		"without a target":                 {drawnFirst, []int{-1, 6000, 0}, 102, flow.ReasonPlaced},
-		"a weight of 0 gets nothing":       {drawnFirst, []int{-1, -1, 0}, 0, flow.ReasonNoTarget},
-		"a weight of 0 takes no overflow":  {drawnFirst, []int{6000, 6000, 0}, 101, flow.ReasonPlaced},
+		"first by weight":                  {hashFirst, []int{500, 0, 0}, 101, flow.ReasonPlaced},
+		"second by weight":                 {hashSecond, []int{0, 500, 0}, 102, flow.ReasonPlaced},
+		"loaded but not full":              {hashFirst, []int{1999, 0, 0}, 101, flow.ReasonPlaced},
+		"full":                             {hashFirst, []int{2000, 1000, 0}, 102, flow.ReasonOverflow},
+		"second one full":                  {hashSecond, []int{100, 6000, 0}, 101, flow.ReasonOverflow},
+		"full, the other above half":       {hashFirst, []int{2000, 1001, 0}, 101, flow.ReasonPlaced},
+		"both overloaded":                  {hashFirst, []int{6000, 2900, 0}, 102, flow.ReasonOverflow},
+		"full, the only one with a target": {hashFirst, []int{6000, -1, 0}, 101, flow.ReasonPlaced},
+		"without a target":                 {hashFirst, []int{-1, 6000, 0}, 102, flow.ReasonPlaced},
+		"weight 0 gets nothing":            {hashFirst, []int{-1, -1, 0}, 0, flow.ReasonNoTarget},
+		"weight 0 takes no overflow":       {hashFirst, []int{6000, 6000, 0}, 101, flow.ReasonPlaced},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,8 +58,8 @@
 	}
 }
 
-// Open flows stay with the services that a route has had.
-func TestHad(t *testing.T) {
+// Open flows stay with the former services of a route.
+func TestEverHad(t *testing.T) {
 	is := is.New(t)
 	r := placement.NewRoute([]placement.WeightedService{{Service: 4, Weight: 1}}, route())
 	is.True(r.EverHad(1))
@@ -75,8 +74,8 @@
 	is.Equal(reason, flow.ReasonNoTarget)
 }
 
-// TestWeightsHold counts hashes where all have room.
-func TestWeightsHold(t *testing.T) {
+// The weights hold if no target is full.
+func TestWeights(t *testing.T) {
 	is := is.New(t)
 	counts := map[uint64]int{}
 	for hash := range uint64(1000) {
