--- a/stall/detector.go
+++ b/stall/detector.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// Detector notices standstills of its own process as gaps between looks at the
-// clock. The process has to look far more often than Bound.
+// Detector detects stalls of its process as gaps between clock observations. The process
+// has to observe the clock far more often than Threshold.
 type Detector struct {
-	// Threshold is the longest time between two looks of a process that runs.
+	// Threshold is the longest gap between two observations of a running process.
 	Threshold time.Duration
-	// Grace is the time after a standstill within which everything that waited
-	// for the process is read.
+	// Grace is the time after a stall within which all data that waited is read.
 	Grace time.Duration
 
-	looked bool
-	last   time.Duration
-	// ended is the time of the first look after the last standstill.
-	stood bool
-	ended time.Duration
+	observed bool
+	last     time.Duration
+	// stallEnd is the time of the first observation after the last stall.
+	stalled  bool
+	stallEnd time.Duration
 }
 
-// Observe records that the process runs. If it stood still since the last look,
-// it returns for how long, otherwise 0. Looks may be recorded out of order.
+// Observe records that the process runs. It returns the length of a stall since the last
+// observation, 0 if there was none. Times may be out of order.
 func (d *Detector) Observe(now time.Duration) time.Duration {
 	gap := now - d.last
-	if !d.looked {
-		d.looked = true
+	if !d.observed {
+		d.observed = true
 		d.last = now
 		return 0
 	}
@@ -31,22 +30,21 @@
 	if gap <= d.Threshold {
 		return 0
 	}
-	d.stood = true
-	d.ended = now
+	d.stalled = true
+	d.stallEnd = now
 	return gap
 }
 
-// MayHaveWaited reports whether a request may have been sent before the end of a
-// standstill. It arrived, as the process saw it, at a time; its connection was
-// opened by this process at another, before its sender could send anything on
-// it. Both times are of looks that were recorded; a look has to be recorded
-// right before this is asked.
+// MayHaveWaited reports whether a request may have been sent before the end of a stall. It
+// arrived at one time, over a connection that this process opened at another, before
+// anything was sent on it. Both are observed times, and the last observation has to be
+// recent.
 func (d *Detector) MayHaveWaited(opened, arrived time.Duration) bool {
-	if !d.stood {
+	if !d.stalled {
 		return false
 	}
-	if arrived < d.ended {
+	if arrived < d.stallEnd {
 		return true
 	}
-	return opened < d.ended && arrived-d.ended < d.Grace
+	return opened < d.stallEnd && arrived-d.stallEnd < d.Grace
 }
--- a/stall/detector_test.go
+++ b/stall/detector_test.go
@@ -17,66 +17,63 @@
 	grace = 2 * time.Second
 )
 
-func TestHeld(t *testing.T) {
+func TestMayHaveWaited(t *testing.T) {
 	is := is.New(t)
 	d := &stall.Detector{Threshold: bound, Grace: grace}
-	is.Equal(d.Observe(5*time.Second), time.Duration(0)) // the first look follows no other
+	is.Equal(d.Observe(5*time.Second), time.Duration(0)) // the first observation
 	is.True(!d.MayHaveWaited(0, 5*time.Second))
-	is.Equal(d.Observe(6*time.Second), time.Duration(0)) // at the bound
+	is.Equal(d.Observe(6*time.Second), time.Duration(0)) // at the threshold
 	is.Equal(d.Observe(9*time.Second), 3*time.Second)
-	is.Equal(d.Observe(8*time.Second), time.Duration(0))   // a look that is recorded late
-	is.True(d.MayHaveWaited(6*time.Second, 6*time.Second)) // waited for its grant meanwhile
+	is.Equal(d.Observe(8*time.Second), time.Duration(0))   // out of order
+	is.True(d.MayHaveWaited(6*time.Second, 6*time.Second)) // arrived before the stall
 	is.True(d.MayHaveWaited(6*time.Second, 9*time.Second))
 	is.True(d.MayHaveWaited(6*time.Second, 9*time.Second+grace-1))
 	is.True(!d.MayHaveWaited(6*time.Second, 9*time.Second+grace))
-	is.True(!d.MayHaveWaited(9*time.Second, 9*time.Second)) // a connection that came after
+	is.True(!d.MayHaveWaited(9*time.Second, 9*time.Second)) // opened after the stall
 	d.Observe(9 * time.Second)
-	is.True(d.MayHaveWaited(6*time.Second, 6*time.Second)) // still so
+	is.True(d.MayHaveWaited(6*time.Second, 6*time.Second)) // unchanged
 }
 
-// life draws a process that looks at the clock often, but for standstills, and
-// returns the looks and the standstills (the last look before each, the first
-// one after it).
-func life(t *rapid.T) (looks []time.Duration, stood [][2]time.Duration) {
+// drawRun draws the clock observations of a process and its stalls, each as the last
+// observation before it and the first one after it.
+func drawRun(t *rapid.T) (observations []time.Duration, stalls [][2]time.Duration) {
 	now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "start"))
-	looks = append(looks, now)
-	for range rapid.IntRange(1, 60).Draw(t, "looks") {
-		before := now
-		if rapid.IntRange(0, 7).Draw(t, "stands still") == 0 {
-			now += bound + time.Duration(rapid.Int64Range(1, int64(10*bound)).Draw(t, "standstill"))
-			stood = append(stood, [2]time.Duration{before, now})
+	observations = append(observations, now)
+	for range rapid.IntRange(1, 60).Draw(t, "observations") {
+		previous := now
+		if rapid.IntRange(0, 7).Draw(t, "stalls") == 0 {
+			now += bound + time.Duration(rapid.Int64Range(1, int64(10*bound)).Draw(t, "stall"))
+			stalls = append(stalls, [2]time.Duration{previous, now})
 		} else {
 			now += time.Duration(rapid.Int64Range(0, int64(bound)).Draw(t, "pause"))
 		}
-		looks = append(looks, now)
+		observations = append(observations, now)
 	}
-	return looks, stood
+	return observations, stalls
 }
 
-// However standstills follow each other: what was sent before the end of one
-// over a connection of that time, and read within the grace, is held; so is
-// what arrived before one and is asked for after it. What came over a
-// connection of its own, with no standstill since, never is, nor is anything
-// while there was none.
-func TestWhatWaitedIsHeld(t *testing.T) {
+// A request may have waited if its connection was opened before the end of a stall and it
+// arrived within the grace, or if it arrived before the end of a stall. Otherwise it has
+// not.
+func TestMayHaveWaitedProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		looks, stood := life(t)
+		observations, stalls := drawRun(t)
 		d := &stall.Detector{Threshold: bound, Grace: grace}
-		for _, now := range looks {
+		for _, now := range observations {
 			d.Observe(now)
 		}
-		asked := looks[len(looks)-1]
-		opened := rapid.SampledFrom(looks).Draw(t, "opened")
-		arrived := max(opened, rapid.SampledFrom(looks).Draw(t, "arrived"))
-		// Sent at the opening at the earliest and at the arrival at the latest.
+		last := observations[len(observations)-1]
+		opened := rapid.SampledFrom(observations).Draw(t, "opened")
+		arrived := max(opened, rapid.SampledFrom(observations).Draw(t, "arrived"))
+		// It was sent between the opening and the arrival.
 		want := false
-		for _, s := range stood {
+		for _, s := range stalls {
 			waited := opened < s[1] && arrived >= s[1] && arrived-s[1] < grace
-			inside := arrived < s[1] && asked >= s[1]
+			inside := arrived < s[1] && last >= s[1]
 			want = want || waited || inside
 		}
 		if got := d.MayHaveWaited(opened, arrived); got != want {
-			t.Fatalf("opened %v, arrived %v, standstills %v: held is %v", opened, arrived, stood, got)
+			t.Fatalf("opened %v, arrived %v, stalls %v: got %v", opened, arrived, stalls, got)
 		}
 	})
 }
--- a/stall/doc.go
+++ b/stall/doc.go
@@ -1,8 +1,7 @@
-// Package stall tells whether a request may have waited while the process that
-// reads it stood still: stopped by a signal or a debugger, or kept from the
-// processor. What waited in the buffers of its sockets is read once the process
-// goes on, and may by then be contradicted by what others have told its sender.
+// Package stall detects that the process did not run for a while: it was stopped by a
+// signal or a debugger, got no processor time, or the machine was suspended. Data that
+// waited in socket buffers meanwhile may be outdated when the process reads it.
 //
-// The package has no clock, lock or goroutine: time is an argument, as a
-// duration on any monotonic scale, and the caller serialises the calls.
+// The package has no clock, lock or goroutine. Time is passed in as a duration on any
+// monotonic scale, and the caller serializes the calls.
 package stall
--- a/stall/suspend.go
+++ b/stall/suspend.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// SuspendDetector notices that the machine was suspended: the steady clock of its processes does
-// not count that time, its time of day does. A step of the time of day ahead looks the
-// same, and one back at the same moment may hide a suspension, so nothing may rest on
-// this but that the process waits for a moment.
+// SuspendDetector detects that the machine was suspended: the wall clock counts that time,
+// the monotonic clock does not. A forward step of the wall clock looks the same, and a
+// backward step may hide a suspension, so a detection should cause no more than a delay.
 type SuspendDetector struct {
-	// Threshold is the most that the time of day runs ahead of the steady clock between two
-	// looks, as when it is being corrected slowly.
+	// Threshold is how far the wall clock may advance beyond the monotonic clock between
+	// two observations, as when it is slewed.
 	Threshold time.Duration
 
-	looked bool
-	ahead  time.Duration
+	observed bool
+	ahead    time.Duration
 }
 
-// Observe records the steady clock and the time of day, each since any origin of its own. It
-// returns by how much the time of day has run ahead since the last look, 0 if by no more
-// than Bound.
-func (c *SuspendDetector) Observe(steady, ofDay time.Duration) time.Duration {
-	ahead := ofDay - steady
+// Observe records both clocks, each with an origin of its own. It returns how far the wall
+// clock has advanced beyond the monotonic clock since the last observation, 0 if by no
+// more than Threshold.
+func (c *SuspendDetector) Observe(monotonic, wall time.Duration) time.Duration {
+	ahead := wall - monotonic
 	gap := ahead - c.ahead
-	first := !c.looked
-	c.looked, c.ahead = true, ahead
+	first := !c.observed
+	c.observed, c.ahead = true, ahead
 	if first || gap <= c.Threshold {
 		return 0
 	}
--- a/stall/suspend_test.go
+++ b/stall/suspend_test.go
@@ -9,24 +9,24 @@
 	"eelgrasswharf.example/eelgrasswharf/stall"
 )
 
-func TestClocks(t *testing.T) {
+func TestSuspendDetector(t *testing.T) {
 	const ms = time.Millisecond
-	type look struct{ steady, ofDay, want time.Duration }
-	for name, looks := range map[string][]look{
-		"both run":                 {{0, 500 * ms, 0}, {20 * ms, 520 * ms, 0}, {40 * ms, 540 * ms, 0}},
-		"busy, not suspended":      {{0, 0, 0}, {3000 * ms, 3000 * ms, 0}},
-		"suspended":                {{0, 0, 0}, {20 * ms, 2420 * ms, 2400 * ms}, {40 * ms, 2440 * ms, 0}},
-		"suspended twice":          {{0, 0, 0}, {20 * ms, 1020 * ms, 1000 * ms}, {40 * ms, 2040 * ms, 1000 * ms}},
-		"corrected slowly":         {{0, 0, 0}, {20 * ms, 21 * ms, 0}, {40 * ms, 42 * ms, 0}},
-		"time of day steps back":   {{0, 0, 0}, {20 * ms, -5000 * ms, 0}, {40 * ms, -4980 * ms, 0}},
-		"and then it is suspended": {{0, 0, 0}, {20 * ms, -5000 * ms, 0}, {40 * ms, -3980 * ms, 1000 * ms}},
-		"time of day steps ahead":  {{0, 0, 0}, {20 * ms, time.Hour, time.Hour - 20*ms}},
+	type observation struct{ monotonic, wall, want time.Duration }
+	for name, observations := range map[string][]observation{
+		"both advance":                {{0, 500 * ms, 0}, {20 * ms, 520 * ms, 0}, {40 * ms, 540 * ms, 0}},
+		"long gap, not suspended":     {{0, 0, 0}, {3000 * ms, 3000 * ms, 0}},
+		"suspended":                   {{0, 0, 0}, {20 * ms, 2420 * ms, 2400 * ms}, {40 * ms, 2440 * ms, 0}},
+		"suspended twice":             {{0, 0, 0}, {20 * ms, 1020 * ms, 1000 * ms}, {40 * ms, 2040 * ms, 1000 * ms}},
+		"wall clock slewed":           {{0, 0, 0}, {20 * ms, 21 * ms, 0}, {40 * ms, 42 * ms, 0}},
+		"wall clock steps back":       {{0, 0, 0}, {20 * ms, -5000 * ms, 0}, {40 * ms, -4980 * ms, 0}},
+		"suspended after a step back": {{0, 0, 0}, {20 * ms, -5000 * ms, 0}, {40 * ms, -3980 * ms, 1000 * ms}},
+		"wall clock steps forward":    {{0, 0, 0}, {20 * ms, time.Hour, time.Hour - 20*ms}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := stall.SuspendDetector{Threshold: 100 * ms}
-			for _, l := range looks {
-				is.Equal(c.Observe(l.steady, l.ofDay), l.want)
+			for _, l := range observations {
+				is.Equal(c.Observe(l.monotonic, l.wall), l.want)
 			}
 		})
 	}
