--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,97 +1,94 @@
-// Package incarnation puts the reports of a backend server in order. A backend
-// server that starts again may have the name that it had, and reports that were
-// delayed may arrive after its next life has begun: the start of a life orders
-// lives, and a sequence number orders the reports of one life.
+// Package incarnation orders the reports of a backend server. A restarted backend server
+// may reuse its name, and delayed reports may arrive after the next instance has started.
+// The start time orders instances, a sequence number the reports of one instance.
 package incarnation
 
 import "time"
 
-// Instance names one life of a backend server.
+// Instance identifies one run of a backend server process.
 type Instance struct {
-	// ID is the name that it gives itself.
+	// ID is the name that the backend server reports.
 	ID string
-	// StartedMS is the time of its start by its own clock, in milliseconds since
-	// the Unix epoch, 0 if it does not tell. It is compared with other lives of the
-	// same place only.
+	// StartedMS is the start time by its own clock in milliseconds since the Unix epoch,
+	// 0 if unknown. It is only compared between instances in the same place.
 	StartedMS int64
 }
 
-// Report is what a backend server says of itself.
+// Report is the state that a backend server reports.
 type Report struct {
 	Instance Instance
-	// Sequence grows with each report of a life.
+	// Sequence grows with each report of an instance.
 	Sequence uint64
 	// Draining: it takes no new flows.
 	Draining bool
-	// Stopped: it serves no more.
+	// Stopped: it has terminated.
 	Stopped bool
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// WarmupLeft is how much longer it is slow after its start.
+	// WarmupLeft is the remaining warmup time.
 	WarmupLeft time.Duration
 }
 
-// Result tells what a report is.
+// Result is how a report relates to those known.
 type Result string
 
-// Verdicts.
+// Results.
 const (
-	// NewInstance report of a life that is newer than the one known.
+	// NewInstance: the first report of a newer instance.
 	NewInstance Result = "first"
-	// Update report of the life known.
+	// Update: a newer report of the current instance.
 	Update Result = "newer"
-	// Stale report of the life known: a later one was taken in before.
+	// Stale: an older report of the current instance.
 	Stale Result = "late"
-	// PreviousInstance life: a newer one has begun.
+	// PreviousInstance: a report of an earlier instance.
 	PreviousInstance Result = "former_life"
-	// StoppedInstance life: it said before that it is gone.
+	// StoppedInstance: a report of the current instance after it has stopped.
 	StoppedInstance Result = "ended_life"
-	// Unordered: the life known tells its start, this report does not.
+	// Unordered: the start of the current instance is known, that of the report is not.
 	Unordered Result = "unordered"
 )
 
 const (
-	// maxFormer bounds the former lives that are remembered.
-	maxFormer = 16
-	// revivedAfter is how many reports in a row, each newer than the one before, it
-	// takes to believe that the life known is the former one: without a start to
-	// order them, two lives that an observer hears of late can come in the wrong
-	// order. A single delayed report does not suffice.
-	revivedAfter = 2
+	// maxPrevious bounds the previous instances that are remembered.
+	maxPrevious = 16
+	// reinstateAfter is how many consecutive newer reports make a previous instance the
+	// current one. Without start times the first reports of two instances may arrive in
+	// the wrong order, but a single report may be delayed.
+	reinstateAfter = 2
 )
 
-// Tracker holds the newest life of the backend server at one place. The zero value
-// knows of none.
+// Tracker tracks the current instance of the backend server in one place. The zero value
+// knows none.
 type Tracker struct {
 	known   bool
 	current Report
-	// former has the lives before that did not tell their start, oldest first.
-	former []former
-	// silent: the life known has not been heard of for long. earlier is the life with an
-	// earlier start that has been heard since.
-	silent  bool
-	earlier Report
+	// previous has the previous instances without a known start, oldest first.
+	previous []previous
+	// unresponsive: the current instance has not reported for long. candidate is the last
+	// report since then of an instance with an earlier start.
+	unresponsive bool
+	candidate    Report
 }
 
-// former is a life that another one has succeeded.
-type former struct {
+// previous is an instance that another one has replaced.
+type previous struct {
 	id string
-	// sequence of its newest report, rising counts the newer ones since the last
-	// report of the life known.
-	sequence uint64
-	rising   int
+	// sequence is that of its newest report, newerReports counts the newer ones since the
+	// last report of the current instance.
+	sequence     uint64
+	newerReports int
 }
 
 // Current returns the newest report, and whether there is one.
 func (t *Tracker) Current() (Report, bool) { return t.current, t.known }
 
-// MarkUnresponsive tells that the life known has not been heard of for so long that it may have
-// ended. The time of day may have stepped back since it began.
-func (t *Tracker) MarkUnresponsive() { t.silent, t.earlier = true, Report{} }
+// MarkUnresponsive records that the current instance has not reported for so long that it
+// may have ended. An instance with an earlier start may then replace it, since the wall
+// clock may have stepped back.
+func (t *Tracker) MarkUnresponsive() { t.unresponsive, t.candidate = true, Report{} }
 
-// Apply takes in a report, unless the verdict says that a newer one is known. A life
-// that leaves does not return to service: a report that says otherwise was sent
-// before, whatever its sequence number.
+// Apply applies a report unless it is outdated. A draining instance does not return to
+// service: a report that says otherwise is outdated, whatever its sequence number.
 func (t *Tracker) Apply(r Report) Result {
 	if !t.known {
 		t.known, t.current = true, r
@@ -101,11 +98,11 @@
 		return Unordered
 	}
 	if r.Instance != t.current.Instance {
-		return t.another(r)
+		return t.applyOther(r)
 	}
-	t.silent = false
-	for i := range t.former {
-		t.former[i].rising = 0
+	t.unresponsive = false
+	for i := range t.previous {
+		t.previous[i].newerReports = 0
 	}
 	if t.current.Stopped {
 		return StoppedInstance
@@ -122,63 +119,63 @@
 	return Update
 }
 
-// another decides on a report of another life than the one known.
-func (t *Tracker) another(r Report) Result {
-	if !t.succeeds(r) {
+// applyOther applies a report of an instance other than the current one.
+func (t *Tracker) applyOther(r Report) Result {
+	if !t.supersedes(r) {
 		return PreviousInstance
 	}
 	if t.current.Instance.StartedMS == 0 {
-		t.former = append(t.former, former{id: t.current.Instance.ID, sequence: t.current.Sequence})
-		t.former = t.former[max(len(t.former)-maxFormer, 0):]
+		t.previous = append(t.previous, previous{id: t.current.Instance.ID, sequence: t.current.Sequence})
+		t.previous = t.previous[max(len(t.previous)-maxPrevious, 0):]
 	}
 	t.current = r
-	t.silent = false
+	t.unresponsive = false
 	return NewInstance
 }
 
-// succeeds reports whether a life is later than the one known. Of two that started
-// in the same millisecond the one whose report came first stays, until it is gone.
-func (t *Tracker) succeeds(r Report) bool {
-	l, held := r.Instance, t.current.Instance
-	if l.StartedMS < held.StartedMS {
-		return t.silent && t.repeats(r)
-	}
-	if l.StartedMS > held.StartedMS {
+// supersedes reports whether the instance of a report is newer than the current one. Of two
+// with the same start time the first one stays until it has stopped.
+func (t *Tracker) supersedes(r Report) bool {
+	next, known := r.Instance, t.current.Instance
+	if next.StartedMS < known.StartedMS {
+		return t.unresponsive && t.confirms(r)
+	}
+	if next.StartedMS > known.StartedMS {
 		return true
 	}
-	if l.StartedMS != 0 {
+	if next.StartedMS != 0 {
 		return t.current.Stopped
 	}
-	for i := range t.former {
-		if t.former[i].id == l.ID {
-			return t.revives(i, r)
+	for i := range t.previous {
+		if t.previous[i].id == next.ID {
+			return t.reinstates(i, r)
 		}
 	}
 	return !r.Stopped
 }
 
-// repeats reports whether a life with an earlier start than the silent one was heard
-// before. One report may have been delayed.
-func (t *Tracker) repeats(r Report) bool {
-	again := t.earlier.Instance == r.Instance && r.Sequence > t.earlier.Sequence && !r.Stopped
-	if t.earlier.Instance != r.Instance || again {
-		t.earlier = r
-	}
-	return again
+// confirms reports whether this is the second report of an instance with an earlier start
+// than the unresponsive one. A single report may be delayed.
+func (t *Tracker) confirms(r Report) bool {
+	confirmed := t.candidate.Instance == r.Instance && r.Sequence > t.candidate.Sequence && !r.Stopped
+	if t.candidate.Instance != r.Instance || confirmed {
+		t.candidate = r
+	}
+	return confirmed
 }
 
-// revives reports whether a life that was held to be a former one is the present
-// one after all. It is no longer remembered as a former one then.
-func (t *Tracker) revives(i int, r Report) bool {
-	f := &t.former[i]
-	if r.Stopped || r.Sequence <= f.sequence {
+// reinstates reports whether a previous instance is the current one after all, and removes
+// it from the previous ones then.
+func (t *Tracker) reinstates(i int, r Report) bool {
+	p := &t.previous[i]
+	if r.Stopped || r.Sequence <= p.sequence {
 		return false
 	}
-	f.sequence = r.Sequence
-	f.rising++
-	if f.rising < revivedAfter {
+	p.sequence = r.Sequence
+	p.newerReports++
+	if p.newerReports < reinstateAfter {
 		return false
 	}
-	t.former = append(t.former[:i], t.former[i+1:]...)
+	t.previous = append(t.previous[:i], t.previous[i+1:]...)
 	return true
 }
