--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -12,16 +12,16 @@
 	"eelgrasswharf.example/eelgrasswharf/membership"
 )
 
-// fleet is the number of targets of the size that the design is made for.
-const fleet = 12_000
+// fleetSize is the number of targets of the largest supported deployment.
+const fleetSize = 12_000
 
 func fill(d *membership.Directory, now time.Duration) {
-	for n := uint32(1); n <= fleet; n++ {
+	for n := uint32(1); n <= fleetSize; n++ {
 		d.Announce(now, named(n), membership.Direct)
 	}
 }
 
-// named returns a first record with texts of ordinary length.
+// named returns a first record with names of typical length.
 func named(number uint32) *controlpb.TargetRecord {
 	r := record(number, 1, 1)
 	r.Name = "lodgement-oke-ado-07"
@@ -29,23 +29,22 @@
 	return r
 }
 
-func heap() uint64 {
+func heapSize() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// BenchmarkFleet measures the memory of a directory and the sizes of its
-// updates, in bytes.
-func BenchmarkFleet(b *testing.B) {
+// BenchmarkDirectory measures the memory of a directory and the sizes of its updates.
+func BenchmarkDirectory(b *testing.B) {
 	for range b.N {
-		before := heap()
+		before := heapSize()
 		d := membership.New(membership.Options{Epoch: 1})
 		fill(d, 0)
-		b.ReportMetric(float64(heap()-before)/fleet, "heap-B/target")
+		b.ReportMetric(float64(heapSize()-before)/fleetSize, "heap-B/target")
 		full := d.Full(time.Minute, nil)
-		b.ReportMetric(float64(proto.Size(full))/fleet, "wire-B/target")
+		b.ReportMetric(float64(proto.Size(full))/fleetSize, "wire-B/target")
 		r := record(7, 1, 2)
 		r.State = controlpb.TargetState_TARGET_STATE_DRAINING
 		before2 := d.Sequence()
@@ -55,12 +54,11 @@
 	}
 }
 
-// BenchmarkRenewals measures what 14 control hosts tell a fifteenth one to renew
-// all targets, three times a lease: bytes a second into it, and processor time
-// a second of both ends.
-func BenchmarkRenewals(b *testing.B) {
+// BenchmarkSync measures the renewal of all targets by 14 control hosts at another one, three
+// times a lease: bytes received and CPU time of both ends, per second.
+func BenchmarkSync(b *testing.B) {
 	const hosts = 15
-	for _, targets := range []int{1_000, 3_000, 6_000, fleet} {
+	for _, targets := range []int{1_000, 3_000, 6_000, fleetSize} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			group := make([]*membership.Directory, hosts)
 			for i := range group {
@@ -90,7 +88,7 @@
 					}
 				}
 			}
-			round() // the records themselves
+			round() // the initial records
 			bytes = 0
 			for b.Loop() {
 				round()
@@ -102,7 +100,7 @@
 	}
 }
 
-// BenchmarkRenew measures one announcement that only renews a lease.
+// BenchmarkRenew measures an announcement that only renews a lease.
 func BenchmarkRenew(b *testing.B) {
 	d := membership.New(membership.Options{Epoch: 1})
 	fill(d, 0)
@@ -112,14 +110,13 @@
 	}
 }
 
-// BenchmarkMove measures a subscriber's move to a control host whose directory
-// differs in some records: bytes both ways, records sent, and the processor
-// time of both ends.
+// BenchmarkMove measures a subscriber's move to a control host with a slightly different
+// directory: bytes in both directions, records, and CPU time of both ends.
 func BenchmarkMove(b *testing.B) {
-	for _, targets := range []uint32{1_000, 3_000, 6_000, fleet} {
+	for _, targets := range []uint32{1_000, 3_000, 6_000, fleetSize} {
 		for _, differ := range []uint32{0, 10, 100} {
 			b.Run(fmt.Sprintf("%d/%d", targets, differ), func(b *testing.B) {
-				old, next := hostOf(1, targets), hostOf(2, targets)
+				old, next := fullDirectory(1, targets), fullDirectory(2, targets)
 				for n := range differ {
 					r := named(n*targets/differ + 1)
 					r.Sequence++
@@ -147,15 +144,15 @@
 	}
 }
 
-// BenchmarkScope measures the first list of an entry host: of all targets, and of
-// the failure domains of one region of six.
+// BenchmarkScope measures the first list of an entry host: of all targets, and of the
+// failure domains of one region of six.
 func BenchmarkScope(b *testing.B) {
 	const domains = 21
 	var region []string
 	for i := range domains / 6 {
 		region = append(region, fmt.Sprint("domain-", i))
 	}
-	for _, targets := range []int{1_000, 3_000, 6_000, fleet} {
+	for _, targets := range []int{1_000, 3_000, 6_000, fleetSize} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			d := membership.New(membership.Options{Epoch: 1, Lease: lease})
 			for n := range targets {
--- a/membership/converge_test.go
+++ b/membership/converge_test.go
@@ -15,43 +15,43 @@
 
 const (
 	controlHosts = 3
-	// steady is an agent that stays with host 0, which never restarts.
-	steady = uint32(1)
-	agents = 5
-	tick   = time.Second
+	// steadyAgent is an agent that stays with host 0, which never restarts.
+	steadyAgent = uint32(1)
+	agents      = 5
+	tick        = time.Second
 )
 
-// envelope is a message between control hosts under way.
+// envelope is a message in flight between control hosts.
 type envelope struct {
-	from, to int
-	life     int
-	sync     *controlpb.DirectorySync
-	reply    *controlpb.DirectorySyncReply
+	from, to   int
+	generation int
+	sync       *controlpb.DirectorySync
+	reply      *controlpb.DirectorySyncReply
 }
 
-// agent is a process that announces one target.
+// agent announces one target.
 type agent struct {
 	record *controlpb.TargetRecord
 	host   int
 	alive  bool
-	// superseded is set once a host knows a newer process.
+	// superseded is set once a host knows a newer incarnation.
 	superseded bool
 }
 
 // network is a group of control hosts and the agents that announce to them.
 type network struct {
-	t       *rapid.T
-	now     time.Duration
-	hosts   [controlHosts]*membership.Directory
-	lives   [controlHosts]int
-	cursors [controlHosts][controlHosts]uint64
-	cut     [controlHosts][controlHosts]bool
-	agents  []*agent
-	queue   []envelope
-	// heard is when each host last heard each target from its agent.
-	heard [controlHosts]map[uint32]time.Duration
-	// knew tells that a host has known the steady agent in this life.
-	knew [controlHosts]bool
+	t           *rapid.T
+	now         time.Duration
+	hosts       [controlHosts]*membership.Directory
+	generations [controlHosts]int
+	cursors     [controlHosts][controlHosts]uint64
+	cut         [controlHosts][controlHosts]bool
+	agents      []*agent
+	queue       []envelope
+	// lastSeen is when each agent last announced to each host.
+	lastSeen [controlHosts]map[uint32]time.Duration
+	// knewSteady is set if a host has known steadyAgent since its last restart.
+	knewSteady [controlHosts]bool
 }
 
 func newNetwork(t *rapid.T, agents int) *network {
@@ -66,18 +66,18 @@
 }
 
 func (n *network) restart(host int) {
-	n.lives[host]++
+	n.generations[host]++
 	n.hosts[host] = membership.New(membership.Options{
-		Epoch: uint64(100*(host+1) + n.lives[host]), Lease: lease, Start: n.now, Damping: noDamping,
+		Epoch: uint64(100*(host+1) + n.generations[host]), Lease: lease, Start: n.now, Damping: noDamping,
 	})
-	n.heard[host] = map[uint32]time.Duration{}
-	n.knew[host] = false
+	n.lastSeen[host] = map[uint32]time.Duration{}
+	n.knewSteady[host] = false
 	n.cursors[host] = [controlHosts]uint64{}
 }
 
-func name(host int) membership.Source { return membership.Source(fmt.Sprint("c", host)) }
+func sourceOf(host int) membership.Source { return membership.Source(fmt.Sprint("c", host)) }
 
-// announceAll lets all agents that live announce.
+// announceAll lets all running agents announce.
 func (n *network) announceAll() {
 	for _, a := range n.agents {
 		if !a.alive || a.superseded {
@@ -86,7 +86,7 @@
 		verdict := n.hosts[a.host].Announce(n.now, proto.CloneOf(a.record), membership.Direct)
 		a.superseded = verdict == membership.Superseded
 		if verdict.Accepted() {
-			n.heard[a.host][a.record.GetNumber()] = n.now
+			n.lastSeen[a.host][a.record.GetNumber()] = n.now
 		}
 	}
 }
@@ -100,37 +100,37 @@
 			}
 			m, cursor := n.hosts[from].Sync(n.now, n.cursors[from][to])
 			n.cursors[from][to] = cursor
-			n.post(envelope{from: from, to: to, life: n.lives[from], sync: m})
+			n.send(envelope{from: from, to: to, generation: n.generations[from], sync: m})
 		}
 	}
 }
 
-func (n *network) post(e envelope) {
+func (n *network) send(e envelope) {
 	if !n.cut[e.from][e.to] {
 		n.queue = append(n.queue, e)
 	}
 }
 
-// deliver hands over the message at a place of the queue.
+// deliver delivers the message at an index of the queue.
 func (n *network) deliver(i int) {
 	e := n.queue[i]
 	n.queue = slices.Delete(n.queue, i, i+1)
 	if e.reply == nil {
-		reply := n.hosts[e.to].ApplySync(n.now, name(e.from), proto.CloneOf(e.sync))
-		n.post(envelope{from: e.to, to: e.from, life: e.life, reply: reply})
+		reply := n.hosts[e.to].ApplySync(n.now, sourceOf(e.from), proto.CloneOf(e.sync))
+		n.send(envelope{from: e.to, to: e.from, generation: e.generation, reply: reply})
 		return
 	}
-	// An answer to an earlier life has nobody to go to.
-	if len(e.reply.GetDigests()) == 0 || e.life != n.lives[e.to] {
+	// The reply is for an earlier run of the host.
+	if len(e.reply.GetDigests()) == 0 || e.generation != n.generations[e.to] {
 		return
 	}
 	m, cursor := n.hosts[e.to].Repair(n.now, n.cursors[e.to][e.from], e.reply.GetDigests())
 	n.cursors[e.to][e.from] = cursor
-	n.post(envelope{from: e.to, to: e.from, life: e.life, sync: m})
+	n.send(envelope{from: e.to, to: e.from, generation: e.generation, sync: m})
 }
 
-// disturb draws one fault or change.
-func (n *network) disturb() {
+// injectFault draws one fault or change.
+func (n *network) injectFault() {
 	t := n.t
 	a := n.agents[rapid.IntRange(1, len(n.agents)-1).Draw(t, "agent")]
 	switch rapid.SampledFrom([]string{"none", "restart", "cut", "heal", "move", "die", "change", "replace", "lose", "double"}).Draw(t, "event") {
@@ -163,31 +163,31 @@
 	}
 }
 
-// check holds what must be so at any moment.
-func (n *network) check() {
+// checkInvariants checks what holds at any time.
+func (n *network) checkInvariants() {
 	for i, d := range n.hosts {
 		m, _ := d.Sync(n.now, 0)
 		for _, r := range m.GetRecords() {
-			if n.now-n.heard[i][r.GetNumber()] > lease+tick {
-				n.t.Fatalf("host %d speaks for target %d, heard last %v ago", i, r.GetNumber(), n.now-n.heard[i][r.GetNumber()])
+			if n.now-n.lastSeen[i][r.GetNumber()] > lease+tick {
+				n.t.Fatalf("host %d claims target %d, last seen %v ago", i, r.GetNumber(), n.now-n.lastSeen[i][r.GetNumber()])
 			}
 		}
-		holds := slices.ContainsFunc(d.Full(n.now, nil).GetPut(), func(r *controlpb.TargetRecord) bool { return r.GetNumber() == steady })
-		if n.knew[i] && !holds {
-			n.t.Fatalf("host %d has removed a target that has never been silent", i)
+		holds := slices.ContainsFunc(d.Full(n.now, nil).GetPut(), func(r *controlpb.TargetRecord) bool { return r.GetNumber() == steadyAgent })
+		if n.knewSteady[i] && !holds {
+			n.t.Fatalf("host %d has removed a target with a valid lease", i)
 		}
-		n.knew[i] = holds
+		n.knewSteady[i] = holds
 	}
 }
 
-// step lets time pass, with one fault or change and some of the messages.
+// step advances the time, with one fault or change and some of the messages.
 func (n *network) step() {
 	n.now += tick
 	n.announceAll()
 	if rapid.Bool().Draw(n.t, "sends") {
 		n.sendAll()
 	}
-	n.disturb()
+	n.injectFault()
 	for range rapid.IntRange(0, len(n.queue)).Draw(n.t, "deliveries") {
 		if len(n.queue) > 0 {
 			n.deliver(rapid.IntRange(0, len(n.queue)-1).Draw(n.t, "next"))
@@ -196,12 +196,12 @@
 	for _, d := range n.hosts {
 		d.Expire(n.now)
 	}
-	n.check()
+	n.checkInvariants()
 }
 
-// settle delivers everything in order until the hosts have had time to agree.
-// After each round it calls the function, if there is one.
-func (n *network) settle(after func()) {
+// converge delivers everything in order until the hosts have had time to agree. It calls
+// after, if set, after each round.
+func (n *network) converge(after func()) {
 	n.cut = [controlHosts][controlHosts]bool{}
 	for end := n.now + 5*lease; n.now < end; n.now += tick {
 		n.announceAll()
@@ -212,7 +212,7 @@
 		for _, d := range n.hosts {
 			d.Expire(n.now)
 		}
-		n.check()
+		n.checkInvariants()
 		if after != nil {
 			after()
 		}
@@ -229,7 +229,7 @@
 	return out
 }
 
-func held(d *membership.Directory, now time.Duration) []string {
+func snapshot(d *membership.Directory, now time.Duration) []string {
 	var out []string
 	for _, r := range d.Full(now, nil).GetPut() {
 		out = append(out, fmt.Sprint(r.GetNumber(), r.GetIncarnation(), r.GetSequence()))
@@ -237,20 +237,19 @@
 	return out
 }
 
-// TestHostsComeToTheSameDirectory runs drawn schedules of restarts, cuts,
-// lost, doubled and reordered messages, moves and deaths of agents. Afterwards
-// all hosts hold the agents that live and nothing else.
-func TestHostsComeToTheSameDirectory(t *testing.T) {
+// TestDirectoriesConverge draws restarts, partitions, moves and crashes of agents, and lost,
+// duplicated and reordered messages. In the end all hosts have exactly the running agents.
+func TestDirectoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(t, agents)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			n.step()
 		}
-		n.settle(nil)
+		n.converge(nil)
 		want := n.want()
 		for i, d := range n.hosts {
-			if got := held(d, n.now); !slices.Equal(got, want) {
-				t.Fatalf("host %d holds %v, the agents are %v", i, got, want)
+			if got := snapshot(d, n.now); !slices.Equal(got, want) {
+				t.Fatalf("host %d has %v, want %v", i, got, want)
 			}
 		}
 	})
--- a/membership/damping.go
+++ b/membership/damping.go
@@ -8,20 +8,20 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// Damping bounds how often one target may change in the eyes of subscribers.
-// Each turn for the better or worse adds one to its penalty, which halves
-// every HalfLife. From Suppress on the target is shown as ill until the
-// penalty has fallen to Reuse. Turns for the worse are never held back.
+// Damping limits how often subscribers see a target change. Each flap adds one to its
+// penalty, which halves every HalfLife. From Suppress on the target is published as
+// unhealthy until the penalty has fallen to Reuse. Changes for the worse are published
+// at once.
 type Damping struct {
 	HalfLife time.Duration
 	Suppress float64
 	Reuse    float64
-	// Max bounds the penalty, and so the longest time of damping.
+	// Max bounds the penalty, and so the duration of damping.
 	Max float64
 }
 
-// Defaults of Damping: six turns at once damp a target, for 22 s at most
-// after its last turn.
+// Defaults of Damping: a target is damped after six flaps in a row, for at most 22 s after
+// the last one.
 const (
 	DefaultHalfLife = 7 * time.Second
 	DefaultSuppress = 5.5
@@ -38,19 +38,19 @@
 
 // flaps is the penalty of one target.
 type flaps struct {
-	penalty float64
-	at      time.Duration
-	damped  bool
+	penalty   float64
+	updatedAt time.Duration
+	damped    bool
 }
 
 func (f *flaps) now(now time.Duration, p *Damping) float64 {
-	halvings := float64(now-f.at) / float64(p.HalfLife)
+	halvings := float64(now-f.updatedAt) / float64(p.HalfLife)
 	return f.penalty * math.Exp2(-halvings)
 }
 
 func (f *flaps) add(now time.Duration, p *Damping) {
 	f.penalty = min(f.now(now, p)+1, p.Max)
-	f.at = now
+	f.updatedAt = now
 	if f.penalty >= p.Suppress {
 		f.damped = true
 	}
@@ -63,9 +63,9 @@
 	return f.damped
 }
 
-// count adds to the penalty if the record is a turn: another incarnation, or
-// another verdict on the backend server. A planned drain is none.
-func (f *flaps) count(now time.Duration, p *Damping, old, next *controlpb.TargetRecord, known bool) {
+// record adds to the penalty if the record is a flap: another incarnation, or a change of
+// health. A planned drain is none.
+func (f *flaps) record(now time.Duration, p *Damping, old, next *controlpb.TargetRecord, known bool) {
 	if !known {
 		return
 	}
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -3,15 +3,14 @@
 import "eelgrasswharf.example/eelgrasswharf/api/controlpb"
 
 const (
-	// recordsPerBucket is the mean number of records in a bucket of a list: what
-	// one difference costs on the way back, against eight bytes a bucket on the
-	// way there.
+	// recordsPerBucket is the mean number of records in a bucket of a list. Each bucket
+	// costs a digest of eight bytes, each difference the records of a bucket.
 	recordsPerBucket = 16
 	// maxListBuckets bounds the digests of one list.
 	maxListBuckets = 1_024
 )
 
-// listBuckets returns in how many buckets a list of records is compared.
+// listBuckets returns the number of buckets for a list of records.
 func listBuckets(records int) int {
 	n := 1
 	for n < maxListBuckets && n*recordsPerBucket < records {
@@ -20,18 +19,18 @@
 	return n
 }
 
-// listDigests are the digests of a list of records as subscribers see it, by
-// target number modulo their count. The digest of an empty bucket is 0.
+// listDigests are the digests of the published records by target number modulo the number
+// of digests. The digest of an empty bucket is 0.
 type listDigests []uint64
 
 func (l listDigests) bucketOf(number uint32) uint32 { return number % uint32(len(l)) }
 
-// add adds a record. A sum, so that the order of records does not matter.
+// add adds a record. A sum is independent of the order of records.
 func (l listDigests) add(r *controlpb.TargetRecord) {
 	l[l.bucketOf(r.GetNumber())] += recordDigest(r)
 }
 
-// empty reports whether these are the digests of a list without records.
+// empty reports whether these are the digests of an empty list.
 func (l listDigests) empty() bool {
 	for _, d := range l {
 		if d != 0 {
@@ -41,9 +40,8 @@
 	return true
 }
 
-// recordDigest mixes what identifies the contents of a record towards
-// subscribers. All but the age and the damping, which each control host decides
-// on by itself, follows from the version.
+// recordDigest hashes what identifies the published contents of a record: its version, and
+// whether it is damped, which each control host decides by itself. The age is left out.
 func recordDigest(r *controlpb.TargetRecord) uint64 {
 	d := digest(r.GetNumber(), versionOf(r))
 	if r.GetDamped() {
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -14,10 +14,10 @@
 
 // Defaults of Options.
 const (
-	// DefaultLease is how long a record lives without being renewed.
+	// DefaultLease is the lifetime of a record without renewal.
 	DefaultLease = 9 * time.Second
-	// DefaultHold is how long targets that only a silent control host hears
-	// are kept beyond a lease.
+	// DefaultHold is how long targets claimed only by an unresponsive control host are
+	// kept beyond a lease.
 	DefaultHold = time.Hour
 	// DefaultMaxTargets bounds the records of a directory.
 	DefaultMaxTargets = 32_768
@@ -28,14 +28,14 @@
 // maxNumber bounds target numbers and incarnations, see package connid.
 const maxNumber = 1<<24 - 1
 
-// maxText bounds names and failure domains, in bytes.
-const maxText = 255
+// maxNameLength bounds names and failure domains in bytes.
+const maxNameLength = 255
 
 // Options configures a Directory. Zero fields take the defaults.
 type Options struct {
-	// Epoch names this life of the directory; it is random and not zero.
+	// Epoch identifies this instance of the directory. It is random and not zero.
 	Epoch uint64
-	// Start is the time at which the directory is made.
+	// Start is when the directory was created.
 	Start      time.Duration
 	Lease      time.Duration
 	Hold       time.Duration
@@ -44,33 +44,33 @@
 	Damping    Damping
 }
 
-// Result tells what became of an announced record.
+// Result is the outcome of an announcement.
 type Result int
 
-// Verdicts of Announce.
+// Results of Announce.
 const (
-	// Changed tells that the record is new or differs from the one held.
+	// Changed: the record is new or differs from the current one.
 	Changed Result = iota + 1
-	// Renewed tells that the record held got a new lease.
+	// Renewed: the lease of the current record was renewed.
 	Renewed
-	// Superseded tells that a newer incarnation of the target is known.
+	// Superseded: a newer incarnation of the target is known.
 	Superseded
-	// Outdated tells that a newer record of the same incarnation is known.
+	// Outdated: a newer record of the same incarnation is known.
 	Outdated
-	// Invalid tells that the record breaks a bound or names no address.
+	// Invalid: the record exceeds a bound or lacks a valid address.
 	Invalid
-	// AtCapacity tells that the directory holds as many targets as it may.
+	// AtCapacity: the directory holds as many targets as it may.
 	AtCapacity
 )
 
-// Accepted reports whether the record is now held.
-func (v Result) Accepted() bool { return v == Changed || v == Renewed }
+// Accepted reports whether the record is the current one now.
+func (r Result) Accepted() bool { return r == Changed || r == Renewed }
 
-// Source names where a record was heard: empty for the agent itself, else
-// the control host that passed it on.
+// Source is where a record came from: empty for the agent itself, else the control host
+// that sent it.
 type Source string
 
-// Direct is the source of records heard from their agents.
+// Direct is the source of records that come from their agents.
 const Direct Source = ""
 
 // Directory holds the newest record of each target.
@@ -81,56 +81,56 @@
 	changes *list.List
 	// leases has targets in the order in which their leases end.
 	leases *list.List
-	// own is what agents announce here, peers what they announce elsewhere.
-	own   own
+	// local has the claims of this host, peers those of other control hosts.
+	local local
 	peers map[Source]*peer
 	// serial numbers the messages to other control hosts.
 	serial   uint64
 	sequence uint64
-	// floor is the newest sequence whose removals are forgotten.
-	floor uint64
-	// removed has the removals that are remembered, oldest first.
-	removed *list.List
-	gone    map[uint32]*target
+	// historyStart is the newest sequence of an evicted removal.
+	historyStart uint64
+	// removals has the removals that are remembered, oldest first.
+	removals    *list.List
+	removedByID map[uint32]*target
 }
 
 // target is the state of one target number.
 type target struct {
-	// heard is the newest record; published is what subscribers were told.
-	heard     *controlpb.TargetRecord
+	// latest is the newest record, published the one that subscribers get.
+	latest    *controlpb.TargetRecord
 	published *controlpb.TargetRecord
-	// heardAt is when the newest record was heard: its age counts from then.
-	heardAt time.Duration
-	// ends is when the lease ends, while lease is set: that of the agent's
-	// announcement here, else what is left after the last host let go of it.
-	// A target that only other hosts hear has none: their claims keep it.
-	ends  time.Duration
-	lease *list.Element
-	// lingers is until when the target lives beyond a lease of its agent here.
-	lingers  time.Duration
-	flaps    flaps
-	sequence uint64
-	change   *list.Element
-	// formerDomains are failure domains that the target was published in before.
-	// A subscriber that wants only one of these has to learn that it left.
+	// receivedAt is when the newest record was received: its age counts from then.
+	receivedAt time.Duration
+	// leaseEnd is when the lease ends, valid if lease is set. The lease is that of the
+	// agent's announcement here, or the rest after the last claim of another host has
+	// ended. A target claimed only by other hosts has none.
+	leaseEnd time.Duration
+	lease    *list.Element
+	// graceUntil is how long the target is kept beyond the lease of its agent here.
+	graceUntil time.Duration
+	flaps      flaps
+	sequence   uint64
+	change     *list.Element
+	// formerDomains are earlier failure domains of the target, whose subscribers need its
+	// removal.
 	formerDomains []string
-	// isGone marks a removal that is remembered for deltas.
-	isGone  bool
-	removal *list.Element
+	// isRemoved marks a removal that is remembered for deltas.
+	isRemoved bool
+	removal   *list.Element
 }
 
 // New returns an empty directory.
 func New(opts Options) *Directory {
 	opts.setDefaults()
 	return &Directory{
-		opts:    opts,
-		byID:    map[uint32]*target{},
-		changes: list.New(),
-		leases:  list.New(),
-		own:     newOwn(),
-		peers:   map[Source]*peer{},
-		removed: list.New(),
-		gone:    map[uint32]*target{},
+		opts:        opts,
+		byID:        map[uint32]*target{},
+		changes:     list.New(),
+		leases:      list.New(),
+		local:       newLocal(),
+		peers:       map[Source]*peer{},
+		removals:    list.New(),
+		removedByID: map[uint32]*target{},
 	}
 }
 
@@ -145,16 +145,16 @@
 // Lease returns the length of a lease.
 func (d *Directory) Lease() time.Duration { return d.opts.Lease }
 
-// Epoch returns the epoch of this life of the directory.
+// Epoch returns the epoch of the directory.
 func (d *Directory) Epoch() uint64 { return d.opts.Epoch }
 
 // Sequence returns the sequence of the last change.
 func (d *Directory) Sequence() uint64 { return d.sequence }
 
-// Len returns the number of targets held.
+// Len returns the number of targets.
 func (d *Directory) Len() int { return len(d.byID) }
 
-// Damped returns the number of targets that are shown as ill because they
+// Damped returns the number of targets that are published as unhealthy because they have
 // changed too often.
 func (d *Directory) Damped() int {
 	damped := 0
@@ -166,54 +166,53 @@
 	return damped
 }
 
-// HasIncarnation reports whether the directory has heard of an incarnation of a target, or of
-// a later one, whose lease lasts.
+// HasIncarnation reports whether the directory has a record of this incarnation of a
+// target, or of a later one.
 func (d *Directory) HasIncarnation(number, incarnation uint32) bool {
 	t := d.byID[number]
-	return t != nil && t.heard.GetIncarnation() >= incarnation
+	return t != nil && t.latest.GetIncarnation() >= incarnation
 }
 
-// HasDomain reports whether a target stands in a failure domain.
+// HasDomain reports whether there is a target in a failure domain.
 func (d *Directory) HasDomain(name string) bool {
 	for _, t := range d.byID {
-		if t.heard.GetFailureDomain() == name {
+		if t.latest.GetFailureDomain() == name {
 			return true
 		}
 	}
 	return false
 }
 
-// Complete reports whether the directory has listened for a whole lease, so
-// that a target that it does not hold has no lease. Before that its list says
-// which targets exist, not which do not.
+// Complete reports whether the directory has received announcements for a whole lease:
+// targets that it does not have by then have no lease.
 func (d *Directory) Complete(now time.Duration) bool { return now-d.opts.Start >= d.opts.Lease }
 
-// Announce merges a record. One from the agent itself gets a new lease; one
-// from another control host lives until that host says otherwise or has been
-// silent for too long. The record must not be changed afterwards.
+// Announce merges a record. One from the agent itself gets a new lease. One from another
+// control host is kept until that host withdraws it or is unresponsive for too long. The
+// record must not be changed afterwards.
 func (d *Directory) Announce(now time.Duration, r *controlpb.TargetRecord, from Source) Result {
 	t, verdict := d.accept(now, r)
 	switch {
 	case t == nil:
 		return verdict
 	case from != Direct:
-		// Also what is older than the record held: the digests compare what the
-		// other host hears, not what is made of it here.
+		// Older records count as well: digests compare what the other host claims, not
+		// the merged result.
 		d.peerOf(now, from).claims.put(r.GetNumber(), versionOf(r))
-		if verdict == Changed && d.own.held[r.GetNumber()] != versionOf(r) {
-			d.own.drop(r.GetNumber())
+		if verdict == Changed && d.local.held[r.GetNumber()] != versionOf(r) {
+			d.local.drop(r.GetNumber())
 		}
 	case verdict.Accepted():
-		d.own.put(r.GetNumber(), versionOf(r))
-		d.restart(now, t)
+		d.local.put(r.GetNumber(), versionOf(r))
+		d.renewLease(now, t)
 	}
 	return verdict
 }
 
-// accept merges a record without regard to who claims it. It returns the
-// target, nil if there is none.
+// accept merges a record regardless of its source. It returns the target, nil if there is
+// none.
 func (d *Directory) accept(now time.Duration, r *controlpb.TargetRecord) (*target, Result) {
-	if !proper(r) {
+	if !valid(r) {
 		return nil, Invalid
 	}
 	t, known := d.byID[r.GetNumber()]
@@ -223,20 +222,20 @@
 		}
 		t = d.create(r)
 	}
-	if verdict := compare(t.heard, r); known && !verdict.Accepted() {
+	if verdict := compare(t.latest, r); known && !verdict.Accepted() {
 		return t, verdict
 	}
 	return t, d.take(now, t, r, known)
 }
 
-func proper(r *controlpb.TargetRecord) bool {
+func valid(r *controlpb.TargetRecord) bool {
 	if r.GetNumber() == 0 || r.GetNumber() > maxNumber || r.GetIncarnation() > maxNumber {
 		return false
 	}
 	if r.GetService() == 0 || r.GetIncarnation() == 0 || r.GetSlots() == 0 {
 		return false
 	}
-	if len(r.GetName()) > maxText || len(r.GetFailureDomain()) > maxText {
+	if len(r.GetName()) > maxNameLength || len(r.GetFailureDomain()) > maxNameLength {
 		return false
 	}
 	if r.GetState() == controlpb.TargetState_TARGET_STATE_UNSPECIFIED {
@@ -246,7 +245,7 @@
 	return err == nil && addr.Port() != 0 && !addr.Addr().IsUnspecified()
 }
 
-// compare tells how a record stands to the one held.
+// compare compares a record with the current one.
 func compare(held, r *controlpb.TargetRecord) Result {
 	switch {
 	case r.GetIncarnation() < held.GetIncarnation():
@@ -262,25 +261,25 @@
 }
 
 func (d *Directory) create(r *controlpb.TargetRecord) *target {
-	t := d.recall(r.GetNumber())
-	t.heard = r
+	t := d.restore(r.GetNumber())
+	t.latest = r
 	d.byID[r.GetNumber()] = t
 	return t
 }
 
 func (d *Directory) take(now time.Duration, t *target, r *controlpb.TargetRecord, known bool) Result {
-	old := t.heard
-	t.heard = r
-	t.heardAt = now
+	old := t.latest
+	t.latest = r
+	t.receivedAt = now
 	if known && same(old, r) {
 		return Renewed
 	}
-	t.flaps.count(now, &d.opts.Damping, old, r, known)
+	t.flaps.record(now, &d.opts.Damping, old, r, known)
 	d.publish(now, t)
 	return Changed
 }
 
-// same compares records without the fields that grow by themselves.
+// same compares records without their age.
 func same(a, b *controlpb.TargetRecord) bool {
 	if a == b {
 		return true
@@ -293,28 +292,28 @@
 	return proto.Equal(x, y)
 }
 
-// restart gives a target a new lease.
-func (d *Directory) restart(now time.Duration, t *target) {
-	t.ends = now + d.opts.Lease
+// renewLease gives a target a new lease.
+func (d *Directory) renewLease(now time.Duration, t *target) {
+	t.leaseEnd = now + d.opts.Lease
 	if t.lease != nil {
 		d.leases.Remove(t.lease)
 	}
 	t.lease = d.leases.PushBack(t)
 }
 
-// linger keeps a target for another lease that no agent has to renew.
-func (d *Directory) linger(now time.Duration, t *target) {
-	if d.own.has(t.heard.GetNumber()) {
-		// The lease of the agent itself must not grow by what others say.
-		t.lingers = now + d.opts.Lease
+// extendLease keeps a target for another lease without its agent.
+func (d *Directory) extendLease(now time.Duration, t *target) {
+	if d.local.contains(t.latest.GetNumber()) {
+		// The lease of the agent's announcement must not be extended by other hosts.
+		t.graceUntil = now + d.opts.Lease
 		return
 	}
-	d.restart(now, t)
+	d.renewLease(now, t)
 }
 
-// publish makes the record held, as damped, part of the deltas.
+// publish publishes the current record, damped if necessary, as a change.
 func (d *Directory) publish(now time.Duration, t *target) {
-	next := t.heard
+	next := t.latest
 	if t.flaps.suppressed(now, &d.opts.Damping) {
 		next = proto.CloneOf(next)
 		next.Ill = true
@@ -324,21 +323,21 @@
 		return
 	}
 	if t.published != nil && t.published.GetFailureDomain() != next.GetFailureDomain() {
-		t.noteDomain(t.published)
+		t.addFormerDomain(t.published)
 	}
 	t.published = next
-	d.move(t)
+	d.logChange(t)
 }
 
-// noteDomain remembers the failure domain of a record that gives way.
-func (t *target) noteDomain(last *controlpb.TargetRecord) {
+// addFormerDomain remembers the failure domain of a replaced record.
+func (t *target) addFormerDomain(last *controlpb.TargetRecord) {
 	if !slices.Contains(t.formerDomains, last.GetFailureDomain()) {
 		t.formerDomains = append(t.formerDomains, last.GetFailureDomain())
 	}
 }
 
-// move puts a change at the end of the log.
-func (d *Directory) move(t *target) {
+// logChange moves the target to the end of the change log.
+func (d *Directory) logChange(t *target) {
 	d.sequence++
 	t.sequence = d.sequence
 	if t.change != nil {
--- a/membership/directory_test.go
+++ b/membership/directory_test.go
@@ -32,12 +32,12 @@
 		want membership.Result
 	}{
 		{"same", record(1, 2, 5), membership.Renewed},
-		{"later sequence", record(1, 2, 6), membership.Changed},
-		{"earlier sequence", record(1, 2, 4), membership.Outdated},
+		{"newer sequence", record(1, 2, 6), membership.Changed},
+		{"older sequence", record(1, 2, 4), membership.Outdated},
 		{"new incarnation starts over", record(1, 3, 1), membership.Changed},
 		{"old incarnation", record(1, 1, 9), membership.Superseded},
 		{"no number", record(0, 1, 9), membership.Invalid},
-		{"number too great", record(1<<24, 1, 9), membership.Invalid},
+		{"number too large", record(1<<24, 1, 9), membership.Invalid},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestLeaseEnds(t *testing.T) {
+func TestLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(1)
 	d.Announce(0, record(1, 1, 1), membership.Direct)
@@ -73,24 +73,24 @@
 	is.Equal(d.Expire(lease), 1)
 }
 
-func TestSilentHostHoldsTargets(t *testing.T) {
+func TestUnresponsiveHostKeepsTargets(t *testing.T) {
 	is := is.New(t)
 	b, d := newDirectory(2), newDirectory(1)
 	b.Announce(0, record(1, 1, 1), membership.Direct)
 	d.Announce(0, record(2, 1, 1), membership.Direct)
-	cursor := pass(0, b, d, "control-b", 0)
-	is.Equal(d.Expire(lease), 1) // the agent's own silence counts
+	cursor := syncOnce(0, b, d, "control-b", 0)
+	is.Equal(d.Expire(lease), 1) // the own agent's lease has ended
 	is.Equal(d.Len(), 1)
 	is.Equal(d.Expire(2*lease), 0)
-	is.Equal(d.Expire(lease+time.Minute), 1) // the hold has an end
+	is.Equal(d.Expire(lease+time.Minute), 1) // the hold is over
 
 	b.Expire(lease + time.Minute)
 	b.Announce(lease+time.Minute, record(3, 1, 1), membership.Direct)
-	cursor = pass(lease+time.Minute, b, d, "control-b", cursor)
+	cursor = syncOnce(lease+time.Minute, b, d, "control-b", cursor)
 	is.Equal(d.Len(), 1)
 	b.Expire(2*lease + time.Minute)
-	pass(2*lease+time.Minute, b, d, "control-b", cursor)
-	is.Equal(d.Len(), 0) // the host is back and has ended it
+	syncOnce(2*lease+time.Minute, b, d, "control-b", cursor)
+	is.Equal(d.Len(), 0) // the host is back and has removed it
 }
 
 func TestDeltas(t *testing.T) {
@@ -102,7 +102,7 @@
 	seen := d.Sequence()
 	is.Equal(d.Update(0, 7, seen, nil), nil)
 	d.Announce(1, record(2, 1, 2), membership.Direct)
-	d.Announce(1, record(1, 1, 1), membership.Direct) // a renewal is no change
+	d.Announce(1, record(1, 1, 1), membership.Direct)
 	u := d.Update(1, 7, seen, nil)
 	is.Equal(u.GetFull(), false)
 	is.Equal(len(u.GetPut()), 1)
@@ -118,16 +118,16 @@
 	is.Equal(len(d.Full(2, membership.NewScope([]uint32{2})).GetPut()), 1)
 }
 
-func TestFullOnlyWhenSettled(t *testing.T) {
+func TestFullOnlyWhenComplete(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(7)
 	d.Announce(0, record(1, 1, 1), membership.Direct)
-	is.Equal(d.Update(lease-1, 6, 99, nil).GetFull(), false) // says nothing of what it has not heard
+	is.Equal(d.Update(lease-1, 6, 99, nil).GetFull(), false) // targets may be missing
 	is.Equal(len(d.Update(lease-1, 6, 99, nil).GetPut()), 1)
 	is.True(d.Update(lease, 6, 99, nil).GetFull())
 }
 
-func TestForgottenRemovalsForceFull(t *testing.T) {
+func TestEvictedRemovalsForceFull(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(7)
 	for n := uint32(1); n <= 5; n++ {
@@ -136,7 +136,7 @@
 	seen := d.Sequence()
 	d.Expire(lease)
 	u := d.Update(lease, 7, seen, nil)
-	is.True(u.GetFull()) // five removals, four remembered
+	is.True(u.GetFull())
 	is.Equal(len(u.GetPut()), 0)
 	is.Equal(len(d.Update(lease, 7, seen+1, nil).GetRemoved()), 4)
 }
@@ -157,28 +157,28 @@
 	is := is.New(t)
 	d := newDirectory(7)
 	now := time.Duration(0)
-	ill := func() bool { return d.Full(now, nil).GetPut()[0].GetIll() }
+	unhealthy := func() bool { return d.Full(now, nil).GetPut()[0].GetIll() }
 	announce := func(sequence uint64) {
 		r := record(1, 1, sequence)
 		r.Ill = sequence%2 == 0
 		d.Announce(now, r, membership.Direct)
 	}
 	announce(1)
-	is.Equal(ill(), false)
+	is.Equal(unhealthy(), false)
 	announce(2)
-	is.True(ill()) // a turn for the worse shows at once
+	is.True(unhealthy()) // changes for the worse are published at once
 	announce(3)
-	is.Equal(ill(), false) // so does the first recovery
+	is.Equal(unhealthy(), false) // the first recovery as well
 	for s := uint64(4); s <= 7; s++ {
 		announce(s)
 	}
-	is.True(ill()) // well again, but not yet believed
+	is.True(unhealthy()) // recovered, but damped
 	before := d.Sequence()
 	for ; now < 30*time.Second; now += time.Second {
 		announce(7)
 		d.Expire(now)
 	}
-	is.Equal(ill(), false)
+	is.Equal(unhealthy(), false)
 	is.Equal(len(d.Update(now, 7, before, nil).GetPut()), 1)
 }
 
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestAgeGrowsWhileHeld(t *testing.T) {
+func TestAgeGrows(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(7)
 	r := record(1, 1, 1)
@@ -209,12 +209,12 @@
 	is.Equal(r.GetAgeMs(), uint64(100))
 }
 
-func TestOnlyOwnRecordsArePassedOn(t *testing.T) {
+func TestOnlyLocalRecordsAreSynced(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(7)
 	d.Announce(0, record(1, 1, 1), membership.Direct)
 	d.Announce(0, record(2, 1, 1), "control-b")
-	d.Announce(1, record(1, 1, 1), "control-b") // hearsay of an own one
+	d.Announce(1, record(1, 1, 1), "control-b") // another host's copy of a local record
 	m, _ := d.Sync(1, 0)
 	is.Equal(len(m.GetRecords()), 1)
 	is.Equal(m.GetRecords()[0].GetNumber(), uint32(1))
@@ -231,9 +231,9 @@
 	is.Equal(d.Announce(0, record(8, 1, 2), membership.Direct), membership.Changed)
 }
 
-func TestImproperRecords(t *testing.T) {
+func TestInvalidRecords(t *testing.T) {
 	is := is.New(t)
-	spoil := map[string]func(*controlpb.TargetRecord){
+	corrupt := map[string]func(*controlpb.TargetRecord){
 		"address": func(r *controlpb.TargetRecord) { r.Address = "nonsense" },
 		"port":    func(r *controlpb.TargetRecord) { r.Address = "127.0.0.1:0" },
 		"slots":   func(r *controlpb.TargetRecord) { r.Slots = 0 },
@@ -241,11 +241,11 @@
 		"state":   func(r *controlpb.TargetRecord) { r.State = 0 },
 		"name":    func(r *controlpb.TargetRecord) { r.Name = string(make([]byte, 256)) },
 	}
-	for name, f := range spoil {
+	for name, f := range corrupt {
 		r := proto.CloneOf(record(1, 1, 1))
 		f(r)
 		if newDirectory(1).Announce(0, r, membership.Direct) != membership.Invalid {
-			t.Error("taken: bad", name)
+			t.Error("accepted: bad", name)
 		}
 	}
 	is.Equal(newDirectory(1).Announce(0, record(1, 1, 1), membership.Direct), membership.Changed)
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-func TestListTakesUpdates(t *testing.T) {
+func TestListApply(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	d := &membership.List{}
@@ -40,33 +40,33 @@
 	is.Equal(numbers(d), []uint32{1, 3})
 	held := recordsOf(d)
 
-	// A delta changes one record and leaves the slice that views hold alone.
+	// A delta does not modify the slice that views share.
 	is.True(d.Apply(delta(1, 6, record(2, 1, 1)), now).Changed)
 	is.Equal(numbers(d), []uint32{1, 2, 3})
 	is.Equal(len(held), 2)
-	gone := delta(1, 7)
-	gone.Removed = []uint32{3, 99}
-	is.True(d.Apply(gone, now).Changed)
+	removal := delta(1, 7)
+	removal.Removed = []uint32{3, 99}
+	is.True(d.Apply(removal, now).Changed)
 	is.Equal(numbers(d), []uint32{1, 2})
 
-	// An update from before does nothing.
+	// An earlier update is ignored.
 	is.True(d.Apply(delta(1, 6, record(3, 1, 1)), now).Duplicate)
 	is.Equal(numbers(d), []uint32{1, 2})
 
-	// A record never goes back; an equal one may change the verdict on it.
+	// A record is not replaced by an older one. One of the same version may change health.
 	is.True(d.Apply(delta(1, 8, record(1, 2, 1)), now).Changed)
 	is.Equal(d.Apply(delta(1, 9, record(1, 1, 99)), now).Stale, 1)
-	ill := record(1, 2, 1)
-	ill.Ill = true
-	is.True(d.Apply(delta(1, 10, ill), now).Changed)
+	unhealthy := record(1, 2, 1)
+	unhealthy.Ill = true
+	is.True(d.Apply(delta(1, 10, unhealthy), now).Changed)
 	is.True(recordsOf(d)[0].GetIll())
 	is.Equal(recordsOf(d)[0].GetIncarnation(), uint32(2))
 
-	// A control host that has just started adds, and cannot resume.
+	// The first update of a control host that has just started only adds records.
 	is.True(d.Apply(delta(2, 1, record(7, 1, 1)), now).Changed)
 	is.Equal(numbers(d), []uint32{1, 2, 7})
 	is.Equal(d.Position().Epoch, uint64(0))
-	// Its full list replaces what is known, newer records excepted.
+	// Its full list replaces the records, except newer ones.
 	res := d.Apply(full(2, 2, record(1, 1, 1), record(7, 1, 1)), now)
 	is.Equal(res.Stale, 1)
 	is.Equal(numbers(d), []uint32{1, 7})
@@ -75,59 +75,59 @@
 	is.Equal(d.Position().Sequence, uint64(2))
 }
 
-// watcher is a subscriber that moves from one control host to another.
-type watcher struct {
-	list     *membership.List
-	scope    *membership.Scope
-	follower *membership.Subscriber
-	host     int
-	life     int
-	// newest has the newest record of each target that was acted on.
+// testSubscriber is a subscriber that moves between control hosts.
+type testSubscriber struct {
+	list       *membership.List
+	scope      *membership.Scope
+	subscriber *membership.Subscriber
+	host       int
+	generation int
+	// newest has the newest record of each target so far.
 	newest map[uint32]*controlpb.TargetRecord
 	kinds  map[membership.UpdateKind]int
 }
 
-func newWatcher(scope *membership.Scope) *watcher {
-	return &watcher{list: &membership.List{}, scope: scope, newest: map[uint32]*controlpb.TargetRecord{}, kinds: map[membership.UpdateKind]int{}}
+func newTestSubscriber(scope *membership.Scope) *testSubscriber {
+	return &testSubscriber{list: &membership.List{}, scope: scope, newest: map[uint32]*controlpb.TargetRecord{}, kinds: map[membership.UpdateKind]int{}}
 }
 
-// move opens another subscription.
-func (w *watcher) move(n *network, host int) {
-	w.host, w.life = host, n.lives[host]
-	w.follower = membership.NewSubscriber(w.list.Position(), w.scope)
+// moveTo subscribes to another host.
+func (s *testSubscriber) moveTo(n *network, host int) {
+	s.host, s.generation = host, n.generations[host]
+	s.subscriber = membership.NewSubscriber(s.list.Position(), s.scope)
 }
 
-// follow takes the next update, or loses it, which ends the subscription.
-func (w *watcher) follow(n *network, lose bool) {
-	if w.follower == nil || w.life != n.lives[w.host] {
-		w.move(n, w.host)
+// applyNext applies the next update, or loses it, which ends the subscription.
+func (s *testSubscriber) applyNext(n *network, lost bool) {
+	if s.subscriber == nil || s.generation != n.generations[s.host] {
+		s.moveTo(n, s.host)
 	}
-	u, kind := n.hosts[w.host].Next(n.now, w.follower)
+	u, kind := n.hosts[s.host].Next(n.now, s.subscriber)
 	switch {
 	case u == nil:
 		return
-	case lose:
-		w.follower = nil
+	case lost:
+		s.subscriber = nil
 		return
 	}
-	w.kinds[kind]++
-	w.list.Apply(proto.CloneOf(u), time.Unix(0, int64(n.now)))
-	for _, r := range recordsOf(w.list) {
-		newest := w.newest[r.GetNumber()]
+	s.kinds[kind]++
+	s.list.Apply(proto.CloneOf(u), time.Unix(0, int64(n.now)))
+	for _, r := range recordsOf(s.list) {
+		newest := s.newest[r.GetNumber()]
 		if r.GetIncarnation() < newest.GetIncarnation() ||
 			r.GetIncarnation() == newest.GetIncarnation() && r.GetSequence() < newest.GetSequence() {
-			n.t.Fatalf("acts on %v after %v", r, newest)
+			n.t.Fatalf("got %v after %v", r, newest)
 		}
-		w.newest[r.GetNumber()] = r
+		s.newest[r.GetNumber()] = r
 	}
 }
 
-// mustEqual holds that the subscriber has the records of its control host.
-func (w *watcher) mustEqual(n *network) {
-	want := n.hosts[w.host].Full(n.now, w.scope).GetPut()
-	got := recordsOf(w.list)
+// mustEqual checks that the subscriber has the records of its control host.
+func (s *testSubscriber) mustEqual(n *network) {
+	want := n.hosts[s.host].Full(n.now, s.scope).GetPut()
+	got := recordsOf(s.list)
 	for _, r := range got {
-		if w.scope != nil && r.GetFailureDomain() != "oke-ado" {
+		if s.scope != nil && r.GetFailureDomain() != "oke-ado" {
 			n.t.Fatalf("out of scope: %v", r)
 		}
 	}
@@ -137,16 +137,14 @@
 		return proto.Equal(a, b)
 	})
 	if !same {
-		n.t.Fatalf("subscriber holds %v, host %d %v", got, w.host, want)
+		n.t.Fatalf("subscriber has %v, host %d has %v", got, s.host, want)
 	}
 }
 
-// TestSubscriberComesToTheSameDirectory runs drawn schedules of moves between
-// control hosts, lost updates, and all that befalls control hosts and agents.
-// The subscriber never goes back to an older record, and in the end it holds
-// what its control host holds within its scope, whichever it is; it needs no full
-// list for that.
-func TestSubscriberComesToTheSameDirectory(t *testing.T) {
+// TestSubscriberConverges draws moves between control hosts, lost updates and the faults of
+// TestDirectoriesConverge. The subscriber never returns to an older record. In the end it has
+// the records of any control host within its scope, without a full list.
+func TestSubscriberConverges(t *testing.T) {
 	kinds := map[membership.UpdateKind]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(t, rapid.IntRange(2, 100).Draw(t, "agents"))
@@ -154,40 +152,39 @@
 		if rapid.Bool().Draw(t, "scoped") {
 			scope = membership.NewScope(nil, "oke-ado")
 		}
-		w := newWatcher(scope)
+		s := newTestSubscriber(scope)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			n.step()
 			if rapid.IntRange(0, 3).Draw(t, "moves") == 0 {
-				w.move(n, rapid.IntRange(0, controlHosts-1).Draw(t, "to"))
+				s.moveTo(n, rapid.IntRange(0, controlHosts-1).Draw(t, "to"))
 			}
-			w.follow(n, rapid.IntRange(0, 5).Draw(t, "loses") == 0)
+			s.applyNext(n, rapid.IntRange(0, 5).Draw(t, "loses") == 0)
 		}
-		// Without another move first: what additions left open is mended, too.
-		n.settle(func() { w.follow(n, false) })
-		w.mustEqual(n)
+		// The gaps of additions are closed without a move.
+		n.converge(func() { s.applyNext(n, false) })
+		s.mustEqual(n)
 		for host := range controlHosts {
-			w.move(n, host)
-			w.follow(n, false)
-			w.mustEqual(n)
+			s.moveTo(n, host)
+			s.applyNext(n, false)
+			s.mustEqual(n)
 		}
-		for kind, count := range w.kinds {
+		for kind, count := range s.kinds {
 			kinds[kind] += count
 		}
 	})
 	t.Log(kinds)
 	for _, kind := range []membership.UpdateKind{membership.Delta, membership.Difference, membership.Addition, membership.FullFirst} {
 		if kinds[kind] == 0 {
-			t.Errorf("no schedule led to an update of kind %s", kind)
+			t.Errorf("no update of kind %s was drawn", kind)
 		}
 	}
 	if kinds[membership.FullHistory]+kinds[membership.FullUndigested] > 0 {
-		t.Errorf("full lists were sent to a subscriber that held one: %v", kinds)
+		t.Errorf("full lists were sent to a subscriber that had one: %v", kinds)
 	}
 }
 
-// A host that has not heard the newest record of a target must not bring the
-// subscriber back to an older one, not even after a removal.
-func TestRemovedTargetDoesNotComeBackOlder(t *testing.T) {
+// A host with an older record must not bring it back, not even after a removal.
+func TestRemovedTargetKeepsVersion(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
 	l.Apply(&controlpb.DirectoryUpdate{Epoch: 1, Full: true, Put: []*controlpb.TargetRecord{record(1, 2, 5)}}, time.Time{})
@@ -199,8 +196,8 @@
 	is.Equal(len(recordsOf(&l)), 1)
 }
 
-// Of more removals than are remembered the oldest are forgotten, and counted.
-func TestDeparturesAreBounded(t *testing.T) {
+// The oldest tombstones are evicted and counted.
+func TestTombstonesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
 	u := &controlpb.DirectoryUpdate{Epoch: 1, Full: true}
@@ -211,8 +208,8 @@
 	is.Equal(l.Apply(&controlpb.DirectoryUpdate{Epoch: 1, Sequence: 1, Full: true}, time.Time{}).Evicted, 5_000-4_096)
 }
 
-// hostOf returns a settled host of another epoch with all of these targets.
-func hostOf(epoch uint64, targets uint32) *membership.Directory {
+// fullDirectory returns a complete directory of another epoch with all of these targets.
+func fullDirectory(epoch uint64, targets uint32) *membership.Directory {
 	d := membership.New(membership.Options{Epoch: epoch, Lease: lease})
 	for n := range targets {
 		d.Announce(lease, named(n+1), membership.Direct)
@@ -220,11 +217,10 @@
 	return d
 }
 
-// TestMoveCostsWhatDiffers moves a subscriber between hosts that differ in few
-// of 12,000 targets.
-func TestMoveCostsWhatDiffers(t *testing.T) {
+// A move between hosts with few differences costs only these.
+func TestMoveSendsDifference(t *testing.T) {
 	is := is.New(t)
-	a, b := hostOf(1, fleet), hostOf(2, fleet)
+	a, b := fullDirectory(1, fleetSize), fullDirectory(2, fleetSize)
 	var l membership.List
 	u, kind := a.Next(lease, membership.NewSubscriber(l.Position(), nil))
 	is.Equal(kind, membership.FullFirst)
@@ -234,33 +230,33 @@
 	u, kind = b.Next(lease, membership.NewSubscriber(position, nil))
 	is.Equal(kind, membership.Difference)
 	is.Equal(len(u.GetPut()), 0)
-	is.True(u.GetBuckets() > 0) // the subscriber learns that its list is that of b
+	is.True(u.GetBuckets() > 0) // confirms the list as that of b
 	l.Apply(u, time.Time{})
 	is.Equal(l.Position().Epoch, uint64(2))
 
 	b.Announce(lease, record(7, 1, 2), membership.Direct)
-	b.Announce(lease, record(fleet+1, 1, 1), membership.Direct)
+	b.Announce(lease, record(fleetSize+1, 1, 1), membership.Direct)
 	u, _ = b.Next(lease, membership.NewSubscriber(position, nil))
-	is.True(len(u.GetPut()) <= 2*fleet/len(position.Digests)+2)
+	is.True(len(u.GetPut()) <= 2*fleetSize/len(position.Digests)+2)
 
-	// The verdict of a host is its own: it differs at the same version.
-	ill := proto.CloneOf(recordsOf(&l)[0])
-	ill.Ill, ill.Damped = true, true
-	l.Apply(&controlpb.DirectoryUpdate{Epoch: 2, Sequence: u.GetSequence(), Put: []*controlpb.TargetRecord{ill}}, time.Time{})
-	u, _ = hostOf(3, fleet).Next(lease, membership.NewSubscriber(l.Position(), nil))
+	// Damping differs between hosts at the same version.
+	unhealthy := proto.CloneOf(recordsOf(&l)[0])
+	unhealthy.Ill, unhealthy.Damped = true, true
+	l.Apply(&controlpb.DirectoryUpdate{Epoch: 2, Sequence: u.GetSequence(), Put: []*controlpb.TargetRecord{unhealthy}}, time.Time{})
+	u, _ = fullDirectory(3, fleetSize).Next(lease, membership.NewSubscriber(l.Position(), nil))
 	is.Equal(len(u.GetWhole()), 1)
 
-	// Nor are removals lost.
-	u, _ = hostOf(3, fleet-5).Next(lease, membership.NewSubscriber(position, nil))
+	// Removals are part of the difference.
+	u, _ = fullDirectory(3, fleetSize-5).Next(lease, membership.NewSubscriber(position, nil))
 	l.Apply(u, time.Time{})
-	is.Equal(len(recordsOf(&l)), fleet-5)
+	is.Equal(len(recordsOf(&l)), fleetSize-5)
 }
 
-// TestUnsettledHostHoldsALargeDifferenceBack: it cannot tell yet what differs.
-func TestUnsettledHostHoldsALargeDifferenceBack(t *testing.T) {
+// An incomplete host cannot tell what differs.
+func TestIncompleteHostDefersLargeDifference(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
-	u, _ := hostOf(1, 1_000).Next(lease, membership.NewSubscriber(l.Position(), nil))
+	u, _ := fullDirectory(1, 1_000).Next(lease, membership.NewSubscriber(l.Position(), nil))
 	l.Apply(u, time.Time{})
 	d := membership.New(membership.Options{Epoch: 2, Lease: lease, Start: lease})
 	f := membership.NewSubscriber(l.Position(), nil)
@@ -275,13 +271,12 @@
 	is.Equal(len(u.GetWhole()), 1)
 }
 
-// TestHeldBackRemovalIsMadeUpFor: a target was added, then additions stopped,
-// then it ended: its bucket is as the subscriber came with it, and yet has to
-// be sent.
-func TestHeldBackRemovalIsMadeUpFor(t *testing.T) {
+// A target is added, then additions stop, then it is removed: its bucket equals the one that
+// the subscriber came with, and has to be sent again.
+func TestDeferredRemovalIsSent(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
-	u, _ := hostOf(1, 1_000).Next(lease, membership.NewSubscriber(l.Position(), nil))
+	u, _ := fullDirectory(1, 1_000).Next(lease, membership.NewSubscriber(l.Position(), nil))
 	l.Apply(u, time.Time{})
 	d := membership.New(membership.Options{Epoch: 2, Lease: lease, Start: lease})
 	f := membership.NewSubscriber(l.Position(), nil)
@@ -292,7 +287,7 @@
 	for n := range uint32(1_000) {
 		if n == 900 {
 			u, _ = d.Next(lease, f)
-			is.Equal(u, nil) // too much differs
+			is.Equal(u, nil) // too many additions
 		}
 		d.Announce(lease, record(n+1, 1, 1), membership.Direct)
 	}
@@ -302,11 +297,11 @@
 	is.Equal(len(recordsOf(&l)), 1_000)
 }
 
-// A target that went and came back in another failure domain between two
-// updates is gone for one who wants the first domain only.
-func TestTargetThatMovedOutOfScopeIsRemoved(t *testing.T) {
+// A target that was removed and reappeared in another failure domain between two updates is
+// removed for subscribers of the first domain.
+func TestTargetMovedOutOfScopeIsRemoved(t *testing.T) {
 	is := is.New(t)
-	d := hostOf(1, 1)
+	d := fullDirectory(1, 1)
 	f := membership.NewSubscriber(membership.Position{}, membership.NewScope(nil, "oke-ado"))
 	u, _ := d.Next(2*lease, f)
 	is.Equal(len(u.GetPut()), 1)
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -14,10 +14,10 @@
 	"eelgrasswharf.example/eelgrasswharf/membership"
 )
 
-// reader follows a directory by updates, as a subscriber does.
+// reader applies the updates of a directory like a subscriber.
 type reader struct {
 	epoch, sequence uint64
-	held            map[uint32]*controlpb.TargetRecord
+	records         map[uint32]*controlpb.TargetRecord
 }
 
 func (r *reader) follow(now time.Duration, d *membership.Directory) {
@@ -26,33 +26,33 @@
 		return
 	}
 	if u.GetFull() {
-		r.held = map[uint32]*controlpb.TargetRecord{}
+		r.records = map[uint32]*controlpb.TargetRecord{}
 	}
 	for _, p := range u.GetPut() {
-		r.held[p.GetNumber()] = p
+		r.records[p.GetNumber()] = p
 	}
 	for _, n := range u.GetRemoved() {
-		delete(r.held, n)
+		delete(r.records, n)
 	}
 	r.epoch, r.sequence = u.GetEpoch(), u.GetSequence()
 }
 
 func (r *reader) check(t *rapid.T, now time.Duration, d *membership.Directory) {
 	want := d.Full(now, nil).GetPut()
-	if len(want) != len(r.held) {
-		t.Fatalf("the reader holds %d targets, the directory %d", len(r.held), len(want))
+	if len(want) != len(r.records) {
+		t.Fatalf("reader has %d targets, directory has %d", len(r.records), len(want))
 	}
 	for _, w := range want {
-		got := proto.CloneOf(r.held[w.GetNumber()])
+		got := proto.CloneOf(r.records[w.GetNumber()])
 		got.AgeMs, w.AgeMs = 0, 0
 		if !proto.Equal(got, w) {
-			t.Fatalf("the reader holds %v, the directory %v", got, w)
+			t.Fatalf("reader has %v, directory has %v", got, w)
 		}
 	}
 }
 
-// drawRecord draws a record whose contents follow from its incarnation and
-// sequence, as those of an agent do.
+// drawRecord draws a record whose contents depend only on its incarnation and sequence, like
+// those of an agent.
 func drawRecord(t *rapid.T) *controlpb.TargetRecord {
 	number := rapid.Uint32Range(1, 6).Draw(t, "number")
 	incarnation := rapid.Uint32Range(1, 3).Draw(t, "incarnation")
@@ -65,10 +65,10 @@
 
 func TestReaderFollowsDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// More targets than removals remembered, to meet full lists too.
+		// Few removals are remembered, so that full lists occur as well.
 		d := membership.New(membership.Options{Epoch: 3, Lease: lease, MaxRemoved: 2})
 		now := lease
-		r := &reader{held: map[uint32]*controlpb.TargetRecord{}}
+		r := &reader{records: map[uint32]*controlpb.TargetRecord{}}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "passed")) * time.Millisecond
 			d.Announce(now, drawRecord(t), membership.Direct)
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -9,112 +9,110 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// maxOwnLog bounds the changes of the own claims that are remembered. A host
-// that missed older ones finds out by the digests.
-const maxOwnLog = 8_192
+// maxLocalLog bounds the logged changes of local claims. Hosts that missed older ones are
+// repaired by the digests.
+const maxLocalLog = 8_192
 
-// peer is what this host knows of the claims of another control host.
+// peer is the state of another control host.
 type peer struct {
 	claims *claims
-	// epoch and serial are those of the last message.
+	// epoch and serial are those of its last message.
 	epoch  uint64
 	serial uint64
-	// confirmed is when the claims were last known to be the host's.
-	confirmed time.Duration
+	// lastConfirmed is when the claims last matched its summary.
+	lastConfirmed time.Duration
 }
 
-// ownLog has the numbers of the own claims in the order of their last change.
-type ownLog struct {
+// localLog has the numbers of local claims in the order of their last change.
+type localLog struct {
 	sequence uint64
 	order    *list.List
 	entries  map[uint32]*list.Element
 }
 
-// own is what this host hears from agents itself.
-type own struct {
+// local has the claims of this host.
+type local struct {
 	*claims
-	log *ownLog
+	log *localLog
 }
 
-func newOwn() own { return own{newClaims(), newOwnLog()} }
+func newLocal() local { return local{newClaims(), newLocalLog()} }
 
-func (o own) put(number uint32, v version) {
-	if o.claims.put(number, v) {
-		o.log.add(number)
+func (l local) put(number uint32, v version) {
+	if l.claims.put(number, v) {
+		l.log.add(number)
 	}
 }
 
-func (o own) drop(number uint32) {
-	if o.claims.drop(number) {
-		o.log.add(number)
+func (l local) drop(number uint32) {
+	if l.claims.drop(number) {
+		l.log.add(number)
 	}
 }
 
-type ownChange struct {
+type localChange struct {
 	number   uint32
 	sequence uint64
 }
 
-func newOwnLog() *ownLog {
-	return &ownLog{order: list.New(), entries: map[uint32]*list.Element{}}
+func newLocalLog() *localLog {
+	return &localLog{order: list.New(), entries: map[uint32]*list.Element{}}
 }
 
-func (l *ownLog) add(number uint32) {
+func (l *localLog) add(number uint32) {
 	l.sequence++
 	if e, ok := l.entries[number]; ok {
 		l.order.Remove(e)
 	}
-	l.entries[number] = l.order.PushBack(ownChange{number, l.sequence})
-	if l.order.Len() > maxOwnLog {
+	l.entries[number] = l.order.PushBack(localChange{number, l.sequence})
+	if l.order.Len() > maxLocalLog {
 		oldest := l.order.Front()
 		l.order.Remove(oldest)
-		delete(l.entries, oldest.Value.(ownChange).number)
+		delete(l.entries, oldest.Value.(localChange).number)
 	}
 }
 
-// LocalSequence returns the sequence of the last change of the targets that are
-// heard from agents here. It is the cursor that Sync returned last if there is
-// nothing new to pass on.
-func (d *Directory) LocalSequence() uint64 { return d.own.log.sequence }
+// LocalSequence returns the sequence of the last change of local claims. It equals the
+// cursor returned by Sync if there is nothing new to send.
+func (d *Directory) LocalSequence() uint64 { return d.local.log.sequence }
 
-// Sync returns what another control host has to be told that was told
-// everything up to the cursor, and the new cursor. A message that got lost is
-// made up for by calling Sync with the old cursor again.
+// Sync returns the message for a control host that has everything up to the cursor, and
+// the new cursor. After a lost message Sync is called with the old cursor again.
 func (d *Directory) Sync(now time.Duration, cursor uint64) (*controlpb.DirectorySync, uint64) {
-	return d.compose(now, cursor, 0)
+	return d.buildSync(now, cursor, 0)
 }
 
-// Repair is Sync for a host whose digests, as it answered them, differ: the
-// message has all records of the buckets that differ.
+// Repair is Sync for a host that replied with its digests: the message has all records of
+// the buckets that differ.
 func (d *Directory) Repair(now time.Duration, cursor uint64, digests []uint64) (*controlpb.DirectorySync, uint64) {
-	return d.compose(now, cursor, d.own.differing(digests))
+	return d.buildSync(now, cursor, d.local.differingBuckets(digests))
 }
 
-func (d *Directory) compose(now time.Duration, cursor, whole uint64) (*controlpb.DirectorySync, uint64) {
-	m := &controlpb.DirectorySync{Whole: whole, Summary: d.summary()}
-	for e := d.own.log.order.Back(); e != nil; e = e.Prev() {
-		c := e.Value.(ownChange)
+func (d *Directory) buildSync(now time.Duration, cursor, mask uint64) (*controlpb.DirectorySync, uint64) {
+	m := &controlpb.DirectorySync{Whole: mask, Summary: d.summary()}
+	for e := d.local.log.order.Back(); e != nil; e = e.Prev() {
+		c := e.Value.(localChange)
 		if c.sequence <= cursor {
 			break
 		}
-		d.tell(now, m, c.number)
+		d.appendChange(now, m, c.number)
 	}
-	if whole != 0 {
-		d.tellBuckets(now, m, whole)
+	if mask != 0 {
+		d.appendBuckets(now, m, mask)
 	}
 	slices.SortFunc(m.Records, byNumber)
 	slices.Sort(m.Ended)
 	slices.Sort(m.Left)
-	return m, d.own.log.sequence
+	return m, d.local.log.sequence
 }
 
-// tell adds one change of the own claims to a message.
-func (d *Directory) tell(now time.Duration, m *controlpb.DirectorySync, number uint32) {
+// appendChange adds a change of a local claim to a message.
+func (d *Directory) appendChange(now time.Duration, m *controlpb.DirectorySync, number uint32) {
 	t, known := d.byID[number]
 	switch {
-	case known && d.own.has(number):
+	case known && d.local.contains(number):
 		if m.Whole&(1<<bucketOf(number)) == 0 {
-			m.Records = append(m.Records, t.aged(now, t.heard))
+			m.Records = append(m.Records, t.withAge(now, t.latest))
 		}
 	case known:
 		m.Left = append(m.Left, number)
@@ -123,11 +121,11 @@
 	}
 }
 
-func (d *Directory) tellBuckets(now time.Duration, m *controlpb.DirectorySync, whole uint64) {
-	for number := range d.own.held {
-		if whole&(1<<bucketOf(number)) != 0 {
+func (d *Directory) appendBuckets(now time.Duration, m *controlpb.DirectorySync, mask uint64) {
+	for number := range d.local.held {
+		if mask&(1<<bucketOf(number)) != 0 {
 			t := d.byID[number]
-			m.Records = append(m.Records, t.aged(now, t.heard))
+			m.Records = append(m.Records, t.withAge(now, t.latest))
 		}
 	}
 }
@@ -137,17 +135,17 @@
 	return &controlpb.DirectorySummary{
 		Epoch:  d.opts.Epoch,
 		Serial: d.serial,
-		Count:  uint32(len(d.own.held)),
-		Digest: d.own.digest(),
+		Count:  uint32(len(d.local.held)),
+		Digest: d.local.digest(),
 	}
 }
 
-// ApplySync merges what another control host passes on. The reply tells that host
-// whether its claims are known here as its summary says.
+// ApplySync merges a message of another control host. The reply has digests if the claims
+// do not match its summary.
 func (d *Directory) ApplySync(now time.Duration, from Source, m *controlpb.DirectorySync) *controlpb.DirectorySyncReply {
 	s := m.GetSummary()
 	if s == nil {
-		d.hearRecords(now, m.GetRecords())
+		d.mergeRecords(now, m.GetRecords())
 		return &controlpb.DirectorySyncReply{}
 	}
 	p := d.peerOf(now, from)
@@ -159,16 +157,15 @@
 	if !p.claims.matches(s) {
 		return &controlpb.DirectorySyncReply{Digests: slices.Clone(p.claims.digests[:])}
 	}
-	p.confirmed = now
+	p.lastConfirmed = now
 	return &controlpb.DirectorySyncReply{}
 }
 
-// hearRecords takes the records of a host that sends no summaries: each one
-// is good for a lease.
-func (d *Directory) hearRecords(now time.Duration, records []*controlpb.TargetRecord) {
+// mergeRecords merges the records of a host that sends no summaries. Each gets a lease.
+func (d *Directory) mergeRecords(now time.Duration, records []*controlpb.TargetRecord) {
 	for _, r := range records {
 		if t, verdict := d.accept(now, r); verdict.Accepted() {
-			d.linger(now, t)
+			d.extendLease(now, t)
 		}
 	}
 }
@@ -176,7 +173,7 @@
 func (d *Directory) peerOf(now time.Duration, from Source) *peer {
 	p, ok := d.peers[from]
 	if !ok {
-		p = &peer{claims: newClaims(), confirmed: now}
+		p = &peer{claims: newClaims(), lastConfirmed: now}
 		d.peers[from] = p
 	}
 	return p
@@ -197,9 +194,8 @@
 	}
 }
 
-// dropMissing ends the claims of a host in some buckets, but for those that
-// it names. Their targets live for another lease: the host has not said that
-// the agents are silent, only that it does not hear them itself.
+// dropMissing ends the claims of a host in some buckets that it did not send again. Their
+// targets are kept for another lease: their agents may announce to other hosts.
 func (d *Directory) dropMissing(now time.Duration, p *peer, mask uint64, named []*controlpb.TargetRecord) {
 	keep := make(map[uint32]bool, len(named))
 	for _, r := range named {
@@ -217,9 +213,9 @@
 	}
 }
 
-// unclaim ends the claim of a host. A target that nobody claims any more goes
-// at once, or after another lease.
-func (d *Directory) unclaim(now time.Duration, p *peer, number uint32, lingers bool) {
+// unclaim ends the claim of a host. A target without any other claim is removed at once, or
+// after another lease.
+func (d *Directory) unclaim(now time.Duration, p *peer, number uint32, grace bool) {
 	if !p.claims.drop(number) {
 		return
 	}
@@ -227,8 +223,8 @@
 	if !known || d.claimed(t) {
 		return
 	}
-	if lingers {
-		d.linger(now, t)
+	if grace {
+		d.extendLease(now, t)
 		return
 	}
 	if t.lease == nil {
@@ -236,10 +232,10 @@
 	}
 }
 
-// claimed reports whether this host or another one hears the target.
+// claimed reports whether this host or another one claims the current record.
 func (d *Directory) claimed(t *target) bool {
-	number, v := t.heard.GetNumber(), versionOf(t.heard)
-	if d.own.has(number) {
+	number, v := t.latest.GetNumber(), versionOf(t.latest)
+	if d.local.contains(number) {
 		return true
 	}
 	for _, p := range d.peers {
@@ -250,10 +246,10 @@
 	return false
 }
 
-// forgetSilent drops the claims of hosts that have been silent for too long.
-func (d *Directory) forgetSilent(now time.Duration) {
+// expirePeers removes hosts that have been unresponsive for too long, with their claims.
+func (d *Directory) expirePeers(now time.Duration) {
 	for from, p := range d.peers {
-		if now-p.confirmed < d.opts.Lease+d.opts.Hold {
+		if now-p.lastConfirmed < d.opts.Lease+d.opts.Hold {
 			continue
 		}
 		delete(d.peers, from)
--- a/membership/delta.go
+++ b/membership/update.go
@@ -11,8 +11,8 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// Scope limits what a subscriber is told to some services and failure
-// domains. Nil and empty sets mean all.
+// Scope limits a subscription to some services and failure domains. Nil and empty sets
+// mean all.
 type Scope struct {
 	services map[uint32]bool
 	domains  map[string]bool
@@ -31,7 +31,7 @@
 	return set
 }
 
-func (s *Scope) has(r *controlpb.TargetRecord) bool {
+func (s *Scope) contains(r *controlpb.TargetRecord) bool {
 	return s.hasService(r) && (s == nil || len(s.domains) == 0 || s.domains[r.GetFailureDomain()])
 }
 
@@ -39,31 +39,31 @@
 	return s == nil || len(s.services) == 0 || s.services[r.GetService()]
 }
 
-// had reports whether the target was in the scope before it moved to another
+// contained reports whether the target was in the scope before it moved to another
 // failure domain.
-func (s *Scope) had(t *target) bool {
-	return s.hasService(t.heard) && slices.ContainsFunc(t.formerDomains, func(name string) bool { return s.domains[name] })
+func (s *Scope) contained(t *target) bool {
+	return s.hasService(t.latest) && slices.ContainsFunc(t.formerDomains, func(name string) bool { return s.domains[name] })
 }
 
-// Update returns what a subscriber that holds the given epoch and sequence
-// has to change, or nil if nothing.
+// Update returns the changes for a subscriber at this epoch and sequence, nil if there
+// are none.
 //
-// A subscriber of another epoch, or one too far behind, gets the full list.
-// From a directory that is not settled the list is not full: it adds to what
-// the subscriber holds from elsewhere and removes nothing.
+// If the epoch differs or the history does not go back far enough, all records are
+// returned. From an incomplete directory that update is not marked as full: it adds to
+// the subscriber's list and removes nothing.
 func (d *Directory) Update(now time.Duration, epoch, sequence uint64, s *Scope) *controlpb.DirectoryUpdate {
-	if epoch != d.opts.Epoch || !d.remembers(sequence) {
+	if epoch != d.opts.Epoch || !d.hasHistory(sequence) {
 		return d.Full(now, s)
 	}
 	return d.since(now, sequence, s)
 }
 
-// remembers reports whether every change after the sequence is known.
-func (d *Directory) remembers(sequence uint64) bool {
-	return sequence >= d.floor && sequence <= d.sequence
+// hasHistory reports whether every change after the sequence is known.
+func (d *Directory) hasHistory(sequence uint64) bool {
+	return sequence >= d.historyStart && sequence <= d.sequence
 }
 
-// since returns the changes after a sequence, or nil if there is none.
+// since returns the changes after a sequence, nil if there are none.
 func (d *Directory) since(now time.Duration, sequence uint64, s *Scope) *controlpb.DirectoryUpdate {
 	if sequence == d.sequence {
 		return nil
@@ -77,8 +77,8 @@
 	return u.DirectoryUpdate
 }
 
-// changedAfter yields the targets and removals that have changed after a
-// sequence, the last one first.
+// changedAfter yields the targets and removals that have changed after a sequence, newest
+// first.
 func (d *Directory) changedAfter(sequence uint64) iter.Seq[*target] {
 	return func(yield func(*target) bool) {
 		for e := d.changes.Back(); e != nil; e = e.Prev() {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Full returns the whole list within the scope, by target number.
+// Full returns all records within the scope, by target number.
 func (d *Directory) Full(now time.Duration, s *Scope) *controlpb.DirectoryUpdate {
 	u := d.update()
 	u.Full = d.Complete(now)
@@ -108,27 +108,26 @@
 }
 
 func (u update) collect(now time.Duration, t *target, s *Scope) {
-	inside := s.has(t.heard)
-	if !inside && !s.had(t) {
+	inside := s.contains(t.latest)
+	if !inside && !s.contained(t) {
 		return
 	}
-	if t.isGone || !inside {
-		u.Removed = append(u.Removed, t.heard.GetNumber())
+	if t.isRemoved || !inside {
+		u.Removed = append(u.Removed, t.latest.GetNumber())
 		return
 	}
-	u.Put = append(u.Put, t.aged(now, t.published))
+	u.Put = append(u.Put, t.withAge(now, t.published))
 }
 
-// sort puts the records in the order of their numbers, so that an update is
-// the same whatever order the targets were met in.
+// sort makes the order of the records deterministic.
 func (u update) sort() { slices.SortFunc(u.Put, byNumber) }
 
 func byNumber(a, b *controlpb.TargetRecord) int { return cmp.Compare(a.GetNumber(), b.GetNumber()) }
 
-// aged copies a record of the target with its age at the given time, so that
-// one that is told late of a target does not take it for a cold one.
-func (t *target) aged(now time.Duration, r *controlpb.TargetRecord) *controlpb.TargetRecord {
+// withAge copies a record of the target with its current age, so that a new receiver does
+// not consider the target cold.
+func (t *target) withAge(now time.Duration, r *controlpb.TargetRecord) *controlpb.TargetRecord {
 	out := proto.CloneOf(r)
-	out.AgeMs = t.heard.GetAgeMs() + uint64(max(now-t.heardAt, 0).Milliseconds())
+	out.AgeMs = t.latest.GetAgeMs() + uint64(max(now-t.receivedAt, 0).Milliseconds())
 	return out
 }
