--- a/flow/agent.go
+++ b/flow/agent.go
@@ -110,9 +110,9 @@
 	// requested is when the request in progress arrived, zero if there is none.
 	requested time.Duration
 	running   bool
-	// nextSeq is the sequence number after the caller's last byte, valid if sent.
-	nextSeq uint32
-	sent    bool
+	// nextSeq is the sequence number after the caller's last byte, valid if dataSeen.
+	nextSeq  uint32
+	dataSeen bool
 	// callerDone and targetDone: that end has closed its direction.
 	callerDone, targetDone bool
 	// registeredAt is when the flow was last registered, registeredVersion the
--- a/flow/load.go
+++ b/flow/load.go
@@ -20,14 +20,14 @@
 // startRequest accounts for a request that is delivered to the target.
 func (a *Agent) startRequest(f *agentFlow, p Packet, now time.Duration) {
 	end := p.Seq + uint32(p.Length)
-	if p.Length == 0 || f.sent && int32(end-f.nextSeq) <= 0 {
+	if p.Length == 0 || f.dataSeen && int32(end-f.nextSeq) <= 0 {
 		// No new data: a retransmission may arrive after the response.
 		return
 	}
-	if !f.sent {
+	if !f.dataSeen {
 		a.warmup.startRequest(f, now)
 	}
-	f.sent, f.nextSeq = true, end
+	f.dataSeen, f.nextSeq = true, end
 	if f.running || f.targetDone {
 		return
 	}
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -54,23 +54,23 @@
 }
 
 // reset discards the replies of agents of another list.
-func (q *lookup) reset(count int, listVersion uint32) {
-	*q = lookup{entry: q.entry, lastSeen: q.lastSeen, listVersion: listVersion, pending: count}
-	q.notHeld = make([]uint64, (count+63)/64)
+func (l *lookup) reset(count int, listVersion uint32) {
+	*l = lookup{entry: l.entry, lastSeen: l.lastSeen, listVersion: listVersion, pending: count}
+	l.notHeld = make([]uint64, (count+63)/64)
 }
 
 // markNotHeld records that the target of an agent does not hold the flow.
-func (q *lookup) markNotHeld(index int) {
+func (l *lookup) markNotHeld(index int) {
 	bit := uint64(1) << (index % 64)
-	if q.notHeld[index/64]&bit == 0 {
-		q.notHeld[index/64] |= bit
-		q.pending--
+	if l.notHeld[index/64]&bit == 0 {
+		l.notHeld[index/64] |= bit
+		l.pending--
 	}
 }
 
 // needsQuery reports whether an agent has to be queried.
-func (q *lookup) needsQuery(index int, agent Endpoint) bool {
-	return q.notHeld[index/64]&(1<<(index%64)) == 0 && !contains(q.candidates, agent)
+func (l *lookup) needsQuery(index int, agent Endpoint) bool {
+	return l.notHeld[index/64]&(1<<(index%64)) == 0 && !contains(l.candidates, agent)
 }
 
 // lookups are the lookups of one agent.
@@ -93,29 +93,29 @@
 // notices that can be sent at once. The result for the own target is recorded by
 // HandleNotHeld or RecordHolder.
 func (a *Agent) Lookup(entry Endpoint, key Key, now time.Duration) []Notice {
-	q := a.lookups.flows[key]
-	if q == nil {
+	l := a.lookups.flows[key]
+	if l == nil {
 		if len(a.lookups.flows) >= maxLookups {
 			return nil
 		}
 		if a.lookups.flows == nil {
 			a.lookups.flows = make(map[Key]*lookup)
 		}
-		q = &lookup{}
-		a.lookups.flows[key] = q
+		l = &lookup{}
+		a.lookups.flows[key] = l
 	}
-	q.entry, q.lastSeen, q.reported = entry, now, false
-	if len(q.notHeld) == 0 || q.listVersion != a.listVersion {
-		q.reset(len(a.all), a.listVersion)
+	l.entry, l.lastSeen, l.reported = entry, now, false
+	if len(l.notHeld) == 0 || l.listVersion != a.listVersion {
+		l.reset(len(a.all), a.listVersion)
 	}
-	if q.pending > 0 && q.holder.IsZero() {
+	if l.pending > 0 && l.holder.IsZero() {
 		a.lookups.due = true
 	}
 	var out []Notice
-	for _, agent := range q.candidates {
+	for _, agent := range l.candidates {
 		out = append(out, a.probeNotice(key, agent))
 	}
-	return a.appendOutcome(out, q, key)
+	return a.appendOutcome(out, l, key)
 }
 
 // probeNotice returns the search for an agent that may hold a flow. It replies to this
@@ -125,16 +125,16 @@
 }
 
 // appendOutcome appends the notice for the entry host once the outcome is known.
-func (a *Agent) appendOutcome(out []Notice, q *lookup, key Key) []Notice {
+func (a *Agent) appendOutcome(out []Notice, l *lookup, key Key) []Notice {
 	switch {
-	case q.reported:
+	case l.reported:
 		return out
-	case !q.holder.IsZero():
-		q.reported = true
-		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: Located, Key: key, Alternate: q.holder}})
-	case q.pending == 0 && len(q.notHeld) > 0:
-		q.reported = true
-		return append(out, Notice{Key: key, To: q.entry, Frame: Frame{Kind: HeldByNone, Key: key, Digest: Digest(a.all)}})
+	case !l.holder.IsZero():
+		l.reported = true
+		return append(out, Notice{Key: key, To: l.entry, Frame: Frame{Kind: Located, Key: key, Alternate: l.holder}})
+	case l.pending == 0 && len(l.notHeld) > 0:
+		l.reported = true
+		return append(out, Notice{Key: key, To: l.entry, Frame: Frame{Kind: HeldByNone, Key: key, Digest: Digest(a.all)}})
 	}
 	return out
 }
@@ -148,8 +148,8 @@
 	if a.lookups.queriedAt == 0 {
 		return 0, true
 	}
-	pause := max(queryInterval, time.Duration(len(a.all))*queryIntervalPerAgent)
-	return max(a.lookups.queriedAt+pause-now, 0), true
+	interval := max(queryInterval, time.Duration(len(a.all))*queryIntervalPerAgent)
+	return max(a.lookups.queriedAt+interval-now, 0), true
 }
 
 // Queries begins a round and returns the flows to query each of the other agents for.
@@ -158,13 +158,13 @@
 	a.lookups.queriedAt = max(now, 1)
 	a.due = a.due[:0]
 	index := map[Endpoint]int{}
-	for key, q := range a.lookups.flows {
-		if q.listVersion != a.listVersion || q.pending == 0 || !q.holder.IsZero() || q.queriedAt != 0 && q.lastSeen <= q.queriedAt {
+	for key, l := range a.lookups.flows {
+		if l.listVersion != a.listVersion || l.pending == 0 || !l.holder.IsZero() || l.queriedAt != 0 && l.lastSeen <= l.queriedAt {
 			continue
 		}
-		q.queriedAt = max(now, 1)
-		for place, agent := range a.all {
-			if agent != a.self && q.needsQuery(place, agent) {
+		l.queriedAt = max(now, 1)
+		for i, agent := range a.all {
+			if agent != a.self && l.needsQuery(i, agent) {
 				a.addKey(index, agent, key)
 			}
 		}
@@ -188,27 +188,27 @@
 
 // HandleNotHeld records that the target of an agent, or the own one, does not hold flows.
 func (a *Agent) HandleNotHeld(keys []Key, from Endpoint) []Notice {
-	return a.applyReply(keys, from, func(out []Notice, q *lookup, place int, _ Key) []Notice {
-		q.markNotHeld(place)
+	return a.applyReply(keys, from, func(out []Notice, l *lookup, index int, _ Key) []Notice {
+		l.markNotHeld(index)
 		return out
 	})
 }
 
 // HandleMayHold records that the target of another agent may hold flows.
 func (a *Agent) HandleMayHold(keys []Key, from Endpoint) []Notice {
-	return a.applyReply(keys, from, func(out []Notice, q *lookup, place int, key Key) []Notice {
-		if !q.needsQuery(place, from) {
+	return a.applyReply(keys, from, func(out []Notice, l *lookup, index int, key Key) []Notice {
+		if !l.needsQuery(index, from) {
 			return out
 		}
-		q.candidates = append(q.candidates, from)
+		l.candidates = append(l.candidates, from)
 		return append(out, a.probeNotice(key, from))
 	})
 }
 
 // RecordHolder records that the target of an agent, or the own one, holds a flow.
 func (a *Agent) RecordHolder(key Key, from Endpoint) []Notice {
-	return a.applyReply([]Key{key}, from, func(out []Notice, q *lookup, _ int, _ Key) []Notice {
-		q.holder = from
+	return a.applyReply([]Key{key}, from, func(out []Notice, l *lookup, _ int, _ Key) []Notice {
+		l.holder = from
 		return out
 	})
 }
@@ -221,19 +221,19 @@
 	}
 	var out []Notice
 	for _, key := range keys {
-		q := a.lookups.flows[key]
-		if q == nil || q.listVersion != a.listVersion || len(q.notHeld) == 0 {
+		l := a.lookups.flows[key]
+		if l == nil || l.listVersion != a.listVersion || len(l.notHeld) == 0 {
 			continue
 		}
-		out = a.appendOutcome(apply(out, q, index, key), q, key)
+		out = a.appendOutcome(apply(out, l, index, key), l, key)
 	}
 	return out
 }
 
-func (i *lookups) sweep(now time.Duration) {
-	for key, q := range i.flows {
-		if now-q.lastSeen > notHeldFor {
-			delete(i.flows, key)
+func (ls *lookups) sweep(now time.Duration) {
+	for key, l := range ls.flows {
+		if now-l.lastSeen > notHeldFor {
+			delete(ls.flows, key)
 		}
 	}
 }
--- a/flow/packetbuffer.go
+++ b/flow/packetbuffer.go
@@ -22,37 +22,37 @@
 }
 
 // Put stores a copy of a packet. It reports false if the buffer is full.
-func (w *PacketBuffer) Put(key Key, packet []byte, now time.Duration) bool {
-	if w.packets == nil {
-		w.packets = make(map[Key]bufferedPacket)
+func (b *PacketBuffer) Put(key Key, packet []byte, now time.Duration) bool {
+	if b.packets == nil {
+		b.packets = make(map[Key]bufferedPacket)
 	}
-	if _, known := w.packets[key]; !known && len(w.packets) >= maxBufferedPackets {
+	if _, known := b.packets[key]; !known && len(b.packets) >= maxBufferedPackets {
 		return false
 	}
-	w.packets[key] = bufferedPacket{data: append([]byte(nil), packet...), receivedAt: now}
+	b.packets[key] = bufferedPacket{data: append([]byte(nil), packet...), receivedAt: now}
 	return true
 }
 
 // Len returns the number of buffered packets.
-func (w *PacketBuffer) Len() int { return len(w.packets) }
+func (b *PacketBuffer) Len() int { return len(b.packets) }
 
 // TakeAll empties the buffer and returns the packets that have not expired.
-func (w *PacketBuffer) TakeAll(now time.Duration) [][]byte {
+func (b *PacketBuffer) TakeAll(now time.Duration) [][]byte {
 	var out [][]byte
-	for _, p := range w.packets {
+	for _, p := range b.packets {
 		if now-p.receivedAt <= maxPacketAge {
 			out = append(out, p.data)
 		}
 	}
-	w.packets = nil
+	b.packets = nil
 	return out
 }
 
 // TakeOne removes and returns the packet of one flow, nil if there is none or it has
 // expired.
-func (w *PacketBuffer) TakeOne(key Key, now time.Duration) []byte {
-	p, known := w.packets[key]
-	delete(w.packets, key)
+func (b *PacketBuffer) TakeOne(key Key, now time.Duration) []byte {
+	p, known := b.packets[key]
+	delete(b.packets, key)
 	if !known || now-p.receivedAt > maxPacketAge {
 		return nil
 	}
@@ -60,8 +60,8 @@
 }
 
 // Peek returns the packet of one flow, nil if there is none or it has expired.
-func (w *PacketBuffer) Peek(key Key, now time.Duration) []byte {
-	p, known := w.packets[key]
+func (b *PacketBuffer) Peek(key Key, now time.Duration) []byte {
+	p, known := b.packets[key]
 	if !known || now-p.receivedAt > maxPacketAge {
 		return nil
 	}
@@ -69,10 +69,10 @@
 }
 
 // Sweep removes the expired packets.
-func (w *PacketBuffer) Sweep(now time.Duration) {
-	for key, p := range w.packets {
+func (b *PacketBuffer) Sweep(now time.Duration) {
+	for key, p := range b.packets {
 		if now-p.receivedAt > maxPacketAge {
-			delete(w.packets, key)
+			delete(b.packets, key)
 		}
 	}
 }
--- a/flow/packetbuffer_test.go
+++ b/flow/packetbuffer_test.go
@@ -11,28 +11,28 @@
 
 func TestPacketBuffer(t *testing.T) {
 	is := is.New(t)
-	var w flow.PacketBuffer
-	is.True(w.Put(key(1), []byte("old"), 0))
-	is.True(w.Put(key(2), []byte("first"), time.Second))
-	is.True(w.Put(key(2), []byte("second"), time.Second))
-	got := w.TakeAll(2 * time.Second)
+	var b flow.PacketBuffer
+	is.True(b.Put(key(1), []byte("old"), 0))
+	is.True(b.Put(key(2), []byte("first"), time.Second))
+	is.True(b.Put(key(2), []byte("second"), time.Second))
+	got := b.TakeAll(2 * time.Second)
 	is.Equal(len(got), 1) // the other one has expired
 	is.Equal(string(got[0]), "second")
-	is.Equal(w.Len(), 0)
+	is.Equal(b.Len(), 0)
 }
 
 func TestPacketBufferIsBounded(t *testing.T) {
 	is := is.New(t)
-	var w flow.PacketBuffer
+	var b flow.PacketBuffer
 	kept := 0
 	for port := range 5000 {
-		if w.Put(key(uint16(port)), []byte("packet"), 0) {
+		if b.Put(key(uint16(port)), []byte("packet"), 0) {
 			kept++
 		}
 	}
 	is.True(kept < 5000)
-	is.Equal(w.Len(), kept)
-	is.True(w.Put(key(1), []byte("newer"), 0)) // replaces a buffered packet
+	is.Equal(b.Len(), kept)
+	is.True(b.Put(key(1), []byte("newer"), 0)) // replaces a buffered packet
 }
 
 // Packets wait until routes and targets are known, except those of known flows.
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -72,7 +72,7 @@
 // pendingRequests counts the flows whose first request is expected.
 func (q *queue) pendingRequests(now time.Duration) int {
 	q.expected = slices.DeleteFunc(q.expected, func(e expected) bool {
-		return now >= e.until || e.flow.sent || e.flow.callerDone
+		return now >= e.until || e.flow.dataSeen || e.flow.callerDone
 	})
 	return len(q.expected)
 }
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -114,15 +114,15 @@
 }
 
 func routeFrom(r *configpb.Route, numbers map[string]uint32, previous *placement.Route) *placement.Route {
-	shares := make([]placement.WeightedService, 0, len(r.GetServices()))
+	services := make([]placement.WeightedService, 0, len(r.GetServices()))
 	for _, s := range r.GetServices() {
-		shares = append(shares, placement.WeightedService{
+		services = append(services, placement.WeightedService{
 			Service: numbers[s.GetService()],
 			Hash:    flow.ServiceHash(s.GetService()),
 			Weight:  uint64(s.GetWeight()),
 		})
 	}
-	return placement.NewRoute(shares, previous)
+	return placement.NewRoute(services, previous)
 }
 
 func (p *placer) applyTargets(v *subscriber.View, now time.Duration) {
--- a/membership/converge_test.go
+++ b/membership/converge_test.go
@@ -83,9 +83,9 @@
 		if !a.alive || a.superseded {
 			continue
 		}
-		verdict := n.hosts[a.host].Announce(n.now, proto.CloneOf(a.record), membership.Direct)
-		a.superseded = verdict == membership.Superseded
-		if verdict.Accepted() {
+		result := n.hosts[a.host].Announce(n.now, proto.CloneOf(a.record), membership.Direct)
+		a.superseded = result == membership.Superseded
+		if result.Accepted() {
 			n.lastSeen[a.host][a.record.GetNumber()] = n.now
 		}
 	}
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -191,22 +191,22 @@
 // control host is kept until that host withdraws it or is unresponsive for too long. The
 // record must not be changed afterwards.
 func (d *Directory) Announce(now time.Duration, r *controlpb.TargetRecord, from Source) Result {
-	t, verdict := d.accept(now, r)
+	t, result := d.accept(now, r)
 	switch {
 	case t == nil:
-		return verdict
+		return result
 	case from != Direct:
 		// Older records count as well: digests compare what the other host claims, not
 		// the merged result.
 		d.peerOf(now, from).claims.put(r.GetNumber(), versionOf(r))
-		if verdict == Changed && d.local.held[r.GetNumber()] != versionOf(r) {
+		if result == Changed && d.local.held[r.GetNumber()] != versionOf(r) {
 			d.local.drop(r.GetNumber())
 		}
-	case verdict.Accepted():
+	case result.Accepted():
 		d.local.put(r.GetNumber(), versionOf(r))
 		d.renewLease(now, t)
 	}
-	return verdict
+	return result
 }
 
 // accept merges a record regardless of its source. It returns the target, nil if there is
@@ -222,10 +222,10 @@
 		}
 		t = d.create(r)
 	}
-	if verdict := compare(t.latest, r); known && !verdict.Accepted() {
-		return t, verdict
+	if result := compare(t.latest, r); known && !result.Accepted() {
+		return t, result
 	}
-	return t, d.take(now, t, r, known)
+	return t, d.store(now, t, r, known)
 }
 
 func valid(r *controlpb.TargetRecord) bool {
@@ -246,15 +246,15 @@
 }
 
 // compare compares a record with the current one.
-func compare(held, r *controlpb.TargetRecord) Result {
+func compare(current, r *controlpb.TargetRecord) Result {
 	switch {
-	case r.GetIncarnation() < held.GetIncarnation():
+	case r.GetIncarnation() < current.GetIncarnation():
 		return Superseded
-	case r.GetIncarnation() > held.GetIncarnation():
+	case r.GetIncarnation() > current.GetIncarnation():
 		return Changed
-	case r.GetSequence() < held.GetSequence():
+	case r.GetSequence() < current.GetSequence():
 		return Outdated
-	case r.GetSequence() > held.GetSequence():
+	case r.GetSequence() > current.GetSequence():
 		return Changed
 	}
 	return Renewed
@@ -267,7 +267,7 @@
 	return t
 }
 
-func (d *Directory) take(now time.Duration, t *target, r *controlpb.TargetRecord, known bool) Result {
+func (d *Directory) store(now time.Duration, t *target, r *controlpb.TargetRecord, known bool) Result {
 	old := t.latest
 	t.latest = r
 	t.receivedAt = now
--- a/membership/list.go
+++ b/membership/list.go
@@ -197,34 +197,34 @@
 	version version
 }
 
-func (d *tombstones) add(number uint32, v version) {
-	if d.order == nil {
-		d.order, d.versions = list.New(), map[uint32]*list.Element{}
+func (t *tombstones) add(number uint32, v version) {
+	if t.order == nil {
+		t.order, t.versions = list.New(), map[uint32]*list.Element{}
 	}
-	d.drop(number)
-	d.versions[number] = d.order.PushBack(tombstone{number, v})
+	t.drop(number)
+	t.versions[number] = t.order.PushBack(tombstone{number, v})
 }
 
 // version returns the removed version, zero if none is known.
-func (d *tombstones) version(number uint32) version {
-	if e, ok := d.versions[number]; ok {
+func (t *tombstones) version(number uint32) version {
+	if e, ok := t.versions[number]; ok {
 		return e.Value.(tombstone).version
 	}
 	return version{}
 }
 
-func (d *tombstones) drop(number uint32) {
-	if e, ok := d.versions[number]; ok {
-		d.order.Remove(e)
-		delete(d.versions, number)
+func (t *tombstones) drop(number uint32) {
+	if e, ok := t.versions[number]; ok {
+		t.order.Remove(e)
+		delete(t.versions, number)
 	}
 }
 
 // trim evicts the oldest tombstones beyond the bound and returns their number.
-func (d *tombstones) trim() int {
-	dropped := max(len(d.versions)-maxTombstones, 0)
+func (t *tombstones) trim() int {
+	dropped := max(len(t.versions)-maxTombstones, 0)
 	for range dropped {
-		d.drop(d.order.Front().Value.(tombstone).number)
+		t.drop(t.order.Front().Value.(tombstone).number)
 	}
 	return dropped
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -164,7 +164,7 @@
 // mergeRecords merges the records of a host that sends no summaries. Each gets a lease.
 func (d *Directory) mergeRecords(now time.Duration, records []*controlpb.TargetRecord) {
 	for _, r := range records {
-		if t, verdict := d.accept(now, r); verdict.Accepted() {
+		if t, result := d.accept(now, r); result.Accepted() {
 			d.extendLease(now, t)
 		}
 	}
--- a/stall/suspend.go
+++ b/stall/suspend.go
@@ -17,12 +17,12 @@
 // Observe records both clocks, each with an origin of its own. It returns how far the wall
 // clock has advanced beyond the monotonic clock since the last observation, 0 if by no
 // more than Threshold.
-func (c *SuspendDetector) Observe(monotonic, wall time.Duration) time.Duration {
+func (d *SuspendDetector) Observe(monotonic, wall time.Duration) time.Duration {
 	ahead := wall - monotonic
-	gap := ahead - c.ahead
-	first := !c.observed
-	c.observed, c.ahead = true, ahead
-	if first || gap <= c.Threshold {
+	gap := ahead - d.ahead
+	first := !d.observed
+	d.observed, d.ahead = true, ahead
+	if first || gap <= d.Threshold {
 		return 0
 	}
 	return gap
--- a/stall/suspend_test.go
+++ b/stall/suspend_test.go
@@ -24,9 +24,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := stall.SuspendDetector{Threshold: 100 * ms}
+			d := stall.SuspendDetector{Threshold: 100 * ms}
 			for _, l := range observations {
-				is.Equal(c.Observe(l.monotonic, l.wall), l.want)
+				is.Equal(d.Observe(l.monotonic, l.wall), l.want)
 			}
 		})
 	}
