--- a/raft/batch.go
+++ b/raft/batch.go
@@ -6,31 +6,31 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// Batch is work for the caller, to be done in the order of its fields; the
-// package comment says why. Its contents are shared with the node and must not
-// be modified.
+// Batch is work for the caller. It must be processed in the order described in
+// the package comment. Its contents are shared with the node and must not be
+// modified.
 type Batch struct {
 	// HardState is the term, vote and commit index to persist; nil if
 	// unchanged.
 	HardState *raftpb.HardState
-	// Entries are to persist. Stored entries from the first one's index on
-	// are to be dropped.
+	// Entries are to be persisted. They replace stored entries from the index
+	// of the first one on.
 	Entries []*raftpb.Entry
-	// Snapshot is to persist before HardState and Entries, and all entries
-	// stored so far are to be dropped after it is synced; nil if there is
-	// none.
+	// Snapshot is to be persisted before HardState and Entries; nil if there
+	// is none. Once it is synced, all entries stored so far are dropped.
 	Snapshot *raftpb.Snapshot
-	// MustSync says that the above must be synced before the rest is done. It
-	// is false where only the commit index changed, which may be lost.
+	// MustSync is set if the fields above must be synced before the rest is
+	// processed. It is false if only the commit index changed, which may be
+	// lost.
 	MustSync bool
-	// Messages are to send once the above is synced. They may be lost.
+	// Messages are to be sent after the sync. They may be lost.
 	Messages []*raftpb.Message
-	// Restore replaces the state machine's state; nil if there is nothing to
-	// restore.
+	// Restore replaces the state of the state machine; nil if there is
+	// nothing to restore.
 	Restore *raftpb.Snapshot
 	// Committed are the entries to apply, after Restore.
 	Committed []*raftpb.Entry
-	// Reads are to be answered after Committed was applied.
+	// Reads are to be answered after Committed is applied.
 	Reads []Read
 }
 
@@ -39,7 +39,7 @@
 		len(b.Entries) == 0 && len(b.Messages) == 0 && len(b.Committed) == 0 && len(b.Reads) == 0
 }
 
-// hardState is a HardState that can be compared.
+// hardState is a comparable HardState.
 type hardState struct {
 	term   uint64
 	vote   replicaKey
@@ -50,11 +50,11 @@
 	return hardState{term: n.term, vote: keyOf(n.vote), commit: n.log.commit}
 }
 
-// Ready returns the next batch; false if there is nothing to do or the last
-// batch was not advanced. Messages and proposals may come while a batch is
-// being worked on; their effects come with the next one.
+// Ready returns the next batch; false if there is none or the last batch was
+// not advanced yet. Messages and proposals that arrive before Advance take
+// effect in the next batch.
 func (n *Node) Ready() (Batch, bool) {
-	if n.outstanding {
+	if n.awaitingAdvance {
 		return Batch{}, false
 	}
 	if n.role == RoleLeader {
@@ -66,13 +66,13 @@
 		Entries:   n.log.slice(n.log.stable+1, n.log.lastIndex(), math.MaxInt),
 		Snapshot:  n.unsavedSnapshot,
 		Messages:  n.messages,
-		Restore:   n.restore,
+		Restore:   n.pendingRestore,
 		Committed: n.log.slice(applied+1, n.log.commit, n.opts.MaxBatchBytes),
 	}
 	b.MustSync = b.Snapshot != nil || len(b.Entries) > 0
-	if now := n.hardState(); now != n.saved {
+	if now := n.hardState(); now != n.savedHardState {
 		b.HardState = &raftpb.HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
-		b.MustSync = b.MustSync || now.term != n.saved.term || now.vote != n.saved.vote
+		b.MustSync = b.MustSync || now.term != n.savedHardState.term || now.vote != n.savedHardState.vote
 	}
 	b.Reads = n.takeReads(applied + uint64(len(b.Committed)))
 	if b.empty() {
@@ -80,19 +80,19 @@
 	}
 	n.messages = nil
 	n.unsavedSnapshot = nil
-	n.restore = nil
-	n.outstanding = true
+	n.pendingRestore = nil
+	n.awaitingAdvance = true
 	return b, true
 }
 
-// Advance says that the batch was persisted, sent and applied.
+// Advance reports that the batch was persisted, sent and applied.
 func (n *Node) Advance(b Batch) {
-	if !n.outstanding {
+	if !n.awaitingAdvance {
 		return
 	}
-	n.outstanding = false
+	n.awaitingAdvance = false
 	if b.HardState != nil {
-		n.saved = hardState{
+		n.savedHardState = hardState{
 			term:   b.HardState.GetTerm(),
 			vote:   keyOf(b.HardState.GetVote()),
 			commit: b.HardState.GetCommit(),
--- a/raft/cluster_test.go
+++ b/raft/cluster_test.go
@@ -28,23 +28,23 @@
 
 // cluster runs servers under a random schedule and checks invariants.
 type cluster struct {
-	rng           *rand.Rand
-	events        int
-	calm          bool
-	quiet         int // the higher, the fewer faults
-	electionTicks int
-	servers       []*server
-	net           []envelope
-	blocked       map[string]bool
-	leaders       map[uint64]replicaKey
-	votes         map[voteKey]replicaKey
-	log           map[uint64]committed
-	lost          map[replicaKey]bool // incarnations without a disk
-	highest       uint64              // last committed index anywhere
-	token         uint64
-	trace         uint64
-	counts        counts
-	founders      *raftpb.Membership
+	rng               *rand.Rand
+	events            int
+	healed            bool
+	faultInterval     int // the higher, the fewer faults
+	electionTicks     int
+	servers           []*server
+	net               []envelope
+	blocked           map[string]bool
+	leaders           map[uint64]replicaKey
+	votes             map[voteKey]replicaKey
+	log               map[uint64]committed
+	lost              map[replicaKey]bool // incarnations without a disk
+	highest           uint64              // last committed index anywhere
+	token             uint64
+	trace             uint64
+	counts            counts
+	initialMembership *raftpb.Membership
 }
 
 func newCluster(seed uint64) *cluster {
@@ -56,13 +56,13 @@
 		log:     map[uint64]committed{},
 		lost:    map[replicaKey]bool{},
 	}
-	c.quiet = 8000 << c.rng.IntN(5)
+	c.faultInterval = 8000 << c.rng.IntN(5)
 	c.electionTicks = 4 + c.rng.IntN(7)
-	c.founders = &raftpb.Membership{}
+	c.initialMembership = &raftpb.Membership{}
 	for i, name := range replicaNames {
-		s := &server{name: string(name), incarnation: 1, founder: i < founderCount, durable: c.chance(50), pace: 3 + c.rng.IntN(15)}
-		if s.founder {
-			c.founders.Members = append(c.founders.Members, &raftpb.Member{Id: s.id()})
+		s := &server{name: string(name), incarnation: 1, initialMember: i < initialVoters, durable: c.chance(50), tickPercent: 3 + c.rng.IntN(15)}
+		if s.initialMember {
+			c.initialMembership.Members = append(c.initialMembership.Members, &raftpb.Member{Id: s.id()})
 		}
 		c.servers = append(c.servers, s)
 	}
@@ -77,16 +77,16 @@
 		HardState: s.hard, Snapshot: s.snapshot, Entries: slices.Clone(s.entries),
 		ElectionTicks: c.electionTicks, MaxInflight: 3, MaxBatchBytes: 150, RetainEntries: 4,
 	}
-	if s.founder {
-		o.Membership = c.founders
+	if s.initialMember {
+		o.Membership = c.initialMembership
 	}
 	if s.durable {
 		o.Applied = s.state.index
 	} else {
-		s.state = chain{}
+		s.state = hashState{}
 	}
 	node, err := New(o)
-	s.node, s.stage, s.reads, s.tookOff = node, 0, map[uint64]uint64{}, 0
+	s.node, s.stage, s.reads, s.checkedCommit = node, 0, map[uint64]uint64{}, 0
 	return err
 }
 
@@ -96,17 +96,17 @@
 			return err
 		}
 	}
-	return c.settle()
+	return c.heal()
 }
 
-// settle heals everything and expects that commits go on, and that each member
-// applies what was committed after half of the time.
-func (c *cluster) settle() error {
-	c.calm = true
+// heal ends all faults and checks that commits continue, and that each member
+// applies what was committed after half of the events.
+func (c *cluster) heal() error {
+	c.healed = true
 	c.blocked = map[string]bool{}
 	var before uint64
-	for i := range settleEvents {
-		if i == settleEvents/2 {
+	for i := range recoveryEvents {
+		if i == recoveryEvents/2 {
 			before = c.highest
 		}
 		c.events++
@@ -117,15 +117,15 @@
 	if err := c.checkLogs(); err != nil {
 		return err
 	}
-	if !c.shouldSettle() {
+	if !c.canRecover() {
 		return nil
 	}
-	c.counts.Settled++
+	c.counts.Recovered++
 	if c.highest <= before {
 		return errors.Errorf("nothing committed after %d although a quorum is up", before)
 	}
 	for _, s := range c.servers {
-		if findMember(c.latest(), keyOf(s.id())) == nil {
+		if findMember(c.committedMembership(), keyOf(s.id())) == nil {
 			continue
 		}
 		if s.state.index <= before {
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// latest returns the latest membership known to be committed.
-func (c *cluster) latest() *raftpb.Membership {
+// committedMembership returns the latest committed membership.
+func (c *cluster) committedMembership() *raftpb.Membership {
 	best := c.servers[0].node
 	for _, s := range c.servers {
 		if s.node.log.commit > best.log.commit {
@@ -146,9 +146,9 @@
 	return best.membershipAt(best.log.commit)
 }
 
-// shouldSettle says whether each membership in force somewhere has a quorum
-// with disks.
-func (c *cluster) shouldSettle() bool {
+// canRecover reports whether each membership in use has a quorum that did not
+// lose its disks.
+func (c *cluster) canRecover() bool {
 	for _, s := range c.servers {
 		m := s.node.membership()
 		if m != nil && !hasQuorum(m, func(k replicaKey) bool { return !c.lost[k] }) {
@@ -160,25 +160,25 @@
 
 func (c *cluster) event() error {
 	s := c.servers[c.rng.IntN(len(c.servers))]
-	if s.frozen--; s.frozen > 0 && !c.calm {
+	if s.frozen--; s.frozen > 0 && !c.healed {
 		return nil
 	}
 	if s.node == nil {
 		return c.start(s)
 	}
 	if s.frozen == 0 {
-		// A leader that thaws is asked before it hears of another.
+		// A leader that resumes gets a read before it learns of another leader.
 		c.read(s)
 	}
-	if !c.calm {
-		c.disturb(s)
+	if !c.healed {
+		c.injectFault(s)
 		if s.node == nil {
 			return nil
 		}
 	}
 	var err error
-	tick := s.pace
-	if c.calm {
+	tick := s.tickPercent
+	if c.healed {
 		// Messages take much less than an election timeout.
 		tick = 2
 	}
@@ -186,14 +186,14 @@
 	case n < tick:
 		s.node.Tick()
 	case n < 55:
-		// Several, so that the servers keep up with what they are sent.
+		// Several, so that the servers keep up with their messages.
 		for range c.rng.IntN(5) {
 			if err = c.deliver(s); err != nil {
 				return err
 			}
 		}
 	case n < 89:
-		err = c.work(s)
+		err = c.processBatch(s)
 	case n < 95:
 		c.propose(s)
 	case n < 96:
@@ -240,16 +240,16 @@
 	h := fnv.New64a()
 	fmt.Fprint(h, c.trace, m.GetKind(), m.GetFrom().GetName(), m.GetTo().GetName(), m.GetTerm(), m.GetLogIndex(), m.GetCommit(), len(m.GetEntries()))
 	c.trace = h.Sum64()
-	if !c.calm && (c.blocked[m.GetFrom().GetName()+m.GetTo().GetName()] || c.chance(5)) {
+	if !c.healed && (c.blocked[m.GetFrom().GetName()+m.GetTo().GetName()] || c.chance(5)) {
 		return nil
 	}
 	for copies := 1; copies > 0; copies-- {
 		delay := c.rng.IntN(30)
-		if !c.calm && c.chance(5) {
+		if !c.healed && c.chance(5) {
 			delay = c.rng.IntN(600)
 		}
 		c.net = append(c.net, envelope{m: proto.Clone(m).(*raftpb.Message), due: c.events + delay})
-		if !c.calm && c.chance(5) {
+		if !c.healed && c.chance(5) {
 			copies++
 		}
 	}
--- a/raft/events_test.go
+++ b/raft/clusterevents_test.go
@@ -10,23 +10,23 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// disturb brings about faults.
-func (c *cluster) disturb(s *server) {
-	n := c.rng.IntN(c.quiet)
+// injectFault crashes, wipes, freezes or partitions servers at random.
+func (c *cluster) injectFault(s *server) {
+	n := c.rng.IntN(c.faultInterval)
 	if s.node.role != RoleFollower {
-		n /= 8 // faults at leaders and in elections tell most
+		n /= 8 // faults of leaders and during elections find most errors
 	}
 	switch {
 	case n < 10:
 		c.crash(s)
 	case n < 13:
-		c.wipe(s)
+		c.wipeDisk(s)
 	case n < 20:
 		s.frozen = c.rng.IntN(1500)
 	case n < 30:
 		c.blocked = map[string]bool{}
 	case n < 45:
-		// Block some directions, or all of one server.
+		// Block some directions, or all messages of one server.
 		percent := 25 + 75*c.rng.IntN(2)
 		for _, o := range c.servers {
 			c.blocked[s.name+o.name] = c.chance(percent)
@@ -41,8 +41,8 @@
 	c.counts.Crashes++
 }
 
-// wipe loses the disk, where each membership in force keeps a quorum.
-func (c *cluster) wipe(s *server) {
+// wipeDisk loses the disk of a server, if each membership in use keeps a quorum.
+func (c *cluster) wipeDisk(s *server) {
 	kept := func(k replicaKey) bool { return !c.lost[k] && k != keyOf(s.id()) }
 	for _, o := range c.servers {
 		if o.node == nil || o.node.membership() != nil && !hasQuorum(o.node.membership(), kept) {
@@ -52,7 +52,7 @@
 	c.crash(s)
 	c.counts.Wipes++
 	c.lost[keyOf(s.id())] = true
-	*s = server{name: s.name, incarnation: s.incarnation + 1, durable: s.durable, pace: s.pace, frozen: s.frozen}
+	*s = server{name: s.name, incarnation: s.incarnation + 1, durable: s.durable, tickPercent: s.tickPercent, frozen: s.frozen}
 }
 
 func (c *cluster) propose(s *server) {
@@ -61,9 +61,9 @@
 	_ = err // most servers do not lead
 }
 
-// transfer lets a leader hand over, now and then.
+// transfer occasionally starts a leadership transfer.
 func (c *cluster) transfer(s *server) {
-	if !c.calm && c.chance(25) {
+	if !c.healed && c.chance(25) {
 		_ = s.node.TransferLeadership() // most servers do not lead
 	}
 }
@@ -77,7 +77,7 @@
 
 func (c *cluster) compact(s *server) error {
 	snapshot := &raftpb.Snapshot{Index: s.state.index, Data: strconv.AppendUint(nil, s.state.hash, 10)}
-	// Between two batches only, like a caller with one goroutine.
+	// Only between two batches, like a caller with one goroutine.
 	if s.stage != 0 || s.node.Compact(snapshot) != nil {
 		return nil
 	}
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// changeMembership proposes to drop lost incarnations, or else a random change.
+// changeMembership proposes to remove a lost incarnation, or a random change.
 func (c *cluster) changeMembership(s *server) {
-	if c.calm || s.node.role != RoleLeader {
+	if c.healed || s.node.role != RoleLeader {
 		return
 	}
 	to := proto.Clone(s.node.membership()).(*raftpb.Membership)
--- a/raft/server_test.go
+++ b/raft/clusterserver_test.go
@@ -12,52 +12,52 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// chain is a state machine whose state is its position and a hash of all
-// entries applied so far.
-type chain struct{ index, hash uint64 }
+// hashState is a state machine that holds the applied index and a hash of all
+// applied entries.
+type hashState struct{ index, hash uint64 }
 
-func (s chain) next(e *raftpb.Entry) chain {
+func (s hashState) next(e *raftpb.Entry) hashState {
 	h := fnv.New64a()
 	fmt.Fprint(h, s.hash, e.GetTerm(), e.GetIndex(), e.GetKind(), e.GetData())
-	return chain{index: e.GetIndex(), hash: h.Sum64()}
+	return hashState{index: e.GetIndex(), hash: h.Sum64()}
 }
 
 // server is one replica with its disk.
 type server struct {
-	name        string
-	pace        int // percent of events that are ticks: clocks differ
-	incarnation uint64
-	founder     bool
-	durable     bool // the state machine survives a crash
-	node        *Node
-	state       chain
-	// The disk.
+	name          string
+	tickPercent   int // percent of events that are ticks
+	incarnation   uint64
+	initialMember bool
+	durable       bool // the state machine survives a crash
+	node          *Node
+	state         hashState
+	// Durable state.
 	hard     *raftpb.HardState
 	snapshot *raftpb.Snapshot
 	entries  []*raftpb.Entry
-	// The batch at work and its next step.
-	batch   Batch
-	stage   int
-	votes   bool              // the batch holds a new vote
-	reads   map[uint64]uint64 // token to the least index it must see
-	tookOff uint64            // commit seen by checkCommits
-	frozen  int               // events until it thaws or restarts
+	// The current batch and its next step.
+	batch         Batch
+	stage         int
+	newVote       bool              // the batch holds a new vote
+	reads         map[uint64]uint64 // token to the minimum index it must see
+	checkedCommit uint64            // commit seen by checkCommits
+	frozen        int               // events until it resumes or restarts
 }
 
 func (s *server) id() *raftpb.ReplicaID {
 	return &raftpb.ReplicaID{Name: s.name, Incarnation: s.incarnation}
 }
 
-// work does the next step of a server's batch. A crash between two steps
-// leaves what the steps before it did.
-func (c *cluster) work(s *server) error {
+// processBatch runs the next step of a server's batch. A crash between two steps
+// keeps the effects of the steps before.
+func (c *cluster) processBatch(s *server) error {
 	b := &s.batch
-	risk := c.quiet / 40
-	if s.votes {
-		risk = 6
+	crashOdds := c.faultInterval / 40
+	if s.newVote {
+		crashOdds = 6
 	}
-	if s.stage > 1 && !c.calm && c.rng.IntN(risk) == 0 {
-		// Back soon: what it has promised is still being counted elsewhere.
+	if s.stage > 1 && !c.healed && c.rng.IntN(crashOdds) == 0 {
+		// Restart soon, while its messages are still counted elsewhere.
 		c.crash(s)
 		s.frozen = c.rng.IntN(20)
 		return nil
@@ -69,7 +69,7 @@
 			return nil
 		}
 		s.batch = batch
-		s.votes = batch.HardState.GetVote() != nil && !proto.Equal(batch.HardState.GetVote(), s.hard.GetVote())
+		s.newVote = batch.HardState.GetVote() != nil && !proto.Equal(batch.HardState.GetVote(), s.hard.GetVote())
 	case 1:
 		if b.Snapshot != nil {
 			s.snapshot = b.Snapshot
@@ -115,7 +115,7 @@
 		if err != nil {
 			return err
 		}
-		s.state = chain{index: r.GetIndex(), hash: hash}
+		s.state = hashState{index: r.GetIndex(), hash: hash}
 		c.counts.Restores++
 		if c.log[r.GetIndex()].hash != hash {
 			return errors.Errorf("%s restores another state at %d", s.name, r.GetIndex())
@@ -139,8 +139,8 @@
 			continue
 		}
 		c.counts.Reads++
-		if floor := s.reads[r.Token]; r.Index < floor || s.state.index < floor {
-			return errors.Errorf("%s: stale read at %d, state %d, floor %d", s.name, r.Index, s.state.index, floor)
+		if minIndex := s.reads[r.Token]; r.Index < minIndex || s.state.index < minIndex {
+			return errors.Errorf("%s: stale read at %d, state %d, floor %d", s.name, r.Index, s.state.index, minIndex)
 		}
 	}
 	return nil
--- a/raft/election.go
+++ b/raft/election.go
@@ -2,11 +2,11 @@
 
 import "eelgrasswharf.example/eelgrasswharf/api/raftpb"
 
-// spreadPerVoter is from how many ticks for each voter the timeouts are drawn as long
-// as no leader is known.
-const spreadPerVoter = 2
+// timeoutTicksPerVoter scales the range of random election timeouts while no leader
+// has been seen.
+const timeoutTicksPerVoter = 2
 
-// becomeFollower goes to term, which is not below the current one.
+// becomeFollower switches to term, which must not be below the current one.
 func (n *Node) becomeFollower(term uint64, leader *raftpb.ReplicaID) {
 	if term > n.term {
 		n.term = term
@@ -15,7 +15,7 @@
 	n.failReads()
 	n.role = RoleFollower
 	n.leader = leader
-	n.ledSinceStart = n.ledSinceStart || leader != nil
+	n.leaderSeen = n.leaderSeen || leader != nil
 	n.progress = nil
 	n.transfer = nil
 	n.resetElectionTimer()
@@ -23,32 +23,29 @@
 
 func (n *Node) resetElectionTimer() {
 	n.electionElapsed = 0
-	n.electionTimeout = n.drawElectionTimeout()
-}
-
-// drawElectionTimeout spreads the elections of replicas that know no leader since
-// their start: those of a group often start at the same moment, and where all that
-// are up have to agree, two candidates of one tick both fail. So the first timeout is
-// another one for each voter, by its place in the membership, and each later one is
-// drawn from more ticks than there are voters. Of 300 starts of three voters of four
-// with ticks of 50 ms, 90 % had a leader after 0.56 s and 99 % after 1.4 s with
-// timeouts drawn from three ticks (TestStartTogether).
-func (n *Node) drawElectionTimeout() int {
-	if n.ledSinceStart {
+	n.electionTimeout = n.randomElectionTimeout()
+}
+
+// randomElectionTimeout returns an election timeout in ticks. Replicas of a group
+// often start at the same moment, and candidates of the same tick split the vote. So
+// while no leader has been seen, the first timeout follows from the position in the
+// membership, and later ones are drawn from more ticks than there are voters.
+func (n *Node) randomElectionTimeout() int {
+	if n.leaderSeen {
 		return n.opts.ElectionTicks + n.rand.IntN(n.opts.ElectionTicks)
 	}
-	least := n.opts.FirstElectionTicks
+	minTicks := n.opts.FirstElectionTicks
 	voters := countVoters(n.membership())
-	if !n.drawn {
-		n.drawn = true
-		return least + voterPlace(n.membership(), n.key)
+	if !n.firstTimeoutSet {
+		n.firstTimeoutSet = true
+		return minTicks + voterIndex(n.membership(), n.key)
 	}
-	return least + n.rand.IntN(max(least, spreadPerVoter*voters))
+	return minTicks + n.rand.IntN(max(minTicks, timeoutTicksPerVoter*voters))
 }
 
-// hearsLeader says whether this replica leads or has heard from its leader
-// within the least election timeout.
-func (n *Node) hearsLeader() bool {
+// hasActiveLeader reports whether this replica leads or received a message of
+// its leader within the minimum election timeout.
+func (n *Node) hasActiveLeader() bool {
 	if n.role == RoleLeader {
 		return true
 	}
@@ -59,86 +56,85 @@
 	return isVoter(n.membership(), n.key) && countVoters(n.membership()) == 1
 }
 
-// electionTimedOut starts a pre-vote if this replica may lead.
-func (n *Node) electionTimedOut() {
+// handleElectionTimeout starts a pre-vote if this replica may campaign.
+func (n *Node) handleElectionTimeout() {
 	n.leader = nil
 	n.resetElectionTimer()
-	if !n.mayCampaign() {
+	if !n.canCampaign() {
 		n.role = RoleFollower
 		return
 	}
-	n.preCampaign()
+	n.startPreVote()
 }
 
-// mayCampaign says whether this replica is a voter, or leaves by a change that
-// is not known to be committed. The others may need the entries of one that
-// leaves: it then leads, without a vote of its own, until the change is
-// committed.
-func (n *Node) mayCampaign() bool {
+// canCampaign reports whether this replica is a voter, or is removed by a change
+// that is not known to be committed. Others may need entries that only the
+// removed replica holds: it may lead, without a vote of its own, until the
+// change is committed.
+func (n *Node) canCampaign() bool {
 	return isVoter(n.membership(), n.key) || isVoter(n.membershipAt(n.log.commit), n.key)
 }
 
-// preCampaign asks whether an election could be won. The term does not change
-// yet: a replica that was cut off does not come back with a higher term and
-// unseat a leader that the others follow.
-func (n *Node) preCampaign() {
+// startPreVote asks whether an election could be won, without raising the term:
+// a replica returning from a partition must not depose the leader.
+func (n *Node) startPreVote() {
 	n.role = RolePreCandidate
-	n.granted = map[replicaKey]bool{n.key: true}
-	if n.hasVotes() {
+	n.votesGranted = map[replicaKey]bool{n.key: true}
+	if n.hasVoteQuorum() {
 		n.campaign(false)
 		return
 	}
-	n.askForVotes(&raftpb.Message{Kind: raftpb.MessageKind_MESSAGE_PRE_VOTE, Term: n.term + 1})
+	n.requestVotes(&raftpb.Message{Kind: raftpb.MessageKind_MESSAGE_PRE_VOTE, Term: n.term + 1})
 }
 
-// campaign starts an election in the next term. The own vote counts at once:
-// the term and the vote are synced with the batch, before any message that
-// depends on them is sent. takeOver says that the leader has asked for it.
+// campaign starts an election in the next term. The own vote counts at once,
+// since term and vote are synced before any message of the batch is sent.
+// takeOver is set if the leader requested the election.
 func (n *Node) campaign(takeOver bool) {
 	n.term++
 	n.vote = n.self
 	n.role = RoleCandidate
 	n.leader = nil
 	n.resetElectionTimer()
-	n.granted = map[replicaKey]bool{n.key: true}
-	if n.hasVotes() {
+	n.votesGranted = map[replicaKey]bool{n.key: true}
+	if n.hasVoteQuorum() {
 		n.becomeLeader()
 		return
 	}
-	n.askForVotes(&raftpb.Message{Kind: raftpb.MessageKind_MESSAGE_VOTE, Term: n.term, TakeOver: takeOver})
+	n.requestVotes(&raftpb.Message{Kind: raftpb.MessageKind_MESSAGE_VOTE, Term: n.term, TakeOver: takeOver})
 }
 
-// askForVotes sends the question to all other voters, with the end of the log.
-func (n *Node) askForVotes(question *raftpb.Message) {
+// requestVotes sends the request, with the last index and term of the log, to
+// all other voters.
+func (n *Node) requestVotes(request *raftpb.Message) {
 	for _, member := range n.membership().GetMembers() {
 		if member.GetLearner() || keyOf(member.GetId()) == n.key {
 			continue
 		}
 		n.send(member.GetId(), &raftpb.Message{
-			Kind:     question.GetKind(),
-			Term:     question.GetTerm(),
-			TakeOver: question.GetTakeOver(),
+			Kind:     request.GetKind(),
+			Term:     request.GetTerm(),
+			TakeOver: request.GetTakeOver(),
 			LogIndex: n.log.lastIndex(),
 			LogTerm:  n.log.lastTerm(),
 		})
 	}
 }
 
-// hasVotes counts the grants of the present voters only: the grant of a
-// learner, or of an incarnation that is no member, is not counted.
-func (n *Node) hasVotes() bool {
-	return hasQuorum(n.membership(), func(key replicaKey) bool { return n.granted[key] })
+// hasVoteQuorum reports whether a quorum of the current voters granted its vote.
+// Votes of learners and non-members are not counted.
+func (n *Node) hasVoteQuorum() bool {
+	return hasQuorum(n.membership(), func(key replicaKey) bool { return n.votesGranted[key] })
 }
 
 func isPreVoteGrant(m *raftpb.Message) bool {
 	return m.GetKind() == raftpb.MessageKind_MESSAGE_PRE_VOTE_REPLY && !m.GetReject()
 }
 
-// handlePreVote answers without any change of state: a pre-vote promises
-// nothing.
+// handlePreVote replies to a pre-vote. It does not change the state.
 func (n *Node) handlePreVote(m *raftpb.Message) {
 	grant := m.GetTerm() > n.term &&
-		!n.hearsLeader() &&
+		!n.hasActiveLeader() &&
 		n.log.upToDate(m.GetLogIndex(), m.GetLogTerm())
 	reply := &raftpb.Message{Kind: raftpb.MessageKind_MESSAGE_PRE_VOTE_REPLY, Reject: !grant}
 	if grant {
@@ -151,15 +147,15 @@
 	if n.role != RolePreCandidate || m.GetReject() || m.GetTerm() != n.term+1 {
 		return
 	}
-	n.granted[keyOf(m.GetFrom())] = true
-	if n.hasVotes() {
+	n.votesGranted[keyOf(m.GetFrom())] = true
+	if n.hasVoteQuorum() {
 		n.campaign(false)
 	}
 }
 
-// handleVote grants a vote whether or not this replica knows itself as a
-// voter: the candidate may know of a later membership. The candidate counts
-// voters only.
+// handleVote replies to a vote request. It may grant a vote even if this replica
+// is not a voter by its own log: the candidate may have a later membership, and
+// counts voters only.
 func (n *Node) handleVote(m *raftpb.Message) {
 	free := n.vote == nil && n.leader == nil || keyOf(n.vote) == keyOf(m.GetFrom())
 	grant := free && n.log.upToDate(m.GetLogIndex(), m.GetLogTerm())
@@ -174,8 +170,8 @@
 	if n.role != RoleCandidate || m.GetReject() {
 		return
 	}
-	n.granted[keyOf(m.GetFrom())] = true
-	if n.hasVotes() {
+	n.votesGranted[keyOf(m.GetFrom())] = true
+	if n.hasVoteQuorum() {
 		n.becomeLeader()
 	}
 }
--- a/raft/election_test.go
+++ b/raft/election_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestNewRefuses(t *testing.T) {
-	good := func() Options { return options(abc()) }
+	good := func() Options { return options(threeVoters()) }
 	for name, tt := range map[string]struct {
 		change func(*Options)
 		want   error
 	}{
 		"no name":         {func(o *Options) { o.Self = &raftpb.ReplicaID{Incarnation: 1} }, ErrInvalidOptions},
 		"no incarnation":  {func(o *Options) { o.Self = &raftpb.ReplicaID{Name: "a"} }, ErrInvalidOptions},
-		"no randomness":   {func(o *Options) { o.Rand = nil }, ErrInvalidOptions},
+		"no Rand":         {func(o *Options) { o.Rand = nil }, ErrInvalidOptions},
 		"slow heartbeat":  {func(o *Options) { o.HeartbeatTicks = DefaultElectionTicks }, ErrInvalidOptions},
 		"negative bound":  {func(o *Options) { o.MaxInflight = -1 }, ErrInvalidOptions},
 		"no voter":        {func(o *Options) { o.Membership = members(learner("a")) }, ErrInvalidMembership},
@@ -61,22 +61,22 @@
 
 func TestPreVote(t *testing.T) {
 	for name, tt := range map[string]struct {
-		leader           bool // one was just heard
+		leader           bool // a heartbeat was just received
 		term, index, log uint64
 		grant            bool
 		replyTerm        uint64
 	}{
-		"granted":         {false, 3, 2, 2, true, 3},
-		"longer log":      {false, 3, 9, 2, true, 3},
-		"later term":      {false, 9, 1, 3, true, 9},
-		"shorter log":     {false, 3, 1, 2, false, 2},
-		"earlier term":    {false, 3, 9, 1, false, 2},
-		"term is used up": {false, 2, 2, 2, false, 2},
-		"leader is alive": {true, 3, 2, 2, false, 2},
+		"granted":       {false, 3, 2, 2, true, 3},
+		"longer log":    {false, 3, 9, 2, true, 3},
+		"later term":    {false, 9, 1, 3, true, 9},
+		"shorter log":   {false, 3, 1, 2, false, 2},
+		"earlier term":  {false, 3, 9, 1, false, 2},
+		"current term":  {false, 2, 2, 2, false, 2},
+		"active leader": {true, 3, 2, 2, false, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := newNodeOn(is, abc(), &raftpb.HardState{Term: 2}, entries(1, 2))
+			n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 2}, entries(1, 2))
 			if tt.leader {
 				is.NoErr(n.Step(from("c", &raftpb.Message{Kind: kindHeartbeat, Term: 2})))
 			}
@@ -102,12 +102,12 @@
 		"next term":              {"c", false, 3, 2, 2, true, true},
 		"next term, shorter log": {"", false, 3, 1, 2, true, false},
 		"earlier term":           {"", false, 1, 9, 9, true, false},
-		"leader is alive":        {"", true, 3, 9, 2, false, false},
+		"active leader":          {"", true, 3, 9, 2, false, false},
 		"leader of this term":    {"", true, 2, 9, 2, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := options(abc())
+			o := options(threeVoters())
 			o.HardState = &raftpb.HardState{Term: 2}
 			if tt.voted != "" {
 				o.HardState.Vote = replica(tt.voted)
@@ -125,7 +125,7 @@
 				is.Equal(!reply.GetReject(), tt.grant)
 			}
 			if tt.grant && tt.voted != "b" {
-				// The promise is in the same batch, to be synced before it is sent.
+				// The vote is in the same batch, to be synced before the reply is sent.
 				is.Equal(b.HardState.GetVote().GetName(), "b")
 				is.True(b.MustSync)
 			}
@@ -133,11 +133,11 @@
 	}
 }
 
-// A replica that comes back from a partition asks before it raises its term,
-// and follows the leader that it then hears.
-func TestReturningReplicaDoesNotRaiseTerm(t *testing.T) {
+// A replica that returns from a partition starts only pre-votes and follows the
+// leader that it then hears of.
+func TestPartitionedReplicaKeepsItsTerm(t *testing.T) {
 	is := is.New(t)
-	n := newNode(is, options(abc()))
+	n := newNode(is, options(threeVoters()))
 	for range 5 {
 		b := timeOut(n)
 		is.Equal(sent(b, kindPreVote, "b").GetTerm(), uint64(1))
@@ -177,10 +177,10 @@
 	}
 }
 
-// What another incarnation promised or stored says nothing about this one.
+// Messages to or from another incarnation of a replica must have no effect.
 func TestIncarnations(t *testing.T) {
 	is := is.New(t)
-	n := newNode(is, options(abc()))
+	n := newNode(is, options(threeVoters()))
 	old := from("b", &raftpb.Message{Kind: kindAppend, Term: 5})
 	old.To = &raftpb.ReplicaID{Name: "a", Incarnation: 9}
 	is.True(errors.Is(n.Step(old), ErrOtherReplica))
@@ -189,9 +189,9 @@
 	timeOut(n)
 	is.NoErr(n.Step(from("b", &raftpb.Message{Kind: kindPreVoteReply, Term: 1})))
 	is.Equal(n.role, RoleCandidate)
-	reborn := from("b", &raftpb.Message{Kind: kindVoteReply, Term: 1})
-	reborn.From = &raftpb.ReplicaID{Name: "b", Incarnation: 9}
-	is.NoErr(n.Step(reborn))
+	newIncarnation := from("b", &raftpb.Message{Kind: kindVoteReply, Term: 1})
+	newIncarnation.From = &raftpb.ReplicaID{Name: "b", Incarnation: 9}
+	is.NoErr(n.Step(newIncarnation))
 	is.NoErr(n.Step(from("d", &raftpb.Message{Kind: kindVoteReply, Term: 1})))
 	is.Equal(n.role, RoleCandidate) // neither is a voter
 	is.NoErr(n.Step(from("b", &raftpb.Message{Kind: kindVoteReply, Term: 1})))
@@ -199,16 +199,16 @@
 
 	// Its acknowledgements do not count either.
 	ack := from("b", &raftpb.Message{Kind: kindAppendReply, Term: 1, LogIndex: 1})
-	ack.From = reborn.From
+	ack.From = newIncarnation.From
 	drain(n)
 	is.NoErr(n.Step(ack))
 	is.Equal(n.Status().Commit, uint64(0))
 }
 
-// A replica without a membership is a joiner, and a learner is no candidate.
-func TestWhoDoesNotCampaign(t *testing.T) {
+// Replicas that are not voters must not start elections.
+func TestNonVotersDoNotCampaign(t *testing.T) {
 	for name, m := range map[string]*raftpb.Membership{
-		"joiner":  nil,
+		"joining": nil,
 		"learner": members(learner("a"), voter("b")),
 		"removed": members(voter("b")),
 	} {
@@ -219,7 +219,7 @@
 			_, _, err := n.Propose(nil)
 			is.True(errors.Is(err, ErrNotLeader))
 			is.True(errors.Is(n.ReadIndex(1), ErrNotLeader))
-			_, _, err = n.ProposeMembership(abc())
+			_, _, err = n.ProposeMembership(threeVoters())
 			is.True(errors.Is(err, ErrNotLeader))
 		})
 	}
@@ -231,9 +231,9 @@
 		m    *raftpb.Message
 		want error
 	}{
-		"nobody's":         {&raftpb.Message{Kind: kindAppend, To: replica("a")}, ErrInvalidMessage},
-		"own":              {from("a", &raftpb.Message{Kind: kindAppend}), ErrInvalidMessage},
-		"kind":             {bad(&raftpb.Message{Term: 2}), ErrInvalidMessage},
+		"no sender":        {&raftpb.Message{Kind: kindAppend, To: replica("a")}, ErrInvalidMessage},
+		"own message":      {from("a", &raftpb.Message{Kind: kindAppend}), ErrInvalidMessage},
+		"no kind":          {bad(&raftpb.Message{Term: 2}), ErrInvalidMessage},
 		"gap":              {bad(&raftpb.Message{Kind: kindAppend, Term: 2, Entries: entries(1, 1)[1:]}), ErrInvalidMessage},
 		"empty snapshot":   {bad(&raftpb.Message{Kind: kindSnapshot, Term: 2}), ErrInvalidMessage},
 		"second leader":    {from("c", &raftpb.Message{Kind: kindHeartbeat, Term: 2}), ErrInconsistent},
@@ -241,7 +241,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := newNodeOn(is, abc(), &raftpb.HardState{Term: 2, Commit: 1}, entries(1))
+			n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 2, Commit: 1}, entries(1))
 			is.NoErr(n.Step(bad(&raftpb.Message{Kind: kindHeartbeat, Term: 2})))
 			is.True(errors.Is(n.Step(tt.m), tt.want))
 		})
--- a/raft/follower.go
+++ b/raft/follower.go
@@ -6,8 +6,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// handleFromLeader handles what only the leader of the current term sends.
-func (n *Node) handleFromLeader(m *raftpb.Message) error {
+// handleLeaderMessage handles messages that only the leader of the current term
+// sends.
+func (n *Node) handleLeaderMessage(m *raftpb.Message) error {
 	if n.leader != nil && keyOf(n.leader) != keyOf(m.GetFrom()) {
 		return errors.Wrapf(ErrInconsistent, "two leaders in term %d", n.term)
 	}
@@ -48,15 +49,15 @@
 		n.rejectAppend(m)
 		return nil
 	}
-	fresh := n.freshEntries(m.GetEntries())
-	if len(fresh) > 0 {
-		if err := n.recordMemberships(fresh); err != nil {
+	missing := n.newEntries(m.GetEntries())
+	if len(missing) > 0 {
+		if err := n.recordMemberships(missing); err != nil {
 			return err
 		}
-		n.log.append(fresh...)
+		n.log.append(missing...)
 	}
-	// Only up to the last entry that this message vouches for: what the own
-	// log holds beyond it may be of another leader.
+	// Only up to the last entry that this message covers: later entries of the
+	// local log may come from another leader.
 	last := m.GetLogIndex() + uint64(len(m.GetEntries()))
 	n.commitTo(min(m.GetCommit(), last))
 	n.acknowledge(m.GetFrom(), last)
@@ -76,9 +77,9 @@
 	return nil
 }
 
-// freshEntries leaves out the entries that the log already holds. A delayed
-// append must not cut off entries that came after it.
-func (n *Node) freshEntries(entries []*raftpb.Entry) []*raftpb.Entry {
+// newEntries returns the entries from the first one that the log does not hold.
+// A delayed append must not truncate entries that came after it.
+func (n *Node) newEntries(entries []*raftpb.Entry) []*raftpb.Entry {
 	for i, e := range entries {
 		if !n.log.matches(e.GetIndex(), e.GetTerm()) {
 			return entries[i:]
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// checkCommitted says whether a leader's entries agree with the committed ones
-// here. A leader that holds others lost durable state, or this replica did.
+// checkCommitted returns ErrInconsistent if a leader's entries differ from the
+// committed ones: the leader or this replica lost durable state.
 func (n *Node) checkCommitted(entries []*raftpb.Entry) error {
 	for _, e := range entries {
 		if e.GetIndex() > n.log.commit {
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// acknowledge says that the log agrees with the leader's up to index. The
-// message leaves after the entries are synced.
+// acknowledge reports to the leader that the logs match up to index. The
+// message is sent after the entries are synced.
 func (n *Node) acknowledge(to *raftpb.ReplicaID, index uint64) {
 	n.send(to, &raftpb.Message{
 		Kind:     raftpb.MessageKind_MESSAGE_APPEND_REPLY,
@@ -112,7 +113,7 @@
 }
 
 func (n *Node) rejectAppend(m *raftpb.Message) {
-	hint := n.log.lastAtMost(m.GetLogIndex(), m.GetLogTerm())
+	hint := n.log.findConflictByTerm(m.GetLogIndex(), m.GetLogTerm())
 	hintTerm, _ := n.log.term(hint)
 	n.send(m.GetFrom(), &raftpb.Message{
 		Kind:     raftpb.MessageKind_MESSAGE_APPEND_REPLY,
@@ -143,20 +144,20 @@
 	return nil
 }
 
-// restoreSnapshot replaces the log by a snapshot.
+// restoreSnapshot replaces the log with a snapshot.
 func (n *Node) restoreSnapshot(s *raftpb.Snapshot) {
 	n.log.reset(s.GetIndex(), s.GetTerm())
 	n.memberships = []membershipRecord{{index: s.GetIndex(), membership: s.GetMembership()}}
 	n.log.applied = s.GetIndex()
 	n.snapshot = s
 	n.unsavedSnapshot = s
-	n.restore = s
+	n.pendingRestore = s
 }
 
-// Compact takes a snapshot that the state machine took at s.Index, which must
-// be applied, and fills in its term and membership. Entries behind it leave the
-// node's memory. The caller syncs the snapshot before it drops stored entries:
-// the other order could lose both.
+// Compact accepts a snapshot of the state machine at s.Index, which must be
+// applied, and sets its term and membership. Entries up to it, except for
+// Options.RetainEntries, are dropped from memory. The caller must sync the
+// snapshot before it drops stored entries.
 func (n *Node) Compact(s *raftpb.Snapshot) error {
 	index := s.GetIndex()
 	term, ok := n.log.term(index)
@@ -170,17 +171,17 @@
 	s.Term = term
 	s.Membership = membership
 	n.snapshot = s
-	n.forgetMemberships(index)
+	n.compactMemberships(index)
 	if retain := uint64(n.opts.RetainEntries); index > retain {
 		n.log.compact(index - retain)
 	}
 	return nil
 }
 
-// DropSnapshotData lets go of the data of the node's snapshot, which can be as
-// large as the state, and returns its index, 0 if there is none. Messages of
-// later batches carry the snapshot without its data; the caller adds it from its
-// storage, which has to hold it by now. Snapshots of batches before stay whole.
+// DropSnapshotData releases the data of the node's snapshot and returns its
+// index, 0 if there is none. Messages of later batches carry the snapshot
+// without data; the caller must add it from its storage. Snapshots of earlier
+// batches keep their data.
 func (n *Node) DropSnapshotData() uint64 {
 	if n.snapshot == nil {
 		return 0
--- a/raft/invariants_test.go
+++ b/raft/invariants_test.go
@@ -5,7 +5,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// check looks at the server that just did something.
+// check checks the invariants after an event of a server.
 func (c *cluster) check(s *server) error {
 	n := s.node
 	newLeader := false
@@ -36,7 +36,7 @@
 func (c *cluster) checkCommits(s *server) error {
 	n := s.node
 	first := c.highest + 1
-	for i := max(s.tookOff, n.log.offset) + 1; i <= n.log.commit; i++ {
+	for i := max(s.checkedCommit, n.log.offset) + 1; i <= n.log.commit; i++ {
 		term, _ := n.log.term(i)
 		known, ok := c.log[i]
 		if ok && known.entryTerm != term {
@@ -48,7 +48,7 @@
 			c.highest = max(c.highest, i)
 		}
 	}
-	s.tookOff = n.log.commit
+	s.checkedCommit = n.log.commit
 	if c.highest < first {
 		return nil
 	}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// checkLeader: a leader has all entries committed in earlier terms.
+// checkLeader checks that a leader has all entries committed in earlier terms.
 func (c *cluster) checkLeader(n *Node, first uint64) error {
 	for i := max(first, n.log.offset+1); i <= c.highest; i++ {
 		if known := c.log[i]; known.seenTerm < n.term && !n.log.matches(i, known.entryTerm) {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// checkLogs: where two logs agree on an entry, they agree on all before it.
+// checkLogs checks that two logs that agree on an entry agree on all before it.
 func (c *cluster) checkLogs() error {
 	for i, a := range c.servers {
 		for _, b := range c.servers[:i] {
--- a/raft/log.go
+++ b/raft/log.go
@@ -6,7 +6,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// entryOverhead is counted for each entry beside its data, so that entries
+// entryOverhead is added to the size of each entry, in bytes, so that entries
 // without data are bounded too.
 const entryOverhead = 32
 
@@ -17,7 +17,7 @@
 // entryLog holds the entries after offset. Entries are shared with messages
 // and batches and never modified.
 type entryLog struct {
-	// offset and offsetTerm describe the entry before entries[0].
+	// offset and offsetTerm are index and term of the entry before entries[0].
 	offset     uint64
 	offsetTerm uint64
 	entries    []*raftpb.Entry
@@ -25,7 +25,7 @@
 	stable uint64
 	// commit is the last index known to be committed.
 	commit uint64
-	// applied is the last index handed out and advanced.
+	// applied is the last index handed out in an advanced batch.
 	applied uint64
 }
 
@@ -39,7 +39,7 @@
 }
 
 // term returns the term of the entry at index; false if the entry is compacted
-// or not there yet.
+// or does not exist yet.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -81,15 +81,14 @@
 	return size
 }
 
-// append adds entries, which replace what the log holds from the first of them
-// on.
+// append adds entries. They replace existing entries from the first index on.
 func (l *entryLog) append(entries ...*raftpb.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	before := entries[0].GetIndex() - 1
 	if before < l.lastIndex() {
-		// A batch or a message may still hold the old tail: do not write
+		// A batch or a message may still refer to the old tail: do not write
 		// into the same array.
 		l.entries = slices.Clone(l.entries[:before-l.offset])
 	}
@@ -97,18 +96,17 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// stableTo notes that the entry with this index and term was synced. An entry
-// that was replaced in the meantime has another term; its successor is handed
-// out again.
+// stableTo records that the entry with this index and term was synced. If it was
+// overwritten meanwhile, the terms differ and the new entry is handed out again.
 func (l *entryLog) stableTo(index, term uint64) {
 	if l.matches(index, term) {
 		l.stable = max(l.stable, index)
 	}
 }
 
-// lastAtMost returns the last index up to index whose term is not above term.
-// It ends at offset at the latest.
-func (l *entryLog) lastAtMost(index, term uint64) uint64 {
+// findConflictByTerm returns the last index up to index whose term is not above
+// term, at least offset.
+func (l *entryLog) findConflictByTerm(index, term uint64) uint64 {
 	index = min(index, l.lastIndex())
 	for index > l.offset {
 		own, _ := l.term(index)
@@ -120,8 +118,8 @@
 	return max(index, l.offset)
 }
 
-// upToDate says whether a log that ends with this index and term has at least
-// what this log has.
+// upToDate reports whether a log that ends with this index and term is at least
+// as up to date as this log.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index >= l.lastIndex()
@@ -139,7 +137,7 @@
 	l.offsetTerm = term
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the log with a snapshot.
 func (l *entryLog) reset(index, term uint64) {
 	l.entries = nil
 	l.offset = index
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -9,14 +9,12 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// MaxVoters is how many voters a change of members may lead to. Each commit
-// waits for more than half of them, and members beyond that lose nothing by
-// being learners: they apply the log, confirm reads through the leader and
-// forward commands to it. Five voters, one in each of five regions, survive the
-// loss of two; the bound leaves room to replace two of them before they leave.
+// MaxVoters is the maximum number of voters. Each commit waits for more than
+// half of them; further members can serve as learners. It leaves room to replace
+// two of five voters before they are removed.
 const MaxVoters = 7
 
-// replicaKey is a ReplicaID that can be compared.
+// replicaKey is a comparable ReplicaID.
 type replicaKey struct {
 	name        string
 	incarnation uint64
@@ -36,14 +34,14 @@
 	membership *raftpb.Membership
 }
 
-// membership returns the membership in force: the latest in the log, committed
-// or not. Nil if this replica has not learned of one.
+// membership returns the current membership: the latest in the log, committed or
+// not. Nil if this replica knows none.
 func (n *Node) membership() *raftpb.Membership {
 	return n.memberships[len(n.memberships)-1].membership
 }
 
-// membershipIndex returns the index of the entry that set the membership in
-// force.
+// membershipIndex returns the index of the entry that set the current
+// membership.
 func (n *Node) membershipIndex() uint64 {
 	return n.memberships[len(n.memberships)-1].index
 }
@@ -58,13 +56,13 @@
 	return nil
 }
 
-// recordMemberships takes in the membership entries among entries that were
-// just appended, and forgets those that they replaced.
+// recordMemberships records the memberships of appended entries, and drops the
+// records that they overwrite.
 func (n *Node) recordMemberships(entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
-	var fresh []membershipRecord
+	var added []membershipRecord
 	for _, e := range entries {
 		if e.GetKind() != raftpb.EntryKind_ENTRY_MEMBERSHIP {
 			continue
@@ -73,19 +71,18 @@
 		if err := proto.Unmarshal(e.GetData(), m); err != nil {
 			return errors.Wrapf(ErrInconsistent, "membership entry %d: %v", e.GetIndex(), err)
 		}
-		fresh = append(fresh, membershipRecord{index: e.GetIndex(), membership: m})
+		added = append(added, membershipRecord{index: e.GetIndex(), membership: m})
 	}
 	first := entries[0].GetIndex()
 	kept := slices.DeleteFunc(n.memberships, func(r membershipRecord) bool {
 		return r.index >= first
 	})
-	n.memberships = append(kept, fresh...)
+	n.memberships = append(kept, added...)
 	return nil
 }
 
-// forgetMemberships drops the records that a snapshot at index makes
-// unnecessary: all before the one in force there.
-func (n *Node) forgetMemberships(index uint64) {
+// compactMemberships drops the records before the membership as of index.
+func (n *Node) compactMemberships(index uint64) {
 	first := 0
 	for i, r := range n.memberships {
 		if r.index <= index {
@@ -119,23 +116,23 @@
 	return voters
 }
 
-// voterPlace returns how many voters stand before this one in the membership, or the
-// number of all voters if it is none.
-func voterPlace(m *raftpb.Membership, key replicaKey) int {
-	place := 0
+// voterIndex returns the position of a replica among the voters, or the number of
+// voters if it is none.
+func voterIndex(m *raftpb.Membership, key replicaKey) int {
+	index := 0
 	for _, member := range m.GetMembers() {
 		if member.GetLearner() {
 			continue
 		}
 		if keyOf(member.GetId()) == key {
-			return place
+			return index
 		}
-		place++
+		index++
 	}
-	return place
+	return index
 }
 
-// hasQuorum says whether more than half of the voters are accepted.
+// hasQuorum reports whether more than half of the voters are accepted.
 func hasQuorum(m *raftpb.Membership, accepted func(replicaKey) bool) bool {
 	count := 0
 	for _, member := range m.GetMembers() {
@@ -162,7 +159,7 @@
 	return values[(len(values)-1)/2]
 }
 
-// validateMembership checks a membership by itself.
+// validateMembership checks a membership on its own.
 func validateMembership(m *raftpb.Membership) error {
 	seen := make(map[replicaKey]bool, len(m.GetMembers()))
 	for _, member := range m.GetMembers() {
@@ -171,7 +168,7 @@
 			return errors.Wrap(ErrInvalidMembership, "replica without name or incarnation")
 		}
 		if seen[key] {
-			return errors.Wrapf(ErrInvalidMembership, "replica %s/%d twice", key.name, key.incarnation)
+			return errors.Wrapf(ErrInvalidMembership, "duplicate replica %s/%d", key.name, key.incarnation)
 		}
 		seen[key] = true
 	}
@@ -199,8 +196,8 @@
 	return changed
 }
 
-// validateChange checks that to differs from the membership in force by one
-// member, that a new voter has caught up and that there is room for it.
+// validateChange checks that to differs from the current membership by one
+// member, that a new voter has caught up and that MaxVoters is not exceeded.
 func (n *Node) validateChange(to *raftpb.Membership) error {
 	if err := validateMembership(to); err != nil {
 		return err
@@ -208,8 +205,8 @@
 	from := n.membership()
 	changed := changedMembers(from, to)
 	if len(changed) != 1 {
-		// With two voters changed at once, quorums of the old and the new
-		// membership need not share a replica.
+		// If two voters change at once, quorums of the old and the new
+		// membership need not overlap.
 		return errors.Wrapf(ErrInvalidMembership, "%d members changed, want 1", len(changed))
 	}
 	key := changed[0]
@@ -223,9 +220,8 @@
 	return nil
 }
 
-// caughtUp says whether a learner holds all that was committed one heartbeat
-// ago. Without this, the new quorum could need a replica that must first
-// receive the whole log, and commits would stop until it has.
+// caughtUp reports whether a learner holds all entries committed one heartbeat
+// ago. Otherwise commits could stall until a new voter has received the log.
 func (n *Node) caughtUp(key replicaKey) bool {
 	p := n.progressOf(key)
 	if p == nil {
--- a/raft/node.go
+++ b/raft/node.go
@@ -21,36 +21,37 @@
 	leader *raftpb.ReplicaID
 
 	log entryLog
-	// snapshot is the latest one, kept for replicas that lag behind the log.
+	// snapshot is the latest one, kept for replicas that need compacted entries.
 	snapshot    *raftpb.Snapshot
 	memberships []membershipRecord
 
-	// ledSinceStart says that a leader was known since the start.
-	ledSinceStart bool
-	// drawn says that an election timeout was drawn since the start.
-	drawn            bool
+	// leaderSeen is set once a leader was known since the start.
+	leaderSeen bool
+	// firstTimeoutSet is set once an election timeout was chosen without a
+	// known leader.
+	firstTimeoutSet  bool
 	electionElapsed  int
 	electionTimeout  int
 	heartbeatElapsed int
-	granted          map[replicaKey]bool
+	votesGranted     map[replicaKey]bool
 
-	// The fields of a leader.
+	// State of a leader.
 	progress         []*progress
 	uncommittedBytes int
 	heartbeatCommit  uint64
 	reads            readQueue
 	transfer         *transfer
 
-	// What the next batch carries.
+	// Content of the next batch.
 	messages        []*raftpb.Message
-	saved           hardState
+	savedHardState  hardState
 	unsavedSnapshot *raftpb.Snapshot
-	restore         *raftpb.Snapshot
-	outstanding     bool
+	pendingRestore  *raftpb.Snapshot
+	awaitingAdvance bool
 }
 
-// New starts a replica from its durable state. A group whose only voter is
-// this replica is led at once.
+// New starts a replica from its durable state. If it is the only voter, it
+// becomes leader at once.
 func New(opts Options) (*Node, error) {
 	opts.setDefaults()
 	if err := opts.validate(); err != nil {
@@ -68,7 +69,7 @@
 	if err := n.load(); err != nil {
 		return nil, err
 	}
-	n.saved = hardState{
+	n.savedHardState = hardState{
 		term:   opts.HardState.GetTerm(),
 		vote:   keyOf(opts.HardState.GetVote()),
 		commit: opts.HardState.GetCommit(),
@@ -81,13 +82,13 @@
 	return n, nil
 }
 
-// load takes in the snapshot and the entries of the options.
+// load loads the snapshot and the entries of the options.
 func (n *Node) load() error {
 	hard := n.opts.HardState
 	if s := n.opts.Snapshot; s != nil {
 		n.loadSnapshot(s)
 	}
-	entries, err := n.loadableEntries()
+	entries, err := n.entriesAfterSnapshot()
 	if err != nil {
 		return err
 	}
@@ -98,7 +99,7 @@
 	}
 	// HardState is synced before or with entries and before each
 	// acknowledgement, so a lower term or a missing entry means a lost write,
-	// perhaps that of a vote.
+	// possibly of a vote.
 	if n.log.lastTerm() > n.term {
 		return errors.Wrapf(ErrInconsistent, "log has term %d, hard state %d", n.log.lastTerm(), n.term)
 	}
@@ -116,20 +117,20 @@
 	n.log.reset(s.GetIndex(), s.GetTerm())
 	n.memberships = []membershipRecord{{index: s.GetIndex(), membership: s.GetMembership()}}
 	if s.GetTerm() > n.term {
-		// The snapshot is synced before the hard state of its batch, and a
-		// crash came between. No message of this term was sent yet, so this
-		// replica has not voted in it.
+		// A crash after the snapshot was synced and before the hard state of
+		// its batch was. No message of this term was sent, so this replica has
+		// not voted in it.
 		n.term = s.GetTerm()
 		n.vote = nil
 	}
 	if n.opts.Applied < s.GetIndex() {
-		n.restore = s
+		n.pendingRestore = s
 		n.log.applied = s.GetIndex()
 	}
 }
 
-// loadableEntries returns the entries of the options that follow the snapshot.
-func (n *Node) loadableEntries() ([]*raftpb.Entry, error) {
+// entriesAfterSnapshot returns the entries of the options after the snapshot.
+func (n *Node) entriesAfterSnapshot() ([]*raftpb.Entry, error) {
 	entries := n.opts.Entries
 	if err := checkEntries(entries); err != nil {
 		return nil, errors.Wrapf(ErrInconsistent, "stored entries: %v", err)
@@ -146,17 +147,16 @@
 		return entries, nil
 	}
 	if last < offset || entries[offset-first].GetTerm() != n.log.offsetTerm {
-		// A snapshot that replaced the log was synced, and a crash came
-		// before the old log was dropped. The snapshot comes with the first
-		// batch again, so that the log is dropped before anything is written
-		// behind it.
+		// A crash after a snapshot that replaces the log was synced and before
+		// the old log was dropped. The first batch contains the snapshot again,
+		// so that the log is dropped before entries are written.
 		n.unsavedSnapshot = n.snapshot
 		return nil, nil
 	}
 	return entries[offset+1-first:], nil
 }
 
-// checkEntries says whether entries follow each other.
+// checkEntries returns an error if entries are not consecutive.
 func checkEntries(entries []*raftpb.Entry) error {
 	for i, e := range entries {
 		if e.GetIndex() == 0 || e.GetTerm() == 0 {
@@ -174,8 +174,7 @@
 	return nil
 }
 
-// Tick tells the node that one unit of time has passed. Ticks decide only when
-// something is tried, never whether it is right.
+// Tick advances the logical clock by one unit.
 func (n *Node) Tick() {
 	n.electionElapsed++
 	if n.role == RoleLeader {
@@ -183,34 +182,34 @@
 		return
 	}
 	if n.electionElapsed >= n.electionTimeout {
-		n.electionTimedOut()
+		n.handleElectionTimeout()
 	}
 }
 
-// Step takes in a message of another replica. An error says that the message
-// was ignored; after ErrInconsistent the replica must stop.
+// Step processes a message of another replica. The message was ignored if an
+// error is returned; after ErrInconsistent the replica must stop.
 func (n *Node) Step(m *raftpb.Message) error {
 	if keyOf(m.GetTo()) != n.key {
-		// For another incarnation of this replica: what it promised or
-		// stored was lost with its disk, and this one must not answer for it.
+		// For another incarnation of this replica, whose votes and entries were
+		// lost with its disk.
 		return ErrOtherReplica
 	}
 	from := keyOf(m.GetFrom())
 	if !from.valid() || from == n.key {
-		return errors.Wrap(ErrInvalidMessage, "sender")
+		return errors.Wrap(ErrInvalidMessage, "invalid sender")
 	}
 	switch m.GetKind() {
 	case raftpb.MessageKind_MESSAGE_PRE_VOTE:
 		n.handlePreVote(m)
 		return nil
 	case raftpb.MessageKind_MESSAGE_VOTE:
-		if m.GetTerm() > n.term && n.hearsLeader() && !m.GetTakeOver() {
-			// A replica that cannot hear the leader must not unseat it.
+		if m.GetTerm() > n.term && n.hasActiveLeader() && !m.GetTakeOver() {
+			// A partitioned replica must not depose an active leader.
 			return nil
 		}
 	}
 	if m.GetTerm() < n.term {
-		n.answerOldTerm(m)
+		n.replyStaleTerm(m)
 		return nil
 	}
 	if m.GetTerm() > n.term && !isPreVoteGrant(m) {
@@ -231,7 +230,7 @@
 	case raftpb.MessageKind_MESSAGE_APPEND,
 		raftpb.MessageKind_MESSAGE_HEARTBEAT,
 		raftpb.MessageKind_MESSAGE_SNAPSHOT:
-		return n.handleFromLeader(m)
+		return n.handleLeaderMessage(m)
 	case raftpb.MessageKind_MESSAGE_TAKE_OVER:
 		n.handleTakeOver(m)
 	case raftpb.MessageKind_MESSAGE_APPEND_REPLY:
@@ -239,13 +238,14 @@
 	case raftpb.MessageKind_MESSAGE_HEARTBEAT_REPLY:
 		n.handleHeartbeatReply(m)
 	default:
-		return errors.Wrapf(ErrInvalidMessage, "kind %v", m.GetKind())
+		return errors.Wrapf(ErrInvalidMessage, "unknown kind %v", m.GetKind())
 	}
 	return nil
 }
 
-// answerOldTerm tells a replica of an earlier term of the present one.
-func (n *Node) answerOldTerm(m *raftpb.Message) {
+// replyStaleTerm rejects a message of an earlier term, so that its sender learns
+// of the current one.
+func (n *Node) replyStaleTerm(m *raftpb.Message) {
 	switch m.GetKind() {
 	case raftpb.MessageKind_MESSAGE_APPEND,
 		raftpb.MessageKind_MESSAGE_HEARTBEAT,
--- a/raft/node_test.go
+++ b/raft/node_test.go
@@ -38,7 +38,7 @@
 	return &raftpb.Membership{Members: list}
 }
 
-func abc() *raftpb.Membership {
+func threeVoters() *raftpb.Membership {
 	return members(voter("a"), voter("b"), voter("c"))
 }
 
@@ -56,7 +56,7 @@
 	return &raftpb.Entry{Term: term, Index: index, Kind: raftpb.EntryKind_ENTRY_MEMBERSHIP, Data: data}
 }
 
-// options of replica a.
+// options returns the options of replica a.
 func options(m *raftpb.Membership) Options {
 	return Options{Self: replica("a"), Rand: rand.New(rand.NewPCG(1, 1)), Membership: m}
 }
@@ -68,7 +68,7 @@
 	return n
 }
 
-// newNodeOn is replica a, started on what its disk holds.
+// newNodeOn returns replica a, started from the given durable state.
 func newNodeOn(is *is.I, m *raftpb.Membership, hard *raftpb.HardState, stored []*raftpb.Entry) *Node {
 	is.Helper()
 	o := options(m)
@@ -76,22 +76,22 @@
 	return newNode(is, o)
 }
 
-// newLeader is replica a of three, elected by b.
+// newLeader returns replica a of three, elected by b.
 func newLeader(is *is.I) *Node {
 	is.Helper()
-	n := newNode(is, options(abc()))
+	n := newNode(is, options(threeVoters()))
 	elect(is, n, "b")
 	return n
 }
 
-// step hands a message to a node and does the batches that follow from it.
+// step passes a message to a node and processes the resulting batches.
 func step(is *is.I, n *Node, m *raftpb.Message) Batch {
 	is.Helper()
 	is.NoErr(n.Step(m))
 	return drain(n)
 }
 
-// drain does all batches and returns what they held.
+// drain processes all batches and returns their combined content.
 func drain(n *Node) Batch {
 	var all Batch
 	for {
@@ -137,7 +137,7 @@
 	}
 }
 
-// timeOut ticks until an election timeout has passed in any case.
+// timeOut ticks until the election timeout has expired.
 func timeOut(n *Node) Batch {
 	for range 2 * n.opts.ElectionTicks {
 		n.Tick()
@@ -148,7 +148,7 @@
 	return drain(n)
 }
 
-// elect makes a node lead with the votes of others.
+// elect makes a node leader with the votes of others.
 func elect(is *is.I, n *Node, others ...string) Batch {
 	is.Helper()
 	timeOut(n)
@@ -162,7 +162,7 @@
 	return drain(n)
 }
 
-// ack acknowledges entries in the name of others.
+// ack acknowledges entries up to index on behalf of others.
 func ack(is *is.I, n *Node, index uint64, others ...string) Batch {
 	is.Helper()
 	for _, name := range others {
@@ -171,9 +171,9 @@
 	return drain(n)
 }
 
-// A voter whose own removal is in its log, uncommitted, holds the longest log.
-// The other voter cannot win without it, so it has to stand for election.
-func TestLeavingVoterStandsForElection(t *testing.T) {
+// A voter whose own uncommitted removal is in its log may hold the longest log.
+// The other voter then cannot win, so the removed one has to campaign.
+func TestRemovedVoterCampaignsUntilCommitted(t *testing.T) {
 	for name, after := range map[string]*raftpb.Membership{
 		"removed": members(voter("b")),
 		"demoted": members(learner("a"), voter("b")),
@@ -183,16 +183,15 @@
 			n := newNodeOn(is, members(voter("a"), voter("b")), &raftpb.HardState{Term: 1, Commit: 1}, append(entries(1), membershipEntry(1, 2, after)))
 			elect(is, n, "b")
 			is.Equal(ack(is, n, 3, "b").HardState.GetCommit(), uint64(3))
-			is.Equal(n.role, RoleFollower) // steps down once it has left
+			is.Equal(n.role, RoleFollower) // steps down once it is removed
 			is.Equal(len(timeOut(n).Messages), 0)
 		})
 	}
 }
 
-// A crash after a received snapshot was synced leaves the old log beside it.
-// Unless that is dropped from the disk, new entries are written behind it and
-// the next start takes them for part of it.
-func TestOldLogBesideSnapshotIsDropped(t *testing.T) {
+// A crash after a received snapshot was synced leaves the old log on the disk. It
+// must be dropped before new entries are appended.
+func TestStaleLogBesideSnapshotIsDropped(t *testing.T) {
 	for name, tt := range map[string]struct {
 		stored []*raftpb.Entry
 		drop   bool
@@ -202,15 +201,15 @@
 		"ends before":            {entries(1, 1, 1), true, 4},
 		"ends there, same term":  {entries(1, 1, 1, 2), false, 4},
 		"ends there, other term": {entries(1, 1, 1, 1), true, 4},
-		"goes on, same term":     {entries(1, 1, 1, 2, 2), false, 5},
-		"goes on, other term":    {entries(1, 1, 1, 1, 1), true, 4},
-		"starts behind":          {entries(1, 1, 1, 2, 2)[4:], false, 5},
+		"continues, same term":   {entries(1, 1, 1, 2, 2), false, 5},
+		"continues, other term":  {entries(1, 1, 1, 1, 1), true, 4},
+		"starts after":           {entries(1, 1, 1, 2, 2)[4:], false, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			o := options(nil)
 			o.HardState = &raftpb.HardState{Term: 2}
-			o.Snapshot = &raftpb.Snapshot{Index: 4, Term: 2, Membership: abc()}
+			o.Snapshot = &raftpb.Snapshot{Index: 4, Term: 2, Membership: threeVoters()}
 			o.Entries = tt.stored
 			n := newNode(is, o)
 			is.Equal(n.log.lastIndex(), tt.last)
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -6,41 +6,41 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// progressState says how a leader sends to a replica.
+// progressState is the replication mode of a member.
 type progressState uint8
 
 const (
-	// stateProbe: the leader looks for the place where the logs agree, with
-	// one message in flight.
+	// stateProbe: the leader looks for the last matching index, with one
+	// append in flight.
 	stateProbe progressState = iota
-	// stateReplicate: the logs agree; messages are sent ahead of their replies.
+	// stateReplicate: the logs match; appends are pipelined.
 	stateReplicate
-	// stateSnapshot: a snapshot is on its way and nothing else is sent.
+	// stateSnapshot: a snapshot is in flight and no appends are sent.
 	stateSnapshot
 )
 
-// progress is what a leader knows of a replica, itself included.
+// progress is the leader's view of a replica, itself included.
 type progress struct {
 	id  *raftpb.ReplicaID
 	key replicaKey
-	// match is the last index known to be synced there.
+	// match is the last index known to be synced on the replica.
 	match uint64
 	// next is the index to send next.
 	next  uint64
 	state progressState
-	// paused: a probe is in flight.
+	// paused is set while a probe is in flight.
 	paused bool
 	// inflight holds the last index of each append in flight.
 	inflight []uint64
-	// active: heard of since the last quorum check.
+	// active is set if the replica replied since the last quorum check.
 	active bool
 	// snapshotIndex and snapshotTicks describe the snapshot in flight.
 	snapshotIndex uint64
 	snapshotTicks int
 	// commitSent is the latest commit index sent with an append.
 	commitSent uint64
-	// heartbeatMatch is match at the last heartbeat reply; stalled says that
-	// it has not moved since the one before.
+	// heartbeatMatch is match at the last heartbeat reply; stalled is set if it
+	// has not advanced since the one before.
 	heartbeatMatch uint64
 	stalled        bool
 	// readRound is the latest read round that it confirmed.
@@ -69,7 +69,7 @@
 	p.inflight = nil
 }
 
-// acknowledge notes that everything up to index is synced there.
+// acknowledge records that the replica has synced everything up to index.
 func (p *progress) acknowledge(index uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// syncProgress makes the list of progress follow the membership in force. The
-// list keeps the order of the membership, so that messages come in the same
-// order in each run. The leader keeps a record of itself while it leaves.
+// syncProgress updates progress to the current membership. It keeps the order
+// of the membership, so that runs are deterministic. A leader that is being
+// removed stays in the list.
 func (n *Node) syncProgress() {
 	next := make([]*progress, 0, len(n.membership().GetMembers())+1)
 	for _, member := range n.membership().GetMembers() {
@@ -109,8 +109,8 @@
 		id:   id,
 		key:  keyOf(id),
 		next: n.log.lastIndex() + 1,
-		// A new replica has a whole election timeout to answer before it
-		// counts as silent.
+		// A new replica has an election timeout to reply before it counts as
+		// inactive.
 		active: true,
 	}
 }
--- a/raft/property_test.go
+++ b/raft/property_test.go
@@ -10,7 +10,7 @@
 	_ "eelgrasswharf.example/eelgrasswharf/internal/fixedseed"
 )
 
-// drawMessage draws a message that need not make sense.
+// drawMessage draws a message that may be invalid.
 func drawMessage(t *rapid.T) *raftpb.Message {
 	small := rapid.Uint64Range(0, 6)
 	m := &raftpb.Message{
@@ -32,16 +32,16 @@
 		m.Entries = append(m.Entries, e)
 	}
 	if rapid.Bool().Draw(t, "snapshot") {
-		m.Snapshot = &raftpb.Snapshot{Index: small.Draw(t, "at"), Term: small.Draw(t, "of"), Membership: abc()}
+		m.Snapshot = &raftpb.Snapshot{Index: small.Draw(t, "at"), Term: small.Draw(t, "of"), Membership: threeVoters()}
 	}
 	return from(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "from"), m)
 }
 
-// Whatever arrives, a node neither panics nor goes back, and does not change
-// the message.
-func TestAnyMessages(t *testing.T) {
+// TestArbitraryMessages checks that no message makes a node panic or decrease its
+// term, commit or applied index, and that the node does not modify the message.
+func TestArbitraryMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, err := New(options(abc()))
+		n, err := New(options(threeVoters()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 			before := n.Status()
 			m := drawMessage(t)
 			kept := proto.Clone(m)
-			_ = n.Step(m) // malformed messages are refused
+			_ = n.Step(m) // errors of malformed messages are expected
 			if !proto.Equal(m, kept) {
 				t.Fatalf("changed %v", kept)
 			}
--- a/raft/random_test.go
+++ b/raft/random_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// defaultSeeds are run by each test run. RAFT_SEEDS sets another count and
-// RAFT_SEED a single seed.
+// defaultSeeds is the number of seeds of a test run. RAFT_SEEDS sets another
+// number, RAFT_SEED a single seed.
 const (
-	defaultSeeds = 200
-	randomEvents = 30000
-	settleEvents = 16000
-	founderCount = 3
-	replicaNames = "abcde"
+	defaultSeeds   = 200
+	randomEvents   = 30000
+	recoveryEvents = 16000
+	initialVoters  = 3
+	replicaNames   = "abcde"
 )
 
 func seeds(t *testing.T) []uint64 {
@@ -46,16 +46,16 @@
 	if len(seeds(t)) < defaultSeeds {
 		return
 	}
-	// A schedule that reaches none of these proves nothing.
+	// The schedules must reach each kind of event.
 	is := is.New(t)
 	for name, count := range map[string]int{
 		"leaders": total.Leaders, "commits": total.Commits, "reads": total.Reads, "failed reads": total.FailedReads,
 		"crashes": total.Crashes, "wipes": total.Wipes, "promotions": total.Promotions, "removals": total.Removals,
-		"restores": total.Restores, "settled": total.Settled,
+		"restores": total.Restores, "recovered": total.Recovered,
 		"take-overs": total.TakeOvers,
 	} {
 		t.Log(name, count)
-		is.True(count > 50) // each kind of event happened
+		is.True(count > 50) // each kind of event occurred
 	}
 }
 
@@ -69,9 +69,9 @@
 	}
 }
 
-// counts says what a schedule brought about.
+// counts counts the events of a schedule.
 type counts struct {
-	Leaders, Commits, Reads, FailedReads, Crashes, Wipes, Promotions, Removals, Restores, Settled, TakeOvers int
+	Leaders, Commits, Reads, FailedReads, Crashes, Wipes, Promotions, Removals, Restores, Recovered, TakeOvers int
 }
 
 func (c *counts) add(o *counts) {
@@ -84,6 +84,6 @@
 	c.Promotions += o.Promotions
 	c.Removals += o.Removals
 	c.Restores += o.Restores
-	c.Settled += o.Settled
+	c.Recovered += o.Recovered
 	c.TakeOvers += o.TakeOvers
 }
--- a/raft/read.go
+++ b/raft/read.go
@@ -5,12 +5,12 @@
 
 // Read is the outcome of ReadIndex.
 type Read struct {
-	// Token is the caller's.
+	// Token is the argument of ReadIndex.
 	Token uint64
-	// Index is the commit index that the read must see. It is applied by the
-	// end of the batch that carries the read.
+	// Index is the commit index that the read must see. It is applied once the
+	// batch with the read is.
 	Index uint64
-	// Failed says that this replica lost the leadership before a quorum
+	// Failed is set if this replica lost the leadership before a quorum
 	// confirmed it. The read must not be served.
 	Failed bool
 }
@@ -24,18 +24,18 @@
 
 // readQueue holds the reads of a leader.
 type readQueue struct {
-	// waiting holds tokens that belong to no round yet.
+	// waiting holds tokens not yet assigned to a round.
 	waiting []uint64
 	// pending holds the reads of rounds in flight, oldest first.
 	pending []pendingRead
-	// round is the latest round; it starts anew with each term.
+	// round is the latest round; it restarts at zero when leadership is lost.
 	round uint64
-	// done holds outcomes for the next batches.
+	// done holds results for the next batches.
 	done []Read
 }
 
-// ReadIndex asks for an index that is at least as new as all that was
-// committed anywhere before the call. The outcome comes in Batch.Reads.
+// ReadIndex requests an index that covers everything committed in the group
+// before the call. The result is returned in Batch.Reads.
 func (n *Node) ReadIndex(token uint64) error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// startReadRound asks the quorum once for all reads that came since the last
-// batch. It waits until an entry of this term is committed: before that, the
-// commit index may lag behind what an earlier leader has answered.
+// startReadRound starts one heartbeat round for all reads since the last batch.
+// It waits until an entry of this term is committed: before that, the commit
+// index may be behind that of an earlier leader.
 func (n *Node) startReadRound() {
 	if len(n.reads.waiting) == 0 || !n.committedInTerm() {
 		return
@@ -67,8 +67,8 @@
 	n.confirmReads()
 }
 
-// confirmReads finishes the reads of rounds that a quorum has confirmed. A
-// replica that answers in this term had not voted in a later one, so no later
+// confirmReads completes the reads of rounds that a quorum has confirmed. A
+// replica that replies in this term had not voted in a later one, so no later
 // leader had committed anything when the round began.
 func (n *Node) confirmReads() {
 	confirmed := quorumValue(n.membership(), func(key replicaKey) uint64 {
@@ -88,7 +88,7 @@
 	n.reads.pending = n.reads.pending[count:]
 }
 
-// failReads ends the reads that no quorum has confirmed.
+// failReads fails the reads that no quorum has confirmed.
 func (n *Node) failReads() {
 	for _, r := range n.reads.pending {
 		n.reads.done = append(n.reads.done, Read{Token: r.token, Failed: true})
@@ -101,7 +101,8 @@
 	n.reads.round = 0
 }
 
-// takeReads returns the outcomes that may be used once applied is applied.
+// takeReads removes and returns the results that are valid once the index
+// applied is applied.
 func (n *Node) takeReads(applied uint64) []Read {
 	var ready, later []Read
 	for _, r := range n.reads.done {
--- a/raft/replicate.go
+++ b/raft/replicate.go
@@ -2,10 +2,9 @@
 
 import "eelgrasswharf.example/eelgrasswharf/api/raftpb"
 
-// replicate sends each replica what it lacks. It runs once for each batch, so
-// that all that came since the last one goes into the same messages; sending at
-// each proposal and at each acknowledgement would multiply them when a leader
-// is busy, and its replies would pile up.
+// replicate sends each replica the entries that it lacks. It runs once per batch
+// instead of at each proposal and acknowledgement, so that entries are sent in
+// few messages.
 func (n *Node) replicate() {
 	for _, p := range n.progress {
 		if p.key == n.key {
@@ -20,7 +19,7 @@
 }
 
 // sendEntries sends as many appends as the replica may have in flight, and
-// says whether it sent any.
+// reports whether it sent any.
 func (n *Node) sendEntries(p *progress) bool {
 	sent := false
 	for n.sendAppend(p, false) {
@@ -29,7 +28,8 @@
 	return sent
 }
 
-// sendAppend sends one append, or a snapshot where the entries are compacted.
+// sendAppend sends one append, or a snapshot if the entries are compacted. An
+// append without entries is sent only if empty is set.
 func (n *Node) sendAppend(p *progress, empty bool) bool {
 	if p.paused || p.state == stateSnapshot {
 		return false
@@ -67,8 +67,7 @@
 
 func (n *Node) sendSnapshot(p *progress) bool {
 	if n.snapshot == nil || !p.active {
-		// A silent replica may stay away for long; a snapshot waits for its
-		// first answer.
+		// A snapshot is sent only to an active replica.
 		return false
 	}
 	n.send(p.id, &raftpb.Message{
@@ -99,7 +98,7 @@
 	n.maybeCommit()
 }
 
-// handleAppendReject moves back to where the logs may agree.
+// handleAppendReject moves next back to where the logs may match.
 func (n *Node) handleAppendReject(p *progress, m *raftpb.Message) {
 	switch p.state {
 	case stateSnapshot:
@@ -113,10 +112,10 @@
 			return
 		}
 	}
-	// The hint is the last place on that replica whose term is not above
-	// ours there. Entries of ours with a higher term than the hint's cannot
-	// be in its log up to the hint, so all of them are skipped at once.
-	agree := n.log.lastAtMost(m.GetHint(), m.GetLogTerm())
+	// The hint is the replica's last index whose term is not above that of the
+	// rejected append. Local entries with a higher term than the hint's cannot
+	// be in its log up to the hint, so they are all skipped at once.
+	agree := n.log.findConflictByTerm(m.GetHint(), m.GetLogTerm())
 	if m.GetHint() < n.log.offset {
 		agree = m.GetHint()
 	}
@@ -136,9 +135,8 @@
 	if moved || p.match >= n.log.lastIndex() || p.state == stateSnapshot {
 		return
 	}
-	// Nothing was acknowledged for a heartbeat: the last append or its reply
-	// may be lost. An append without effect is answered all the same and
-	// shows where the replica stands.
+	// Nothing was acknowledged for a heartbeat interval: the last append or its
+	// reply may be lost. The reply to another append shows the replica's state.
 	p.stalled = true
 	p.paused = false
 	if p.state == stateReplicate && len(p.inflight) >= n.opts.MaxInflight {
--- a/raft/replication_test.go
+++ b/raft/replication_test.go
@@ -12,11 +12,11 @@
 
 func TestFollowerAppends(t *testing.T) {
 	for name, tt := range map[string]struct {
-		index, term uint64 // of the entry before
+		index, term uint64 // of the preceding entry
 		sent        []*raftpb.Entry
 		commit      uint64
 		reject      bool
-		replied     uint64 // matched, or the hint
+		replied     uint64 // match, or the hint
 		hintTerm    uint64
 		terms       []uint64 // of the log afterwards
 		committed   uint64
@@ -24,14 +24,14 @@
 		"next entry":            {4, 2, entries(1, 1, 2, 2, 3)[4:], 4, false, 5, 0, []uint64{1, 1, 2, 2, 3}, 4},
 		"tail replaced":         {2, 1, entries(1, 1, 3)[2:], 3, false, 3, 0, []uint64{1, 1, 3}, 3},
 		"old append":            {2, 1, entries(1, 1, 2)[2:], 1, false, 3, 0, []uint64{1, 1, 2, 2}, 1},
-		"commit not vouched":    {2, 1, nil, 4, false, 2, 0, []uint64{1, 1, 2, 2}, 2},
+		"commit beyond entries": {2, 1, nil, 4, false, 2, 0, []uint64{1, 1, 2, 2}, 2},
 		"committed already":     {0, 0, entries(1, 1), 1, false, 1, 0, []uint64{1, 1, 2, 2}, 1},
 		"gap":                   {9, 3, nil, 4, true, 4, 2, []uint64{1, 1, 2, 2}, 1},
 		"other term, skips all": {4, 1, nil, 4, true, 2, 1, []uint64{1, 1, 2, 2}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := newNodeOn(is, abc(), &raftpb.HardState{Term: 3, Commit: 1}, entries(1, 1, 2, 2))
+			n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 3, Commit: 1}, entries(1, 1, 2, 2))
 			is.NoErr(n.Step(from("b", &raftpb.Message{Kind: kindAppend, Term: 3,
 				LogIndex: tt.index, LogTerm: tt.term, Entries: tt.sent, Commit: tt.commit})))
 			b := drain(n)
@@ -52,10 +52,10 @@
 	}
 }
 
-// One rejection skips a whole run of terms that the follower cannot hold.
+// One rejection skips all entries of terms that the follower cannot hold.
 func TestLeaderSkipsTermsByHint(t *testing.T) {
 	is := is.New(t)
-	n := newNodeOn(is, abc(), &raftpb.HardState{Term: 5}, entries(1, 1, 4, 4, 4, 4))
+	n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 5}, entries(1, 1, 4, 4, 4, 4))
 	b := elect(is, n, "b")
 	is.Equal(sent(b, kindAppend, "c").GetLogIndex(), uint64(6))
 	is.NoErr(n.Step(from("c", &raftpb.Message{Kind: kindAppendReply, Term: n.term, Reject: true, LogIndex: 6, Hint: 5, LogTerm: 2})))
@@ -68,7 +68,7 @@
 func TestStaleLeaderLearnsOfNewTerm(t *testing.T) {
 	for _, kind := range []raftpb.MessageKind{kindAppend, kindHeartbeat, kindSnapshot, kindVote} {
 		is := is.New(t)
-		n := newNodeOn(is, abc(), &raftpb.HardState{Term: 5}, nil)
+		n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 5}, nil)
 		b := step(is, n, from("b", &raftpb.Message{Kind: kind, Term: 4}))
 		is.Equal(len(b.Messages), 1)
 		is.Equal(b.Messages[0].GetTerm(), uint64(5))
@@ -79,7 +79,7 @@
 // Entries of earlier terms are committed only with one of the leader's term.
 func TestCommitNeedsOwnTerm(t *testing.T) {
 	is := is.New(t)
-	n := newNodeOn(is, abc(), &raftpb.HardState{Term: 2}, entries(1, 2))
+	n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 2}, entries(1, 2))
 	elect(is, n, "b")
 	ack(is, n, 2, "b", "c")
 	is.Equal(n.Status().Commit, uint64(0))
@@ -87,7 +87,7 @@
 	is.Equal(n.Status().Commit, uint64(3))
 }
 
-// What the leader appends counts only after it is synced here.
+// The leader's own copy of an entry counts only after it is synced.
 func TestLeaderCountsItselfAfterSync(t *testing.T) {
 	is := is.New(t)
 	n := newLeader(is)
@@ -103,23 +103,23 @@
 	is.Equal(n.Status().Commit, index)
 }
 
-// An entry that was replaced while its batch was being synced is not taken as
-// synced under its index.
+// An entry that replaces one whose batch is being synced is not considered
+// synced.
 func TestReplacedWhileSyncing(t *testing.T) {
 	is := is.New(t)
-	n := newNode(is, options(abc()))
+	n := newNode(is, options(threeVoters()))
 	is.NoErr(n.Step(from("b", &raftpb.Message{Kind: kindAppend, Term: 1, Entries: entries(1, 1)})))
 	first, _ := n.Ready()
 	is.NoErr(n.Step(from("c", &raftpb.Message{Kind: kindAppend, Term: 2, LogIndex: 1, LogTerm: 1, Entries: entries(1, 2)[1:]})))
-	is.Equal(first.Entries[1].GetTerm(), uint64(1)) // the batch at work is untouched
+	is.Equal(first.Entries[1].GetTerm(), uint64(1)) // the outstanding batch is unchanged
 	n.Advance(first)
 	second, _ := n.Ready()
 	is.Equal(second.Entries[len(second.Entries)-1].GetTerm(), uint64(2))
 }
 
-func TestBounds(t *testing.T) {
+func TestInflightLimits(t *testing.T) {
 	is := is.New(t)
-	o := options(abc())
+	o := options(threeVoters())
 	o.MaxInflight, o.MaxBatchBytes = 2, 100
 	n := newNode(is, o)
 	elect(is, n, "b")
@@ -141,28 +141,28 @@
 	is.Equal(appends, 2)
 	is.Equal(len(ack(is, n, 5, "b").Committed), 4)
 	_, _, err = n.Propose(make([]byte, 1000))
-	is.NoErr(err) // a single large entry passes
+	is.NoErr(err) // a single large entry is accepted
 	is.Equal(sent(drain(n), kindAppend, "b").GetEntries()[0].GetIndex(), uint64(6))
 }
 
-// A lost append is noticed at a heartbeat.
-func TestLostAppendIsRepeated(t *testing.T) {
+// A lost append is detected by heartbeat replies.
+func TestLostAppendIsRetried(t *testing.T) {
 	is := is.New(t)
 	n := newLeader(is)
 	ack(is, n, 1, "b")
 	_, _, err := n.Propose(nil)
 	is.NoErr(err)
 	drain(n) // lost
-	beat := &raftpb.Message{Kind: kindHeartbeatReply, Term: n.term}
-	is.NoErr(n.Step(from("b", beat)))
-	is.Equal(sent(step(is, n, from("b", beat)), kindAppend, "b").GetLogIndex(), uint64(2))
+	reply := &raftpb.Message{Kind: kindHeartbeatReply, Term: n.term}
+	is.NoErr(n.Step(from("b", reply)))
+	is.Equal(sent(step(is, n, from("b", reply)), kindAppend, "b").GetLogIndex(), uint64(2))
 	is.NoErr(n.Step(from("b", &raftpb.Message{Kind: kindAppendReply, Term: n.term, Reject: true, LogIndex: 2, Hint: 1, LogTerm: 1})))
 	is.Equal(sent(drain(n), kindAppend, "b").GetEntries()[0].GetIndex(), uint64(2))
 }
 
 func TestReadIndex(t *testing.T) {
 	is := is.New(t)
-	n := newNodeOn(is, abc(), &raftpb.HardState{Term: 1, Commit: 1}, entries(1))
+	n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 1, Commit: 1}, entries(1))
 	elect(is, n, "b")
 	is.NoErr(n.ReadIndex(1))
 	is.NoErr(n.ReadIndex(2))
@@ -192,17 +192,17 @@
 		to   *raftpb.Membership
 		want error
 	}{
-		"learner added":      {members(voter("a"), voter("b"), learner("d"), learner("e"), learner("c")), nil},
-		"learner promoted":   {members(voter("a"), voter("b"), voter("d"), learner("e")), nil},
-		"voter removed":      {members(voter("a"), learner("d"), learner("e")), nil},
-		"voter demoted":      {members(voter("a"), learner("b"), learner("d"), learner("e")), nil},
-		"leader removed":     {members(voter("b"), learner("d"), learner("e")), nil},
-		"address":            {members(voter("a"), moved, learner("d"), learner("e")), nil},
-		"learner is behind":  {members(voter("a"), voter("b"), learner("d"), voter("e")), ErrNotCaughtUp},
-		"voter from nowhere": {members(voter("a"), voter("b"), voter("c"), learner("d"), learner("e")), ErrNotCaughtUp},
-		"nothing":            {old, ErrInvalidMembership},
-		"two at once":        {members(voter("a"), learner("e")), ErrInvalidMembership},
-		"nobody":             {members(), ErrInvalidMembership},
+		"learner added":     {members(voter("a"), voter("b"), learner("d"), learner("e"), learner("c")), nil},
+		"learner promoted":  {members(voter("a"), voter("b"), voter("d"), learner("e")), nil},
+		"voter removed":     {members(voter("a"), learner("d"), learner("e")), nil},
+		"voter demoted":     {members(voter("a"), learner("b"), learner("d"), learner("e")), nil},
+		"leader removed":    {members(voter("b"), learner("d"), learner("e")), nil},
+		"address":           {members(voter("a"), moved, learner("d"), learner("e")), nil},
+		"learner is behind": {members(voter("a"), voter("b"), learner("d"), voter("e")), ErrNotCaughtUp},
+		"new voter":         {members(voter("a"), voter("b"), voter("c"), learner("d"), learner("e")), ErrNotCaughtUp},
+		"no change":         {old, ErrInvalidMembership},
+		"two changes":       {members(voter("a"), learner("e")), ErrInvalidMembership},
+		"no member":         {members(), ErrInvalidMembership},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -217,7 +217,7 @@
 				is.True(!n.Status().ChangePending)
 				return
 			}
-			is.True(proto.Equal(n.Status().Membership, tt.to)) // in force at once
+			is.True(proto.Equal(n.Status().Membership, tt.to)) // effective at once
 			_, _, err = n.ProposeMembership(old)
 			is.True(err != nil) // one change at a time
 			ack(is, n, 2, "b", "d")
@@ -226,10 +226,9 @@
 	}
 }
 
-// TestVotersAreBounded promotes a learner that has caught up in a group with
-// as many voters as there may be: it stays a learner, and takes the place of a
-// voter that leaves.
-func TestVotersAreBounded(t *testing.T) {
+// TestMaxVoters checks that a caught-up learner of a group with MaxVoters voters
+// is not promoted before a voter is removed.
+func TestMaxVoters(t *testing.T) {
 	is := is.New(t)
 	full := members(learner("z"))
 	for i := range MaxVoters {
@@ -260,20 +259,20 @@
 	ack(is, n, 1, "b")
 	_, _, err := n.ProposeMembership(members(voter("a"), voter("b"), voter("c"), learner("d")))
 	is.NoErr(err)
-	_, _, err = n.ProposeMembership(abc())
+	_, _, err = n.ProposeMembership(threeVoters())
 	is.True(errors.Is(err, ErrChangePending))
 	ack(is, n, 2, "c")
-	_, _, err = n.ProposeMembership(abc())
+	_, _, err = n.ProposeMembership(threeVoters())
 	is.NoErr(err)
 }
 
-// A change whose entry is replaced is undone.
-func TestReplacedChangeIsUndone(t *testing.T) {
+// A change is reverted when its entry is overwritten.
+func TestOverwrittenChangeIsReverted(t *testing.T) {
 	is := is.New(t)
-	n := newNodeOn(is, abc(), &raftpb.HardState{Term: 1, Commit: 1}, append(entries(1), membershipEntry(1, 2, members(voter("a"), voter("b")))))
+	n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 1, Commit: 1}, append(entries(1), membershipEntry(1, 2, members(voter("a"), voter("b")))))
 	is.Equal(len(n.Status().Membership.GetMembers()), 2)
 	is.NoErr(n.Step(from("c", &raftpb.Message{Kind: kindAppend, Term: 2, LogIndex: 1, LogTerm: 1, Entries: entries(1, 2)[1:]})))
-	is.True(proto.Equal(n.Status().Membership, abc()))
+	is.True(proto.Equal(n.Status().Membership, threeVoters()))
 }
 
 func TestCompactAndSnapshot(t *testing.T) {
@@ -296,7 +295,7 @@
 	is.NoErr(n.Step(from("b", &raftpb.Message{Kind: kindAppendReply, Term: 1, Reject: true, LogIndex: n.progress[1].next - 1})))
 	message := sent(drain(n), kindSnapshot, "b")
 	is.Equal(message.GetSnapshot(), s)
-	ticks(n, DefaultElectionTicks) // not answered: another one after the next sign of life
+	ticks(n, DefaultElectionTicks) // no reply: sent again after the next heartbeat reply
 	drain(n)
 	is.True(sent(step(is, n, from("b", &raftpb.Message{Kind: kindHeartbeatReply, Term: 1})), kindSnapshot, "b") != nil)
 
@@ -312,8 +311,8 @@
 	is.Equal(sent(drain(n), kindAppend, "b").GetEntries()[0].GetIndex(), uint64(4))
 }
 
-// Data that was let go of is gone from later messages, not from the snapshot
-// that the caller and former messages hold.
+// Dropped data is missing from later messages, but not from the caller's snapshot
+// or from earlier messages.
 func TestDropSnapshotData(t *testing.T) {
 	is := is.New(t)
 	o := options(members(voter("a"), learner("b")))
@@ -332,11 +331,11 @@
 	is.True(proto.Equal(got, want))
 }
 
-// A snapshot that the log already agrees with only moves the commit index.
+// A snapshot that matches the log only advances the commit index.
 func TestSnapshotOfKnownEntriesKeepsLog(t *testing.T) {
 	is := is.New(t)
-	n := newNodeOn(is, abc(), &raftpb.HardState{Term: 1}, entries(1, 1, 1))
-	b := step(is, n, from("b", &raftpb.Message{Kind: kindSnapshot, Term: 1, Snapshot: &raftpb.Snapshot{Index: 2, Term: 1, Membership: abc()}}))
+	n := newNodeOn(is, threeVoters(), &raftpb.HardState{Term: 1}, entries(1, 1, 1))
+	b := step(is, n, from("b", &raftpb.Message{Kind: kindSnapshot, Term: 1, Snapshot: &raftpb.Snapshot{Index: 2, Term: 1, Membership: threeVoters()}}))
 	is.Equal(b.Restore, nil)
 	is.Equal(len(b.Committed), 2)
 	is.Equal(n.Status().LastIndex, uint64(3))
--- a/raft/start_test.go
+++ b/raft/startup_test.go
@@ -10,10 +10,10 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// startup plays replicas that start within skew of each other, by the millisecond: a
-// tick each 50 ms, a message takes way, a sync of the disk 2 ms. It returns when one
-// leads.
-func startup(t *testing.T, seed uint64, votersCount, up, skew, way int) int {
+// simulateStart simulates replicas that start within skew of each other, with a tick
+// of 50 ms, the given message latency and 2 ms per disk sync. It returns the time
+// until there is a leader. All times are in milliseconds.
+func simulateStart(t *testing.T, seed uint64, votersCount, running, skew, latency int) int {
 	t.Helper()
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}[:votersCount]
 	list := &raftpb.Membership{}
@@ -28,7 +28,7 @@
 	nodes := map[string]*Node{}
 	starts := map[string]int{}
 	rng := rand.New(rand.NewPCG(seed, 99))
-	for i, name := range names[:up] {
+	for i, name := range names[:running] {
 		o := Options{
 			Self:               list.GetMembers()[i].GetId(),
 			Rand:               rand.New(rand.NewPCG(seed, uint64(i))),
@@ -45,7 +45,7 @@
 		}
 	}
 	for ms := 1; ms < 60_000; ms++ {
-		for _, name := range names[:up] {
+		for _, name := range names[:running] {
 			n := nodes[name]
 			if ms < starts[name] {
 				net = slices.DeleteFunc(net, func(s sent) bool { return s.m.GetTo().GetName() == name && s.at <= ms })
@@ -67,7 +67,7 @@
 					break
 				}
 				for _, m := range b.Messages {
-					at := ms + way
+					at := ms + latency
 					if b.HardState != nil {
 						at += 2
 					}
@@ -83,33 +83,32 @@
 	return 60_000
 }
 
-// TestStartTogether bounds the time until a leader is known where all replicas start
-// at once, as after a loss of power, also where all that are up have to agree. Times
-// are simulated.
-func TestStartTogether(t *testing.T) {
+// TestSimultaneousStart bounds the simulated time until a leader is elected when
+// replicas start at about the same time, also with a bare quorum.
+func TestSimultaneousStart(t *testing.T) {
 	const seeds = 300
 	for name, c := range map[string]struct {
-		voters, up int
-		skew, way  int
-		most       int // the slowest of 99 in 100, in ms
+		voters, running int
+		skew, latency   int
+		limit           int // of the 99th percentile, in ms
 	}{
-		"same moment":          {voters: 4, up: 4, way: 1, most: 200},
-		"bare quorum of four":  {voters: 4, up: 3, way: 1, most: 200},
-		"bare quorum of seven": {voters: 7, up: 4, way: 1, most: 200},
-		"far apart":            {voters: 5, up: 3, way: 20, most: 300},
-		"a tick apart":         {voters: 4, up: 3, skew: 60, way: 1, most: 450},
-		"many ticks apart":     {voters: 4, up: 3, skew: 300, way: 1, most: 700},
-		"all of it":            {voters: 7, up: 4, skew: 300, way: 20, most: 1300},
+		"same time":            {voters: 4, running: 4, latency: 1, limit: 200},
+		"bare quorum of four":  {voters: 4, running: 3, latency: 1, limit: 200},
+		"bare quorum of seven": {voters: 7, running: 4, latency: 1, limit: 200},
+		"high latency":         {voters: 5, running: 3, latency: 20, limit: 300},
+		"a tick apart":         {voters: 4, running: 3, skew: 60, latency: 1, limit: 450},
+		"many ticks apart":     {voters: 4, running: 3, skew: 300, latency: 1, limit: 700},
+		"skew and latency":     {voters: 7, running: 4, skew: 300, latency: 20, limit: 1300},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var all []int
 			for seed := range uint64(seeds) {
-				all = append(all, startup(t, seed, c.voters, c.up, c.skew, c.way))
+				all = append(all, simulateStart(t, seed, c.voters, c.running, c.skew, c.latency))
 			}
 			slices.Sort(all)
 			p99 := all[seeds*99/100]
 			t.Log("50 %", all[seeds/2], "99 %", p99, "all", all[seeds-1])
-			is.New(t).True(p99 <= c.most)
+			is.New(t).True(p99 <= c.limit)
 		})
 	}
 }
--- a/raft/status.go
+++ b/raft/status.go
@@ -2,10 +2,10 @@
 
 import "eelgrasswharf.example/eelgrasswharf/api/raftpb"
 
-// Role is what a replica does in its current term.
+// Role is the role of a replica in its current term.
 type Role uint8
 
-// The roles.
+// Roles.
 const (
 	RoleFollower Role = iota
 	RolePreCandidate
@@ -39,28 +39,28 @@
 	Commit    uint64
 	Applied   uint64
 	LastIndex uint64
-	// Membership is the one in force, committed or not; nil if none is known.
+	// Membership is the current one, committed or not; nil if none is known.
 	Membership *raftpb.Membership
-	// ChangePending says that Membership is not yet committed.
+	// ChangePending is set if Membership is not yet committed.
 	ChangePending bool
-	// Progress is filled at the leader only, in the order of Membership.
+	// Progress is set on the leader only, in the order of Membership.
 	Progress []Progress
 }
 
-// Progress is what the leader knows of a member.
+// Progress is the leader's view of a member.
 type Progress struct {
 	ID *raftpb.ReplicaID
-	// Match is the last index known to be synced there.
+	// Match is the last index known to be synced on the member.
 	Match uint64
-	// CaughtUp says that a learner may be made a voter.
+	// CaughtUp is set if a learner may be promoted.
 	CaughtUp bool
-	// Active says that the member was heard since the last quorum check.
+	// Active is set if the member replied since the last quorum check.
 	Active bool
-	// Snapshot says that a snapshot is on its way.
+	// Snapshot is set while a snapshot is in flight.
 	Snapshot bool
 }
 
-// Status returns the present state. Its contents are shared with the node and
+// Status returns the current state. Its contents are shared with the node and
 // must not be modified.
 func (n *Node) Status() Status {
 	s := Status{
--- a/raft/transfer.go
+++ b/raft/transfer.go
@@ -2,23 +2,22 @@
 
 import "eelgrasswharf.example/eelgrasswharf/api/raftpb"
 
-// transfer is a handing over of the leadership in progress.
+// transfer is a leadership transfer in progress.
 type transfer struct {
 	to    replicaKey
 	ticks int
-	// sent says that the successor was told in this heartbeat period.
+	// sent is set if the request was sent in this heartbeat interval.
 	sent bool
 }
 
-// TransferLeadership asks the voter that is furthest along to lead in place of
-// this replica, so that a planned stop costs the group no election timeout.
-// Until another leads this one appends nothing (ErrBusy); when no other does
-// within an election timeout, it goes on. ErrNotLeader: there is nothing to
-// hand over. ErrNoSuccessor: no other voter was heard lately.
+// TransferLeadership asks the most up-to-date voter to become leader, so that a
+// planned stop does not cost an election timeout. During the transfer proposals
+// get ErrBusy; it is aborted if nobody takes over within an election timeout.
+// ErrNoSuccessor: no other voter is active.
 //
-// The successor stands for election at once, with a vote that does not spare
-// the leader. This changes only when an election is held: votes go by term and
-// log as ever, so a transfer can neither lose an entry nor make two leaders.
+// The successor starts an election at once, and replicas vote even while their
+// leader is active. Votes are otherwise decided as usual, so a transfer can
+// neither lose an entry nor elect two leaders.
 func (n *Node) TransferLeadership() error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
@@ -26,14 +25,14 @@
 	return n.transferTo(n.successor())
 }
 
-// TransferLeadershipTo is TransferLeadership to one voter. ErrNoSuccessor: it
-// is none, or was not heard lately.
+// TransferLeadershipTo is TransferLeadership to the given voter.
+// ErrNoSuccessor: it is not a voter or not active.
 func (n *Node) TransferLeadershipTo(id *raftpb.ReplicaID) error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
 	p := n.progressOf(keyOf(id))
-	if p == nil || !n.maySucceed(p) {
+	if p == nil || !n.canTakeOver(p) {
 		return ErrNoSuccessor
 	}
 	return n.transferTo(p)
@@ -49,26 +48,25 @@
 	return nil
 }
 
-// maySucceed reports whether a member is another voter that was heard lately.
-func (n *Node) maySucceed(p *progress) bool {
+// canTakeOver reports whether a member is another, active voter.
+func (n *Node) canTakeOver(p *progress) bool {
 	return p.key != n.key && p.active && isVoter(n.membership(), p.key)
 }
 
-// successor returns the progress of the other voter that holds most of the log,
-// the first of the membership among equals; nil if none was heard of since the
-// last quorum check.
+// successor returns the progress of the active voter with the highest match, the
+// first of the membership among equals; nil if there is none.
 func (n *Node) successor() *progress {
 	var best *progress
 	for _, p := range n.progress {
-		if n.maySucceed(p) && (best == nil || p.match > best.match) {
+		if n.canTakeOver(p) && (best == nil || p.match > best.match) {
 			best = p
 		}
 	}
 	return best
 }
 
-// continueTransfer tells the successor to stand for election once it holds the
-// whole log; before that it could not win.
+// continueTransfer asks the successor to start an election once it holds the
+// complete log; before that it could not win.
 func (n *Node) continueTransfer() {
 	if n.transfer == nil || n.transfer.sent {
 		return
@@ -81,7 +79,7 @@
 	n.send(p.id, &raftpb.Message{Kind: raftpb.MessageKind_MESSAGE_TAKE_OVER})
 }
 
-// tickTransfer gives up on a successor that does not take over.
+// tickTransfer aborts a transfer whose successor does not take over in time.
 func (n *Node) tickTransfer() {
 	if n.transfer == nil {
 		return
@@ -92,15 +90,15 @@
 	}
 }
 
-// repeatTransfer lets the successor be told again, in case that was lost.
-func (n *Node) repeatTransfer() {
+// retryTransfer lets the request be sent again, in case it was lost.
+func (n *Node) retryTransfer() {
 	if n.transfer != nil {
 		n.transfer.sent = false
 	}
 }
 
-// handleTakeOver stands for election, as the leader of this term has asked. A
-// message that comes late, after another leader was elected, has an old term.
+// handleTakeOver starts an election on request of the leader of this term.
+// Delayed requests of earlier leaders have an old term and do not get here.
 func (n *Node) handleTakeOver(m *raftpb.Message) {
 	byLeader := n.leader == nil || keyOf(n.leader) == keyOf(m.GetFrom())
 	if n.role == RoleLeader || !byLeader || !isVoter(n.membership(), n.key) {
--- a/raft/transfer_test.go
+++ b/raft/transfer_test.go
@@ -11,17 +11,17 @@
 
 const kindTakeOver = raftpb.MessageKind_MESSAGE_TAKE_OVER
 
-// heard makes the leader hear a heartbeat reply of others.
-func heard(is *is.I, n *Node, others ...string) {
+// stepHeartbeatReplies passes heartbeat replies of others to the leader.
+func stepHeartbeatReplies(is *is.I, n *Node, others ...string) {
 	is.Helper()
 	for _, name := range others {
 		is.NoErr(n.Step(from(name, &raftpb.Message{Kind: kindHeartbeatReply, Term: n.term})))
 	}
 }
 
-// The successor is told only once it holds the whole log, and nothing is
-// appended meanwhile.
-func TestTransferWaitsForTheSuccessor(t *testing.T) {
+// The request is sent only once the successor holds the complete log, and nothing
+// is appended meanwhile.
+func TestTransferWaitsForSuccessor(t *testing.T) {
 	is := is.New(t)
 	n := newLeader(is)
 	ack(is, n, 1, "b", "c")
@@ -38,39 +38,39 @@
 	is.Equal(sent(b, kindTakeOver, "c"), nil)
 }
 
-func TestTransferIsRepeatedAndGivenUp(t *testing.T) {
+func TestTransferRetryAndTimeout(t *testing.T) {
 	is := is.New(t)
 	n := newLeader(is)
 	ack(is, n, 1, "b", "c")
 	is.NoErr(n.TransferLeadership())
 	is.True(sent(drain(n), kindTakeOver, "b") != nil)
-	is.NoErr(n.TransferLeadership()) // once more changes nothing
+	is.NoErr(n.TransferLeadership()) // idempotent
 	is.Equal(sent(drain(n), kindTakeOver, "b"), nil)
 	ticks(n, n.opts.HeartbeatTicks)
 	is.True(sent(drain(n), kindTakeOver, "b") != nil) // the first may be lost
 	for range n.opts.ElectionTicks {
-		heard(is, n, "b", "c")
+		stepHeartbeatReplies(is, n, "b", "c")
 		ticks(n, 1)
 		drain(n)
 	}
 	is.Equal(n.role, RoleLeader)
-	_, _, err := n.Propose([]byte("goes on"))
+	_, _, err := n.Propose([]byte("after"))
 	is.NoErr(err)
 }
 
-func TestTransferNeedsASuccessor(t *testing.T) {
+func TestTransferNeedsSuccessor(t *testing.T) {
 	is := is.New(t)
-	n := newNode(is, options(abc()))
+	n := newNode(is, options(threeVoters()))
 	is.True(errors.Is(n.TransferLeadership(), ErrNotLeader))
 	alone := newNode(is, options(members(voter("a"), learner("b"))))
 	is.True(errors.Is(alone.TransferLeadership(), ErrNoSuccessor))
 }
 
-// A transfer to a named voter waits for that one, though another is further
-// along, and needs one that is heard.
-func TestTransferToANamedVoter(t *testing.T) {
+// A transfer to a given voter waits for it, even if another is more up to date,
+// and requires it to be active.
+func TestTransferLeadershipTo(t *testing.T) {
 	is := is.New(t)
-	n := newNode(is, options(abc()))
+	n := newNode(is, options(threeVoters()))
 	to := replica("c")
 	is.True(errors.Is(n.TransferLeadershipTo(to), ErrNotLeader))
 	elect(is, n, "b")
@@ -78,7 +78,7 @@
 	drain(n)
 	is.True(errors.Is(n.TransferLeadershipTo(n.opts.Self), ErrNoSuccessor))
 	is.True(errors.Is(n.TransferLeadershipTo(replica("stranger")), ErrNoSuccessor))
-	heard(is, n, "c")
+	stepHeartbeatReplies(is, n, "c")
 	is.NoErr(n.TransferLeadershipTo(to))
 	b := drain(n)
 	is.Equal(sent(b, kindTakeOver, "b"), nil)
@@ -93,13 +93,13 @@
 		term       uint64
 		campaigns  bool
 	}{
-		"from the leader":        {abc(), "c", 2, true},
-		"from another":           {abc(), "b", 2, false},
-		"of an earlier term":     {abc(), "c", 1, false},
-		"of a later term":        {abc(), "b", 3, true},
-		"asked of a learner":     {members(learner("a"), voter("b"), voter("c")), "c", 2, false},
-		"asked of a non-member":  {members(voter("b"), voter("c")), "c", 2, false},
-		"learner of a new group": {nil, "c", 2, false},
+		"from the leader":    {threeVoters(), "c", 2, true},
+		"from another":       {threeVoters(), "b", 2, false},
+		"of an earlier term": {threeVoters(), "c", 1, false},
+		"of a later term":    {threeVoters(), "b", 3, true},
+		"to a learner":       {members(learner("a"), voter("b"), voter("c")), "c", 2, false},
+		"to a non-member":    {members(voter("b"), voter("c")), "c", 2, false},
+		"without membership": {nil, "c", 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -111,15 +111,15 @@
 			if tt.campaigns {
 				is.Equal(vote.GetTerm(), tt.term+1)
 				is.True(vote.GetTakeOver())
-				is.Equal(b.HardState.GetVote().GetName(), "a") // synced before the question is sent
+				is.Equal(b.HardState.GetVote().GetName(), "a") // synced before the request is sent
 			}
 		})
 	}
 }
 
-// A vote that the leader asked for is answered by those that hear the leader,
-// and by the leader; the log is compared as ever.
-func TestVoteOfATakeOver(t *testing.T) {
+// A vote requested by the leader is granted by the leader and by replicas with an
+// active leader; the logs are compared as usual.
+func TestTakeOverVote(t *testing.T) {
 	for name, tt := range map[string]struct {
 		lead  bool
 		index uint64
