--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -15,14 +15,14 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/wal"
 )
 
-// counterMachine is a state machine that costs nothing.
+// counterMachine is a state machine that only counts commands.
 type counterMachine struct{ applied int }
 
 func (m *counterMachine) Apply(uint64, []byte) []byte { m.applied++; return nil }
 func (m *counterMachine) Snapshot() ([]byte, error)   { return make([]byte, 1<<10), nil }
 func (m *counterMachine) Restore([]byte) error        { return nil }
 
-// directTransport hands messages over within the process.
+// directTransport delivers messages within the process, by address.
 type directTransport map[string]*atomic.Pointer[Replica]
 
 func (d directTransport) Send(to *raftpb.Member, _ controlpb.Group, msgs []*raftpb.Message) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// benchGroup returns the leader of a new group, with the scope of its counters.
+// benchGroup returns the leader of a new group and its metrics.
 func benchGroup(b *testing.B, size int) (*Replica, tally.TestScope) {
 	b.Helper()
 	network := directTransport{}
@@ -55,7 +55,7 @@
 		members.Members = append(members.Members, &raftpb.Member{Id: r.ID(), Address: name})
 	}
 	for _, r := range replicas {
-		_ = r.Bootstrap(b.Context(), members) // may be formed by a message already
+		_ = r.Bootstrap(b.Context(), members) // a message may have bootstrapped it already
 	}
 	for {
 		for i, r := range replicas {
@@ -70,8 +70,8 @@
 	}
 }
 
-// BenchmarkPropose measures proposals of 256 bytes, each synced on a quorum,
-// by the number of callers that propose at once.
+// BenchmarkPropose measures proposals of 256 bytes, each synced on a quorum, by the
+// number of concurrent callers.
 func BenchmarkPropose(b *testing.B) {
 	for _, size := range []int{1, 3} {
 		for _, callers := range []int{1, 16, 256} {
@@ -118,7 +118,7 @@
 	return unittest.Counter(scope, name, "")
 }
 
-// BenchmarkRestart measures Open on a folder with a snapshot and the given
+// BenchmarkRestart measures Open of a data directory with a snapshot and the given
 // number of entries of 256 bytes after it.
 func BenchmarkRestart(b *testing.B) {
 	for _, entries := range []int{0, 1_000, 10_000, 100_000} {
@@ -129,15 +129,15 @@
 }
 
 func benchmarkRestart(b *testing.B, entries int) {
-	folder := b.TempDir()
-	fillFolder(b, folder, entries)
+	dir := b.TempDir()
+	fillDataDir(b, dir, entries)
 	machine := &counterMachine{}
 	var worst time.Duration
 	b.ResetTimer()
 	for range b.N {
 		begin := time.Now()
 		*machine = counterMachine{}
-		r, err := Open(Options{DataDir: folder, Name: "a", StateMachine: machine, SnapshotEntries: 1 << 40})
+		r, err := Open(Options{DataDir: dir, Name: "a", StateMachine: machine, SnapshotEntries: 1 << 40})
 		must(b, err)
 		worst = max(worst, time.Since(begin))
 		b.StopTimer()
@@ -150,11 +150,11 @@
 	b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
 }
 
-// fillFolder writes what a group of two leaves at one of them, so that opening
-// it starts no election.
-func fillFolder(b *testing.B, folder string, entries int) {
+// fillDataDir writes the data of one member of a group of two, so that opening it
+// elects no leader.
+func fillDataDir(b *testing.B, dir string, entries int) {
 	b.Helper()
-	log, state, err := wal.Open(folder, wal.Options{Name: "a"})
+	log, state, err := wal.Open(dir, wal.Options{Name: "a"})
 	must(b, err)
 	const snapshotIndex = 1_000_000
 	other := &raftpb.ReplicaID{Name: "b", Incarnation: 1}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -20,15 +20,13 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// testTimeout bounds what a test waits for, however busy the machine is.
+// testTimeout bounds each wait of a test, also on a busy machine.
 const testTimeout = 60 * time.Second
 
-// defaultTestTick makes elections come after 0.3 s: with 10 ms the lead changed by itself
-// where processes stood still for 0.1 s, on a machine with three times as much to do as it
-// has cores.
+// defaultTestTick is long enough that short stalls of a busy machine cause no election.
 const defaultTestTick = 30 * time.Millisecond
 
-// journal is a state machine that keeps the commands in order.
+// journal is a state machine that records the commands in order.
 type journal struct {
 	mu       sync.Mutex
 	commands []string
@@ -60,7 +58,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.commands = nil
-	// A replica that opens its log again begins with the snapshot.
+	// A replica that reopens its log starts from the snapshot.
 	j.applied = 0
 	if len(data) > 0 {
 		j.commands = strings.Split(string(data), "\n")
@@ -86,42 +84,42 @@
 	return n
 }
 
-// host is one replica of a cluster with what outlives its process.
+// host is one replica of a cluster, with the state that survives its process.
 type host struct {
 	name    string
-	folder  string
+	dataDir string
 	disk    *disk
 	journal *journal
 	scope   tally.TestScope
 	replica *Replica // nil while it is down
 }
 
-// cluster is a group of replicas over a network in memory.
+// cluster is a group of replicas connected by an in-memory network.
 type cluster struct {
 	t     *testing.T
 	opts  Options
 	hosts []*host
 
-	mu   sync.Mutex
-	rand *rand.Rand
-	loss float64
-	cut  map[string]bool // hosts that the network cuts off
-	// mute and deaf have the hosts whose messages are lost, or that get none.
-	mute, deaf map[string]bool
-	// tap, if set, sees the messages that arrive.
-	tap func(from, to string, m *raftpb.Message)
-	// noAppends is the host that gets heartbeats and no entries.
-	noAppends string
+	mu       sync.Mutex
+	rand     *rand.Rand
+	loss     float64         // probability that a message is lost
+	isolated map[string]bool // hosts that neither send nor receive
+	// blockSend and blockReceive are the hosts that cannot send, or cannot receive.
+	blockSend, blockReceive map[string]bool
+	// onDeliver, if set, is called with each delivered message.
+	onDeliver func(from, to string, m *raftpb.Message)
+	// dropAppendsTo is the host that receives no appends.
+	dropAppendsTo string
 }
 
 var hostNames = []string{"a", "b", "c"}
 
 func newCluster(t *testing.T, size int, opts Options) *cluster {
 	t.Helper()
-	c := &cluster{t: t, opts: opts, rand: rand.New(rand.NewPCG(1, 2)), cut: map[string]bool{}, mute: map[string]bool{}, deaf: map[string]bool{}}
+	c := &cluster{t: t, opts: opts, rand: rand.New(rand.NewPCG(1, 2)), isolated: map[string]bool{}, blockSend: map[string]bool{}, blockReceive: map[string]bool{}}
 	members := &raftpb.Membership{}
 	for _, name := range hostNames[:size] {
-		h := &host{name: name, folder: filepath.Join(t.TempDir(), name)}
+		h := &host{name: name, dataDir: filepath.Join(t.TempDir(), name)}
 		c.hosts = append(c.hosts, h)
 		c.start(h)
 		members.Members = append(members.Members, &raftpb.Member{Id: h.replica.ID(), Address: name})
@@ -129,7 +127,7 @@
 	t.Cleanup(c.closeAll)
 	for _, h := range c.hosts {
 		err := h.replica.Bootstrap(t.Context(), members)
-		// One that a member formed before has reached already is formed.
+		// A message of another member may have bootstrapped it already.
 		if err != nil && !errors.Is(err, ErrAlreadyBootstrapped) {
 			t.Fatal(err)
 		}
@@ -137,7 +135,7 @@
 	return c
 }
 
-// newLedCluster returns a cluster that has a leader.
+// newLedCluster returns a cluster and its leader.
 func newLedCluster(t *testing.T, size int, opts Options) (*cluster, *host) {
 	t.Helper()
 	c := newCluster(t, size, opts)
@@ -146,7 +144,7 @@
 
 func (c *cluster) options(h *host) Options {
 	o := c.opts
-	o.DataDir, o.Name, o.FS, o.StateMachine = h.folder, h.name, h.disk, h.journal
+	o.DataDir, o.Name, o.FS, o.StateMachine = h.dataDir, h.name, h.disk, h.journal
 	o.Transport = &transport{cluster: c, from: h.name}
 	o.Forwarder = &forwarder{cluster: c, from: h.name}
 	o.Scope = h.scope
@@ -159,7 +157,7 @@
 	return o
 }
 
-// start starts a host's process on what its disk holds.
+// start starts a replica from the data directory of the host.
 func (c *cluster) start(h *host) {
 	c.t.Helper()
 	h.disk = newDisk()
@@ -174,15 +172,15 @@
 	h.replica = r
 }
 
-// kill ends a host's process without a clean end of its log.
+// kill stops the replica of a host without closing its log cleanly.
 func (c *cluster) kill(h *host) {
 	h.disk.fail(errors.New("killed"))
-	r := c.detach(h)
-	_ = r.halt() // reports the failure above, if the log was in use
+	r := c.takeDown(h)
+	_ = r.shutdown() // returns the failure above, if the log was in use
 }
 
-// detach takes a host off the network.
-func (c *cluster) detach(h *host) *Replica {
+// takeDown disconnects a host from the network and returns its replica.
+func (c *cluster) takeDown(h *host) *Replica {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := h.replica
@@ -192,23 +190,23 @@
 
 func (c *cluster) closeAll() {
 	for _, h := range c.hosts {
-		if r := c.detach(h); r != nil {
-			_ = r.halt() // a test that minds has looked at it already
+		if r := c.takeDown(h); r != nil {
+			_ = r.shutdown() // tests check the error themselves
 		}
 	}
 }
 
-func (c *cluster) isolate(h *host, cut bool) {
+func (c *cluster) isolate(h *host, isolated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[h.name] = cut
+	c.isolated[h.name] = isolated
 }
 
-// cutOneWay loses what a host sends, or what is sent to it.
-func (c *cluster) cutOneWay(h *host, mute, deaf bool) {
+// blockOneWay drops what a host sends, or what is sent to it.
+func (c *cluster) blockOneWay(h *host, blockSend, blockReceive bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mute[h.name], c.deaf[h.name] = mute, deaf
+	c.blockSend[h.name], c.blockReceive[h.name] = blockSend, blockReceive
 }
 
 func (c *cluster) setLoss(loss float64) {
@@ -217,12 +215,11 @@
 	c.loss = loss
 }
 
-// reach returns the replica at an address, nil if the network loses what is
-// sent to it.
-func (c *cluster) reach(from, to string) *Replica {
+// route returns the replica at an address, nil if the message is lost.
+func (c *cluster) route(from, to string) *Replica {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut[from] || c.cut[to] || c.mute[from] || c.deaf[to] || c.rand.Float64() < c.loss {
+	if c.isolated[from] || c.isolated[to] || c.blockSend[from] || c.blockReceive[to] || c.rand.Float64() < c.loss {
 		return nil
 	}
 	for _, h := range c.hosts {
@@ -240,40 +237,40 @@
 
 func (tr *transport) Send(to *raftpb.Member, _ controlpb.Group, msgs []*raftpb.Message) {
 	for _, m := range msgs {
-		if tr.cluster.withholds(to.GetAddress(), m) {
+		if tr.cluster.dropsAppend(to.GetAddress(), m) {
 			continue
 		}
-		if r := tr.cluster.reach(tr.from, to.GetAddress()); r != nil {
+		if r := tr.cluster.route(tr.from, to.GetAddress()); r != nil {
 			r.Receive([]*raftpb.Message{proto.CloneOf(m)})
-			tr.cluster.observe(tr.from, to.GetAddress(), m)
+			tr.cluster.notifyDelivered(tr.from, to.GetAddress(), m)
 		}
 	}
 }
 
-func (c *cluster) withholdAppends(name string) {
+func (c *cluster) dropAppends(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noAppends = name
+	c.dropAppendsTo = name
 }
 
-func (c *cluster) withholds(to string, m *raftpb.Message) bool {
+func (c *cluster) dropsAppend(to string, m *raftpb.Message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return to == c.noAppends && m.GetKind() == raftpb.MessageKind_MESSAGE_APPEND
+	return to == c.dropAppendsTo && m.GetKind() == raftpb.MessageKind_MESSAGE_APPEND
 }
 
-func (c *cluster) setTap(tap func(from, to string, m *raftpb.Message)) {
+func (c *cluster) setOnDeliver(onDeliver func(from, to string, m *raftpb.Message)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tap = tap
+	c.onDeliver = onDeliver
 }
 
-func (c *cluster) observe(from, to string, m *raftpb.Message) {
+func (c *cluster) notifyDelivered(from, to string, m *raftpb.Message) {
 	c.mu.Lock()
-	tap := c.tap
+	onDeliver := c.onDeliver
 	c.mu.Unlock()
-	if tap != nil {
-		tap(from, to, m)
+	if onDeliver != nil {
+		onDeliver(from, to, m)
 	}
 }
 
@@ -282,21 +279,21 @@
 	from    string
 }
 
-var errLost = errors.New("answer lost")
+var errReplyLost = errors.New("reply lost")
 
 func (f *forwarder) Forward(ctx context.Context, leader *raftpb.Member, _ controlpb.Group, command []byte) (*controlpb.ProposeReply, error) {
-	r := f.cluster.reach(f.from, leader.GetAddress())
+	r := f.cluster.route(f.from, leader.GetAddress())
 	if r == nil {
 		return nil, ErrNoLeader // not sent
 	}
 	reply := NewProposeReply(r.ProposeLocal(ctx, command))
-	if f.cluster.reach(leader.GetAddress(), f.from) == nil {
-		return nil, errLost
+	if f.cluster.route(leader.GetAddress(), f.from) == nil {
+		return nil, errReplyLost
 	}
 	return reply, nil
 }
 
-// wait returns once cond holds, looking again at each change of any status.
+// wait waits until cond holds. It is checked at each change of a status.
 func (c *cluster) wait(what string, cond func() bool) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), testTimeout)
@@ -319,18 +316,18 @@
 	}
 }
 
-// leader waits until a host leads that is not one of the excluded.
+// leader waits for a leader that is not excluded.
 func (c *cluster) leader(excluded ...*host) *host {
 	c.t.Helper()
 	var found *host
 	c.wait("leader", func() bool {
-		found = c.leaderNow(excluded)
+		found = c.currentLeader(excluded)
 		return found != nil
 	})
 	return found
 }
 
-func (c *cluster) leaderNow(excluded []*host) *host {
+func (c *cluster) currentLeader(excluded []*host) *host {
 	for _, h := range c.hosts {
 		skip := h.replica == nil
 		for _, x := range excluded {
@@ -346,9 +343,8 @@
 	return nil
 }
 
-// propose proposes the command at h, again after each certain refusal. On a machine that
-// stands still for longer than an election takes, the lead may change meanwhile, and the
-// outcome is unknown: whether the command took effect is then read.
+// propose proposes the command at h until it is applied. The outcome may be unknown if
+// the leader changes; it is then looked up in the journal.
 func (c *cluster) propose(h *host, command string) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), testTimeout)
@@ -356,7 +352,7 @@
 	for {
 		_, changed := h.replica.Watch()
 		_, err := h.replica.Propose(ctx, []byte(command))
-		if err == nil || errors.Is(err, ErrUnknown) && h.tookEffect(ctx, command) {
+		if err == nil || errors.Is(err, ErrUnknown) && h.wasApplied(ctx, command) {
 			return
 		}
 		if !errors.Is(err, ErrNoLeader) && !errors.Is(err, ErrBusy) && !errors.Is(err, ErrUnknown) {
@@ -368,9 +364,9 @@
 	}
 }
 
-// tookEffect reports whether a command whose outcome is unknown is part of the journal:
-// what a read barrier has not shown will never be.
-func (h *host) tookEffect(ctx context.Context, command string) bool {
+// wasApplied reports whether a command with unknown outcome was applied. What is not in
+// the journal after a read barrier will never be.
+func (h *host) wasApplied(ctx context.Context, command string) bool {
 	for ctx.Err() == nil {
 		_, changed := h.replica.Watch()
 		if h.replica.ReadBarrier(ctx) == nil {
@@ -381,7 +377,7 @@
 	return h.journal.count(command) > 0
 }
 
-// proposeInBackground proposes at h once. The outcome comes on the channel.
+// proposeInBackground proposes at h once. The channel receives the outcome.
 func (h *host) proposeInBackground(ctx context.Context, command string) <-chan error {
 	outcome := make(chan error, 1)
 	r := h.replica
@@ -392,8 +388,7 @@
 	return outcome
 }
 
-// readInBackground waits for a read barrier at h. The outcome comes on the
-// channel.
+// readInBackground starts a read barrier at h. The channel receives the outcome.
 func (h *host) readInBackground(ctx context.Context) <-chan error {
 	outcome := make(chan error, 1)
 	r := h.replica
@@ -401,8 +396,8 @@
 	return outcome
 }
 
-// backoff returns before the next try: at a change of the status, or after a
-// while, because a lost message changes none. It returns false if ctx ends.
+// backoff waits before a retry, until the status changes or a short time has passed.
+// It returns false if ctx ends.
 func backoff(ctx context.Context, changed <-chan struct{}) bool {
 	const pause = 10 * time.Millisecond
 	timer := time.NewTimer(pause)
@@ -416,8 +411,7 @@
 	return true
 }
 
-// converge waits until all running replicas hold the same journal, which has
-// the command.
+// converge waits until all running replicas have the same journal with the command.
 func (c *cluster) converge(command string) {
 	c.t.Helper()
 	c.wait("convergence on "+command, func() bool {
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -7,17 +7,17 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/wal"
 )
 
-// disk is the real file system with faults.
+// disk is the real file system with fault injection.
 type disk struct {
 	wal.OSFS
 	mu sync.Mutex
-	// failure, if set, is what every write and sync returns.
+	// failure, if set, is returned by every sync.
 	failure error
-	// full refuses every write, as a disk without room does.
+	// full makes every write fail with ENOSPC.
 	full bool
 	// gate, if set, blocks every sync until it is closed.
 	gate chan struct{}
-	// blocked gets a token when a sync begins to wait at the gate.
+	// blocked receives a token when a sync starts to wait at the gate.
 	blocked chan struct{}
 }
 
@@ -41,8 +41,8 @@
 	return d.full
 }
 
-// freeze lets the next sync wait, and with it the whole replica.
-func (d *disk) freeze() (thaw func()) {
+// blockSync blocks syncs, and with them the replica, until unblock is called.
+func (d *disk) blockSync() (unblock func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	gate := make(chan struct{})
--- a/internal/replica/room_test.go
+++ b/internal/replica/diskfull_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A leader whose disk has no room leaves the group to the others and comes back by
-// itself, with all that was acknowledged meanwhile and before.
-func TestDiskWithoutRoom(t *testing.T) {
+// A leader with a full disk is replaced, and rejoins without losing acknowledged
+// commands once there is space.
+func TestLeaderWithFullDisk(t *testing.T) {
 	is := is.New(t)
 	c, old := newLedCluster(t, 3, Options{WaitForDiskSpace: true})
 	c.propose(old, "before")
@@ -20,15 +20,16 @@
 	is.True(err != nil)
 	is.True(old.replica.Err() == nil) // it did not fail
 	others := c.leader(old)
-	c.propose(others, "meanwhile")
+	c.propose(others, "while full")
 	old.disk.fill(false)
 	c.propose(others, "after")
 	c.converge("after")
 	is.NoErr(old.replica.ReadBarrier(ctx))
 }
 
-// The disk is full from the moment when a follower is to write.
-func TestFollowerWithoutRoom(t *testing.T) {
+// A follower with a full disk must not block the group, and must catch up once there
+// is space.
+func TestFollowerWithFullDisk(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{WaitForDiskSpace: true, SnapshotEntries: 5})
 	var follower *host
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -1,30 +1,30 @@
-// Package replica runs one replica of a replicated state machine: it drives
-// the agreement core of package raft, persists through package wal, applies
-// committed commands to a StateMachine and answers the waiting proposers.
+// Package replica runs one replica of a replicated state machine: it drives a
+// raft.Node, persists its state in a wal.Log, applies committed commands to a
+// StateMachine and completes pending proposals.
 //
-// One goroutine owns the core, the log and the state machine. Callers hand it
-// requests and messages through a bounded intake and wait for the outcome. It
-// takes all that waits at once, so proposals that come during a sync share the
-// next one (group commit).
+// One goroutine owns the node, the log and the state machine. Callers pass it
+// requests and messages through a bounded inbox and wait for the result. It
+// takes all queued requests at once, so proposals that arrive during a sync
+// share the next one (group commit).
 //
-// # Order of work
+// # Processing order
 //
-// A batch of the core is first synced, then its messages are sent, then its
-// entries applied, then its reads answered: a message speaks of durable state,
-// and an answer of applied state. After a failed sync nothing more is sent or
-// answered but ErrUnknown.
+// A batch of the node is first synced, then its messages are sent, its entries
+// applied and its reads answered: messages refer to durable state, and replies
+// to applied state. After a failed sync no more messages are sent, and pending
+// proposals get ErrUnknown.
 //
 // # Outcomes
 //
-// An error says that a command was not replicated only if it never entered the
-// core's log or if another entry was committed in its place. In every other
-// case it is ErrUnknown, and the command may still take effect later.
+// An error other than ErrUnknown means that the command was not replicated: it
+// was never appended to the log, or another entry was committed in its place.
+// After ErrUnknown the command may still take effect.
 //
-// # Founding and joining
+// # Bootstrapping and joining
 //
-// A replica's incarnation is made with its data folder, at random. The first
-// members of a group therefore exchange their identities before each calls
-// Form with the same list. A replica that lost its folder comes back as another
-// one: it is never formed again, but added by AddLearner, caught up, promoted,
-// and its former incarnation removed.
+// The random incarnation of a replica is created with its data directory. The
+// initial members of a group exchange their identities before each calls
+// Bootstrap with the same list. A replica that lost its data directory is a new
+// one: it is not bootstrapped again, but added by AddLearner and promoted, and
+// its previous incarnation is removed.
 package replica
--- a/internal/replica/group_test.go
+++ b/internal/replica/group_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// proposeUnderLoss proposes until one try is answered, under a new name each
-// time: one of unknown outcome may take effect.
+// proposeUnderLoss proposes until an attempt succeeds. Each attempt uses another
+// command, since attempts with unknown outcome may take effect.
 func (c *cluster) proposeUnderLoss(h *host, command string) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), testTimeout)
@@ -59,7 +59,7 @@
 	c.kill(old)
 	next := c.leader()
 	is.True(next != old)
-	is.Equal(next.journal.count("before"), 1) // or after the barrier below
+	is.Equal(next.journal.count("before"), 1)
 	for _, h := range others(c, old) {
 		c.propose(h, "while down, at "+h.name)
 	}
@@ -69,7 +69,7 @@
 	is.Equal(old.journal.count("before"), 1)
 }
 
-func TestReadBarrierOnAFollowerSeesWhatWasAnswered(t *testing.T) {
+func TestFollowerReadBarrierSeesAcceptedWrites(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{})
 	for i := range 20 {
@@ -85,30 +85,29 @@
 	}
 }
 
-func TestReadBarrierOnALaggingFollowerWaits(t *testing.T) {
+func TestReadBarrierOnLaggingFollowerWaits(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{})
 	follower := others(c, leader)[0]
 	c.propose(leader, "before")
 	c.converge("before")
-	c.withholdAppends(follower.name)
+	c.dropAppends(follower.name)
 	c.propose(leader, "x")
 	read := follower.readInBackground(t.Context())
-	// The entries come only once a read index was asked for.
+	// The entry is delivered only after the read index was requested.
 	select {
 	case err := <-read:
 		is.True(err != nil) // it lacks x
 	case <-time.After(200 * time.Millisecond):
 	}
 	is.Equal(follower.journal.count("x"), 0)
-	c.withholdAppends("")
+	c.dropAppends("")
 	c.converge("x")
 	is.NoErr(<-read)
 }
 
-// A proposal whose leader is cut off is answered without waiting for the
-// caller's deadline, and not with a claim that cannot be known.
-func TestProposalOfALeaderThatIsCutOffGetsUnknown(t *testing.T) {
+// A proposal on an isolated leader must get ErrUnknown before the caller's deadline.
+func TestProposalOfIsolatedLeaderIsUnknown(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{})
 	c.propose(leader, "before")
@@ -118,22 +117,21 @@
 	is.True(!errors.Is(err, ErrNoLeader))
 }
 
-func TestReadBarrierNeedsAQuorum(t *testing.T) {
+func TestReadBarrierNeedsQuorum(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{})
 	c.propose(leader, "x")
 	c.isolate(leader, true)
 	next := c.leader(leader)
 	c.propose(next, "y")
-	// It believes to lead until its quorum check; whichever comes first, no
-	// read without y may pass.
+	// The old leader may not have noticed yet; it must not serve a read without y.
 	err := leader.replica.ReadBarrier(t.Context())
 	is.True(errors.Is(err, ErrNoLeader))
 	c.isolate(leader, false)
 	c.converge("y")
 }
 
-func TestLostFolderComesBackAsLearner(t *testing.T) {
+func TestLostDataDirRejoinsAsLearner(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{SnapshotEntries: 5})
 	for i := range 12 {
@@ -142,13 +140,13 @@
 	lost := others(c, leader)[0]
 	oldID := lost.replica.ID()
 	c.kill(lost)
-	is.NoErr(os.RemoveAll(lost.folder))
+	is.NoErr(os.RemoveAll(lost.dataDir))
 	c.start(lost)
 	newID := lost.replica.ID()
 	is.True(newID.GetIncarnation() != oldID.GetIncarnation())
 
 	leader = c.leader()
-	c.propose(leader, "while lost") // before an entry of its term the leader is busy
+	c.propose(leader, "while lost") // the leader is busy until an entry of its term is committed
 	r := leader.replica
 	is.True(errors.Is(r.Promote(t.Context(), newID), ErrMembership)) // not a member
 	is.NoErr(r.AddLearner(t.Context(), &raftpb.Member{Id: newID, Address: lost.name}))
@@ -167,7 +165,7 @@
 	is.NoErr(r.Remove(t.Context(), oldID)) // idempotent
 	is.Equal(len(r.Status().Members), 3)
 
-	// Soon after the repair a second host is lost.
+	// The group must survive the loss of a second host.
 	for _, h := range others(c, leader) {
 		if h != lost {
 			c.kill(h)
@@ -178,20 +176,20 @@
 	is.Equal(lost.journal.count("before-0"), 1)
 }
 
-func TestLostFolderDoesNotVoteAgain(t *testing.T) {
+func TestLostDataDirDoesNotVoteAgain(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{})
 	c.propose(leader, "accepted")
 	lost, other := others(c, leader)[0], others(c, leader)[1]
 	c.kill(lost)
-	is.NoErr(os.RemoveAll(lost.folder))
+	is.NoErr(os.RemoveAll(lost.dataDir))
 	c.start(lost)
 	c.kill(leader)
-	// One of three members and an amnesiac are no quorum. By the fifth round of
-	// pre-votes the answers to the first have long come.
+	// One of three members and the replica without data are no quorum. By the fifth
+	// round of pre-votes the replies to the first have arrived.
 	rounds := make(chan struct{})
 	stop := make(chan struct{})
-	c.setTap(func(from, to string, m *raftpb.Message) {
+	c.setOnDeliver(func(from, to string, m *raftpb.Message) {
 		if from != other.name || to != lost.name || m.GetKind() != raftpb.MessageKind_MESSAGE_PRE_VOTE {
 			return
 		}
@@ -204,10 +202,10 @@
 	for range 5 {
 		<-rounds
 		s := other.replica.Status()
-		is.Equal(s.Term, term) // no election was begun
+		is.Equal(s.Term, term) // no election was started
 		is.True(!s.Leading())
 	}
-	c.setTap(nil)
+	c.setOnDeliver(nil)
 	close(stop)
 	c.start(leader)
 	c.propose(other, "later")
@@ -235,8 +233,8 @@
 	is.Equal(slow.journal.text(), want+"\nafter")
 }
 
-// A leader that has loaded its snapshot sends it whole from the disk.
-func TestRestartedLeaderSendsItsSnapshot(t *testing.T) {
+// A leader that loaded its snapshot at the start sends it with the data from disk.
+func TestRestartedLeaderSendsSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, Options{SnapshotEntries: 10})
 	leader := c.leader()
@@ -249,26 +247,26 @@
 		c.kill(h)
 		c.start(h)
 	}
-	is.True(slow.counter("snapshots_restored") == 1) // that of the founding
+	is.True(slow.counter("snapshots_restored") == 1) // that of Bootstrap
 	c.isolate(slow, false)
 	c.propose(c.leader(slow), "last")
 	c.converge("last")
 	is.Equal(slow.counter("snapshots_restored"), int64(2))
 }
 
-// A leader is frozen in a sync while the others go on without it. What it does
-// on thawing must neither contradict them nor serve a stale read.
-func TestFrozenLeaderThaws(t *testing.T) {
+// A leader that was blocked in a sync while others took over must neither contradict
+// them nor serve a stale read when it resumes.
+func TestFrozenLeaderResumes(t *testing.T) {
 	is := is.New(t)
 	c, old := newLedCluster(t, 3, Options{})
 	c.propose(old, "before")
-	thaw, outcome := waitFrozen(context.WithoutCancel(t.Context()), old, "frozen")
+	unblock, outcome := proposeBlocked(context.WithoutCancel(t.Context()), old, "frozen")
 	next := c.leader(old)
 	c.propose(next, "meanwhile")
 	status := old.replica.Status()
-	is.True(status.Leading()) // it knows nothing of it
+	is.True(status.Leading()) // it has not noticed
 	read := old.readInBackground(t.Context())
-	thaw()
+	unblock()
 	err := <-read
 	if err == nil {
 		is.Equal(old.journal.count("meanwhile"), 1)
@@ -283,7 +281,7 @@
 	}
 }
 
-func TestLeaderWithABadDiskIsReplaced(t *testing.T) {
+func TestLeaderWithFailedDiskIsReplaced(t *testing.T) {
 	is := is.New(t)
 	c, old := newLedCluster(t, 3, Options{})
 	c.propose(old, "before")
@@ -299,7 +297,7 @@
 	c.converge("last")
 }
 
-func TestMembershipChangesNeedTheLeader(t *testing.T) {
+func TestMembershipChangesNeedLeader(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{})
 	follower := others(c, leader)[0]
@@ -307,20 +305,20 @@
 	is.True(errors.Is(follower.replica.AddLearner(t.Context(), &raftpb.Member{Id: id}), ErrNoLeader))
 	voter := &raftpb.Member{Id: follower.replica.ID()}
 	is.True(errors.Is(leader.replica.AddLearner(t.Context(), voter), ErrMembership))
-	c.propose(leader, "x") // before an entry of its term the leader is busy
+	c.propose(leader, "x") // the leader is busy until an entry of its term is committed
 	is.NoErr(leader.replica.AddLearner(t.Context(), &raftpb.Member{Id: id, Address: "d"}))
-	is.True(errors.Is(leader.replica.Promote(t.Context(), id), ErrMembership)) // never heard of
+	is.True(errors.Is(leader.replica.Promote(t.Context(), id), ErrMembership)) // not caught up
 }
 
-// A command forwarded to a leader that was killed is given up once the group
-// has another one, however long the caller would wait.
-func TestForwardToKilledLeaderIsGivenUp(t *testing.T) {
+// A command forwarded to a killed leader must be canceled when the leader changes,
+// before the caller's deadline.
+func TestForwardToKilledLeaderIsCanceled(t *testing.T) {
 	is := is.New(t)
 	c, leader := newLedCluster(t, 3, Options{})
 	follower := others(c, leader)[0]
 	c.wait("the leader known", func() bool { return follower.replica.Status().Leader != nil })
 	sent := make(chan struct{})
-	follower.replica.opts.Forwarder = silentForwarder{sent: sent}
+	follower.replica.opts.Forwarder = hangingForwarder{sent: sent}
 	var killer conc.WaitGroup
 	defer killer.Wait()
 	killer.Go(func() {
@@ -331,12 +329,12 @@
 	is.True(errors.Is(err, ErrUnknown))
 }
 
-// silentForwarder sends and hears nothing.
-type silentForwarder struct {
+// hangingForwarder never receives a reply.
+type hangingForwarder struct {
 	sent chan struct{}
 }
 
-func (f silentForwarder) Forward(ctx context.Context, _ *raftpb.Member, _ controlpb.Group, _ []byte) (*controlpb.ProposeReply, error) {
+func (f hangingForwarder) Forward(ctx context.Context, _ *raftpb.Member, _ controlpb.Group, _ []byte) (*controlpb.ProposeReply, error) {
 	close(f.sent)
 	<-ctx.Done()
 	return nil, ctx.Err()
@@ -366,7 +364,7 @@
 		{"unknown", fixedForwarder{reply: reply(controlpb.ProposeStatus_PROPOSE_UNKNOWN)}, ErrUnknown},
 		{"status of a newer version", fixedForwarder{reply: reply(99)}, ErrUnknown},
 		{"no reply", fixedForwarder{}, ErrUnknown},
-		{"lost", fixedForwarder{err: errLost}, ErrUnknown},
+		{"lost", fixedForwarder{err: errReplyLost}, ErrUnknown},
 		{"cancelled", fixedForwarder{err: context.Canceled}, ErrUnknown},
 		{"not sent", fixedForwarder{err: ErrNoLeader}, ErrNoLeader},
 	}
@@ -374,7 +372,7 @@
 	follower := others(c, leader)[0]
 	c.wait("follower knows the leader", func() bool { return follower.replica.Status().Leader != nil })
 	r := &Replica{id: follower.replica.id, metrics: follower.replica.metrics, opts: follower.replica.opts}
-	r.published.Store(follower.replica.published.Load())
+	r.publishedStatus.Store(follower.replica.publishedStatus.Load())
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
@@ -393,13 +391,13 @@
 	}
 }
 
-func TestReplyKeepsWhatIsCertain(t *testing.T) {
+func TestNewProposeReply(t *testing.T) {
 	is := is.New(t)
 	is.Equal(NewProposeReply(nil, nil).Status, controlpb.ProposeStatus_PROPOSE_OK)
 	is.Equal(NewProposeReply(nil, ErrNoLeader).Status, controlpb.ProposeStatus_PROPOSE_NO_LEADER)
 	is.Equal(NewProposeReply(nil, ErrClosed).Status, controlpb.ProposeStatus_PROPOSE_NO_LEADER)
 	is.Equal(NewProposeReply(nil, ErrBusy).Status, controlpb.ProposeStatus_PROPOSE_BUSY)
 	is.Equal(NewProposeReply(nil, ErrUnknown).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
-	is.Equal(NewProposeReply(nil, errLost).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
+	is.Equal(NewProposeReply(nil, errReplyLost).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
 	is.Equal(NewProposeReply(nil, errors.Join(ErrUnknown, ErrBusy)).Status, controlpb.ProposeStatus_PROPOSE_UNKNOWN)
 }
--- a/internal/replica/intake.go
+++ b/internal/replica/inbox.go
@@ -6,9 +6,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// intake is the bounded queue between callers and the loop.
-type intake struct {
-	// wake holds a token while there is something to take.
+// inbox is the bounded queue between callers and the loop.
+type inbox struct {
+	// wake holds a token while the inbox may not be empty.
 	wake chan struct{}
 
 	maxRequests int
@@ -16,19 +16,19 @@
 	mu       sync.Mutex
 	closed   bool
 	requests []*request
-	// waiting and waitingBytes count the requests without an outcome, queued
-	// or not.
+	// waiting and waitingBytes count the requests without a result, queued or
+	// started.
 	waiting      int
 	waitingBytes int
 	messages     []*raftpb.Message
 	messageBytes int
 }
 
-func newIntake(maxRequests int) *intake {
-	return &intake{wake: make(chan struct{}, 1), maxRequests: maxRequests}
+func newInbox(maxRequests int) *inbox {
+	return &inbox{wake: make(chan struct{}, 1), maxRequests: maxRequests}
 }
 
-func (in *intake) signal() {
+func (in *inbox) signal() {
 	select {
 	case in.wake <- struct{}{}:
 	default:
@@ -36,7 +36,7 @@
 }
 
 // addRequest queues a request, or returns ErrBusy or ErrClosed.
-func (in *intake) addRequest(q *request) error {
+func (in *inbox) addRequest(q *request) error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.closed {
@@ -55,17 +55,17 @@
 	return nil
 }
 
-// release makes room for another request.
-func (in *intake) release(q *request) {
+// release frees the capacity held by a request.
+func (in *inbox) release(q *request) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.waiting--
 	in.waitingBytes -= q.size
 }
 
-// addMessages queues messages and returns how many it dropped for lack of
-// room. A lost message is repeated by its sender.
-func (in *intake) addMessages(msgs []*raftpb.Message) (dropped int) {
+// addMessages queues messages and returns how many it dropped because the inbox
+// is full. Raft recovers from lost messages.
+func (in *inbox) addMessages(msgs []*raftpb.Message) (dropped int) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.closed {
@@ -85,7 +85,7 @@
 }
 
 // take empties the queue.
-func (in *intake) take() ([]*request, []*raftpb.Message) {
+func (in *inbox) take() ([]*request, []*raftpb.Message) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	requests, messages := in.requests, in.messages
@@ -94,8 +94,8 @@
 	return requests, messages
 }
 
-// close refuses everything from now on and returns the requests still queued.
-func (in *intake) close() []*request {
+// close refuses further requests and messages and returns the queued requests.
+func (in *inbox) close() []*request {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.closed = true
@@ -104,7 +104,7 @@
 	return requests
 }
 
-// messageSize is roughly what a message holds in memory, in bytes.
+// messageSize returns the approximate memory size of a message, in bytes.
 func messageSize(m *raftpb.Message) int {
 	const (
 		messageOverhead = 256
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -13,20 +13,20 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// run is the goroutine that owns the core, the log and the state machine.
+// run is the goroutine that owns the node, the log and the state machine.
 func (r *Replica) run() {
 	defer close(r.stopped)
-	// A panic of the state machine ends this replica; its callers must not
-	// wait for ever.
+	// A panic of the state machine stops this replica, but must not leave callers
+	// waiting.
 	for {
 		if recovered := panics.Try(r.loop); recovered != nil {
 			r.fail(recovered.AsError())
 		}
-		if !r.lacksRoom() || !r.awaitRoom() {
+		if !r.canRetryDiskFull() || !r.waitForDiskSpace() {
 			break
 		}
 	}
-	r.abandonAll()
+	r.failAll()
 	r.flush()
 	if err := r.closeLog(); err != nil {
 		r.fail(err)
@@ -38,7 +38,7 @@
 	r.log.Info("replica closed", zap.Uint64("applied", r.applied))
 }
 
-// fail keeps the first failure. The loop ends at the next look at it.
+// fail records the first failure. The loop then ends.
 func (r *Replica) fail(err error) {
 	if r.failure == nil {
 		r.failure = err
@@ -46,8 +46,7 @@
 }
 
 func (r *Replica) loop() {
-	// A ticker drops ticks that come late: a process that was frozen gets one
-	// tick when it thaws, and the core lets no tick decide what is right.
+	// The ticker drops missed ticks: after a stall there is only one.
 	ticker := time.NewTicker(r.opts.TickInterval)
 	defer ticker.Stop()
 	for r.failure == nil {
@@ -56,13 +55,13 @@
 			return
 		case <-ticker.C:
 			r.tick()
-		case <-r.intake.wake:
+		case <-r.inbox.wake:
 		}
-		if err := r.takeIn(); err != nil {
+		if err := r.processInbox(); err != nil {
 			r.fail(err)
 			return
 		}
-		if err := r.work(); err != nil {
+		if err := r.processBatches(); err != nil {
 			r.fail(err)
 			return
 		}
@@ -74,13 +73,13 @@
 	r.ticks++
 	r.node.Tick()
 	r.expireCommits()
-	r.forgetDeparted()
+	r.dropAbandoned()
 }
 
-// takeIn hands all that waits to the core. Messages go first: they may tell
-// that another replica leads.
-func (r *Replica) takeIn() error {
-	requests, messages := r.intake.take()
+// processInbox passes all queued messages and requests to the node. Messages go
+// first: another replica may have become leader.
+func (r *Replica) processInbox() error {
+	requests, messages := r.inbox.take()
 	for _, m := range messages {
 		err := r.node.Step(m)
 		if errors.Is(err, raft.ErrInconsistent) {
@@ -91,8 +90,8 @@
 		}
 	}
 	for _, q := range requests {
-		if !q.move(requestQueued, requestTaken) {
-			r.intake.release(q)
+		if !q.transition(requestQueued, requestStarted) {
+			r.inbox.release(q)
 			continue
 		}
 		q.start(q)
@@ -100,15 +99,15 @@
 	return r.failure
 }
 
-// work does all batches of the core.
-func (r *Replica) work() error {
+// processBatches processes all batches of the node.
+func (r *Replica) processBatches() error {
 	for {
-		r.noteRole()
+		r.updateRole()
 		batch, ok := r.node.Ready()
 		if !ok {
 			return nil
 		}
-		if err := r.handle(batch); err != nil {
+		if err := r.processBatch(batch); err != nil {
 			return err
 		}
 		r.node.Advance(batch)
@@ -122,21 +121,21 @@
 	}
 }
 
-func (r *Replica) noteRole() {
-	leads := r.node.Status().Role == raft.RoleLeader
-	if r.leading && !leads {
-		r.leadershipLost()
+func (r *Replica) updateRole() {
+	isLeader := r.node.Status().Role == raft.RoleLeader
+	if r.wasLeader && !isLeader {
+		r.expireOnLeadershipLoss()
 	}
-	r.leading = leads
+	r.wasLeader = isLeader
 }
 
-// handle does the work of a batch. The order is that of the package comment of
+// processBatch processes a batch in the order described in the package comment of
 // raft: nothing is sent or answered before it is synced.
-func (r *Replica) handle(b raft.Batch) error {
+func (r *Replica) processBatch(b raft.Batch) error {
 	if err := r.persist(b); err != nil {
 		return errors.Wrap(err, "persist")
 	}
-	messages, err := r.withSnapshots(b.Messages)
+	messages, err := r.attachSnapshotData(b.Messages)
 	if err != nil {
 		return errors.Wrap(err, "snapshot to send")
 	}
@@ -147,13 +146,13 @@
 	for _, e := range b.Committed {
 		r.apply(e)
 	}
-	r.answerReads(b.Reads)
-	r.answerApplied()
+	r.completeReads(b.Reads)
+	r.completeApplied()
 	return nil
 }
 
 // persist saves a batch. A commit index alone may be lost and is saved with the
-// next batch, which spares a sync for each round of proposals.
+// next batch, which avoids an extra sync.
 func (r *Replica) persist(b raft.Batch) error {
 	if b.HardState != nil {
 		r.hardState = b.HardState
@@ -188,7 +187,7 @@
 	return nil
 }
 
-// send hands messages to the transport, in order, grouped by receiver.
+// send passes messages to the transport, in order and grouped by receiver.
 func (r *Replica) send(msgs []*raftpb.Message) {
 	if r.opts.Transport == nil || len(msgs) == 0 {
 		return
@@ -225,10 +224,10 @@
 	r.applied = e.GetIndex()
 	r.appliedBytes += len(e.GetData())
 	r.metrics.applied.Inc(1)
-	r.answerCommit(e, result)
+	r.completeCommit(e, result)
 }
 
-// restore replaces the state machine's state by that of a snapshot.
+// restore replaces the state of the state machine with that of a snapshot.
 func (r *Replica) restore(s *raftpb.Snapshot) error {
 	if s == nil {
 		return nil
@@ -237,13 +236,13 @@
 		return errors.Wrapf(err, "restore snapshot at %d", s.GetIndex())
 	}
 	r.applied = s.GetIndex()
-	r.metrics.restored.Inc(1)
-	r.answerSkipped(s.GetIndex())
+	r.metrics.snapshotsRestored.Inc(1)
+	r.completeSkipped(s.GetIndex())
 	return nil
 }
 
-// maybeSnapshot takes a snapshot when enough entries were applied. A state
-// machine that cannot give one is asked again after as many entries more.
+// maybeSnapshot takes a snapshot once enough entries were applied since the last
+// attempt.
 func (r *Replica) maybeSnapshot() error {
 	if r.applied < r.snapshotIndex+r.opts.SnapshotEntries && r.appliedBytes < r.opts.SnapshotBytes {
 		return nil
@@ -253,17 +252,17 @@
 	s := &raftpb.Snapshot{Index: r.applied}
 	var err error
 	if s.Data, err = r.opts.StateMachine.Snapshot(); err != nil {
-		r.noteSnapshotFailure(err)
+		r.recordSnapshotFailure(err)
 		return nil
 	}
-	// Fills in term and membership.
+	// Sets term and membership.
 	if err := r.node.Compact(s); err != nil {
-		r.noteSnapshotFailure(err)
+		r.recordSnapshotFailure(err)
 		return nil
 	}
 	err = r.wal.Compact(s)
 	if errors.Is(err, wal.ErrTooLarge) {
-		r.noteSnapshotFailure(err)
+		r.recordSnapshotFailure(err)
 		return nil
 	}
 	if err != nil {
@@ -274,42 +273,41 @@
 	return nil
 }
 
-// dropSnapshotData leaves the data of a snapshot that the log has on disk to it.
-// The core holds the snapshot for replicas that lag, which is rare; its data can
-// be as large as the state.
-func (r *Replica) dropSnapshotData() { r.storedIndex = r.node.DropSnapshotData() }
+// dropSnapshotData drops the data of the node's snapshot from memory. It is read
+// from the log when the snapshot is sent.
+func (r *Replica) dropSnapshotData() { r.storedSnapshotIndex = r.node.DropSnapshotData() }
 
-// withSnapshots gives the data back to the snapshots among messages. A message
-// with a snapshot that was replaced since is left out: the core sends anew.
-func (r *Replica) withSnapshots(msgs []*raftpb.Message) ([]*raftpb.Message, error) {
+// attachSnapshotData adds the data to the snapshots among messages. A message with a
+// snapshot that was replaced since is left out; the node sends another one.
+func (r *Replica) attachSnapshotData(msgs []*raftpb.Message) ([]*raftpb.Message, error) {
 	out := msgs[:0:0]
 	for _, m := range msgs {
 		s := m.GetSnapshot()
-		if s == nil || r.storedIndex == 0 || s.GetIndex() > r.storedIndex {
+		if s == nil || r.storedSnapshotIndex == 0 || s.GetIndex() > r.storedSnapshotIndex {
 			out = append(out, m)
 			continue
 		}
-		if s.GetIndex() < r.storedIndex {
+		if s.GetIndex() < r.storedSnapshotIndex {
 			continue
 		}
-		whole, err := r.wal.Snapshot(s.GetIndex())
+		stored, err := r.wal.Snapshot(s.GetIndex())
 		if err != nil {
 			return nil, err
 		}
 		m = proto.CloneOf(m)
-		m.Snapshot = whole
+		m.Snapshot = stored
 		out = append(out, m)
 	}
 	return out, nil
 }
 
-func (r *Replica) noteSnapshotFailure(err error) {
+func (r *Replica) recordSnapshotFailure(err error) {
 	r.metrics.snapshotsFailed.Inc(1)
-	r.log.Warn("snapshot not taken", zap.Uint64("applied", r.applied), zap.Error(err))
+	r.log.Warn("snapshot failed", zap.Uint64("applied", r.applied), zap.Error(err))
 }
 
-// closeLog saves a commit index that is still unsaved, so that a restart need
-// not learn it from others, and closes the log.
+// closeLog saves an unsaved commit index, so that it is known after a restart, and
+// closes the log.
 func (r *Replica) closeLog() error {
 	if r.failure == nil && r.commitUnsaved {
 		if err := r.save(wal.Batch{HardState: r.hardState}); err != nil {
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -11,30 +11,30 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// A group begins with a snapshot, equal at all its first members, that names
-// them. So a replica that joins later gets the members the usual way.
+// A group starts with a snapshot that contains its members and is equal on all of
+// them, so that replicas that join later receive them like any other snapshot.
 const (
-	foundingIndex uint64 = 1
-	foundingTerm  uint64 = 1
+	bootstrapIndex uint64 = 1
+	bootstrapTerm  uint64 = 1
 )
 
-// Bootstrap makes the replica a first member of a new group. Every member must be
-// given the same list, with the identities of all of them, and none may have
-// belonged to a group before; ErrFormed says that this one has.
+// Bootstrap makes the replica an initial member of a new group. It must be called on
+// every member with the same list. No member may have belonged to a group before;
+// ErrAlreadyBootstrapped: this one has.
 func (r *Replica) Bootstrap(ctx context.Context, members *raftpb.Membership) error {
 	members = proto.CloneOf(members)
-	_, err := r.do(ctx, newRequest(0, func(q *request) { r.startForm(q, members) }))
+	_, err := r.do(ctx, newRequest(0, func(q *request) { r.startBootstrap(q, members) }))
 	return err
 }
 
-func (r *Replica) startForm(q *request, members *raftpb.Membership) {
+func (r *Replica) startBootstrap(q *request, members *raftpb.Membership) {
 	status := r.node.Status()
 	if status.Membership != nil || status.LastIndex > 0 {
 		r.finish(q, nil, ErrAlreadyBootstrapped)
 		return
 	}
 	if findMember(members, r.id) == nil {
-		r.finish(q, nil, errors.Wrap(ErrMembership, "replica itself is not named"))
+		r.finish(q, nil, errors.Wrap(ErrMembership, "replica is not in the list of members"))
 		return
 	}
 	data, err := r.opts.StateMachine.Snapshot()
@@ -42,9 +42,9 @@
 		r.finish(q, nil, errors.Wrap(err, "snapshot"))
 		return
 	}
-	snapshot := &raftpb.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: members, Data: data}
-	hardState := r.foundingHardState()
-	// A node that starts from the list checks it before it becomes durable.
+	snapshot := &raftpb.Snapshot{Index: bootstrapIndex, Term: bootstrapTerm, Membership: members, Data: data}
+	hardState := r.bootstrapHardState()
+	// Starting a node validates the list before it becomes durable.
 	node, err := r.newNode(&wal.State{Self: r.id, HardState: hardState, Snapshot: snapshot})
 	if err != nil {
 		r.finish(q, nil, errors.Join(ErrMembership, err))
@@ -59,21 +59,21 @@
 	r.finish(q, nil, nil)
 }
 
-// foundingHardState keeps the term and the vote that the replica already gave
-// to another first member that was formed earlier.
-func (r *Replica) foundingHardState() *raftpb.HardState {
-	if r.hardState.GetTerm() < foundingTerm {
-		return &raftpb.HardState{Term: foundingTerm, Commit: foundingIndex}
+// bootstrapHardState keeps the term and the vote that the replica may already have
+// given to another initial member.
+func (r *Replica) bootstrapHardState() *raftpb.HardState {
+	if r.hardState.GetTerm() < bootstrapTerm {
+		return &raftpb.HardState{Term: bootstrapTerm, Commit: bootstrapIndex}
 	}
 	hardState := proto.CloneOf(r.hardState)
-	hardState.Commit = foundingIndex
+	hardState.Commit = bootstrapIndex
 	return hardState
 }
 
-// AddLearner adds a replica that receives the log and does not vote. Like
-// Promote and Remove it must be called where the group is led (ErrNoLeader
-// elsewhere), is made when it returns nil, and is idempotent; one change of
-// members is made at a time (ErrMembership).
+// AddLearner adds a replica that receives the log and does not vote. Like Promote
+// and Remove it must be called on the leader (otherwise ErrNoLeader), is committed
+// when it returns nil, and is idempotent. Only one change may be pending
+// (ErrMembership).
 func (r *Replica) AddLearner(ctx context.Context, member *raftpb.Member) error {
 	learner := proto.CloneOf(member)
 	learner.Learner = true
@@ -84,14 +84,14 @@
 			return nil
 		}
 		if !present.GetLearner() {
-			return errors.Wrap(ErrMembership, "is a voter")
+			return errors.Wrap(ErrMembership, "member is a voter")
 		}
 		present.Address = learner.GetAddress()
 		return nil
 	})
 }
 
-// Promote makes a learner that has caught up a voter.
+// Promote makes a caught-up learner a voter.
 func (r *Replica) Promote(ctx context.Context, id *raftpb.ReplicaID) error {
 	id = proto.CloneOf(id)
 	return r.changeMembers(ctx, func(members *raftpb.Membership) error {
@@ -104,7 +104,7 @@
 	})
 }
 
-// Remove takes a member out of the group.
+// Remove removes a member from the group.
 func (r *Replica) Remove(ctx context.Context, id *raftpb.ReplicaID) error {
 	id = proto.CloneOf(id)
 	return r.changeMembers(ctx, func(members *raftpb.Membership) error {
@@ -141,14 +141,15 @@
 		return
 	}
 	if proto.Equal(members, status.Membership) {
-		// It is as asked, but only a quorum can confirm that it still is.
+		// Nothing to change, but only a quorum can confirm that this replica
+		// still leads.
 		r.startRead(q)
 		return
 	}
 	index, term, err := r.node.ProposeMembership(members)
 	if err != nil {
 		r.metrics.countChangeRefusal(err)
-		r.finish(q, nil, refusal(err))
+		r.finish(q, nil, mapRaftError(err))
 		return
 	}
 	r.awaitCommit(index, term, q)
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -8,7 +8,7 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// counters counts what a replica does, and each reason of a refusal apart.
+// counters holds the metrics of a replica.
 type counters struct {
 	proposals   tally.Counter
 	forwarded   tally.Counter
@@ -29,15 +29,15 @@
 	messagesDropped  tally.Counter
 	messagesRefused  tally.Counter
 
-	syncs           tally.Counter
-	syncSeconds     tally.Histogram
-	applied         tally.Counter
-	snapshots       tally.Counter
-	snapshotsFailed tally.Counter
-	restored        tally.Counter
-	leaderChanges   tally.Counter
-	handedOver      tally.Counter
-	roomLost        tally.Counter
+	syncs               tally.Counter
+	syncSeconds         tally.Histogram
+	applied             tally.Counter
+	snapshots           tally.Counter
+	snapshotsFailed     tally.Counter
+	snapshotsRestored   tally.Counter
+	leaderChanges       tally.Counter
+	leadershipTransfers tally.Counter
+	diskFull            tally.Counter
 }
 
 func newCounters(scope tally.Scope) counters {
@@ -48,7 +48,7 @@
 		return scope.Tagged(map[string]string{"reason": reason}).Counter("membership_changes_refused")
 	}
 	return counters{
-		roomLost:    scope.Counter("room_lost"),
+		diskFull:    scope.Counter("room_lost"),
 		syncSeconds: scope.Histogram("sync_seconds", metrics.Durations),
 		proposals:   scope.Counter("proposals"),
 		forwarded:   scope.Counter("proposals_forwarded"),
@@ -69,13 +69,13 @@
 		messagesDropped:  scope.Counter("messages_dropped"),
 		messagesRefused:  scope.Counter("messages_refused"),
 
-		syncs:           scope.Counter("log_syncs"),
-		applied:         scope.Counter("entries_applied"),
-		snapshots:       scope.Counter("snapshots_taken"),
-		snapshotsFailed: scope.Counter("snapshots_failed"),
-		restored:        scope.Counter("snapshots_restored"),
-		leaderChanges:   scope.Counter("leader_changes"),
-		handedOver:      scope.Counter("leaderships_handed_over"),
+		syncs:               scope.Counter("log_syncs"),
+		applied:             scope.Counter("entries_applied"),
+		snapshots:           scope.Counter("snapshots_taken"),
+		snapshotsFailed:     scope.Counter("snapshots_failed"),
+		snapshotsRestored:   scope.Counter("snapshots_restored"),
+		leaderChanges:       scope.Counter("leader_changes"),
+		leadershipTransfers: scope.Counter("leaderships_handed_over"),
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// countChangeRefusal counts a change of members that the core refused.
+// countChangeRefusal counts a membership change that the node refused.
 func (c *counters) countChangeRefusal(err error) {
 	switch {
 	case errors.Is(err, raft.ErrChangePending):
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -13,31 +13,29 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/wal"
 )
 
-// StateMachine is what the log is applied to. Its methods are called by one
-// goroutine at a time and must be deterministic: equal commands in equal order
-// give equal results and equal snapshots.
+// StateMachine applies the commands of the log. Its methods are called by one
+// goroutine at a time and must be deterministic: the same commands in the same order
+// give the same results and snapshots.
 type StateMachine interface {
-	// Apply runs the command committed at index and returns its result. It
-	// must not change the command.
+	// Apply executes the command committed at index and returns its result. It
+	// must not modify the command.
 	Apply(index uint64, command []byte) []byte
-	// Snapshot returns the whole state.
+	// Snapshot returns the complete state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by that of a snapshot.
+	// Restore replaces the state with that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
-// Transport carries messages of the agreement core to other members. Send
-// never blocks; it may drop, repeat or reorder messages. The messages and what
-// they refer to are read-only for the transport, which may keep them after
-// Send returned. The member's address is empty if it is not known.
+// Transport sends raft messages to other members. Send never blocks; it may drop,
+// duplicate or reorder messages. The transport must not modify the messages and may
+// keep them after Send returned. The address of the member is empty if unknown.
 type Transport interface {
 	Send(to *raftpb.Member, group controlpb.Group, msgs []*raftpb.Message)
 }
 
-// Forwarder carries a command from a replica that does not lead to the leader,
-// which answers by Replica.ProposeLocal. An error for which
-// errors.Is(err, ErrNoLeader) or ErrBusy holds says that the command was not
-// sent; any other error leaves its outcome unknown.
+// Forwarder forwards a command to the leader, which calls Replica.ProposeLocal.
+// ErrNoLeader and ErrBusy mean that the command was not sent; after any other error
+// its outcome is unknown.
 type Forwarder interface {
 	Forward(ctx context.Context, leader *raftpb.Member, group controlpb.Group, command []byte) (*controlpb.ProposeReply, error)
 }
@@ -47,8 +45,8 @@
 	DefaultTickInterval   = 50 * time.Millisecond
 	DefaultElectionTicks  = 10
 	DefaultHeartbeatTicks = 2
-	// DefaultFirstElectionTicks leaves a leader that is there the time of a heartbeat
-	// to be heard.
+	// DefaultFirstElectionTicks is above DefaultHeartbeatTicks, so that a heartbeat
+	// of an existing leader arrives first.
 	DefaultFirstElectionTicks = 3
 	DefaultSnapshotEntries    = 10_000
 	DefaultMaxProposals       = 1024
@@ -56,7 +54,7 @@
 	DefaultSnapshotBytes      = 64 << 20
 )
 
-// Bounds of the intake, in bytes.
+// Bounds of the inbox, in bytes.
 const (
 	maxRequestBytes = 16 << 20
 	maxMessageBytes = 64 << 20
@@ -65,52 +63,52 @@
 // Options configures a Replica.
 type Options struct {
 	// DataDir holds the durable state of this replica in this group and
-	// nothing else. It is made if it does not exist.
+	// nothing else. It is created if it does not exist.
 	DataDir string
-	// Name is the replica's name. A folder made under another one is refused.
+	// Name is the name of the replica. A data directory with another name is
+	// refused.
 	Name string
-	// Group names the replicated log.
+	// Group identifies the replicated log.
 	Group controlpb.Group
-	// StateMachine is empty when Open is called.
+	// StateMachine must be empty when Open is called.
 	StateMachine StateMachine
-	// Transport reaches the other members. Nil for a group of one.
+	// Transport sends to the other members. Nil for a group of one.
 	Transport Transport
-	// Addresses are link addresses by name of replica. They serve only for
-	// replicas that no membership known here names: one that joins answers
-	// its leader before it has learned who is a member.
+	// Addresses are link addresses by replica name. They are used for replicas
+	// that are not in the known membership: a joining replica replies to its
+	// leader before it knows the members.
 	Addresses map[string]string
-	// Forwarder passes commands on to the leader. Without it, a replica that
-	// does not lead answers ErrNoLeader.
+	// Forwarder forwards commands to the leader. If it is nil, a replica that
+	// does not lead returns ErrNoLeader.
 	Forwarder Forwarder
-	// TickInterval is the unit of the two counts below.
+	// TickInterval is the unit of the tick counts below.
 	TickInterval time.Duration
-	// ElectionTicks is the shortest time without a leader before an election.
+	// ElectionTicks is the minimum time without a leader before an election.
 	ElectionTicks int
-	// FirstElectionTicks is the same as long as no leader was known since the start.
+	// FirstElectionTicks replaces ElectionTicks until a leader was seen.
 	FirstElectionTicks int
 	// HeartbeatTicks is the time between heartbeats of a leader.
 	HeartbeatTicks int
 	// SnapshotEntries is the number of applied entries between snapshots.
 	SnapshotEntries uint64
 	// SnapshotBytes is the size of the applied commands, in bytes, after which a
-	// snapshot is taken however few they are: they stay in memory, and in the
-	// folder, until then.
+	// snapshot is taken however few they are.
 	SnapshotBytes int
-	// MaxProposals bounds the requests of callers that wait: proposals, read
-	// barriers and membership changes.
+	// MaxProposals bounds the pending requests: proposals, read barriers and
+	// membership changes.
 	MaxProposals int
 	// MaxCommandBytes bounds the size of one command.
 	MaxCommandBytes int
-	// WaitForDiskSpace keeps the replica when its disk has no room: it leaves the group's
-	// work to the others until there is some. Without it the replica fails.
+	// WaitForDiskSpace suspends the replica while its disk is full. Otherwise
+	// the replica fails.
 	WaitForDiskSpace bool
-	// Seed feeds the choice of election timeouts. Zero means a random one.
+	// Seed seeds the election timeouts. Zero means a random seed.
 	Seed uint64
-	// FS is the file system of Folder. Nil means that of the operating system.
+	// FS is the file system of DataDir. Nil means that of the operating system.
 	FS wal.FS
-	// Log gets a line for each change of state. Nil means none.
+	// Log receives state changes. Nil means no logging.
 	Log *zap.Logger
-	// Scope gets the counters. Nil means none.
+	// Scope receives the metrics. Nil means none.
 	Scope tally.Scope
 }
 
@@ -127,14 +125,14 @@
 	o.Scope = cmp.Or(o.Scope, tally.NoopScope)
 }
 
-// retainEntries is the number of entries kept in memory behind a snapshot, for
-// followers that lag a little. The core takes a negative number for none.
+// retainEntries returns raft.Options.RetainEntries: a part of SnapshotEntries, or a
+// negative number for none.
 func (o *Options) retainEntries() int {
 	const (
-		part = 10
-		most = 1024
+		divisor = 10
+		limit   = 1024
 	)
-	n := min(o.SnapshotEntries/part, most)
+	n := min(o.SnapshotEntries/divisor, limit)
 	if n == 0 {
 		return -1
 	}
--- a/internal/replica/outcome_test.go
+++ b/internal/replica/outcome_test.go
@@ -12,15 +12,15 @@
 	"github.com/sourcegraph/conc"
 )
 
-// ledger notes what proposers were told, by command.
-type ledger struct {
+// outcomeLog records the outcomes reported to proposers, by command.
+type outcomeLog struct {
 	mu       sync.Mutex
 	accepted []string
 	refused  []string
 	unknown  int
 }
 
-func (l *ledger) note(command string, err error) error {
+func (l *outcomeLog) record(command string, err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -36,11 +36,10 @@
 	return nil
 }
 
-// propose makes proposals at whatever process the host runs, each under a
-// name of its own, until enough were accepted.
-func (l *ledger) propose(ctx context.Context, c *cluster, h *host, name string, enough int) error {
+// propose proposes unique commands at the host until target of them are accepted.
+func (l *outcomeLog) propose(ctx context.Context, c *cluster, h *host, name string, target int) error {
 	accepted := 0
-	for n := 0; accepted < enough && ctx.Err() == nil; n++ {
+	for n := 0; accepted < target && ctx.Err() == nil; n++ {
 		c.mu.Lock()
 		r := h.replica
 		c.mu.Unlock()
@@ -54,8 +53,8 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if noted := l.note(command, err); noted != nil {
-			return noted
+		if recordErr := l.record(command, err); recordErr != nil {
+			return recordErr
 		}
 		if err == nil {
 			accepted++
@@ -66,9 +65,8 @@
 	return nil
 }
 
-// trouble does one thing to the cluster that it must survive, waits until the
-// group has gone on, and undoes it.
-func (c *cluster) trouble(r *rand.Rand, round int) {
+// injectFault isolates, kills or freezes a host until the group has accepted a command.
+func (c *cluster) injectFault(r *rand.Rand, round int) {
 	h := c.hosts[r.IntN(len(c.hosts))]
 	leader := c.leader()
 	if r.IntN(2) == 0 {
@@ -85,23 +83,23 @@
 		c.proposeUnderLoss(c.leader(h), marker)
 		c.start(h)
 	case 2:
-		thaw := h.disk.freeze()
+		unblock := h.disk.blockSync()
 		c.proposeUnderLoss(c.leader(h), marker)
-		thaw()
+		unblock()
 	}
 }
 
-// Proposers work at all hosts while hosts are cut off, killed and frozen one
-// after the other. What was accepted is in every journal once, in one order;
-// what was refused is in none.
-func TestOutcomesAreTrue(t *testing.T) {
+// Proposers run on all hosts while hosts are isolated, killed and frozen in turn.
+// Accepted commands must be in every journal exactly once and in the same order,
+// refused commands in none.
+func TestOutcomesAreAccurate(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, 3, Options{SnapshotEntries: 30, MaxProposals: 8})
 			c.leader()
 			c.setLoss(0.02)
-			l := &ledger{}
+			l := &outcomeLog{}
 			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			var proposers conc.WaitGroup
@@ -112,13 +110,13 @@
 			}
 			r := rand.New(rand.NewPCG(seed, 1))
 			for round := range 6 {
-				c.trouble(r, round)
+				c.injectFault(r, round)
 			}
 			proposers.Wait()
 			for range cap(failures) {
 				is.NoErr(<-failures)
 			}
-			is.NoErr(ctx.Err()) // else some proposer had not enough accepted
+			is.NoErr(ctx.Err()) // otherwise a proposer did not reach its target
 			c.setLoss(0)
 			c.propose(c.leader(), "last")
 			c.converge("last")
@@ -128,7 +126,7 @@
 	}
 }
 
-func (l *ledger) check(is *is.I, j *journal) {
+func (l *outcomeLog) check(is *is.I, j *journal) {
 	is.Helper()
 	for _, command := range l.accepted {
 		is.Equal(j.count(command), 1)
--- a/internal/replica/paths_test.go
+++ b/internal/replica/partition_test.go
@@ -8,15 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// A host that is cut off in one direction only holds up nobody: a leader that is not
-// heard is replaced, and one that hears nothing gives up, although the others go on
-// hearing it. What it answers meanwhile is never a false success.
-func TestOneWayCuts(t *testing.T) {
-	for name, tt := range map[string]struct{ leads, mute, deaf bool }{
-		"leader that is not heard":    {leads: true, mute: true},
-		"leader that hears nothing":   {leads: true, deaf: true},
-		"follower that is not heard":  {mute: true},
-		"follower that hears nothing": {deaf: true},
+// A one-way partition of a host must not block the group, also if the followers still
+// receive heartbeats. The host must not report false success or serve stale reads.
+func TestOneWayPartitions(t *testing.T) {
+	for name, tt := range map[string]struct{ leads, blockSend, blockReceive bool }{
+		"leader cannot send":      {leads: true, blockSend: true},
+		"leader cannot receive":   {leads: true, blockReceive: true},
+		"follower cannot send":    {blockSend: true},
+		"follower cannot receive": {blockReceive: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -26,14 +25,14 @@
 			if !tt.leads {
 				victim = others(c, leader)[0]
 			}
-			c.cutOneWay(victim, tt.mute, tt.deaf)
+			c.blockOneWay(victim, tt.blockSend, tt.blockReceive)
 			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			outcome := victim.proposeInBackground(ctx, "unsure")
 			next := c.leader(victim)
 			c.propose(next, "meanwhile")
 			read := victim.readInBackground(ctx)
-			c.cutOneWay(victim, false, false)
+			c.blockOneWay(victim, false, false)
 			if <-read == nil {
 				is.Equal(victim.journal.count("meanwhile"), 1) // no stale read
 			}
@@ -45,21 +44,21 @@
 			case err == nil:
 				is.Equal(victim.journal.count("unsure"), 1)
 			case errors.Is(err, ErrNoLeader):
-				is.Equal(victim.journal.count("unsure"), 0) // "not done" is true
+				is.Equal(victim.journal.count("unsure"), 0) // not replicated
 			}
 		})
 	}
 }
 
-// A follower whose disk hangs holds up nobody, and has all once the disk answers.
-func TestStuckDiskOfAFollower(t *testing.T) {
+// A follower whose disk blocks must not block the group, and must catch up afterwards.
+func TestFollowerWithBlockedDisk(t *testing.T) {
 	c, leader := newLedCluster(t, 3, Options{SnapshotEntries: 5})
 	follower := others(c, leader)[0]
-	thaw := follower.disk.freeze()
+	unblock := follower.disk.blockSync()
 	for _, command := range []string{"1", "2", "3", "4", "5", "6", "7", "8", "9"} {
 		c.propose(leader, command)
 	}
-	thaw()
+	unblock()
 	c.propose(c.leader(), "last")
 	c.converge("last")
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -12,28 +12,26 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// Propose replicates the command, through the leader where another replica
-// leads, and returns the state machine's result. ErrNoLeader, ErrBusy,
-// ErrClosed and ErrCommand say that the command was certainly not replicated;
-// ErrUnknown says that it may have been. When ctx ends first, the error also is
-// that of ctx.
+// Propose replicates the command, forwards it if another replica leads, and returns
+// the result of the state machine. After ErrNoLeader, ErrBusy, ErrClosed and
+// ErrInvalidCommand the command was not replicated; after ErrUnknown it may have
+// been. If ctx ends first, the error wraps that of ctx as well.
 func (r *Replica) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	if err := r.checkCommand(command); err != nil {
 		return nil, err
 	}
-	now := r.published.Load()
-	status := &now.status
+	current := r.publishedStatus.Load()
+	status := &current.status
 	if r.opts.Forwarder == nil || status.Leader == nil || sameReplica(status.Leader, r.id) {
 		return r.ProposeLocal(ctx, command)
 	}
 	r.metrics.forwarded.Inc(1)
-	return r.forward(ctx, now, command)
+	return r.forward(ctx, current, command)
 }
 
-// ProposeLocal is Propose for a command that another replica forwarded: if this
-// one does not lead, the error is ErrNoLeader. An empty command asks for the
-// index up to which a linearizable read must see the log; the result is for the
-// ReadBarrier of the asking replica.
+// ProposeLocal is Propose without forwarding: if this replica does not lead, the
+// error is ErrNoLeader. An empty command requests the read index for the
+// ReadBarrier of the replica that forwarded it.
 func (r *Replica) ProposeLocal(ctx context.Context, command []byte) ([]byte, error) {
 	if len(command) == 0 {
 		return r.do(ctx, newRequest(0, r.startRead))
@@ -42,7 +40,7 @@
 		return nil, err
 	}
 	r.metrics.proposals.Inc(1)
-	// The caller may reuse its slice when ctx ends, and the log keeps this one.
+	// The log keeps the command; the caller may reuse its slice when ctx ends.
 	command = bytes.Clone(command)
 	start := func(q *request) { r.startProposal(q, command) }
 	result, err := r.do(ctx, newRequest(len(command), start))
@@ -58,24 +56,24 @@
 	return errors.Wrapf(ErrInvalidCommand, "%d bytes, want 1 to %d", len(command), r.opts.MaxCommandBytes)
 }
 
-// ReadBarrier returns once the state machine here holds everything that was
-// committed in the group when ReadBarrier was called. After any error a read
-// may be stale.
+// ReadBarrier returns once the local state machine has applied everything that was
+// committed in the group when ReadBarrier was called. After an error a read may be
+// stale.
 func (r *Replica) ReadBarrier(ctx context.Context) error {
-	now := r.published.Load()
-	status := &now.status
+	current := r.publishedStatus.Load()
+	status := &current.status
 	if status.Leader == nil {
 		return ErrNoLeader
 	}
 	if sameReplica(status.Leader, r.id) {
-		// The outcome comes only after the index was applied here.
+		// The result is returned only after the index was applied here.
 		_, err := r.do(ctx, newRequest(0, r.startRead))
 		return err
 	}
 	if r.opts.Forwarder == nil {
 		return ErrNoLeader
 	}
-	result, err := r.forward(ctx, now, nil)
+	result, err := r.forward(ctx, current, nil)
 	if err != nil {
 		return err
 	}
@@ -88,14 +86,13 @@
 	return err
 }
 
-// forward passes a command on to the leader of a status. It gives up once this
-// replica knows that this leader leads no more: a killed one never answers, and
-// the caller's time is better spent on the next.
-func (r *Replica) forward(ctx context.Context, now *published, command []byte) ([]byte, error) {
+// forward forwards a command to the leader of the given status. It is canceled when
+// the leader or the term changes, since a failed leader may never reply.
+func (r *Replica) forward(ctx context.Context, current *publishedStatus, command []byte) ([]byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(now.reign, cancel)()
-	leader := r.memberOf(now.status, now.status.Leader)
+	defer context.AfterFunc(current.leaderCtx, cancel)()
+	leader := r.memberOf(current.status, current.status.Leader)
 	reply, err := r.opts.Forwarder.Forward(ctx, leader, r.opts.Group, command)
 	if err == nil {
 		err = replyError(reply)
@@ -111,8 +108,8 @@
 	return nil, errors.Join(ErrUnknown, err)
 }
 
-// replyError returns the error that a reply stands for. A reply without a
-// known status proves nothing.
+// replyError returns the error of a reply. A reply with an unknown status leaves the
+// outcome unknown.
 func replyError(reply *controlpb.ProposeReply) error {
 	if reply == nil {
 		return ErrUnknown
@@ -128,7 +125,8 @@
 	return ErrUnknown
 }
 
-// NewProposeReply returns what ProposeLocal's result says to the replica that forwarded.
+// NewProposeReply returns the reply to a forwarded command, given the result of
+// ProposeLocal.
 func NewProposeReply(result []byte, err error) *controlpb.ProposeReply {
 	status := controlpb.ProposeStatus_PROPOSE_UNKNOWN
 	switch {
@@ -146,7 +144,7 @@
 func (r *Replica) startProposal(q *request, command []byte) {
 	index, term, err := r.node.Propose(command)
 	if err != nil {
-		r.finish(q, nil, refusal(err))
+		r.finish(q, nil, mapRaftError(err))
 		return
 	}
 	r.awaitCommit(index, term, q)
@@ -156,7 +154,7 @@
 	r.waiters.lastToken++
 	token := r.waiters.lastToken
 	if err := r.node.ReadIndex(token); err != nil {
-		r.finish(q, nil, refusal(err))
+		r.finish(q, nil, mapRaftError(err))
 		return
 	}
 	r.waiters.reads[token] = q
@@ -170,8 +168,8 @@
 	r.waiters.applies = append(r.waiters.applies, applyWaiter{index: index, request: q})
 }
 
-// refusal translates an error of the core that left its log as it was.
-func refusal(err error) error {
+// mapRaftError maps an error of the node that did not change its log.
+func mapRaftError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
 		return ErrNoLeader
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -15,47 +15,47 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// Replica is one running replica. Its methods may be called by any goroutine.
+// Replica is a running replica. It is safe for concurrent use.
 type Replica struct {
 	opts    Options
 	id      *raftpb.ReplicaID
 	log     *zap.Logger
 	metrics counters
-	intake  *intake
+	inbox   *inbox
 
-	published atomic.Pointer[published]
-	stop      chan struct{}
-	stopOnce  sync.Once
-	stopped   chan struct{}
-	workers   conc.WaitGroup
+	publishedStatus atomic.Pointer[publishedStatus]
+	stop            chan struct{}
+	stopOnce        sync.Once
+	stopped         chan struct{}
+	workers         conc.WaitGroup
 	// failure is written by the loop before stopped is closed.
 	failure error
 
-	// The loop alone uses what follows.
-	node    *raft.Node
-	rand    *rand.Rand
-	wal     *wal.Log
-	waiters waiters
-	answers []answer
-	ticks   uint64
-	leading bool
-	applied uint64
-	// snapshotIndex is the index of the last snapshot, appliedBytes the size of
-	// the commands applied since.
+	// The fields below are used by the loop only.
+	node      *raft.Node
+	rand      *rand.Rand
+	wal       *wal.Log
+	waiters   waiters
+	responses []response
+	ticks     uint64
+	wasLeader bool
+	applied   uint64
+	// snapshotIndex is the index of the last snapshot attempt, appliedBytes the
+	// size of the commands applied since.
 	snapshotIndex uint64
 	appliedBytes  int
-	// storedIndex is the index of the snapshot whose data is on the disk alone,
-	// 0 if the core's snapshot has its data.
-	storedIndex uint64
-	// hardState is the last one that was saved or waits to be.
+	// storedSnapshotIndex is the index of the snapshot whose data is only on disk,
+	// 0 if there is none.
+	storedSnapshotIndex uint64
+	// hardState is the latest hard state, saved or not.
 	hardState *raftpb.HardState
-	// commitUnsaved says that hardState differs from the saved one, in the
-	// commit index alone.
+	// commitUnsaved is set if hardState differs from the saved one in the commit
+	// index.
 	commitUnsaved bool
 }
 
-// Open opens or makes the data folder, loads what it holds into the state
-// machine and starts the replica.
+// Open opens or creates the data directory, loads its state into the state machine
+// and starts the replica.
 func Open(opts Options) (*Replica, error) {
 	opts.setDefaults()
 	if opts.StateMachine == nil {
@@ -70,7 +70,7 @@
 		id:      state.Self,
 		log:     opts.Log.With(zap.String("replica", state.Self.GetName()), zap.Stringer("group", opts.Group)),
 		metrics: newCounters(opts.Scope),
-		intake:  newIntake(opts.MaxProposals),
+		inbox:   newInbox(opts.MaxProposals),
 		stop:    make(chan struct{}),
 		stopped: make(chan struct{}),
 		wal:     log,
@@ -93,10 +93,10 @@
 	r.rand = rand.New(rand.NewPCG(seed, r.id.GetIncarnation()))
 	node, err := r.newNode(state)
 	if err != nil {
-		return errors.Wrap(err, "start agreement core")
+		return errors.Wrap(err, "start raft node")
 	}
 	r.node = node
-	if err := r.work(); err != nil {
+	if err := r.processBatches(); err != nil {
 		return err
 	}
 	r.flush()
@@ -119,7 +119,7 @@
 		HardState:          state.HardState,
 		Snapshot:           state.Snapshot,
 		Entries:            state.Entries,
-		// The same as the snapshot's, so that it is checked.
+		// That of the snapshot, so that it is validated.
 		Membership:    state.Snapshot.GetMembership(),
 		RetainEntries: r.opts.retainEntries(),
 	})
@@ -128,20 +128,21 @@
 // ID returns the replica's name and incarnation.
 func (r *Replica) ID() *raftpb.ReplicaID { return r.id }
 
-// Receive takes messages of other members. It does not block, and drops
-// messages when too many wait. The replica keeps the messages.
+// Receive queues messages of other members. It does not block, and drops messages
+// if the inbox is full. The replica keeps the messages.
 func (r *Replica) Receive(msgs []*raftpb.Message) {
 	r.metrics.messagesReceived.Inc(int64(len(msgs)))
-	if dropped := r.intake.addMessages(msgs); dropped > 0 {
+	if dropped := r.inbox.addMessages(msgs); dropped > 0 {
 		r.metrics.messagesDropped.Inc(int64(dropped))
 	}
 }
 
-// Done is closed when the replica has stopped, by Close or by a failure.
+// Done returns a channel that is closed when the replica has stopped, by Close or by
+// a failure.
 func (r *Replica) Done() <-chan struct{} { return r.stopped }
 
-// Err returns the failure that stopped the replica, nil while it runs and
-// after Close.
+// Err returns the failure that stopped the replica; nil while it runs and after a
+// regular Close.
 func (r *Replica) Err() error {
 	select {
 	case <-r.stopped:
@@ -151,18 +152,18 @@
 	}
 }
 
-// Close hands the leadership over, stops the replica and waits until its folder
-// is free. Proposals that wait get ErrUnknown. The error is that of Err, or of
-// closing the log.
+// Close transfers the leadership, stops the replica and waits until its data
+// directory is released. Pending proposals get ErrUnknown. The error is that of Err,
+// or of closing the log.
 func (r *Replica) Close() error {
 	if err := r.MoveLeadership(context.Background()); err != nil {
-		r.log.Info("closed as the leader", zap.Error(err))
+		r.log.Info("leadership not transferred before close", zap.Error(err))
 	}
-	return r.halt()
+	return r.shutdown()
 }
 
-// halt stops the replica as it is.
-func (r *Replica) halt() error {
+// shutdown stops the replica without transferring the leadership.
+func (r *Replica) shutdown() error {
 	r.stopOnce.Do(func() { close(r.stop) })
 	r.workers.Wait()
 	return r.failure
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -15,7 +15,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/wal"
 )
 
-func TestUnformedReplicaRefuses(t *testing.T) {
+func TestReplicaBeforeBootstrap(t *testing.T) {
 	is := is.New(t)
 	r, err := Open(Options{DataDir: t.TempDir(), Name: "a", StateMachine: &journal{}})
 	is.NoErr(err)
@@ -32,7 +32,7 @@
 	is.True(errors.Is(err, ErrClosed))
 }
 
-func TestFormOnlyOnce(t *testing.T) {
+func TestBootstrapOnlyOnce(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, Options{})
 	h := c.hosts[0]
@@ -43,7 +43,7 @@
 	is.True(errors.Is(h.replica.Bootstrap(t.Context(), members), ErrAlreadyBootstrapped))
 }
 
-func TestResultsAreThoseOfApply(t *testing.T) {
+func TestProposeReturnsApplyResult(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, Options{})
 	r := c.leader().replica
@@ -56,7 +56,7 @@
 	is.NoErr(r.ReadBarrier(t.Context()))
 }
 
-func TestCommandsOfWrongSizeAreRefused(t *testing.T) {
+func TestInvalidCommandSize(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, Options{MaxCommandBytes: 4})
 	r := c.leader().replica
@@ -70,8 +70,8 @@
 	is.NoErr(err)
 }
 
-// The replica is killed and started again after every step of its life:
-// making, forming, each command, each snapshot.
+// The state must survive a kill after each step: creation, bootstrap, each command
+// and each snapshot.
 func TestRestartAfterEachStep(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, Options{SnapshotEntries: 3})
@@ -94,20 +94,20 @@
 	is.Equal(h.counter("snapshots_restored"), int64(1))
 }
 
-func TestGracefulCloseKeepsTheCommitIndex(t *testing.T) {
+func TestCloseSavesCommitIndex(t *testing.T) {
 	is := is.New(t)
 	c, h := newLedCluster(t, 3, Options{})
 	c.propose(h, "x")
 	c.converge("x")
 	for _, h := range c.hosts {
-		is.NoErr(c.detach(h).Close())
+		is.NoErr(c.takeDown(h).Close())
 		c.start(h)
-		is.Equal(h.journal.text(), "x") // applied without a word from the others
+		is.Equal(h.journal.text(), "x") // applied without contact to the others
 	}
 	c.propose(c.leader(), "y")
 }
 
-func TestFailedSyncStopsTheReplica(t *testing.T) {
+func TestFailedSyncStopsReplica(t *testing.T) {
 	is := is.New(t)
 	c, h := newLedCluster(t, 1, Options{})
 	c.propose(h, "acknowledged")
@@ -121,12 +121,12 @@
 	_, err = h.replica.Propose(t.Context(), []byte("x"))
 	is.True(errors.Is(err, ErrClosed))
 	is.True(errors.Is(h.replica.ReadBarrier(t.Context()), ErrClosed))
-	is.True(errors.Is(c.detach(h).Close(), failure))
+	is.True(errors.Is(c.takeDown(h).Close(), failure))
 	c.start(h)
 	is.Equal(h.journal.count("acknowledged"), 1)
 }
 
-func TestFailedSnapshotWriteStopsTheReplica(t *testing.T) {
+func TestFailedSnapshotWriteStopsReplica(t *testing.T) {
 	is := is.New(t)
 	_, h := newLedCluster(t, 1, Options{SnapshotEntries: 5})
 	h.journal.onApply = func(string) { h.disk.fail(os.ErrPermission) }
@@ -138,12 +138,12 @@
 	is.True(errors.Is(h.replica.Err(), wal.ErrNotWritable))
 }
 
-func TestDamagedFolderDoesNotOpen(t *testing.T) {
+func TestOpenCorruptedLog(t *testing.T) {
 	is := is.New(t)
 	c, h := newLedCluster(t, 1, Options{})
 	c.propose(h, "x")
-	is.NoErr(c.detach(h).Close())
-	paths, err := filepath.Glob(filepath.Join(h.folder, "*.wal"))
+	is.NoErr(c.takeDown(h).Close())
+	paths, err := filepath.Glob(filepath.Join(h.dataDir, "*.wal"))
 	is.NoErr(err)
 	data, err := os.ReadFile(paths[0])
 	is.NoErr(err)
@@ -153,17 +153,17 @@
 	is.True(errors.Is(err, wal.ErrCorrupted))
 }
 
-func TestFailedRestoreDoesNotOpen(t *testing.T) {
+func TestOpenFailedRestore(t *testing.T) {
 	is := is.New(t)
 	c, h := newLedCluster(t, 1, Options{})
-	is.NoErr(c.detach(h).Close())
+	is.NoErr(c.takeDown(h).Close())
 	h.journal = &journal{failRestore: errors.New("bad snapshot")}
 	_, err := Open(c.options(h))
 	is.True(errors.Is(err, h.journal.failRestore))
-	c.start(h) // the folder is free again
+	c.start(h) // the data directory is released
 }
 
-func TestPanicOfTheStateMachineStopsTheReplica(t *testing.T) {
+func TestStateMachinePanicStopsReplica(t *testing.T) {
 	is := is.New(t)
 	_, h := newLedCluster(t, 1, Options{})
 	h.journal.onApply = func(string) { panic("broken state machine") }
@@ -173,32 +173,32 @@
 	is.True(h.replica.Err() != nil)
 }
 
-// waitFrozen freezes the leader in the sync of a proposal. The proposal's
-// outcome comes on the channel.
-func waitFrozen(ctx context.Context, h *host, command string) (thaw func(), outcome <-chan error) {
-	thaw = h.disk.freeze()
+// proposeBlocked blocks the leader in the sync of a proposal. The channel receives the
+// outcome of the proposal.
+func proposeBlocked(ctx context.Context, h *host, command string) (unblock func(), outcome <-chan error) {
+	unblock = h.disk.blockSync()
 	outcome = h.proposeInBackground(ctx, command)
 	<-h.disk.blocked
-	return thaw, outcome
+	return unblock, outcome
 }
 
-func TestQueueIsBounded(t *testing.T) {
+func TestInboxIsBounded(t *testing.T) {
 	is := is.New(t)
 	c, h := newLedCluster(t, 1, Options{MaxProposals: 3})
-	thaw, outcome := waitFrozen(context.WithoutCancel(t.Context()), h, "first")
-	// Two more fill the queue. Their callers give up before they were taken.
+	unblock, outcome := proposeBlocked(context.WithoutCancel(t.Context()), h, "first")
+	// Two more fill the inbox. Their callers cancel before they are started.
 	ctx, cancel := context.WithCancel(t.Context())
 	refused := make(chan error, 2)
 	for i := range 2 {
 		go func() {
-			_, err := h.replica.Propose(ctx, fmt.Appendf(nil, "given-up-%d", i))
+			_, err := h.replica.Propose(ctx, fmt.Appendf(nil, "canceled-%d", i))
 			refused <- err
 		}()
 	}
 	for queued := 0; queued < 2; {
-		h.replica.intake.mu.Lock()
-		queued = len(h.replica.intake.requests)
-		h.replica.intake.mu.Unlock()
+		h.replica.inbox.mu.Lock()
+		queued = len(h.replica.inbox.requests)
+		h.replica.inbox.mu.Unlock()
 		runtime.Gosched()
 	}
 	_, err := h.replica.Propose(t.Context(), []byte("too-many"))
@@ -206,33 +206,33 @@
 	cancel()
 	for range 2 {
 		err := <-refused
-		is.True(errors.Is(err, ErrBusy)) // certain, because the loop had not seen them
+		is.True(errors.Is(err, ErrBusy)) // not unknown, because the loop has not started them
 		is.True(errors.Is(err, context.Canceled))
 		is.True(!errors.Is(err, ErrUnknown))
 	}
-	thaw()
+	unblock()
 	is.NoErr(<-outcome)
 	c.propose(h, "last")
 	is.Equal(h.journal.text(), "first\nlast")
-	is.Equal(h.replica.intake.waiting, 0)
-	is.Equal(h.replica.intake.waitingBytes, 0)
+	is.Equal(h.replica.inbox.waiting, 0)
+	is.Equal(h.replica.inbox.waitingBytes, 0)
 }
 
-func TestCallerThatGivesUpOnATakenProposalGetsUnknown(t *testing.T) {
+func TestCanceledProposalIsUnknown(t *testing.T) {
 	is := is.New(t)
 	c, h := newLedCluster(t, 1, Options{})
 	ctx, cancel := context.WithCancel(t.Context())
-	thaw, outcome := waitFrozen(ctx, h, "x")
+	unblock, outcome := proposeBlocked(ctx, h, "x")
 	cancel()
 	err := <-outcome
 	is.True(errors.Is(err, ErrUnknown))
 	is.True(errors.Is(err, context.Canceled))
 	is.True(!errors.Is(err, ErrBusy))
-	thaw()
-	c.converge("x") // and it took effect
+	unblock()
+	c.converge("x") // it was applied
 }
 
-func TestCloseAnswersThoseThatWait(t *testing.T) {
+func TestCloseFailsPendingProposals(t *testing.T) {
 	is := is.New(t)
 	c, h := newLedCluster(t, 3, Options{})
 	c.propose(h, "before")
@@ -251,7 +251,7 @@
 		}
 		return !s.Leading()
 	})
-	is.NoErr(c.detach(h).Close())
+	is.NoErr(c.takeDown(h).Close())
 	err := <-outcome
 	is.True(errors.Is(err, ErrUnknown))
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -10,8 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// Status is a replica's view of itself and its group at one time. What it
-// points to must not be changed.
+// Status is a replica's view of itself and its group. Its contents must not be
+// modified.
 type Status struct {
 	Self *raftpb.ReplicaID
 	// Leader is nil while none is known.
@@ -20,26 +20,26 @@
 	// Commit and Applied are log indexes.
 	Commit  uint64
 	Applied uint64
-	// Formed says that the replica knows the members of its group.
+	// Formed is set once the replica knows the members of its group.
 	Formed  bool
 	Members []MemberStatus
 }
 
-// MemberStatus is what the replica knows of one member. The other fields are
-// known to a leader only.
+// MemberStatus is the replica's view of one member. The fields after Member are
+// set on the leader only.
 type MemberStatus struct {
 	Member *raftpb.Member
-	// Match is the highest log index known to be on the member's disk.
+	// Match is the highest log index known to be synced on the member.
 	Match uint64
-	// Active says that the member answered the leader within about an
-	// election timeout.
+	// Active is set if the member replied to the leader within about an election
+	// timeout.
 	Active bool
-	// CaughtUp says that a learner can be promoted.
+	// CaughtUp is set if a learner can be promoted.
 	CaughtUp bool
 }
 
-// Leading says that the replica believes to lead the group. Another one may
-// already do so; only ReadBarrier and Propose can tell.
+// Leading reports whether the replica believes that it leads the group. Another one
+// may have taken over already; only ReadBarrier and Propose detect that.
 func (s *Status) Leading() bool {
 	return s.Leader != nil && sameReplica(s.Leader, s.Self)
 }
@@ -53,40 +53,40 @@
 		slices.Equal(s.Members, o.Members)
 }
 
-// published is a status and a channel that is closed when a newer one replaces
-// it.
-type published struct {
+// publishedStatus is a status with a channel that is closed when a newer one
+// replaces it.
+type publishedStatus struct {
 	status  Status
 	changed chan struct{}
-	// reign ends when the leader or the term is no longer that of the status.
-	reign context.Context
-	end   context.CancelFunc
+	// leaderCtx is canceled when the leader or the term changes.
+	leaderCtx       context.Context
+	cancelLeaderCtx context.CancelFunc
 }
 
-// succeed returns what is published after p, nil for the first status.
-func (p *published) succeed(status Status) *published {
-	next := &published{status: status, changed: make(chan struct{})}
+// nextStatus returns the successor of p, which is nil for the first status.
+func (p *publishedStatus) nextStatus(status Status) *publishedStatus {
+	next := &publishedStatus{status: status, changed: make(chan struct{})}
 	if p != nil && p.status.Term == status.Term && sameReplica(p.status.Leader, status.Leader) {
-		next.reign, next.end = p.reign, p.end
+		next.leaderCtx, next.cancelLeaderCtx = p.leaderCtx, p.cancelLeaderCtx
 		return next
 	}
-	next.reign, next.end = context.WithCancel(context.Background())
+	next.leaderCtx, next.cancelLeaderCtx = context.WithCancel(context.Background())
 	return next
 }
 
 // Status returns the replica's view of the group.
 func (r *Replica) Status() Status {
-	return r.published.Load().status
+	return r.publishedStatus.Load().status
 }
 
-// Watch returns the present status and a channel that is closed once it is no
-// longer the present one.
+// Watch returns the current status and a channel that is closed when the status
+// changes.
 func (r *Replica) Watch() (Status, <-chan struct{}) {
-	p := r.published.Load()
+	p := r.publishedStatus.Load()
 	return p.status, p.changed
 }
 
-// WaitForLeader waits until a leader is known. It reports whether there is one.
+// WaitForLeader waits until a leader is known and reports whether there is one.
 func (r *Replica) WaitForLeader(ctx context.Context) bool {
 	for {
 		status, changed := r.Watch()
@@ -103,7 +103,7 @@
 	}
 }
 
-// publish makes the node's present state visible.
+// publish publishes the current state of the node.
 func (r *Replica) publish() {
 	n := r.node.Status()
 	status := Status{
@@ -115,18 +115,18 @@
 		Formed:  n.Membership != nil,
 		Members: memberStatuses(n),
 	}
-	old := r.published.Load()
+	old := r.publishedStatus.Load()
 	if old != nil && old.status.equal(&status) {
 		return
 	}
-	next := old.succeed(status)
-	r.published.Store(next)
+	next := old.nextStatus(status)
+	r.publishedStatus.Store(next)
 	if old == nil {
 		return
 	}
 	close(old.changed)
-	if next.reign != old.reign {
-		old.end()
+	if next.leaderCtx != old.leaderCtx {
+		old.cancelLeaderCtx()
 	}
 	r.reportChange(&old.status, &status)
 }
@@ -149,16 +149,16 @@
 	return statuses
 }
 
-// reportChange logs what an operator wants to know of a change.
-func (r *Replica) reportChange(old, now *Status) {
-	if !sameReplica(old.Leader, now.Leader) {
+// reportChange logs changes of the leader and of the members.
+func (r *Replica) reportChange(old, current *Status) {
+	if !sameReplica(old.Leader, current.Leader) {
 		r.metrics.leaderChanges.Inc(1)
 		r.log.Info("leader changed",
-			zap.String("leader", now.Leader.GetName()),
-			zap.Uint64("term", now.Term))
+			zap.String("leader", current.Leader.GetName()),
+			zap.Uint64("term", current.Term))
 	}
-	if len(old.Members) != len(now.Members) || membersDiffer(old.Members, now.Members) {
-		r.log.Info("members changed", zap.Strings("members", describeMembers(now.Members)))
+	if len(old.Members) != len(current.Members) || membersDiffer(old.Members, current.Members) {
+		r.log.Info("members changed", zap.Strings("members", describeMembers(current.Members)))
 	}
 }
 
@@ -183,11 +183,11 @@
 	return texts
 }
 
-// MemberByID returns the member of that identity, or one with the configured
-// address.
+// MemberByID returns the member with the identity id, or one with the configured
+// address if it is unknown.
 func (r *Replica) MemberByID(id *raftpb.ReplicaID) *raftpb.Member { return r.memberOf(r.Status(), id) }
 
-// memberOf returns the member of a status, or one with the configured address.
+// memberOf is MemberByID for a given status.
 func (r *Replica) memberOf(status Status, id *raftpb.ReplicaID) *raftpb.Member {
 	for _, m := range status.Members {
 		if sameReplica(m.Member.GetId(), id) {
--- a/internal/replica/handover_test.go
+++ b/internal/replica/transfer_test.go
@@ -11,17 +11,17 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// A leader that is closed asks a follower to take over, and that one is
-// elected in the next term with all that was accepted. Ticks are long, so that a busy
-// machine that stands still for half a second brings no election of its own.
-func TestCloseHandsOver(t *testing.T) {
+// A leader that is closed asks a follower to take over, which is elected in the next
+// term and has all accepted commands. Ticks are long, so that stalls of a busy machine
+// cause no other election.
+func TestCloseTransfersLeadership(t *testing.T) {
 	is := is.New(t)
 	c, old := newLedCluster(t, 3, Options{TickInterval: 200 * time.Millisecond})
 	c.propose(old, "before")
 	term := old.replica.Status().Term
 	var mu sync.Mutex
 	asked := ""
-	c.setTap(func(_, to string, m *raftpb.Message) {
+	c.setOnDeliver(func(_, to string, m *raftpb.Message) {
 		mu.Lock()
 		defer mu.Unlock()
 		if m.GetKind() == raftpb.MessageKind_MESSAGE_TAKE_OVER {
@@ -30,7 +30,7 @@
 	})
 	closing := old.replica
 	is.NoErr(closing.Close())
-	c.detach(old)
+	c.takeDown(old)
 	is.Equal(old.counter("leaderships_handed_over"), int64(1))
 	next := c.leader()
 	mu.Lock()
@@ -43,13 +43,13 @@
 	is.Equal(old.journal.count("before"), 1)
 }
 
-// Without anybody to take over, a leader says so, goes on, and can be closed.
-func TestHandOverNeedsAnother(t *testing.T) {
+// Without a successor MoveLeadership fails, and the leader continues and can be closed.
+func TestMoveLeadershipNeedsSuccessor(t *testing.T) {
 	is := is.New(t)
 	alone, h := newLedCluster(t, 1, Options{})
 	is.True(errors.Is(h.replica.MoveLeadership(t.Context()), ErrNoLeader))
-	alone.propose(h, "goes on")
-	is.NoErr(alone.detach(h).Close())
+	alone.propose(h, "after")
+	is.NoErr(alone.takeDown(h).Close())
 
 	c, leader := newLedCluster(t, 3, Options{})
 	is.NoErr(others(c, leader)[0].replica.MoveLeadership(t.Context())) // it does not lead
--- a/internal/replica/waiters.go
+++ b/internal/replica/waiters.go
@@ -19,13 +19,13 @@
 	request *request
 }
 
-// waiters are the requests that the loop has started and not finished.
+// waiters holds the requests that are started and not finished.
 type waiters struct {
-	// commits may hold several waiters for an index, of different terms: a
-	// replica that led twice may have used an index twice.
+	// commits are by index. A replica that led in several terms may have waiters
+	// of different terms for the same index.
 	commits map[uint64][]commitWaiter
 	reads   map[uint64]*request
-	// lastToken is the last token given to a read.
+	// lastToken is the token of the last read.
 	lastToken uint64
 	applies   []applyWaiter
 }
@@ -38,24 +38,23 @@
 	r.waiters.commits[index] = append(r.waiters.commits[index], commitWaiter{term: term, request: q})
 }
 
-// answerCommit finishes the requests that wait for the index of a committed
-// entry.
-func (r *Replica) answerCommit(e *raftpb.Entry, result []byte) {
+// completeCommit finishes the requests waiting for the index of a committed entry.
+func (r *Replica) completeCommit(e *raftpb.Entry, result []byte) {
 	for _, w := range r.waiters.commits[e.GetIndex()] {
 		if w.term == e.GetTerm() {
 			r.finish(w.request, result, nil)
 			continue
 		}
-		// An index has one committed entry, and this is another one.
+		// Another entry was committed at this index.
 		r.metrics.superseded.Inc(1)
 		r.finish(w.request, nil, ErrNoLeader)
 	}
 	delete(r.waiters.commits, e.GetIndex())
 }
 
-// answerSkipped finishes the requests whose entries a received snapshot
-// replaced: it does not tell which entries led to it.
-func (r *Replica) answerSkipped(index uint64) {
+// completeSkipped finishes the requests whose entries are covered by a received
+// snapshot. It is unknown whether they were committed.
+func (r *Replica) completeSkipped(index uint64) {
 	for i, list := range r.waiters.commits {
 		if i > index {
 			continue
@@ -72,10 +71,9 @@
 	r.finish(q, nil, ErrUnknown)
 }
 
-// leadershipLost lets the commits that wait expire: they may still be
-// committed by the next leader, which this replica learns of if it soon hears
-// from it, and perhaps never otherwise.
-func (r *Replica) leadershipLost() {
+// expireOnLeadershipLoss sets a deadline for the pending commits. The next leader may
+// still commit them, but this replica may never learn of it.
+func (r *Replica) expireOnLeadershipLoss() {
 	expires := r.ticks + 2*uint64(r.opts.ElectionTicks)
 	for _, list := range r.waiters.commits {
 		for i := range list {
@@ -86,49 +84,48 @@
 	}
 }
 
-// expireCommits finishes the commits whose time is over, and forgets those
-// whose caller has gone.
+// expireCommits finishes expired commits and those whose caller no longer waits.
 func (r *Replica) expireCommits() {
 	for index, list := range r.waiters.commits {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, w := range list {
 			expired := w.expires != 0 && w.expires <= r.ticks
-			if !expired && !w.request.departed.Load() {
-				kept = append(kept, w)
+			if !expired && !w.request.abandoned.Load() {
+				remaining = append(remaining, w)
 				continue
 			}
 			r.finishUnknown(w.request)
 		}
-		if len(kept) == 0 {
+		if len(remaining) == 0 {
 			delete(r.waiters.commits, index)
 			continue
 		}
-		r.waiters.commits[index] = kept
+		r.waiters.commits[index] = remaining
 	}
 }
 
-// forgetDeparted makes room for others when the caller of a read has gone.
-func (r *Replica) forgetDeparted() {
+// dropAbandoned finishes reads whose caller no longer waits.
+func (r *Replica) dropAbandoned() {
 	for token, q := range r.waiters.reads {
-		if q.departed.Load() {
+		if q.abandoned.Load() {
 			delete(r.waiters.reads, token)
 			r.finish(q, nil, ErrNoLeader)
 		}
 	}
-	kept := r.waiters.applies[:0]
+	remaining := r.waiters.applies[:0]
 	for _, w := range r.waiters.applies {
-		if !w.request.departed.Load() {
-			kept = append(kept, w)
+		if !w.request.abandoned.Load() {
+			remaining = append(remaining, w)
 			continue
 		}
 		r.finish(w.request, nil, ErrNoLeader)
 	}
-	clear(r.waiters.applies[len(kept):])
-	r.waiters.applies = kept
+	clear(r.waiters.applies[len(remaining):])
+	r.waiters.applies = remaining
 }
 
-// answerReads finishes confirmed reads. The batch that carries them is applied.
-func (r *Replica) answerReads(reads []raft.Read) {
+// completeReads finishes reads. The entries of their batch must be applied.
+func (r *Replica) completeReads(reads []raft.Read) {
 	for _, read := range reads {
 		q, ok := r.waiters.reads[read.Token]
 		if !ok {
@@ -144,33 +141,33 @@
 	}
 }
 
-// answerApplied finishes the requests that wait for an applied index.
-func (r *Replica) answerApplied() {
-	kept := r.waiters.applies[:0]
+// completeApplied finishes the requests whose index is applied.
+func (r *Replica) completeApplied() {
+	remaining := r.waiters.applies[:0]
 	for _, w := range r.waiters.applies {
 		if w.index > r.applied {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		r.finish(w.request, nil, nil)
 	}
-	clear(r.waiters.applies[len(kept):])
-	r.waiters.applies = kept
+	clear(r.waiters.applies[len(remaining):])
+	r.waiters.applies = remaining
 }
 
-// abandonAll finishes everything when the loop ends. What was started may have
-// reached other replicas.
-func (r *Replica) abandonAll() {
-	for _, q := range r.intake.close() {
-		if q.move(requestQueued, requestTaken) {
+// failAll fails all requests when the loop ends.
+func (r *Replica) failAll() {
+	for _, q := range r.inbox.close() {
+		if q.transition(requestQueued, requestStarted) {
 			r.finish(q, nil, ErrClosed)
 		}
 	}
-	r.finishStarted()
+	r.failStarted()
 }
 
-// finishStarted finishes what the loop has started and cannot go on with.
-func (r *Replica) finishStarted() {
+// failStarted fails the started requests. Proposals get ErrUnknown: they may have
+// reached other replicas.
+func (r *Replica) failStarted() {
 	for _, list := range r.waiters.commits {
 		for _, w := range list {
 			r.finishUnknown(w.request)
--- a/test/handover_test.go
+++ b/test/handover_test.go
@@ -17,7 +17,7 @@
 )
 
 // handedOverMessage is the log message of a leader that stops.
-const handedOverMessage = "leadership handed over"
+const handedOverMessage = "leadership transferred"
 
 // stream submits one patch after the other until it is stopped.
 type stream struct {
