--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -14,39 +14,39 @@
 type File interface {
 	io.Writer
 	io.Closer
-	// Sync returns once everything written is on the disk.
+	// Sync makes everything written durable.
 	Sync() error
 }
 
-// FS is the part of a file system that the log uses. Tests inject faults
-// through it.
+// FS is the file system interface of the log. Tests use it to inject faults.
 type FS interface {
 	MkdirAll(path string) error
-	// Create makes a file that does not exist or empties one that does.
+	// Create creates or truncates a file.
 	Create(path string) (File, error)
-	// Append opens an existing file for writing at its end.
+	// Append opens an existing file for appending.
 	Append(path string) (File, error)
 	ReadFile(path string) ([]byte, error)
-	// ReadDir returns the names in a folder in ascending order.
+	// ReadDir returns the names in a directory in ascending order.
 	ReadDir(path string) ([]string, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncDir makes renames and removals in the folder durable.
+	// SyncDir makes renames and removals in the directory durable.
 	SyncDir(path string) error
-	// Lock takes the exclusive lock of a file, or returns ErrLocked at once.
+	// Lock acquires the exclusive lock of a file. It returns ErrLocked without
+	// waiting if the lock is held.
 	Lock(path string) (io.Closer, error)
 }
 
 const (
-	folderMode = 0o700
-	fileMode   = 0o600
+	dirMode  = 0o700
+	fileMode = 0o600
 )
 
 // OSFS is the file system of the operating system.
 type OSFS struct{}
 
 // MkdirAll implements FS.
-func (OSFS) MkdirAll(path string) error { return os.MkdirAll(path, folderMode) }
+func (OSFS) MkdirAll(path string) error { return os.MkdirAll(path, dirMode) }
 
 // Create implements FS.
 func (OSFS) Create(path string) (File, error) {
@@ -92,7 +92,7 @@
 	return d.Close()
 }
 
-// Lock implements FS. The lock ends with the process at the latest.
+// Lock implements FS. The lock is released at the latest when the process exits.
 func (OSFS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -119,13 +119,13 @@
 	return err
 }
 
-// explain adds the sentinel that an operator can act on to an error of the
-// file system. It returns nil for nil.
-func explain(err error, doing, path string) error {
+// wrapFSError adds the operation, the path and ErrNoSpace or ErrNotWritable, if they
+// apply, to an error of the file system. It returns nil for nil.
+func wrapFSError(err error, op, path string) error {
 	if err == nil {
 		return nil
 	}
-	err = errors.Wrapf(err, "%s %s", doing, path)
+	err = errors.Wrapf(err, "%s %s", op, path)
 	switch {
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT), errors.Is(err, syscall.EFBIG):
 		return errors.Join(ErrNoSpace, err)
@@ -135,29 +135,29 @@
 	return err
 }
 
-// writeWhole makes the file path hold exactly data, or leaves it as it was.
-func writeWhole(fs FS, path string, data []byte) error {
+// writeFileAtomic replaces the content of a file durably, or leaves it unchanged.
+func writeFileAtomic(fs FS, path string, data []byte) error {
 	tmp := path + tmpSuffix
 	f, err := fs.Create(tmp)
 	if err != nil {
-		return explain(err, "create", tmp)
+		return wrapFSError(err, "create", tmp)
 	}
 	if err := writeAll(f, data); err != nil {
-		return errors.Join(explain(err, "write", tmp), f.Close())
+		return errors.Join(wrapFSError(err, "write", tmp), f.Close())
 	}
 	if err := f.Sync(); err != nil {
-		return errors.Join(ErrSync, explain(err, "sync", tmp), f.Close())
+		return errors.Join(ErrSync, wrapFSError(err, "sync", tmp), f.Close())
 	}
 	if err := f.Close(); err != nil {
-		return explain(err, "close", tmp)
+		return wrapFSError(err, "close", tmp)
 	}
 	if err := fs.Rename(tmp, path); err != nil {
-		return explain(err, "rename", tmp)
+		return wrapFSError(err, "rename", tmp)
 	}
-	// The rename itself lasts only once the folder is synced.
-	folder := filepath.Dir(path)
-	if err := fs.SyncDir(folder); err != nil {
-		return errors.Join(ErrSync, explain(err, "sync folder", folder))
+	// The rename is durable only once the directory is synced.
+	dir := filepath.Dir(path)
+	if err := fs.SyncDir(dir); err != nil {
+		return errors.Join(ErrSync, wrapFSError(err, "sync directory", dir))
 	}
 	return nil
 }
--- a/internal/wal/fuzz_test.go
+++ b/internal/wal/fuzz_test.go
@@ -9,13 +9,13 @@
 
 const fuzzSalt salt = 0x1234567890abcdef
 
-// FuzzRecord feeds arbitrary bytes to the record decoder and checks that what
-// it takes for a record encodes to the same bytes.
+// FuzzRecord decodes arbitrary bytes and checks that a valid record encodes to the
+// same bytes.
 func FuzzRecord(f *testing.F) {
-	it := &items{
-		mark:      &raftpb.Snapshot{Index: 3, Term: 1},
-		hardState: &raftpb.HardState{Term: 2, Vote: &raftpb.ReplicaID{Name: "b", Incarnation: 7}, Commit: 3},
-		entries:   entries(2, 4, 6),
+	it := &logRecord{
+		snapshotMeta: &raftpb.Snapshot{Index: 3, Term: 1},
+		hardState:    &raftpb.HardState{Term: 2, Vote: &raftpb.ReplicaID{Name: "b", Incarnation: 7}, Commit: 3},
+		entries:      entries(2, 4, 6),
 	}
 	payload, err := it.encode(nil)
 	must(f, err)
@@ -32,8 +32,8 @@
 		if s, _, rest, ok := parseFirstRecord(data); ok {
 			checkRecord(t, rest, s)
 		}
-		if it, err := decodeItems(data); err == nil {
-			checkItems(t, it)
+		if it, err := decodeLogRecord(data); err == nil {
+			checkLogRecord(t, it)
 		}
 	})
 }
@@ -47,19 +47,19 @@
 	if !bytes.HasPrefix(data, again) {
 		t.Fatalf("record does not encode to itself: %x", data)
 	}
-	if it, err := decodeItems(payload); err == nil {
-		checkItems(t, it)
+	if it, err := decodeLogRecord(payload); err == nil {
+		checkLogRecord(t, it)
 	}
 }
 
-func checkItems(t *testing.T, it *items) {
+func checkLogRecord(t *testing.T, it *logRecord) {
 	encoded, err := it.encode(nil)
 	if err != nil {
-		return // a text field that is not UTF-8 does not encode
+		return // a string that is not UTF-8 does not encode
 	}
-	again, err := decodeItems(encoded)
+	again, err := decodeLogRecord(encoded)
 	if err != nil {
-		t.Fatalf("items do not decode again: %v", err)
+		t.Fatalf("record does not decode again: %v", err)
 	}
 	if len(again.entries) != len(it.entries) {
 		t.Fatalf("%d entries became %d", len(it.entries), len(again.entries))
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -10,24 +10,24 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// DefaultSegmentBytes is the size after which a new segment is begun.
+// DefaultSegmentBytes is the default of Options.SegmentBytes.
 const DefaultSegmentBytes = 8 << 20
 
 // Options configures a Log.
 type Options struct {
-	// Name is the replica's name. A folder that was made under another name is
+	// Name is the name of the replica. A data directory with another name is
 	// refused.
 	Name string
-	// SegmentBytes is the size after which a new segment is begun.
+	// SegmentBytes is the size after which a new segment is started.
 	SegmentBytes int
 	// FS is the file system. Nil means that of the operating system.
 	FS FS
-	// Incarnation returns the incarnation of a new folder, which must be
-	// non-zero. Nil means a random one.
+	// Incarnation returns the non-zero incarnation of a new data directory. Nil
+	// means a random one.
 	Incarnation func() (uint64, error)
 }
 
-// State is what a folder holds when it is opened.
+// State is the content of a data directory when it is opened.
 type State struct {
 	Self *raftpb.ReplicaID
 	// HardState is nil if none was saved.
@@ -36,19 +36,19 @@
 	Snapshot *raftpb.Snapshot
 	// Entries follow the snapshot without a gap.
 	Entries []*raftpb.Entry
-	// New says that the folder was made by this call.
+	// New is set if the data directory was created by Open.
 	New bool
-	// TornBytes counts the bytes cut off the end of the log.
+	// TornBytes is the number of bytes truncated from the end of the log.
 	TornBytes int
 }
 
-// Batch is what one Save makes durable. Each field may be empty.
+// Batch is the argument of Save. Each field may be empty.
 type Batch struct {
 	HardState *raftpb.HardState
-	// Snapshot is one received from the leader. Entries before it are dropped,
-	// and those after it too unless the log agrees with it.
+	// Snapshot is a snapshot received from the leader. Entries up to it are
+	// dropped; later ones too, unless the log matches its index and term.
 	Snapshot *raftpb.Snapshot
-	// Entries continue the log or replace it from their first index on.
+	// Entries continue the log or overwrite it from their first index on.
 	Entries []*raftpb.Entry
 }
 
@@ -56,12 +56,12 @@
 	return b.HardState == nil && b.Snapshot == nil && len(b.Entries) == 0
 }
 
-// Log is an open data folder. It is not safe for concurrent use.
+// Log is an open data directory. It is not safe for concurrent use.
 type Log struct {
-	folder string
-	fs     FS
-	opts   Options
-	lock   io.Closer
+	dir  string
+	fs   FS
+	opts Options
+	lock io.Closer
 
 	file     File
 	salt     salt
@@ -70,9 +70,9 @@
 	segments []segment
 	buffer   []byte
 
-	hardState *raftpb.HardState
-	mark      *raftpb.Snapshot // without data; nil for none
-	tail      tail
+	hardState    *raftpb.HardState
+	snapshotMeta *raftpb.Snapshot // without data; nil for none
+	termIndex    termIndex
 
 	failure error
 	closed  bool
@@ -85,9 +85,9 @@
 	lastIndex uint64
 }
 
-// Save makes the batch durable and returns once it is synced. An error other
-// than ErrOrder and ErrTooLarge, which leave the log as it was, is final: the
-// log refuses everything after.
+// Save makes the batch durable and returns once it is synced. ErrNotContiguous and
+// ErrTooLarge leave the log unchanged; after any other error the log must be
+// reopened.
 func (l *Log) Save(b Batch) error {
 	if err := l.usable(); err != nil {
 		return err
@@ -95,10 +95,10 @@
 	if b.empty() {
 		return nil
 	}
-	it := &items{hardState: b.HardState, entries: b.Entries}
+	it := &logRecord{hardState: b.HardState, entries: b.Entries}
 	if b.Snapshot != nil {
-		it.mark = &raftpb.Snapshot{Index: b.Snapshot.Index, Term: b.Snapshot.Term}
-		it.reset = !l.tail.holds(b.Snapshot.Index, b.Snapshot.Term)
+		it.snapshotMeta = &raftpb.Snapshot{Index: b.Snapshot.Index, Term: b.Snapshot.Term}
+		it.reset = !l.termIndex.holds(b.Snapshot.Index, b.Snapshot.Term)
 	}
 	if err := l.checkOrder(it); err != nil {
 		return err
@@ -115,47 +115,47 @@
 	if b.Snapshot == nil {
 		return nil
 	}
-	return l.removeOld()
+	return l.removeObsolete()
 }
 
-// Compact makes a snapshot of the state machine durable and removes what lies
-// behind it. A snapshot that is not newer than the present one is ignored.
-// Errors are as those of Save.
+// Compact makes a snapshot of the state machine durable and removes the segments and
+// snapshots that it replaces. A snapshot that is not newer than the current one is
+// ignored. Errors are those of Save.
 func (l *Log) Compact(s *raftpb.Snapshot) error {
 	if err := l.usable(); err != nil {
 		return err
 	}
-	if s.Index <= l.mark.GetIndex() {
+	if s.Index <= l.snapshotMeta.GetIndex() {
 		return nil
 	}
-	if s.Index > l.tail.last {
-		return errors.Wrapf(ErrNotContiguous, "snapshot at %d, last entry %d", s.Index, l.tail.last)
+	if s.Index > l.termIndex.last {
+		return errors.Wrapf(ErrNotContiguous, "snapshot at %d, last entry %d", s.Index, l.termIndex.last)
 	}
 	if err := l.writeSnapshot(s); err != nil {
 		return l.fail(err)
 	}
-	mark := &raftpb.Snapshot{Index: s.Index, Term: s.Term}
-	if err := l.append(&items{mark: mark}); err != nil {
+	snapshotMeta := &raftpb.Snapshot{Index: s.Index, Term: s.Term}
+	if err := l.append(&logRecord{snapshotMeta: snapshotMeta}); err != nil {
 		return err
 	}
-	return l.removeOld()
+	return l.removeObsolete()
 }
 
-// Snapshot reads the snapshot that was made durable at an index and not
-// replaced since. Errors: ErrDamaged, with the file.
+// Snapshot reads the current snapshot, which must be at the given index. It returns
+// ErrCorrupted if the file is invalid.
 func (l *Log) Snapshot(index uint64) (*raftpb.Snapshot, error) {
 	s := new(raftpb.Snapshot)
 	return s, l.readMessage(numberedName(index, snapshotSuffix), s)
 }
 
-// Close ends the log with an empty record and gives the folder free.
+// Close appends an empty record and releases the data directory.
 func (l *Log) Close() error {
 	if l.closed {
 		return nil
 	}
 	var err error
 	if l.failure == nil {
-		err = l.append(&items{})
+		err = l.append(&logRecord{})
 	}
 	l.closed = true
 	return errors.Join(err, l.file.Close(), l.lock.Close())
@@ -171,23 +171,24 @@
 	return nil
 }
 
-// fail makes err final, because the state of the disk is not known after it.
+// fail makes the log fail with err, because the state of the disk is unknown. It does
+// not for ErrTooLarge.
 func (l *Log) fail(err error) error {
 	if errors.Is(err, ErrTooLarge) {
-		// Found before anything was written.
+		// Detected before anything was written.
 		return err
 	}
 	l.failure = err
 	return errors.Join(ErrFailed, err)
 }
 
-func (l *Log) checkOrder(it *items) error {
-	floor, last := l.mark.GetIndex(), l.tail.last
-	if it.mark != nil {
-		if it.mark.Index <= floor {
-			return errors.Wrapf(ErrNotContiguous, "snapshot at %d, have one at %d", it.mark.Index, floor)
+func (l *Log) checkOrder(it *logRecord) error {
+	floor, last := l.snapshotMeta.GetIndex(), l.termIndex.last
+	if it.snapshotMeta != nil {
+		if it.snapshotMeta.Index <= floor {
+			return errors.Wrapf(ErrNotContiguous, "snapshot at %d, have one at %d", it.snapshotMeta.Index, floor)
 		}
-		floor = it.mark.Index
+		floor = it.snapshotMeta.Index
 		if it.reset {
 			last = floor
 		}
@@ -201,13 +202,13 @@
 	return nil
 }
 
-// append writes and syncs one record and takes it into the state in memory.
-func (l *Log) append(it *items) error {
+// append writes and syncs one record and applies it to the state in memory.
+func (l *Log) append(it *logRecord) error {
 	payload, err := it.encode(l.buffer[:0])
 	if err != nil {
 		return err
 	}
-	l.keepBuffer(payload)
+	l.retainBuffer(payload)
 	if len(payload) > maxPayload {
 		return errors.Wrapf(ErrTooLarge, "%d bytes", len(payload))
 	}
@@ -219,38 +220,38 @@
 	record := appendRecord(make([]byte, 0, headerLength+len(payload)), l.salt, l.sequence, payload)
 	path := l.path(l.segments[len(l.segments)-1].name)
 	if err := writeAll(l.file, record); err != nil {
-		return l.fail(explain(err, "write", path))
+		return l.fail(wrapFSError(err, "write", path))
 	}
 	if err := l.file.Sync(); err != nil {
-		return l.fail(errors.Join(ErrSync, explain(err, "sync", path)))
+		return l.fail(errors.Join(ErrSync, wrapFSError(err, "sync", path)))
 	}
 	l.sequence++
 	l.size += len(record)
-	l.take(it)
+	l.applyRecord(it)
 	return nil
 }
 
-// keepBuffer keeps the encoding buffer unless it has grown out of proportion.
-func (l *Log) keepBuffer(b []byte) {
+// retainBuffer keeps the encoding buffer unless it is too large.
+func (l *Log) retainBuffer(b []byte) {
 	const maxKept = 1 << 20
 	if cap(b) <= maxKept {
 		l.buffer = b
 	}
 }
 
-func (l *Log) take(it *items) {
+func (l *Log) applyRecord(it *logRecord) {
 	if it.hardState != nil {
 		l.hardState = proto.CloneOf(it.hardState)
 	}
-	if it.mark != nil {
-		l.mark = it.mark
-		l.tail.drop(it.mark, it.reset)
+	if it.snapshotMeta != nil {
+		l.snapshotMeta = it.snapshotMeta
+		l.termIndex.drop(it.snapshotMeta, it.reset)
 	}
 	newest := &l.segments[len(l.segments)-1]
 	for _, e := range it.entries {
-		l.tail.append(e.Index, e.Term)
+		l.termIndex.append(e.Index, e.Term)
 		newest.lastIndex = max(newest.lastIndex, e.Index)
 	}
 }
 
-func (l *Log) path(name string) string { return filepath.Join(l.folder, name) }
+func (l *Log) path(name string) string { return filepath.Join(l.dir, name) }
--- a/internal/wal/items.go
+++ b/internal/wal/logrecord.go
@@ -12,21 +12,22 @@
 const (
 	hardStateField protowire.Number = 1
 	entryField     protowire.Number = 2
-	// snapshotField holds index and term of a snapshot that took effect.
+	// snapshotField holds index and term of the snapshot in use.
 	snapshotField protowire.Number = 3
-	// resetField holds the same, and the entries before it are void.
+	// resetField is snapshotField of a snapshot that replaces all entries before it.
 	resetField protowire.Number = 4
 )
 
 var errPayload = errors.New("payload is not well-formed")
 
-// items is the content of one log record.
-type items struct {
-	// mark and reset come first: entries follow the snapshot.
-	mark      *raftpb.Snapshot
-	reset     bool
-	hardState *raftpb.HardState
-	entries   []*raftpb.Entry
+// logRecord is the decoded payload of one record.
+type logRecord struct {
+	// snapshotMeta and reset are encoded first, since entries follow the snapshot.
+	// snapshotMeta has only index and term.
+	snapshotMeta *raftpb.Snapshot
+	reset        bool
+	hardState    *raftpb.HardState
+	entries      []*raftpb.Entry
 }
 
 func appendMessage(dst []byte, field protowire.Number, m proto.Message) ([]byte, error) {
@@ -39,14 +40,14 @@
 	return dst, nil
 }
 
-func (it *items) encode(dst []byte) ([]byte, error) {
+func (it *logRecord) encode(dst []byte) ([]byte, error) {
 	var err error
-	if it.mark != nil {
+	if it.snapshotMeta != nil {
 		field := snapshotField
 		if it.reset {
 			field = resetField
 		}
-		if dst, err = appendMessage(dst, field, it.mark); err != nil {
+		if dst, err = appendMessage(dst, field, it.snapshotMeta); err != nil {
 			return nil, err
 		}
 	}
@@ -63,8 +64,8 @@
 	return dst, nil
 }
 
-func decodeItems(payload []byte) (*items, error) {
-	it := &items{}
+func decodeLogRecord(payload []byte) (*logRecord, error) {
+	it := &logRecord{}
 	for len(payload) > 0 {
 		field, kind, n := protowire.ConsumeTag(payload)
 		if n < 0 || kind != protowire.BytesType {
@@ -76,14 +77,14 @@
 			return nil, errPayload
 		}
 		payload = payload[n:]
-		if err := it.decodeItem(field, value); err != nil {
+		if err := it.decodeField(field, value); err != nil {
 			return nil, err
 		}
 	}
 	return it, nil
 }
 
-func (it *items) decodeItem(field protowire.Number, value []byte) error {
+func (it *logRecord) decodeField(field protowire.Number, value []byte) error {
 	switch field {
 	case hardStateField:
 		it.hardState = &raftpb.HardState{}
@@ -93,12 +94,11 @@
 		it.entries = append(it.entries, e)
 		return proto.Unmarshal(value, e)
 	case snapshotField, resetField:
-		it.mark = &raftpb.Snapshot{}
+		it.snapshotMeta = &raftpb.Snapshot{}
 		it.reset = field == resetField
-		return proto.Unmarshal(value, it.mark)
+		return proto.Unmarshal(value, it.snapshotMeta)
 	default:
-		// An unknown field was written by a newer version and must not be
-		// dropped in silence.
+		// Fields of a newer version must not be ignored.
 		return errors.Wrapf(errPayload, "field %d", field)
 	}
 }
--- a/internal/wal/memory.go
+++ b/internal/wal/memfs.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// MemFS is a file system in memory, for a log that need not outlive its process. It
-// has no folders of its own: a folder is there as soon as a file is.
+// MemFS is an in-memory file system for a log that need not survive its process.
+// Directories exist implicitly.
 type MemFS struct {
 	mu    sync.Mutex
 	files map[string][]byte
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -9,9 +9,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// Open opens the data folder, or makes it with a new incarnation, and returns
-// what it holds.
-func Open(folder string, opts Options) (*Log, *State, error) {
+// Open opens the data directory, or creates it with a new incarnation, and returns
+// its content.
+func Open(dir string, opts Options) (*Log, *State, error) {
 	if opts.FS == nil {
 		opts.FS = OSFS{}
 	}
@@ -21,15 +21,15 @@
 	if opts.Incarnation == nil {
 		opts.Incarnation = randomNumber
 	}
-	if err := opts.FS.MkdirAll(folder); err != nil {
-		return nil, nil, explain(err, "make folder", folder)
+	if err := opts.FS.MkdirAll(dir); err != nil {
+		return nil, nil, wrapFSError(err, "create directory", dir)
 	}
-	lockPath := filepath.Join(folder, lockName)
+	lockPath := filepath.Join(dir, lockName)
 	lock, err := opts.FS.Lock(lockPath)
 	if err != nil {
-		return nil, nil, explain(err, "lock", lockPath)
+		return nil, nil, wrapFSError(err, "lock", lockPath)
 	}
-	l := &Log{folder: folder, fs: opts.FS, opts: opts, lock: lock}
+	l := &Log{dir: dir, fs: opts.FS, opts: opts, lock: lock}
 	state, err := l.load()
 	if err == nil {
 		return l, state, nil
@@ -40,25 +40,26 @@
 	return nil, nil, errors.Join(err, lock.Close())
 }
 
-// listing is the names in a folder by kind, each in ascending order.
-type listing struct {
+// dirListing holds the file names of a data directory by kind, each in ascending
+// order.
+type dirListing struct {
 	identity  bool
 	segments  []string
 	snapshots []string
-	temporary []string
+	tmpFiles  []string
 }
 
-func (l *Log) list() (*listing, error) {
-	names, err := l.fs.ReadDir(l.folder)
+func (l *Log) list() (*dirListing, error) {
+	names, err := l.fs.ReadDir(l.dir)
 	if err != nil {
-		return nil, explain(err, "read folder", l.folder)
+		return nil, wrapFSError(err, "read directory", l.dir)
 	}
-	found := &listing{}
+	found := &dirListing{}
 	for _, name := range names {
 		if name == identityName {
 			found.identity = true
 		} else if strings.HasSuffix(name, tmpSuffix) {
-			found.temporary = append(found.temporary, name)
+			found.tmpFiles = append(found.tmpFiles, name)
 		} else if _, ok := parseNumberedName(name, segmentSuffix); ok {
 			found.segments = append(found.segments, name)
 		} else if _, ok := parseNumberedName(name, snapshotSuffix); ok {
@@ -73,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range found.temporary {
+	for _, name := range found.tmpFiles {
 		if err := l.remove(name); err != nil {
 			return nil, err
 		}
@@ -92,7 +93,7 @@
 		return nil, err
 	}
 	if state.Self.Name != l.opts.Name {
-		return nil, errors.Errorf("folder %s belongs to replica %q, not %q", l.folder, state.Self.Name, l.opts.Name)
+		return nil, errors.Errorf("data directory %s belongs to replica %q, not %q", l.dir, state.Self.Name, l.opts.Name)
 	}
 	if err := l.replay(found.segments, state); err != nil {
 		return nil, err
@@ -103,18 +104,18 @@
 	return state, nil
 }
 
-// create fills an empty folder. The identity comes last: a folder without one
-// has never been used, unless it holds more than create makes.
-func (l *Log) create(found *listing) error {
+// create initializes an empty data directory. The identity is written last: a
+// directory without one was never used, unless it holds more than create writes.
+func (l *Log) create(found *dirListing) error {
 	if err := l.checkUnused(found); err != nil {
 		return err
 	}
 	const firstSequence = 1
-	data, _, err := newSegment(firstSequence, &items{})
+	data, _, err := newSegment(firstSequence, &logRecord{})
 	if err != nil {
 		return err
 	}
-	if err := writeWhole(l.fs, l.path(numberedName(firstSequence, segmentSuffix)), data); err != nil {
+	if err := writeFileAtomic(l.fs, l.path(numberedName(firstSequence, segmentSuffix)), data); err != nil {
 		return err
 	}
 	incarnation, err := l.opts.Incarnation()
@@ -125,37 +126,36 @@
 	if err := l.writeMessage(identityName, id); err != nil {
 		return err
 	}
-	parent := filepath.Dir(l.folder)
-	return explain(l.fs.SyncDir(parent), "sync folder", parent)
+	parent := filepath.Dir(l.dir)
+	return wrapFSError(l.fs.SyncDir(parent), "sync directory", parent)
 }
 
-func (l *Log) checkUnused(found *listing) error {
+func (l *Log) checkUnused(found *dirListing) error {
 	unused := len(found.snapshots) == 0 && len(found.segments) <= 1
 	for _, name := range found.segments {
 		data, err := l.fs.ReadFile(l.path(name))
 		if err != nil {
-			return explain(err, "read", l.path(name))
+			return wrapFSError(err, "read", l.path(name))
 		}
 		unused = unused && len(data) == headerLength+saltLength+headerLength
 	}
 	if !unused {
-		return damaged(l.path(identityName), 0, "missing beside a log")
+		return corrupted(l.path(identityName), 0, "missing although a log exists")
 	}
 	return nil
 }
 
-// loadSnapshot reads the snapshot that the log refers to. Others never took
-// effect or were replaced, and are removed.
+// loadSnapshot reads the snapshot that the log refers to and removes all others.
 func (l *Log) loadSnapshot(names []string, state *State) error {
 	want := ""
-	if l.mark != nil {
-		want = numberedName(l.mark.Index, snapshotSuffix)
+	if l.snapshotMeta != nil {
+		want = numberedName(l.snapshotMeta.Index, snapshotSuffix)
 		state.Snapshot = &raftpb.Snapshot{}
 		if err := l.readMessage(want, state.Snapshot); err != nil {
 			return err
 		}
-		if state.Snapshot.Index != l.mark.Index || state.Snapshot.Term != l.mark.Term {
-			return damaged(l.path(want), 0, "not the snapshot that the log refers to")
+		if state.Snapshot.Index != l.snapshotMeta.Index || state.Snapshot.Term != l.snapshotMeta.Term {
+			return corrupted(l.path(want), 0, "not the snapshot that the log refers to")
 		}
 	}
 	for _, name := range names {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -10,7 +10,7 @@
 const (
 	headerLength = 24
 	saltLength   = 8
-	// maxPayload bounds one record, in bytes.
+	// maxPayload is the maximum payload of one record, in bytes.
 	maxPayload = 256 << 20
 )
 
@@ -25,7 +25,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// salt is the random number of a file that its checksums start from.
+// salt is the random seed of the checksums of a file.
 type salt uint64
 
 func (s salt) sum(data []byte) uint32 {
@@ -46,8 +46,8 @@
 	return append(dst, payload...)
 }
 
-// parseRecord reads the record at the start of data. The payload refers to
-// data. ok is false if there is no whole and undamaged record.
+// parseRecord parses the record at the start of data. The payload aliases data. ok
+// is false if there is no complete and valid record.
 func parseRecord(data []byte, s salt) (sequence uint64, payload []byte, ok bool) {
 	if len(data) < headerLength {
 		return 0, nil, false
@@ -69,15 +69,16 @@
 	return binary.LittleEndian.Uint64(data[sequenceAt:]), payload, true
 }
 
-// appendFirstRecord appends the record that starts every file. It carries the
-// salt and is itself summed without one.
+// appendFirstRecord appends the first record of a file. It contains the salt; its own
+// checksums use salt 0.
 func appendFirstRecord(dst []byte, s salt, sequence uint64) []byte {
 	var b [saltLength]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(s))
 	return appendRecord(dst, 0, sequence, b[:])
 }
 
-// parseFirstRecord returns the salt and what follows the first record.
+// parseFirstRecord returns the salt, the sequence number and the data after the first
+// record.
 func parseFirstRecord(data []byte) (s salt, sequence uint64, rest []byte, ok bool) {
 	sequence, payload, ok := parseRecord(data, 0)
 	if !ok || len(payload) != saltLength {
@@ -87,8 +88,8 @@
 	return s, sequence, data[headerLength+saltLength:], true
 }
 
-// hasRecord tells whether a valid record starts anywhere in data.
-func hasRecord(data []byte, s salt) bool {
+// containsRecord reports whether a valid record starts anywhere in data.
+func containsRecord(data []byte, s salt) bool {
 	for at := 0; at+headerLength <= len(data); at++ {
 		if _, _, ok := parseRecord(data[at:], s); ok {
 			return true
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -9,7 +9,7 @@
 // replay reads the segments and opens the newest one for writing.
 func (l *Log) replay(names []string, state *State) error {
 	if len(names) == 0 {
-		return damaged(l.folder, 0, "no segment")
+		return corrupted(l.dir, 0, "no segment")
 	}
 	r := &replayer{log: l}
 	for i, name := range names {
@@ -22,33 +22,32 @@
 	}
 	state.HardState = l.hardState
 	state.Entries = r.entries
-	state.TornBytes = r.torn
-	l.tail.last = l.mark.GetIndex()
+	state.TornBytes = r.tornBytes
+	l.termIndex.last = l.snapshotMeta.GetIndex()
 	for _, e := range r.entries {
-		l.tail.append(e.Index, e.Term)
+		l.termIndex.append(e.Index, e.Term)
 	}
-	return l.renewNewest(r.data)
+	return l.rewriteNewest(r.data)
 }
 
-// renewNewest writes the valid part of the newest segment anew. What was read
-// may be in the memory of the operating system only, left there by a sync that
-// failed before this process started.
-func (l *Log) renewNewest(data []byte) error {
+// rewriteNewest rewrites and syncs the valid part of the newest segment. After a
+// failed sync of an earlier process it may only be in the page cache.
+func (l *Log) rewriteNewest(data []byte) error {
 	name := l.segments[len(l.segments)-1].name
-	if err := writeWhole(l.fs, l.path(name), data); err != nil {
+	if err := writeFileAtomic(l.fs, l.path(name), data); err != nil {
 		return err
 	}
 	l.size = len(data)
 	return l.openSegment(name)
 }
 
-// replayer applies records in the order in which they were written.
+// replayer applies the records of all segments in order.
 type replayer struct {
 	log     *Log
 	entries []*raftpb.Entry
 	// data is the valid part of the newest segment read.
-	data []byte
-	torn int
+	data      []byte
+	tornBytes int
 }
 
 // segment reads one segment. Only the newest one may have a torn tail.
@@ -56,15 +55,15 @@
 	path := r.log.path(name)
 	data, err := r.log.fs.ReadFile(path)
 	if err != nil {
-		return explain(err, "read", path)
+		return wrapFSError(err, "read", path)
 	}
 	named, _ := parseNumberedName(name, segmentSuffix)
 	s, sequence, rest, ok := parseFirstRecord(data)
 	if !ok || sequence != named {
-		return damaged(path, 0, "no valid first record")
+		return corrupted(path, 0, "no valid first record")
 	}
 	if !oldest && sequence != r.log.sequence {
-		return damaged(path, 0, fmt.Sprintf("begins at record %d, want %d", sequence, r.log.sequence))
+		return corrupted(path, 0, fmt.Sprintf("begins at record %d, want %d", sequence, r.log.sequence))
 	}
 	r.log.salt = s
 	r.log.sequence = sequence + 1
@@ -81,12 +80,12 @@
 		at += n
 	}
 	if r.log.sequence < sequence+segmentHeadRecords {
-		return damaged(path, int64(at), "no valid second record")
+		return corrupted(path, int64(at), "no valid second record")
 	}
-	if at < len(data) && (!newest || hasRecord(data[at:], s)) {
-		return damaged(path, int64(at), "invalid record before valid ones")
+	if at < len(data) && (!newest || containsRecord(data[at:], s)) {
+		return corrupted(path, int64(at), "invalid record before valid ones")
 	}
-	r.torn += len(data) - at
+	r.tornBytes += len(data) - at
 	r.data = data[:at]
 	return nil
 }
@@ -99,23 +98,23 @@
 		return 0, nil
 	}
 	if sequence != r.log.sequence {
-		return 0, damaged(path, int64(at), fmt.Sprintf("record %d, want %d", sequence, r.log.sequence))
+		return 0, corrupted(path, int64(at), fmt.Sprintf("record %d, want %d", sequence, r.log.sequence))
 	}
-	it, err := decodeItems(payload)
+	it, err := decodeLogRecord(payload)
 	if err != nil {
-		return 0, damaged(path, int64(at), err.Error())
+		return 0, corrupted(path, int64(at), err.Error())
 	}
 	if it.hardState != nil {
 		r.log.hardState = it.hardState
 	}
-	if it.mark != nil {
-		r.log.mark = it.mark
-		r.drop(it.mark.Index, it.reset)
+	if it.snapshotMeta != nil {
+		r.log.snapshotMeta = it.snapshotMeta
+		r.drop(it.snapshotMeta.Index, it.reset)
 	}
 	newest := &r.log.segments[len(r.log.segments)-1]
 	for _, e := range it.entries {
 		if !r.append(e) {
-			return 0, damaged(path, int64(at), fmt.Sprintf("entry %d leaves a gap", e.Index))
+			return 0, corrupted(path, int64(at), fmt.Sprintf("entry %d leaves a gap", e.Index))
 		}
 		newest.lastIndex = max(newest.lastIndex, e.Index)
 	}
@@ -123,7 +122,7 @@
 	return headerLength + len(payload), nil
 }
 
-// drop forgets the entries up to index, with reset also those after.
+// drop removes the entries up to index, or all of them if reset is set.
 func (r *replayer) drop(index uint64, reset bool) {
 	if reset || len(r.entries) == 0 {
 		r.entries = nil
@@ -137,9 +136,9 @@
 	r.entries = append([]*raftpb.Entry(nil), r.entries[n:]...)
 }
 
-// append adds an entry, which replaces those from its index on. The segments
-// that held earlier entries may be gone, so the log may begin at any index;
-// checkStart judges that at the end.
+// append adds an entry, which replaces those from its index on. It reports false for
+// a gap. The log may begin at any index, since older segments may be removed;
+// checkStart checks that at the end.
 func (r *replayer) append(e *raftpb.Entry) bool {
 	if len(r.entries) == 0 || e.Index <= r.entries[0].Index {
 		r.entries = append(r.entries[:0], e)
@@ -153,15 +152,15 @@
 	return true
 }
 
-// checkStart tells whether the entries follow the snapshot.
+// checkStart checks that the entries follow the snapshot.
 func (r *replayer) checkStart() error {
 	if len(r.entries) == 0 {
 		return nil
 	}
-	first, want := r.entries[0].Index, r.log.mark.GetIndex()+1
+	first, want := r.entries[0].Index, r.log.snapshotMeta.GetIndex()+1
 	if first == want {
 		return nil
 	}
 	oldest := r.log.path(r.log.segments[0].name)
-	return damaged(oldest, 0, fmt.Sprintf("log begins at entry %d, want %d", first, want))
+	return corrupted(oldest, 0, fmt.Sprintf("log begins at entry %d, want %d", first, want))
 }
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -37,7 +37,7 @@
 	return salt(n), err
 }
 
-// randomNumber returns a random number other than zero.
+// randomNumber returns a random non-zero number.
 func randomNumber() (uint64, error) {
 	var b [8]byte
 	for {
@@ -50,15 +50,15 @@
 	}
 }
 
-// rotate begins a new segment. It starts with a copy of hard state and
-// snapshot mark, so that the segments before it can be removed.
+// rotate starts a new segment. It begins with a copy of the hard state and the
+// snapshot metadata, so that earlier segments can be removed.
 func (l *Log) rotate() error {
 	name := numberedName(l.sequence, segmentSuffix)
-	data, s, err := newSegment(l.sequence, &items{hardState: l.hardState, mark: l.mark})
+	data, s, err := newSegment(l.sequence, &logRecord{hardState: l.hardState, snapshotMeta: l.snapshotMeta})
 	if err != nil {
 		return err
 	}
-	if err := writeWhole(l.fs, l.path(name), data); err != nil {
+	if err := writeFileAtomic(l.fs, l.path(name), data); err != nil {
 		return err
 	}
 	if err := l.openSegment(name); err != nil {
@@ -71,10 +71,11 @@
 	return nil
 }
 
-// segmentHeadRecords is the number of records every segment starts with.
+// segmentHeadRecords is the number of records at the start of every segment: the first
+// record and the copied state.
 const segmentHeadRecords = 2
 
-func newSegment(sequence uint64, state *items) ([]byte, salt, error) {
+func newSegment(sequence uint64, state *logRecord) ([]byte, salt, error) {
 	s, err := newSalt()
 	if err != nil {
 		return nil, 0, err
@@ -87,37 +88,37 @@
 	return appendRecord(data, s, sequence+1, payload), s, nil
 }
 
-// openSegment makes the segment the one that records are written to.
+// openSegment opens the segment for appending and closes the one before.
 func (l *Log) openSegment(name string) error {
 	f, err := l.fs.Append(l.path(name))
 	if err != nil {
-		return explain(err, "open", l.path(name))
+		return wrapFSError(err, "open", l.path(name))
 	}
 	old := l.file
 	l.file = f
 	if old == nil {
 		return nil
 	}
-	return explain(old.Close(), "close segment before", l.path(name))
+	return wrapFSError(old.Close(), "close previous segment of", l.path(name))
 }
 
-// removeOld removes segments and snapshots that lie behind the mark.
-func (l *Log) removeOld() error {
-	for len(l.segments) > 1 && l.segments[0].lastIndex <= l.mark.Index {
-		// Removed one by one from the oldest on, each made durable: a crash
-		// must not leave a gap, which would look like damage.
+// removeObsolete removes segments and snapshots that the current snapshot replaces.
+func (l *Log) removeObsolete() error {
+	for len(l.segments) > 1 && l.segments[0].lastIndex <= l.snapshotMeta.Index {
+		// Each removal is synced, from the oldest segment on: a gap after a
+		// crash would look like corruption.
 		if err := l.remove(l.segments[0].name); err != nil {
 			return l.fail(err)
 		}
 		l.segments = l.segments[1:]
 	}
-	names, err := l.fs.ReadDir(l.folder)
+	names, err := l.fs.ReadDir(l.dir)
 	if err != nil {
-		return l.fail(explain(err, "read folder", l.folder))
+		return l.fail(wrapFSError(err, "read directory", l.dir))
 	}
 	for _, name := range names {
 		index, ok := parseNumberedName(name, snapshotSuffix)
-		if !ok || index == l.mark.Index {
+		if !ok || index == l.snapshotMeta.Index {
 			continue
 		}
 		if err := l.remove(name); err != nil {
@@ -129,16 +130,16 @@
 
 func (l *Log) remove(name string) error {
 	if err := l.fs.Remove(l.path(name)); err != nil {
-		return explain(err, "remove", l.path(name))
+		return wrapFSError(err, "remove", l.path(name))
 	}
-	return explain(l.fs.SyncDir(l.folder), "sync folder", l.folder)
+	return wrapFSError(l.fs.SyncDir(l.dir), "sync directory", l.dir)
 }
 
 func (l *Log) writeSnapshot(s *raftpb.Snapshot) error {
 	return l.writeMessage(numberedName(s.Index, snapshotSuffix), s)
 }
 
-// writeMessage makes a file of one message.
+// writeMessage writes a file with one message.
 func (l *Log) writeMessage(name string, m proto.Message) error {
 	payload, err := proto.Marshal(m)
 	if err != nil {
@@ -153,27 +154,27 @@
 	}
 	data := appendFirstRecord(nil, s, 0)
 	data = appendRecord(data, s, 1, payload)
-	return writeWhole(l.fs, l.path(name), data)
+	return writeFileAtomic(l.fs, l.path(name), data)
 }
 
-// readMessage reads a file of one message.
+// readMessage reads a file with one message.
 func (l *Log) readMessage(name string, m proto.Message) error {
 	path := l.path(name)
 	data, err := l.fs.ReadFile(path)
 	if err != nil {
-		return explain(err, "read", path)
+		return wrapFSError(err, "read", path)
 	}
 	s, _, rest, ok := parseFirstRecord(data)
 	if !ok {
-		return damaged(path, 0, "no valid first record")
+		return corrupted(path, 0, "no valid first record")
 	}
 	at := len(data) - len(rest)
 	_, payload, ok := parseRecord(rest, s)
 	if !ok || len(payload)+headerLength != len(rest) {
-		return damaged(path, int64(at), "no valid record")
+		return corrupted(path, int64(at), "no valid record")
 	}
 	if err := proto.Unmarshal(payload, m); err != nil {
-		return damaged(path, int64(at), err.Error())
+		return corrupted(path, int64(at), err.Error())
 	}
 	return nil
 }
