--- a/voters/serving.go
+++ b/voters/serving.go
@@ -1,34 +1,35 @@
 package voters
 
-// ServingLoad is what a group has to serve its subscribers with, as its leader sees it.
+// ServingLoad is the number of serving members and of subscribers, as the leader sees
+// them.
 type ServingLoad struct {
-	// Serving is how many members answer, learners included.
+	// Serving is the number of active members, learners included.
 	Serving int
-	// Subscribers is how many processes follow these members.
+	// Subscribers is the number of processes subscribed to these members.
 	Subscribers int
 }
 
-// ServingLimits bound how many members serve subscribers.
+// ServingLimits bounds the number of members that serve subscribers.
 type ServingLimits struct {
-	// MinServing is how many members have to serve, however few the subscribers are.
+	// MinServing is the minimum number of serving members.
 	MinServing int
-	// MaxSubscribersPerMember is how many subscribers one member is to serve at most.
+	// MaxSubscribersPerMember is the maximum average number of subscribers per member.
 	MaxSubscribersPerMember int
 }
 
-// Reasons why a host that keeps no log becomes a member, or stands by.
+// Reasons why a host without a durable log becomes a member, or stays a standby.
 const (
-	// ReasonSufficient: the members that keep their log serve all subscribers.
+	// ReasonSufficient: the current members can serve all subscribers.
 	ReasonSufficient Reason = "enough"
-	// ReasonTooFewServing: too few members answer.
+	// ReasonTooFewServing: too few members are active.
 	ReasonTooFewServing Reason = "few_serve"
-	// ReasonTooManySubscribers: the members have more subscribers than they are to serve.
+	// ReasonTooManySubscribers: there are too many subscribers per member.
 	ReasonTooManySubscribers Reason = "many_subscribers"
 )
 
-// NeedsServingMember reports whether another member is needed that serves subscribers. A host that
-// keeps no log adds nothing to what a group can lose: it costs each other member a link
-// and a copy of all that changes, so it is taken in for its service alone.
+// NeedsServingMember reports whether the group needs another member to serve subscribers,
+// and why. A host without a durable log does not add fault tolerance, but costs each other
+// member a link and a copy of all changes, so it is added only to serve.
 func NeedsServingMember(s ServingLoad, l ServingLimits) (bool, Reason) {
 	switch {
 	case s.Serving < l.MinServing:
@@ -39,7 +40,7 @@
 	return false, ReasonSufficient
 }
 
-// CountActive returns the number of members that answer.
+// CountActive returns the number of active members.
 func CountActive(members []Member) int {
 	count := 0
 	for _, m := range members {
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -5,130 +5,129 @@
 	"time"
 )
 
-// Replica names one life of a replica: a host that lost its data folder comes
-// back under its name with another incarnation.
+// Replica identifies a replica. A host that lost its data directory returns with the
+// same name and another incarnation.
 type Replica struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Member is one member of the group as its leader sees it.
+// Member is a member of the group, as the leader sees it.
 type Member struct {
 	Replica
-	// FailureDomain is where its host stands, empty if that is not known.
+	// FailureDomain is that of its host, empty if unknown.
 	FailureDomain string
-	// Learner: it has no vote.
+	// Learner is set if it has no vote.
 	Learner bool
-	// Transient: it keeps its log in memory only and must never vote.
+	// Transient is set if it keeps its log in memory only. It must never vote.
 	Transient bool
-	// Active: it answered the leader lately. Silent is how long it has not, as far
-	// as the leader knows.
+	// Active is set if it replied to the leader recently. InactiveFor is the time
+	// since its last reply.
 	Active      bool
 	InactiveFor time.Duration
-	// CaughtUp: its vote would hold up no commit.
+	// CaughtUp is set if it has the log and can be promoted.
 	CaughtUp bool
 }
 
-// Kind tells what a change does.
+// Kind is the kind of a change.
 type Kind uint8
 
 // Kinds of changes.
 const (
-	// None: the members are as they should be.
+	// None means no change.
 	None Kind = iota
 	// Promote gives a learner a vote.
 	Promote
-	// Remove takes a member out of the group.
+	// Remove removes a member from the group.
 	Remove
 )
 
-// Reason tells why a change is made, or why none is.
+// Reason is the reason for a change, or for none.
 type Reason string
 
 // Reasons.
 const (
-	// ReasonReplaced: another replica of the same name answers.
+	// ReasonReplaced: another replica of the same name is active.
 	ReasonReplaced Reason = "replaced"
-	// ReasonUnreachable: a member has been silent for too long.
+	// ReasonUnreachable: a member was inactive for too long.
 	ReasonUnreachable Reason = "gone"
-	// ReasonCaughtUp: a learner has the log.
+	// ReasonCaughtUp: a learner has caught up.
 	ReasonCaughtUp Reason = "caught_up"
 	// ReasonNoChange: there is nothing to change.
 	ReasonNoChange Reason = "settled"
-	// ReasonPreviousIncarnationVotes: a learner could vote, but its host's former replica does so far.
+	// ReasonPreviousIncarnationVotes: a learner has caught up, but the previous incarnation
+	// of its host is still a voter.
 	ReasonPreviousIncarnationVotes Reason = "former_votes"
-	// ReasonDomainImbalance: a learner could vote, but then the loss of its failure domain would
-	// take the quorum.
+	// ReasonDomainImbalance: a learner has caught up, but its promotion would make the
+	// quorum depend on one failure domain.
 	ReasonDomainImbalance Reason = "uneven"
-	// ReasonMaxVoters: a learner could vote, but there are as many voters as may be.
+	// ReasonMaxVoters: a learner has caught up, but the maximum number of voters is reached.
 	ReasonMaxVoters Reason = "full"
 )
 
-// Change is one change of the members.
+// Change is a membership change.
 type Change struct {
 	Kind    Kind
 	Replica Replica
 	Reason  Reason
 }
 
-// Limits bound what Next does.
+// Limits bounds the changes of NextChange.
 type Limits struct {
-	// VoterLimit is how many voters there may be.
+	// VoterLimit is the maximum number of voters.
 	VoterLimit int
-	// MinActiveVoters is how many voters have to answer before one that is silent is taken
-	// out: as many as the group needs for the losses that it is to bear.
+	// MinActiveVoters is the number of active voters that the group needs for its fault
+	// tolerance. An inactive voter is removed only if there are so many.
 	MinActiveVoters int
-	// RemoveAfter is how long a member is silent before it is taken out.
+	// RemoveAfter is the time after which an inactive member is removed.
 	RemoveAfter time.Duration
 }
 
-// NextChange returns the next change of the members, at most one.
+// NextChange returns the next membership change.
 //
-// Removing a replaced replica comes first: its vote counts towards the quorum
-// but can never be given, so until it is gone the group bears one loss less. The
-// same holds for a host that is gone for good, which nothing tells from one that
-// is away for long: once enough others answer, it is taken out. Hosts that went one
-// by one, each replaced at another address, would otherwise take the quorum with them.
+// Replaced and unreachable members are removed first: they count towards the quorum but
+// cannot vote, so that the group tolerates fewer failures. Hosts lost one after the other,
+// each replaced at another address, would otherwise cost the quorum.
 func NextChange(members []Member, l Limits) Change {
-	if former, found := replaced(members); found {
-		return Change{Kind: Remove, Replica: former, Reason: ReasonReplaced}
+	if previous, found := findReplaced(members); found {
+		return Change{Kind: Remove, Replica: previous, Reason: ReasonReplaced}
 	}
-	if silent, found := gone(members, l); found {
-		return Change{Kind: Remove, Replica: silent, Reason: ReasonUnreachable}
+	if unreachable, found := findUnreachable(members, l); found {
+		return Change{Kind: Remove, Replica: unreachable, Reason: ReasonUnreachable}
 	}
-	return promote(members, l)
+	return nextPromotion(members, l)
 }
 
-// promote returns the next vote to be given.
-func promote(members []Member, l Limits) Change {
-	waits := ReasonNoChange
+// nextPromotion returns the next promotion of a learner.
+func nextPromotion(members []Member, l Limits) Change {
+	reason := ReasonNoChange
 	var candidates []Member
 	for _, m := range members {
 		switch {
 		case !promotable(m):
-		case formerVotes(members, m.Replica):
-			waits = ReasonPreviousIncarnationVotes
+		case previousIncarnationVotes(members, m.Replica):
+			reason = ReasonPreviousIncarnationVotes
 		default:
 			candidates = append(candidates, m)
 		}
 	}
 	switch {
 	case len(candidates) == 0:
-		return Change{Reason: waits}
+		return Change{Reason: reason}
 	case CountVoters(members) >= l.VoterLimit:
 		return Change{Reason: ReasonMaxVoters}
 	}
-	if next := spread(candidates, members, l); next != nil {
+	if next := selectCandidate(candidates, members, l); next != nil {
 		return Change{Kind: Promote, Replica: next.Replica, Reason: ReasonCaughtUp}
 	}
 	return Change{Reason: ReasonDomainImbalance}
 }
 
-// formerVotes reports whether a former replica of a host still has its vote. A leader that
-// has just been elected takes all members for active, so that it does not know yet which
-// of two of one name is gone. With a vote for each, a group of three would be one of four
-// that bears no further loss.
-func formerVotes(members []Member, r Replica) bool {
+// previousIncarnationVotes reports whether another incarnation of the host is a voter. A
+// new leader considers all members active, so it cannot tell yet which one is lost. With
+// votes for both, a group of three would become one of four that tolerates no further
+// failure.
+func previousIncarnationVotes(members []Member, r Replica) bool {
 	return slices.ContainsFunc(members, func(m Member) bool {
 		return !m.Learner && m.Name == r.Name && m.Incarnation != r.Incarnation
 	})
@@ -145,8 +144,8 @@
 	return count
 }
 
-// replaced returns a silent member whose name another, active member has.
-func replaced(members []Member) (Replica, bool) {
+// findReplaced returns an inactive member whose name another, active member has.
+func findReplaced(members []Member) (Replica, bool) {
 	active := map[string]uint64{}
 	for _, m := range members {
 		if m.Active {
@@ -162,19 +161,19 @@
 	return Replica{}, false
 }
 
-// gone returns a member that has been silent for too long and can be spared.
-func gone(members []Member, l Limits) (Replica, bool) {
-	answering := 0
+// findUnreachable returns a member that is inactive for too long and may be removed.
+func findUnreachable(members []Member, l Limits) (Replica, bool) {
+	active := 0
 	for _, m := range members {
 		if m.Active && !m.Learner {
-			answering++
+			active++
 		}
 	}
 	for _, m := range members {
 		if m.Active || m.InactiveFor < l.RemoveAfter {
 			continue
 		}
-		if m.Learner || answering >= l.MinActiveVoters {
+		if m.Learner || active >= l.MinActiveVoters {
 			return m.Replica, true
 		}
 	}
