--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -83,7 +83,7 @@
 	for _, m := range messages {
 		err := r.node.Step(m)
 		if errors.Is(err, raft.ErrInconsistent) {
-			return errors.Wrap(err, "message")
+			return errors.Wrap(err, "process message")
 		}
 		if err != nil {
 			r.metrics.messagesRefused.Inc(1)
@@ -137,7 +137,7 @@
 	}
 	messages, err := r.attachSnapshotData(b.Messages)
 	if err != nil {
-		return errors.Wrap(err, "snapshot to send")
+		return errors.Wrap(err, "read snapshot to send")
 	}
 	r.send(messages)
 	if err := r.restore(b.Restore); err != nil {
@@ -266,7 +266,7 @@
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "snapshot")
+		return errors.Wrap(err, "save snapshot")
 	}
 	r.dropSnapshotData()
 	r.metrics.snapshots.Inc(1)
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -39,7 +39,7 @@
 	}
 	data, err := r.opts.StateMachine.Snapshot()
 	if err != nil {
-		r.finish(q, nil, errors.Wrap(err, "snapshot"))
+		r.finish(q, nil, errors.Wrap(err, "take snapshot"))
 		return
 	}
 	snapshot := &raftpb.Snapshot{Index: bootstrapIndex, Term: bootstrapTerm, Membership: members, Data: data}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -59,7 +59,7 @@
 func Open(opts Options) (*Replica, error) {
 	opts.setDefaults()
 	if opts.StateMachine == nil {
-		return nil, errors.New("replica needs a state machine")
+		return nil, errors.New("StateMachine is required")
 	}
 	log, state, err := wal.Open(opts.DataDir, wal.Options{Name: opts.Name, FS: opts.FS})
 	if err != nil {
--- a/internal/wal/logrecord.go
+++ b/internal/wal/logrecord.go
@@ -12,13 +12,13 @@
 const (
 	hardStateField protowire.Number = 1
 	entryField     protowire.Number = 2
-	// snapshotField holds index and term of the snapshot in use.
+	// snapshotField holds index and term of the current snapshot.
 	snapshotField protowire.Number = 3
 	// resetField is snapshotField of a snapshot that replaces all entries before it.
 	resetField protowire.Number = 4
 )
 
-var errPayload = errors.New("payload is not well-formed")
+var errMalformedPayload = errors.New("malformed payload")
 
 // logRecord is the decoded payload of one record.
 type logRecord struct {
@@ -69,12 +69,12 @@
 	for len(payload) > 0 {
 		field, kind, n := protowire.ConsumeTag(payload)
 		if n < 0 || kind != protowire.BytesType {
-			return nil, errPayload
+			return nil, errMalformedPayload
 		}
 		payload = payload[n:]
 		value, n := protowire.ConsumeBytes(payload)
 		if n < 0 {
-			return nil, errPayload
+			return nil, errMalformedPayload
 		}
 		payload = payload[n:]
 		if err := it.decodeField(field, value); err != nil {
@@ -99,6 +99,6 @@
 		return proto.Unmarshal(value, it.snapshotMeta)
 	default:
 		// Fields of a newer version must not be ignored.
-		return errors.Wrapf(errPayload, "field %d", field)
+		return errors.Wrapf(errMalformedPayload, "unknown field %d", field)
 	}
 }
--- a/internal/wal/memfs.go
+++ b/internal/wal/memfs.go
@@ -30,7 +30,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[path] = nil
-	return &memoryFile{fs: m, path: path}, nil
+	return &memFSFile{fs: m, path: path}, nil
 }
 
 // Append implements FS.
@@ -38,12 +38,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, found := m.files[path]; !found {
-		return nil, missingFile("open", path)
+		return nil, errNotExist("open", path)
 	}
-	return &memoryFile{fs: m, path: path}, nil
+	return &memFSFile{fs: m, path: path}, nil
 }
 
-func missingFile(op, path string) error {
+func errNotExist(op, path string) error {
 	return &os.PathError{Op: op, Path: path, Err: os.ErrNotExist}
 }
 
@@ -53,7 +53,7 @@
 	defer m.mu.Unlock()
 	data, found := m.files[path]
 	if !found {
-		return nil, missingFile("read", path)
+		return nil, errNotExist("read", path)
 	}
 	return slices.Clone(data), nil
 }
@@ -78,7 +78,7 @@
 	defer m.mu.Unlock()
 	data, found := m.files[from]
 	if !found {
-		return missingFile("rename", from)
+		return errNotExist("rename", from)
 	}
 	delete(m.files, from)
 	m.files[to] = data
@@ -90,7 +90,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, found := m.files[path]; !found {
-		return missingFile("remove", path)
+		return errNotExist("remove", path)
 	}
 	delete(m.files, path)
 	return nil
@@ -107,17 +107,17 @@
 		return nil, ErrLocked
 	}
 	m.locks[path] = true
-	return &memoryLock{fs: m, path: path}, nil
+	return &memFSLock{fs: m, path: path}, nil
 }
 
-// memoryFile appends to one file.
-type memoryFile struct {
+// memFSFile appends to one file.
+type memFSFile struct {
 	fs   *MemFS
 	path string
 }
 
 // Write implements File.
-func (f *memoryFile) Write(b []byte) (int, error) {
+func (f *memFSFile) Write(b []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	f.fs.files[f.path] = append(f.fs.files[f.path], b...)
@@ -125,18 +125,18 @@
 }
 
 // Sync implements File.
-func (f *memoryFile) Sync() error { return nil }
+func (f *memFSFile) Sync() error { return nil }
 
 // Close implements File.
-func (f *memoryFile) Close() error { return nil }
+func (f *memFSFile) Close() error { return nil }
 
-type memoryLock struct {
+type memFSLock struct {
 	fs   *MemFS
 	path string
 }
 
 // Close implements io.Closer.
-func (l *memoryLock) Close() error {
+func (l *memFSLock) Close() error {
 	l.fs.mu.Lock()
 	defer l.fs.mu.Unlock()
 	delete(l.fs.locks, l.path)
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -54,37 +54,37 @@
 	if err != nil {
 		return nil, wrapFSError(err, "read directory", l.dir)
 	}
-	found := &dirListing{}
+	listing := &dirListing{}
 	for _, name := range names {
 		if name == identityName {
-			found.identity = true
+			listing.identity = true
 		} else if strings.HasSuffix(name, tmpSuffix) {
-			found.tmpFiles = append(found.tmpFiles, name)
+			listing.tmpFiles = append(listing.tmpFiles, name)
 		} else if _, ok := parseNumberedName(name, segmentSuffix); ok {
-			found.segments = append(found.segments, name)
+			listing.segments = append(listing.segments, name)
 		} else if _, ok := parseNumberedName(name, snapshotSuffix); ok {
-			found.snapshots = append(found.snapshots, name)
+			listing.snapshots = append(listing.snapshots, name)
 		}
 	}
-	return found, nil
+	return listing, nil
 }
 
 func (l *Log) load() (*State, error) {
-	found, err := l.list()
+	listing, err := l.list()
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range found.tmpFiles {
+	for _, name := range listing.tmpFiles {
 		if err := l.remove(name); err != nil {
 			return nil, err
 		}
 	}
-	state := &State{New: !found.identity}
+	state := &State{New: !listing.identity}
 	if state.New {
-		if err := l.create(found); err != nil {
+		if err := l.create(listing); err != nil {
 			return nil, err
 		}
-		if found, err = l.list(); err != nil {
+		if listing, err = l.list(); err != nil {
 			return nil, err
 		}
 	}
@@ -95,10 +95,10 @@
 	if state.Self.Name != l.opts.Name {
 		return nil, errors.Errorf("data directory %s belongs to replica %q, not %q", l.dir, state.Self.Name, l.opts.Name)
 	}
-	if err := l.replay(found.segments, state); err != nil {
+	if err := l.replay(listing.segments, state); err != nil {
 		return nil, err
 	}
-	if err := l.loadSnapshot(found.snapshots, state); err != nil {
+	if err := l.loadSnapshot(listing.snapshots, state); err != nil {
 		return nil, err
 	}
 	return state, nil
@@ -106,8 +106,8 @@
 
 // create initializes an empty data directory. The identity is written last: a
 // directory without one was never used, unless it holds more than create writes.
-func (l *Log) create(found *dirListing) error {
-	if err := l.checkUnused(found); err != nil {
+func (l *Log) create(listing *dirListing) error {
+	if err := l.checkUnused(listing); err != nil {
 		return err
 	}
 	const firstSequence = 1
@@ -130,9 +130,9 @@
 	return wrapFSError(l.fs.SyncDir(parent), "sync directory", parent)
 }
 
-func (l *Log) checkUnused(found *dirListing) error {
-	unused := len(found.snapshots) == 0 && len(found.segments) <= 1
-	for _, name := range found.segments {
+func (l *Log) checkUnused(listing *dirListing) error {
+	unused := len(listing.snapshots) == 0 && len(listing.segments) <= 1
+	for _, name := range listing.segments {
 		data, err := l.fs.ReadFile(l.path(name))
 		if err != nil {
 			return wrapFSError(err, "read", l.path(name))
