--- a/raft/election_test.go
+++ b/raft/election_test.go
@@ -134,7 +134,7 @@
 }
 
 // A replica that returns from a partition starts only pre-votes and follows the
-// leader that it then hears of.
+// leader whose heartbeat it then receives.
 func TestPartitionedReplicaKeepsItsTerm(t *testing.T) {
 	is := is.New(t)
 	n := newNode(is, options(threeVoters()))
@@ -150,10 +150,10 @@
 
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	for name, tt := range map[string]struct {
-		heard string
-		role  Role
+		replyFrom string
+		role      Role
 	}{
-		"silence":      {"", RoleFollower},
+		"no reply":     {"", RoleFollower},
 		"a voter":      {"b", RoleLeader},
 		"a learner":    {"d", RoleFollower},
 		"a non-member": {"e", RoleFollower},
@@ -165,8 +165,8 @@
 			ticks(n, DefaultElectionTicks) // a new leader gets one interval
 			is.Equal(n.role, RoleLeader)
 			is.NoErr(n.ReadIndex(1))
-			if tt.heard != "" {
-				is.NoErr(n.Step(from(tt.heard, &raftpb.Message{Kind: kindHeartbeatReply, Term: n.term})))
+			if tt.replyFrom != "" {
+				is.NoErr(n.Step(from(tt.replyFrom, &raftpb.Message{Kind: kindHeartbeatReply, Term: n.term})))
 			}
 			ticks(n, DefaultElectionTicks)
 			is.Equal(n.Status().Role, tt.role)
