--- a/admission/admission.go
+++ b/admission/admission.go
@@ -10,45 +10,45 @@
 	// DefaultSlots is used when neither configuration nor announcement names
 	// the number of slots.
 	DefaultSlots = 4
-	// minUseful is the shortest time to the deadline with which a request is
-	// still handed to the backend server.
-	minUseful = 2 * time.Millisecond
-	// firstGuess stands in for the duration of requests until one was seen.
-	firstGuess = 20 * time.Millisecond
-	// smoothing is the weight of one more duration, one in so many.
-	smoothing = 8
-	// minComeBack and maxComeBack bound the time to come back.
-	minComeBack = 50 * time.Millisecond
-	maxComeBack = 10 * time.Second
+	// minRemaining is the least time to the deadline with which a request is
+	// admitted.
+	minRemaining = 2 * time.Millisecond
+	// initialServiceTime is assumed until the first request has completed.
+	initialServiceTime = 20 * time.Millisecond
+	// ewmaDivisor is the inverse of the weight of a new sample.
+	ewmaDivisor = 8
+	// minRetryAfter and maxRetryAfter bound Decision.RetryAfter.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
-// Action is what becomes of a request.
+// Action is the result of admission.
 type Action uint8
 
-// Actions of a Verdict.
+// Actions of a Decision.
 const (
 	// Admitted means that the request has a slot now.
 	Admitted Action = iota + 1
-	// Queued means that the request is queued; the caller calls Start or Leave.
+	// Queued means that the request waits for a slot; Dequeue or Abandon follows.
 	Queued
-	// Shed means that the request is refused at once.
+	// Shed means that the request is refused.
 	Shed
 )
 
-// Decision is the decision on one request.
+// Decision tells how to handle one request.
 type Decision struct {
 	Action Action
 	// Reason is set when the request is shed.
 	Reason reason.Code
-	// RetryAfter is the time after which a shed request may be tried again.
+	// RetryAfter is the time after which a shed request may be retried.
 	RetryAfter time.Duration
 	// MaxWait is the longest time that a queued request may wait.
 	MaxWait time.Duration
 }
 
-// Limits bounds a Gate.
+// Limits bounds a Limiter.
 type Limits struct {
-	// Slots is the number of requests that run at a time.
+	// Slots is the number of requests that may run at the same time.
 	Slots int
 	// Queue is the number of requests that may wait.
 	Queue int
@@ -56,131 +56,131 @@
 	MaxWait time.Duration
 }
 
-// Limiter counts the requests that run and wait on one backend server.
+// Limiter limits the concurrent and queued requests of one backend server.
 type Limiter struct {
-	limits  Limits
-	running int
-	waiting int
-	typical time.Duration
+	limits      Limits
+	running     int
+	waiting     int
+	serviceTime time.Duration
 }
 
-// NewLimiter returns an empty gate.
+// NewLimiter returns a limiter without requests.
 func NewLimiter(limits Limits) *Limiter {
-	g := &Limiter{}
-	g.SetLimits(limits)
-	return g
+	l := &Limiter{}
+	l.SetLimits(limits)
+	return l
 }
 
 // SetLimits changes the limits. Requests that run or wait are not affected.
-func (g *Limiter) SetLimits(limits Limits) {
+func (l *Limiter) SetLimits(limits Limits) {
 	if limits.Slots <= 0 {
 		limits.Slots = DefaultSlots
 	}
-	g.limits = limits
+	l.limits = limits
 }
 
 // Running returns the number of requests that have a slot.
-func (g *Limiter) Running() int { return g.running }
+func (l *Limiter) Running() int { return l.running }
 
 // Waiting returns the number of requests in the queue.
-func (g *Limiter) Waiting() int { return g.waiting }
+func (l *Limiter) Waiting() int { return l.waiting }
 
 // Slots returns the number of slots.
-func (g *Limiter) Slots() int { return g.limits.Slots }
+func (l *Limiter) Slots() int { return l.limits.Slots }
 
-// ServiceTime returns the smoothed duration of requests.
-func (g *Limiter) ServiceTime() time.Duration {
-	if g.typical == 0 {
-		return firstGuess
+// ServiceTime returns the moving average of request durations.
+func (l *Limiter) ServiceTime() time.Duration {
+	if l.serviceTime == 0 {
+		return initialServiceTime
 	}
-	return g.typical
+	return l.serviceTime
 }
 
 // Load returns the requests that run or wait, in per mille of the slots.
-func (g *Limiter) Load() uint32 {
-	return uint32((g.running + g.waiting) * 1000 / g.limits.Slots)
+func (l *Limiter) Load() uint32 {
+	return uint32((l.running + l.waiting) * 1000 / l.limits.Slots)
 }
 
-// Admit decides on a request that has remaining time to its deadline.
-func (g *Limiter) Admit(remaining time.Duration) Decision {
-	if remaining < minUseful {
-		return g.shed(reason.DeadlineTooClose)
+// Admit decides on a new request. remaining is the time to its deadline.
+func (l *Limiter) Admit(remaining time.Duration) Decision {
+	if remaining < minRemaining {
+		return l.shed(reason.DeadlineTooClose)
 	}
-	if g.running < g.limits.Slots && g.waiting == 0 {
-		return g.arriveFree(remaining)
+	if l.running < l.limits.Slots && l.waiting == 0 {
+		return l.admitFree(remaining)
 	}
-	if g.limits.Queue <= 0 {
-		return g.shed(reason.SlotsFull)
+	if l.limits.Queue <= 0 {
+		return l.shed(reason.SlotsFull)
 	}
-	if g.waiting >= g.limits.Queue {
-		return g.shed(reason.QueueFull)
+	if l.waiting >= l.limits.Queue {
+		return l.shed(reason.QueueFull)
 	}
-	expected := g.ExpectedWait()
-	if expected > g.limits.MaxWait {
-		return g.shed(reason.WaitTooLong)
+	expected := l.ExpectedWait()
+	if expected > l.limits.MaxWait {
+		return l.shed(reason.WaitTooLong)
 	}
-	if expected+g.ServiceTime() > remaining {
-		return g.shed(reason.DeadlineTooClose)
+	if expected+l.ServiceTime() > remaining {
+		return l.shed(reason.DeadlineTooClose)
 	}
-	g.waiting++
-	return Decision{Action: Queued, MaxWait: min(g.limits.MaxWait, remaining)}
+	l.waiting++
+	return Decision{Action: Queued, MaxWait: min(l.limits.MaxWait, remaining)}
 }
 
-// arriveFree decides when a slot is free. An idle backend server always gets
-// the request: without it the typical duration would never be observed again.
-func (g *Limiter) arriveFree(remaining time.Duration) Decision {
-	if g.running > 0 && g.ServiceTime() > remaining {
-		return g.shed(reason.DeadlineTooClose)
+// admitFree decides on a request when a slot is free. An idle backend server
+// always gets the request: otherwise no new service time would be observed.
+func (l *Limiter) admitFree(remaining time.Duration) Decision {
+	if l.running > 0 && l.ServiceTime() > remaining {
+		return l.shed(reason.DeadlineTooClose)
 	}
-	g.running++
+	l.running++
 	return Decision{Action: Admitted}
 }
 
-// Dequeue moves a waiting request to a free slot and reports whether there was
-// one.
-func (g *Limiter) Dequeue() bool {
-	if g.waiting == 0 || g.running >= g.limits.Slots {
+// Dequeue moves a queued request to a free slot. It reports false if no slot is
+// free or the queue is empty.
+func (l *Limiter) Dequeue() bool {
+	if l.waiting == 0 || l.running >= l.limits.Slots {
 		return false
 	}
-	g.waiting--
-	g.running++
+	l.waiting--
+	l.running++
 	return true
 }
 
-// Abandon removes a waiting request that gave up. It returns a shed verdict.
-func (g *Limiter) Abandon(why reason.Code) Decision {
-	g.waiting--
-	return g.shed(why)
+// Abandon removes a request from the queue and returns the decision to shed it.
+func (l *Limiter) Abandon(why reason.Code) Decision {
+	l.waiting--
+	return l.shed(why)
 }
 
-// Release gives a slot back. took is the time that the request ran; 0 records no
-// duration, for requests that did not run to their end.
-func (g *Limiter) Release(took time.Duration) {
-	g.running--
+// Release frees a slot. took is the duration of the request, or 0 if it did not
+// complete.
+func (l *Limiter) Release(took time.Duration) {
+	l.running--
 	if took <= 0 {
 		return
 	}
-	if g.typical == 0 {
-		g.typical = took
+	if l.serviceTime == 0 {
+		l.serviceTime = took
 		return
 	}
-	g.typical += (took - g.typical) / smoothing
+	l.serviceTime += (took - l.serviceTime) / ewmaDivisor
 }
 
-// ExpectedWait returns how long one more request would wait for a slot.
-func (g *Limiter) ExpectedWait() time.Duration {
-	ahead := g.running + g.waiting + 1 - g.limits.Slots
+// ExpectedWait returns the time that a new request would wait for a slot.
+func (l *Limiter) ExpectedWait() time.Duration {
+	ahead := l.running + l.waiting + 1 - l.limits.Slots
 	if ahead <= 0 {
 		return 0
 	}
-	return g.ServiceTime() * time.Duration(ahead) / time.Duration(g.limits.Slots)
+	return l.ServiceTime() * time.Duration(ahead) / time.Duration(l.limits.Slots)
 }
 
-// RetryAfter returns the time after which a refused request may be tried again.
-func (g *Limiter) RetryAfter() time.Duration {
-	return min(max(g.ExpectedWait(), minComeBack), maxComeBack)
+// RetryAfter returns the time after which a refused request may be retried.
+func (l *Limiter) RetryAfter() time.Duration {
+	return min(max(l.ExpectedWait(), minRetryAfter), maxRetryAfter)
 }
 
-func (g *Limiter) shed(why reason.Code) Decision {
-	return Decision{Action: Shed, Reason: why, RetryAfter: g.RetryAfter()}
+func (l *Limiter) shed(why reason.Code) Decision {
+	return Decision{Action: Shed, Reason: why, RetryAfter: l.RetryAfter()}
 }
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,8 +1,8 @@
-// Package admission decides whether a request runs on a slot of the backend
-// server at once, waits in a short queue, or is shed with a reason and the
-// time to come back. The expected wait comes from the durations that the host
-// itself observed, never from what a backend server reports.
+// Package admission decides whether a request gets a slot of the backend server,
+// waits in a bounded queue, or is shed with a reason and a retry delay. The
+// expected wait is derived from observed request durations only, never from the
+// backend server's own reports.
 //
-// The package has no clock, lock or goroutine: time is an argument and the
-// caller serialises the calls.
+// The package has no clock, locks or goroutines. Callers pass the time and
+// serialize the calls.
 package admission
