--- a/health/doc.go
+++ b/health/doc.go
@@ -1,10 +1,8 @@
-// Package health gives the verdict of an agent on its backend server. What
-// the agent itself observes (answers, refusals, resets, timeouts, requests in
-// flight) comes first; what the health and load endpoints report counts only
-// where there is no observation, and is distrusted once observation
-// contradicts it. Endpoints that are always well, always ill, frozen or that
-// contradict each other therefore cost little.
+// Package health assesses the health and load of an agent's backend server.
+// Observed requests take precedence. Reports of the health and load endpoints count
+// only without enough observations, and are ignored once observations contradict
+// them, so wrong or hanging endpoints have little effect.
 //
-// The package has no clock, lock or goroutine: time is an argument, as a
-// duration on any monotonic scale, and the caller serialises the calls.
+// The package has no clock, locks or goroutines. Callers pass the time as a duration
+// on a monotonic clock and serialize the calls.
 package health
--- a/health/meter_test.go
+++ b/health/ewma_test.go
@@ -10,7 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/health"
 )
 
-func TestMeterFollowsWithinItsTime(t *testing.T) {
+func TestEWMAConvergesWithinItsTimeConstant(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		over []time.Duration
@@ -23,11 +23,11 @@
 		{"long", []time.Duration{100 * health.EWMATimeConstant}, 4},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var m health.EWMA
+			var e health.EWMA
 			for _, over := range tt.over {
-				m.Observe(4, over)
+				e.Observe(4, over)
 			}
-			is.New(t).True(math.Abs(m.Value()-tt.want) < 1e-9)
+			is.New(t).True(math.Abs(e.Value()-tt.want) < 1e-9)
 		})
 	}
 }
--- a/health/health.go
+++ b/health/health.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// Window is the time that an observation counts.
+	// Window is the time for which an observation counts.
 	Window = 5 * time.Second
 	// buckets divide the window.
 	buckets = 10
-	// MinSamples is the number of ended requests from which observation
-	// alone decides.
+	// MinSamples is the number of completed requests in the window from which
+	// observation alone decides.
 	MinSamples = 5
-	// FailurePercent is the share of failed requests from which the backend
-	// server is ill.
+	// FailurePercent is the failure rate from which the backend server is
+	// unhealthy.
 	FailurePercent = 50
-	// RefusedThreshold is the number of refused connections, with no success in
-	// between, after which the backend server is ill whatever else is known.
+	// RefusedThreshold is the number of refused connections without a response in
+	// between from which the backend server is unhealthy at any failure rate.
 	RefusedThreshold = 3
-	// ReportThreshold is the number of equal bad reports that are believed.
+	// ReportThreshold is the number of consecutive equal bad reports that count.
 	ReportThreshold = 3
-	// MaxReportOnlyTime is the longest time that reports alone hold a verdict of
-	// ill; then the backend server gets work again, which shows the truth.
+	// MaxReportOnlyTime is the longest time for which reports alone mark the backend
+	// server unhealthy. Afterwards it gets requests again, which can be observed.
 	MaxReportOnlyTime = 10 * time.Second
-	// InitialHoldDown and HoldMax bound the time for which an observed illness is
-	// held; it doubles with each illness that follows soon on another.
+	// InitialHoldDown and MaxHoldDown bound the time for which an observed failure
+	// marks the backend server unhealthy. It doubles while failures recur.
 	InitialHoldDown = 2 * time.Second
 	MaxHoldDown     = 30 * time.Second
-	// StallTimeout is the time without any end of a request, while requests are
-	// in flight and the health endpoint hangs, after which the server is ill.
+	// StallTimeout is the time without a completed request from which the backend
+	// server is unhealthy if requests are in flight and the health endpoint hangs.
 	StallTimeout = 5 * time.Second
 )
 
@@ -35,19 +35,19 @@
 
 // Results of requests.
 const (
-	// Answered means that a whole answer came, whatever its status.
+	// Answered means that a complete response was received.
 	Answered Result = iota + 1
 	// Refused means that no connection could be opened.
 	Refused
-	// Failed means a reset, a truncated or a crossed answer.
+	// Failed means a reset, a server error, or a truncated or mismatched response.
 	Failed
 	// TimedOut means that the deadline passed first.
 	TimedOut
-	// Cancelled means that the caller gave up; it says nothing.
+	// Cancelled means that the caller gave up. It does not count.
 	Cancelled
 )
 
-// Report is what a poll of the health endpoint brought.
+// Report is the result of a poll of the health endpoint.
 type Report uint8
 
 // Reports of the health endpoint.
@@ -58,7 +58,7 @@
 	ReportNoResponse
 )
 
-// Basis names what a verdict rests on.
+// Basis is the evidence for a verdict.
 type Basis uint8
 
 // Bases of a verdict.
@@ -66,7 +66,8 @@
 	BasisNone Basis = iota
 	BasisObservation
 	BasisReport
-	// BasisStall means that observation and a hanging endpoint agree.
+	// BasisStall means that neither requests nor polls of the health endpoint
+	// complete.
 	BasisStall
 )
 
@@ -84,40 +85,40 @@
 	}
 }
 
-// Verdict is the opinion on the backend server.
+// Verdict is the assessed health of the backend server.
 type Verdict struct {
 	Ill   bool
 	Basis Basis
 }
 
 type bucket struct {
-	epoch  int64
-	good   int
-	failed int
+	epoch     int64
+	succeeded int
+	failed    int
 }
 
-// Tracker collects observations and reports on one backend server.
+// Tracker derives the health of one backend server from observations and reports.
 type Tracker struct {
 	ring     [buckets]bucket
 	inFlight int
 	lastEnd  time.Duration
 
-	refusedRow int
-	heldUntil  time.Duration
-	hold       time.Duration
+	consecutiveRefused int
+	unhealthyUntil     time.Duration
+	holdDown           time.Duration
 
-	report        Report
-	reportRow     int
-	reportSince   time.Duration
-	reportRefuted bool
+	report             Report
+	consecutiveReports int
+	reportSince        time.Duration
+	reportContradicted bool
 }
 
-// NewTracker returns a tracker that knows nothing.
+// NewTracker returns a tracker without observations.
 func NewTracker() *Tracker {
 	return &Tracker{}
 }
 
-// RequestStarted records that a request was handed to the backend server.
+// RequestStarted records that a request is sent to the backend server.
 func (t *Tracker) RequestStarted(now time.Duration) {
 	if t.inFlight == 0 {
 		t.lastEnd = now
@@ -125,63 +126,63 @@
 	t.inFlight++
 }
 
-// RequestEnded records how a request ended.
+// RequestEnded records the result of a request.
 func (t *Tracker) RequestEnded(now time.Duration, result Result) {
 	t.inFlight = max(t.inFlight-1, 0)
 	if result == Cancelled {
 		return
 	}
 	t.lastEnd = now
-	b := t.at(now)
+	b := t.currentBucket(now)
 	if result == Answered {
-		b.good++
-		t.refusedRow = 0
+		b.succeeded++
+		t.consecutiveRefused = 0
 	} else {
 		b.failed++
 	}
 	if result == Refused {
-		t.refusedRow++
+		t.consecutiveRefused++
 	}
-	t.judgeObservation(now)
+	t.updateHoldDown(now)
 }
 
 // ReportReceived records a poll of the health endpoint.
 func (t *Tracker) ReportReceived(now time.Duration, report Report) {
 	if report == t.report {
-		t.reportRow++
+		t.consecutiveReports++
 		return
 	}
 	t.report = report
-	t.reportRow = 1
+	t.consecutiveReports = 1
 	t.reportSince = now
-	t.reportRefuted = false
+	t.reportContradicted = false
 }
 
-// Verdict returns the opinion at this time.
+// Verdict returns the current verdict.
 func (t *Tracker) Verdict(now time.Duration) Verdict {
-	if now < t.heldUntil {
+	if now < t.unhealthyUntil {
 		return Verdict{Ill: true, Basis: BasisObservation}
 	}
 	if t.stalled(now) {
 		return Verdict{Ill: true, Basis: BasisStall}
 	}
-	good, failed := t.sum(now)
-	if good+failed >= MinSamples {
-		t.refute(good, failed)
-		return Verdict{Ill: sick(good, failed), Basis: BasisObservation}
+	succeeded, failed := t.windowCounts(now)
+	if succeeded+failed >= MinSamples {
+		t.checkContradiction(succeeded, failed)
+		return Verdict{Ill: exceedsFailureRate(succeeded, failed), Basis: BasisObservation}
 	}
 	return t.reportVerdict(now)
 }
 
-// InFlight returns the number of requests that the backend server has.
+// InFlight returns the number of requests at the backend server.
 func (t *Tracker) InFlight() int {
 	return t.inFlight
 }
 
-// reportVerdict decides on reports alone, where there are few observations.
+// reportVerdict decides on reports alone, when there are too few observations.
 func (t *Tracker) reportVerdict(now time.Duration) Verdict {
 	bad := t.report == ReportUnhealthy || t.report == ReportNoResponse
-	if !bad || t.reportRefuted || t.reportRow < ReportThreshold {
+	if !bad || t.reportContradicted || t.consecutiveReports < ReportThreshold {
 		return Verdict{}
 	}
 	if now-t.reportSince > MaxReportOnlyTime {
@@ -190,42 +191,43 @@
 	return Verdict{Ill: true, Basis: BasisReport}
 }
 
-// refute marks a bad report as contradicted by observation, until it changes.
-func (t *Tracker) refute(good, failed int) {
-	if !sick(good, failed) && t.report != ReportHealthy {
-		t.reportRefuted = true
+// checkContradiction ignores a bad report that observations contradict until the
+// report changes.
+func (t *Tracker) checkContradiction(succeeded, failed int) {
+	if !exceedsFailureRate(succeeded, failed) && t.report != ReportHealthy {
+		t.reportContradicted = true
 	}
 }
 
-// judgeObservation starts or prolongs the hold of an observed illness.
-func (t *Tracker) judgeObservation(now time.Duration) {
-	good, failed := t.sum(now)
-	ill := t.refusedRow >= RefusedThreshold || (good+failed >= MinSamples && sick(good, failed))
-	if !ill || now < t.heldUntil {
+// updateHoldDown starts a hold-down if the observations exceed a threshold.
+func (t *Tracker) updateHoldDown(now time.Duration) {
+	succeeded, failed := t.windowCounts(now)
+	failing := t.consecutiveRefused >= RefusedThreshold || (succeeded+failed >= MinSamples && exceedsFailureRate(succeeded, failed))
+	if !failing || now < t.unhealthyUntil {
 		return
 	}
-	soon := t.hold > 0 && now-t.heldUntil < Window
-	if soon {
-		t.hold = min(2*t.hold, MaxHoldDown)
+	recurring := t.holdDown > 0 && now-t.unhealthyUntil < Window
+	if recurring {
+		t.holdDown = min(2*t.holdDown, MaxHoldDown)
 	} else {
-		t.hold = InitialHoldDown
+		t.holdDown = InitialHoldDown
 	}
-	t.heldUntil = now + t.hold
+	t.unhealthyUntil = now + t.holdDown
 }
 
 func (t *Tracker) stalled(now time.Duration) bool {
-	return t.inFlight > 0 && t.report == ReportNoResponse && t.reportRow >= ReportThreshold && now-t.lastEnd >= StallTimeout
+	return t.inFlight > 0 && t.report == ReportNoResponse && t.consecutiveReports >= ReportThreshold && now-t.lastEnd >= StallTimeout
 }
 
-func sick(good, failed int) bool {
-	return failed*100 >= (good+failed)*FailurePercent
+func exceedsFailureRate(succeeded, failed int) bool {
+	return failed*100 >= (succeeded+failed)*FailurePercent
 }
 
 func epochOf(now time.Duration) int64 {
 	return int64(now / (Window / buckets))
 }
 
-func (t *Tracker) at(now time.Duration) *bucket {
+func (t *Tracker) currentBucket(now time.Duration) *bucket {
 	epoch := epochOf(now)
 	b := &t.ring[epoch%buckets]
 	if b.epoch != epoch {
@@ -234,13 +236,13 @@
 	return b
 }
 
-func (t *Tracker) sum(now time.Duration) (good, failed int) {
+func (t *Tracker) windowCounts(now time.Duration) (succeeded, failed int) {
 	epoch := epochOf(now)
 	for _, b := range t.ring {
 		if epoch-b.epoch < buckets {
-			good += b.good
+			succeeded += b.succeeded
 			failed += b.failed
 		}
 	}
-	return good, failed
+	return succeeded, failed
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -14,13 +14,13 @@
 
 const tick = 100 * time.Millisecond
 
-// serve lets one request end in the given way.
+// serve records one request with the given result.
 func serve(t *health.Tracker, now time.Duration, r health.Result) {
 	t.RequestStarted(now)
 	t.RequestEnded(now, r)
 }
 
-func TestObservationBeatsEndpointAlwaysIll(t *testing.T) {
+func TestObservationOverridesAlwaysUnhealthyEndpoint(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Duration(0)
@@ -32,27 +32,27 @@
 		serve(tr, now, health.Answered)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Basis: health.BasisObservation})
-	now += 2 * health.Window // no observation is left, the report stays refuted
+	now += 2 * health.Window // no observations left, the report stays contradicted
 	tr.ReportReceived(now, health.ReportUnhealthy)
 	is.True(!tr.Verdict(now).Ill)
-	tr.ReportReceived(now, health.ReportHealthy) // it changed, so it counts again
+	tr.ReportReceived(now, health.ReportHealthy) // a changed report counts again
 	for range health.ReportThreshold {
 		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(now).Ill)
 }
 
-func TestReportsAloneHoldOnlyForATime(t *testing.T) {
+func TestReportOnlyVerdictExpires(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	for now := time.Duration(0); now < health.MaxReportOnlyTime; now += time.Second {
 		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(health.MaxReportOnlyTime).Ill)
-	is.True(!tr.Verdict(health.MaxReportOnlyTime + tick).Ill) // gets work again
+	is.True(!tr.Verdict(health.MaxReportOnlyTime + tick).Ill) // gets requests again
 }
 
-func TestObservationBeatsEndpointAlwaysWell(t *testing.T) {
+func TestObservationOverridesAlwaysHealthyEndpoint(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Second
@@ -63,10 +63,10 @@
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisObservation})
 	now += health.InitialHoldDown + health.Window + tick
-	is.True(!tr.Verdict(now).Ill) // gets work again
+	is.True(!tr.Verdict(now).Ill) // gets requests again
 }
 
-func TestRefusedConnectionsDecideSoon(t *testing.T) {
+func TestConsecutiveRefusedConnectionsAreUnhealthy(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	for range health.RefusedThreshold - 1 {
@@ -77,7 +77,7 @@
 	is.True(tr.Verdict(0).Ill)
 }
 
-func TestFrozenEndpoint(t *testing.T) {
+func TestHangingEndpoint(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Duration(0)
@@ -85,7 +85,7 @@
 		serve(tr, now, health.Answered)
 		tr.ReportReceived(now, health.ReportNoResponse)
 	}
-	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests are answered
+	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests complete
 	tr.RequestStarted(now)
 	now += health.StallTimeout
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisStall}) // both hang
@@ -93,7 +93,7 @@
 	is.True(!tr.Verdict(now).Ill)
 }
 
-func TestCancelledRequestsSayNothing(t *testing.T) {
+func TestCancelledRequestsDoNotCount(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	for range 3 * health.MinSamples {
@@ -103,10 +103,10 @@
 	is.Equal(tr.InFlight(), 0)
 }
 
-func TestHoldDoublesWhileIllnessReturns(t *testing.T) {
+func TestHoldDownGrowsWithRecurringFailures(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
-	now, holds := time.Second, []time.Duration{}
+	now, holdDowns := time.Second, []time.Duration{}
 	for range 6 {
 		for range health.RefusedThreshold {
 			serve(tr, now, health.Refused)
@@ -118,15 +118,15 @@
 				break
 			}
 		}
-		holds = append(holds, now-began)
+		holdDowns = append(holdDowns, now-began)
 	}
-	for i := 1; i < len(holds); i++ {
-		is.True(holds[i] >= holds[i-1]) // never shorter while it returns
+	for i := 1; i < len(holdDowns); i++ {
+		is.True(holdDowns[i] >= holdDowns[i-1]) // never shorter while failures recur
 	}
-	is.True(holds[len(holds)-1] <= health.MaxHoldDown+health.Window+tick)
+	is.True(holdDowns[len(holdDowns)-1] <= health.MaxHoldDown+health.Window+tick)
 }
 
-func TestFewFailuresNeverMakeIll(t *testing.T) {
+func TestLowFailureRateIsHealthy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := health.NewTracker()
 		now := time.Duration(0)
@@ -139,13 +139,13 @@
 			serve(tr, now, health.Result(rapid.IntRange(1, 5).Draw(t, "result")))
 			serve(tr, now, health.Answered)
 			if v := tr.Verdict(now); v.Ill {
-				t.Fatalf("one failure in five made the verdict %+v", v)
+				t.Fatalf("one failure in five resulted in verdict %+v", v)
 			}
 		}
 	})
 }
 
-func TestLoadIsMovedLittleByReports(t *testing.T) {
+func TestReportsChangeLoadLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := health.LoadInput{
 			Requests:        rapid.Float64Range(0, 20).Draw(t, "requests"),
@@ -156,9 +156,9 @@
 		}
 		honest := health.Load(in)
 		in.ReportedRunning = rapid.IntRange(-5, 1<<40).Draw(t, "reported")
-		told := health.Load(in)
-		if told < honest || told > honest+250 {
-			t.Fatalf("a report moved the load from %d to %d", honest, told)
+		reported := health.Load(in)
+		if reported < honest || reported > honest+250 {
+			t.Fatalf("a report changed the load from %d to %d", honest, reported)
 		}
 	})
 }
--- a/health/load.go
+++ b/health/load.go
@@ -1,38 +1,37 @@
 package health
 
 const (
-	// perMille is the scale of load figures.
+	// perMille is the scale of load values.
 	perMille = 1000
-	// reportShare is the part of the slots, one in so many, by which a
-	// reported figure may raise the load above what the agent observes.
-	reportShare = 4
-	// maxLoad is the largest load figure that a frame carries.
+	// reportFraction is the inverse of the share of the slots by which a report may
+	// raise the load above the observed one.
+	reportFraction = 4
+	// maxLoad is the largest load value that a frame can carry.
 	maxLoad = 1<<16 - 1
 )
 
-// LoadInput is what the load figure of a target is made of.
+// LoadInput holds the inputs of Load.
 type LoadInput struct {
-	// Requests is how many of the agent's own requests run or wait, at a
-	// moment or on average over a time.
+	// Requests is the number of running and queued requests, current or averaged.
 	Requests float64
-	// Slots is the number of requests that may run at a time, at least 1.
+	// Slots is the number of requests that may run at the same time.
 	Slots int
-	// ReportedRunning is the backend server's own figure, negative if none.
+	// ReportedRunning is the number of running requests that the backend server
+	// reports, negative if unknown.
 	ReportedRunning int
-	// Flows counts open flows, FlowCapacity those that a target may hold.
+	// Flows is the number of open flows, FlowCapacity that of a full target.
 	Flows, FlowCapacity int
 }
 
-// Load returns the load figure of a target in per mille: the share of its
-// slots plus the share of its flows. A report raises it by a quarter of the
-// slots at most and never lowers it, so that an endpoint that lies can move
-// the figure only a little.
+// Load returns the load of a target in per mille: the share of its slots in use
+// plus the share of its flow capacity. A report raises the load by at most a quarter
+// of the slots and never lowers it, which bounds the effect of a wrong report.
 func Load(in LoadInput) uint16 {
 	slots := max(in.Slots, 1)
 	own := max(in.Requests, 0)
 	load := int(min(own*perMille/float64(slots), maxLoad))
 	if excess := float64(in.ReportedRunning) - own; excess > 0 {
-		load += int(min(excess*perMille/float64(slots), perMille/reportShare))
+		load += int(min(excess*perMille/float64(slots), perMille/reportFraction))
 	}
 	if in.FlowCapacity > 0 {
 		load += max(in.Flows, 0) * perMille / in.FlowCapacity
--- a/health/uptime_test.go
+++ b/health/uptime_test.go
@@ -13,59 +13,60 @@
 const uptimeLease = 10 * time.Second
 
 func TestUptime(t *testing.T) {
-	type said struct {
+	type announced struct {
 		at      time.Duration
 		address string
 		age     time.Duration
 	}
 	const listening = 5 * time.Second
 	cases := []struct {
-		name  string
-		said  []said
-		since time.Duration
+		name      string
+		announced []announced
+		since     time.Duration
 	}{
-		{"new agent beside a warm server", []said{{6 * time.Second, "a", time.Hour}}, 6*time.Second - time.Hour},
-		{"server that does not tell", []said{{6 * time.Second, "a", -1}}, 6 * time.Second},
-		{"came while the agent listened", []said{{listening + uptimeLease + 1, "a", time.Hour}}, listening + uptimeLease + 1},
-		{"another server claims to be old", []said{{6 * time.Second, "a", time.Hour}, {8 * time.Second, "b", time.Hour}}, 8 * time.Second},
-		{"back after its lease", []said{{6 * time.Second, "a", 0}, {20 * time.Second, "a", time.Hour}}, 20 * time.Second},
-		{"restart at the same address", []said{{6 * time.Second, "a", time.Hour}, {9 * time.Second, "a", time.Second}}, 8 * time.Second},
-		{"announcement held up", []said{{6 * time.Second, "a", 0}, {9 * time.Second, "a", 2500 * time.Millisecond}}, 6 * time.Second},
-		{"grows old by claim", []said{{6 * time.Second, "a", 0}, {7 * time.Second, "a", time.Hour}}, 6 * time.Second},
+		{"new agent, warm server", []announced{{6 * time.Second, "a", time.Hour}}, 6*time.Second - time.Hour},
+		{"age unknown", []announced{{6 * time.Second, "a", -1}}, 6 * time.Second},
+		{"first announcement after the first lease", []announced{{listening + uptimeLease + 1, "a", time.Hour}}, listening + uptimeLease + 1},
+		{"new address with a claimed age", []announced{{6 * time.Second, "a", time.Hour}, {8 * time.Second, "b", time.Hour}}, 8 * time.Second},
+		{"announcement after the lease expired", []announced{{6 * time.Second, "a", 0}, {20 * time.Second, "a", time.Hour}}, 20 * time.Second},
+		{"restart at the same address", []announced{{6 * time.Second, "a", time.Hour}, {9 * time.Second, "a", time.Second}}, 8 * time.Second},
+		{"delayed announcement", []announced{{6 * time.Second, "a", 0}, {9 * time.Second, "a", 2500 * time.Millisecond}}, 6 * time.Second},
+		{"claimed age grows", []announced{{6 * time.Second, "a", 0}, {7 * time.Second, "a", time.Hour}}, 6 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			u := health.Uptime{ListeningSince: listening, Lease: uptimeLease}
-			for _, s := range c.said {
+			for _, s := range c.announced {
 				u.RecordAnnouncement(s.at, s.address, s.age)
 			}
 			is.Equal(u.StartTime(), c.since)
-			is.True(!u.Expired(c.said[len(c.said)-1].at))
+			is.True(!u.Expired(c.announced[len(c.announced)-1].at))
 		})
 	}
 }
 
-// Whatever a server claims, an agent that saw it come, change its address or
-// come back after its lease never holds it to be older than that.
-func TestClaimsNeverBeatObservation(t *testing.T) {
+// A claimed age never moves the start time before a start that the agent observed:
+// the first announcement after the first lease, a new address, or a new announcement
+// after the lease expired.
+func TestClaimedAgeNeverOverridesObservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := health.Uptime{Lease: uptimeLease}
-		now, heard, seen := time.Duration(0), time.Duration(0), time.Duration(-1)
+		now, lastSeen, observedStart := time.Duration(0), time.Duration(0), time.Duration(-1)
 		address := ""
 		for range rapid.IntRange(1, 50).Draw(t, "announcements") {
 			now += time.Duration(rapid.Int64Range(0, int64(2*uptimeLease)).Draw(t, "pause"))
 			next := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "address")
-			if now-heard > uptimeLease || address != "" && next != address {
-				seen = now
+			if now-lastSeen > uptimeLease || address != "" && next != address {
+				observedStart = now
 			}
-			address, heard = next, now
+			address, lastSeen = next, now
 			u.RecordAnnouncement(now, next, time.Duration(rapid.Int64Range(-1, int64(24*time.Hour)).Draw(t, "claim")))
 			if u.StartTime() > now {
-				t.Fatalf("up since %v at %v", u.StartTime(), now)
+				t.Fatalf("start time %v is after now %v", u.StartTime(), now)
 			}
-			if seen >= 0 && u.StartTime() < seen {
-				t.Fatalf("seen to come at %v, taken to be up since %v", seen, u.StartTime())
+			if observedStart >= 0 && u.StartTime() < observedStart {
+				t.Fatalf("observed start at %v, but start time is %v", observedStart, u.StartTime())
 			}
 		}
 	})
