--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,7 +1,6 @@
-// Package retry decides whether an attempt at a backend server may be
-// repeated. It classifies what an attempt came to, spends a budget that all
-// requests of a host share, and spaces attempts by a backoff with jitter that
-// never passes the deadline.
+// Package retry decides whether a failed attempt at a backend server is retried. It
+// classifies outcomes, enforces a retry budget that all requests of a host share, and
+// computes backoff with jitter within the deadline. It also has a circuit breaker.
 //
-// The package has no clock and no source of chance: both are arguments.
+// The package has no clock and no random source: both are arguments.
 package retry
--- a/retry/outcome.go
+++ b/retry/outcome.go
@@ -2,17 +2,17 @@
 
 import "eelgrasswharf.example/eelgrasswharf/reason"
 
-// Outcome is what is known of a request.
+// Outcome tells whether a request ran.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
-	// NotRun means that the request provably did not run.
+	// NotRun means that the request certainly did not run.
 	NotRun Outcome = iota + 1
-	// Unknown means that the request may have run. It is final for a request
-	// that may not be repeated.
+	// Unknown means that the request may have run. It is final for a request with an
+	// idempotency key.
 	Unknown
-	// Answered means that the backend server ran the request and answered.
+	// Answered means that the backend server ran the request and responded.
 	Answered
 )
 
@@ -30,23 +30,21 @@
 	}
 }
 
-// Attempt describes how far one attempt at a backend server came.
+// Attempt describes the result of one attempt at a backend server.
 type Attempt struct {
-	// BytesSent counts the bytes of the request that the backend server's
-	// connection accepted.
+	// BytesSent is the number of request bytes written to the connection.
 	BytesSent int64
-	// Failed is set when no whole and matching answer header was read.
+	// Failed is set when no complete and matching response header was read.
 	Failed bool
-	// FailReason tells why, when Failed is set and bytes were sent.
+	// FailReason is the reason if Failed is set and bytes were sent.
 	FailReason reason.Code
-	// RefusedNotRun is set when the backend server itself said, in the
-	// documented form, that it did not run the request.
+	// RefusedNotRun is set when the backend server itself reported that it did not
+	// run the request.
 	RefusedNotRun bool
 }
 
-// Classify tells what is known of the request after the attempt. A request is
-// not run only if none of its bytes reached the backend server or the backend
-// server said so itself; every other failure is unknown.
+// Classify returns the outcome of an attempt. A request is NotRun only if none of its
+// bytes were sent or the backend server reported it. Every other failure is Unknown.
 func Classify(a Attempt) (Outcome, reason.Code) {
 	if a.Failed && a.BytesSent == 0 {
 		return NotRun, reason.BackendUnreachable
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -8,75 +8,72 @@
 )
 
 const (
-	// hundred is the scale of the budget: a retry costs this many points and
-	// a request earns as many points as the percentage says.
-	hundred = 100
-	// DefaultReserve is the number of retries that a host may spend before
-	// any request has earned them.
+	// retryCost is the cost of one retry. Each request deposits the percentage.
+	retryCost = 100
+	// DefaultReserve is the number of retries allowed before any request.
 	DefaultReserve = 5
-	// maxBackoffShift keeps the doubling of the backoff from overflowing.
+	// maxBackoffShift prevents overflow of the backoff.
 	maxBackoffShift = 16
 )
 
-// Budget limits retries to a share of the requests of a host. It is not safe
-// for use by several goroutines at once.
+// Budget limits retries to a share of the requests of a host. It is not safe for
+// concurrent use.
 type Budget struct {
 	percent uint32
 	limit   uint64
-	points  uint64
+	balance uint64
 }
 
-// NewBudget returns a budget that allows percent retries per hundred requests
-// and holds at most reserve retries that were not spent. It starts full.
+// NewBudget returns a budget that allows percent retries per hundred requests and
+// accumulates at most reserve unused retries. It starts full.
 func NewBudget(percent uint32, reserve uint32) *Budget {
-	limit := uint64(reserve) * hundred
-	return &Budget{percent: percent, limit: limit, points: limit}
+	limit := uint64(reserve) * retryCost
+	return &Budget{percent: percent, limit: limit, balance: limit}
 }
 
-// SetPercent changes the share of requests that may be repeated.
+// SetPercent changes the share of requests that may be retried.
 func (b *Budget) SetPercent(percent uint32) {
 	b.percent = percent
 }
 
-// Deposit records a first attempt, which earns a share of a retry.
+// Deposit records a first attempt, which adds its share of a retry.
 func (b *Budget) Deposit() {
-	b.points = min(b.points+uint64(b.percent), b.limit)
+	b.balance = min(b.balance+uint64(b.percent), b.limit)
 }
 
-// TryWithdraw spends one retry and reports whether the budget allowed it.
+// TryWithdraw withdraws one retry and reports whether the budget allowed it.
 func (b *Budget) TryWithdraw() bool {
-	if b.percent == 0 || b.points < hundred {
+	if b.percent == 0 || b.balance < retryCost {
 		return false
 	}
-	b.points -= hundred
+	b.balance -= retryCost
 	return true
 }
 
 // Policy bounds the attempts of one request.
 type Policy struct {
-	// MaxAttempts is the largest number of attempts, the first one included.
+	// MaxAttempts is the greatest number of attempts, including the first.
 	MaxAttempts int
-	// BaseBackoff is the mean wait before the second attempt.
+	// BaseBackoff is the mean backoff before the second attempt.
 	BaseBackoff time.Duration
-	// MaxBackoff is the longest wait before any attempt.
+	// MaxBackoff is the longest backoff before any attempt.
 	MaxBackoff time.Duration
-	// MinRemaining is the time that must remain to the deadline after the wait.
+	// MinRemaining is the time that must remain to the deadline after the backoff.
 	MinRemaining time.Duration
 }
 
-// Decision tells whether to repeat an attempt.
+// Decision tells whether to retry.
 type Decision struct {
 	Retry bool
-	// Delay is the time to wait before the next attempt.
+	// Delay is the backoff before the next attempt.
 	Delay time.Duration
-	// Reason is why it is repeated, or why not.
+	// Reason is why the request is retried, or why not.
 	Reason reason.Code
 }
 
-// Decide tells whether a request that failed for the given reason on its n-th
-// attempt (counted from 1) is tried again. remaining is the time to the
-// deadline. Only a request that was provably not run is ever repeated. The
-// budget is charged only when the answer is yes.
+// Decide returns whether to retry a request whose n-th attempt (counted from 1) failed
+// for the given reason. remaining is the time to the deadline. Only a request that
+// certainly did not run is retried. The budget is charged only for a retry.
 func (p Policy) Decide(n int, outcome Outcome, failed reason.Code, remaining time.Duration, budget *Budget, rnd *rand.Rand) Decision {
 	if outcome != NotRun {
 		return Decision{Reason: failed}
@@ -98,10 +95,9 @@
 	return Decision{Retry: true, Delay: wait, Reason: why}
 }
 
-// Backoff returns the wait after the n-th attempt (counted from 1). Its mean
-// doubles with each attempt; jitter spreads it from half of the mean to one
-// and a half times the mean, so that requests that failed together do not
-// come back together.
+// Backoff returns the delay after the n-th attempt (counted from 1). Its mean doubles
+// with each attempt. Jitter of plus or minus half the mean prevents synchronized
+// retries.
 func (p Policy) Backoff(n int, rnd *rand.Rand) time.Duration {
 	shift := min(max(n-1, 0), maxBackoffShift)
 	mean := p.BaseBackoff << shift
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -25,8 +25,8 @@
 		{"one byte sent, then reset", retry.Attempt{Failed: true, BytesSent: 1}, retry.Unknown, reason.BackendReset},
 		{"deadline after sending", retry.Attempt{Failed: true, BytesSent: 9, FailReason: reason.Deadline}, retry.Unknown, reason.Deadline},
 		{"crossed", retry.Attempt{Failed: true, BytesSent: 9, FailReason: reason.AnswerCrossed}, retry.Unknown, reason.AnswerCrossed},
-		{"refused in the documented form", retry.Attempt{BytesSent: 9, RefusedNotRun: true}, retry.NotRun, reason.BackendRefused},
-		{"refused, but the answer is broken", retry.Attempt{BytesSent: 9, RefusedNotRun: true, Failed: true}, retry.Unknown, reason.BackendReset},
+		{"reported as not run", retry.Attempt{BytesSent: 9, RefusedNotRun: true}, retry.NotRun, reason.BackendRefused},
+		{"reported as not run, but the response is broken", retry.Attempt{BytesSent: 9, RefusedNotRun: true, Failed: true}, retry.Unknown, reason.BackendReset},
 		{"answered", retry.Attempt{BytesSent: 9}, retry.Answered, reason.None},
 	}
 	for _, c := range cases {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestClassifyNeverClaimsNotRunOnAGuess(t *testing.T) {
+func TestClassifyReportsNotRunOnlyIfProven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := retry.Attempt{
 			BytesSent:     rapid.Int64Range(0, 3).Draw(t, "bytes"),
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestBudgetBoundsRetriesToItsShare(t *testing.T) {
+func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		percent := rapid.Uint32Range(0, 100).Draw(t, "percent")
 		reserve := rapid.Uint32Range(0, 20).Draw(t, "reserve")
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestDecideKeepsToOutcomeAttemptsAndDeadline(t *testing.T) {
+func TestDecideRespectsOutcomeAttemptsAndDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		p := retry.Policy{
@@ -99,16 +99,16 @@
 	})
 }
 
-func TestDecideTellsWhyNot(t *testing.T) {
+func TestDecideReason(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	p := retry.Policy{MaxAttempts: 3, BaseBackoff: 10 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, MinRemaining: time.Millisecond}
-	spent := retry.NewBudget(10, 0)
+	empty := retry.NewBudget(10, 0)
 	full := retry.NewBudget(10, 5)
 	is.Equal(p.Decide(1, retry.Unknown, reason.BackendReset, time.Second, full, rnd).Reason, reason.BackendReset)
 	is.Equal(p.Decide(3, retry.NotRun, reason.BackendRefused, time.Second, full, rnd).Reason, reason.RetryAttempts)
 	is.Equal(p.Decide(1, retry.NotRun, reason.BackendRefused, 2*time.Millisecond, full, rnd).Reason, reason.RetryDeadline)
-	is.Equal(p.Decide(1, retry.NotRun, reason.BackendRefused, time.Second, spent, rnd).Reason, reason.RetryBudget)
+	is.Equal(p.Decide(1, retry.NotRun, reason.BackendRefused, time.Second, empty, rnd).Reason, reason.RetryBudget)
 	is.Equal(p.Decide(1, retry.NotRun, reason.BackendRefused, time.Second, full, rnd).Reason, reason.RetryRefused)
 	is.Equal(p.Decide(1, retry.NotRun, reason.BackendUnreachable, time.Second, full, rnd).Reason, reason.RetryConnect)
 }
