--- a/reason/doc.go
+++ b/reason/doc.go
@@ -1,7 +1,7 @@
-// Package reason holds the one table of reasons for which the system refuses,
-// hands on or retries. Each reason is the tag of its own counter; those told
-// to callers also stand in the Request-Reason header. Pages for operators are
-// generated from Table.
+// Package reason lists the reasons for which requests, frames and flows are refused,
+// retried or redirected. Each reason is a counter tag. Those returned to callers are
+// also values of the Request-Reason header. The operators' page is generated from
+// Table.
 package reason
 
 //go:generate go run ./internal/page ../docs/REASONS.md
--- a/reason/markdown.go
+++ b/reason/markdown.go
@@ -5,8 +5,7 @@
 	"strings"
 )
 
-// sections gives, for each kind, the heading and introduction of its table on
-// the operators' page.
+// sections holds the heading and introduction of each kind on the operators' page.
 var sections = []struct {
 	kind         Kind
 	title, intro string
--- a/reason/reason.go
+++ b/reason/reason.go
@@ -1,23 +1,23 @@
 package reason
 
-// Kind groups reasons by what was refused or repeated.
+// Kind groups reasons by what was refused or retried.
 type Kind uint8
 
 // Kinds of reasons.
 const (
-	// KindNotRun is told to a caller whose request was provably not run.
+	// KindNotRun is returned to a caller whose request certainly did not run.
 	KindNotRun Kind = iota + 1
-	// KindUnknown is told to a caller whose request may have run.
+	// KindUnknown is returned to a caller whose request may have run.
 	KindUnknown
-	// KindRetry counts a repeated attempt at the backend server.
+	// KindRetry explains whether an attempt at the backend server was retried.
 	KindRetry
-	// KindFrame counts a frame that the agent refused.
+	// KindFrame explains why the agent refused a frame.
 	KindFrame
-	// KindFlow counts a new flow that the agent handed on or refused.
+	// KindFlow explains why the agent redirected or refused a new flow.
 	KindFlow
 )
 
-// String returns the name of the kind as used in counters and pages.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case KindNotRun:
@@ -35,10 +35,10 @@
 	}
 }
 
-// Code names one reason.
+// Code identifies one reason.
 type Code uint8
 
-// Reasons. Names and texts stand in the table below.
+// Reasons. The table below has their names and texts.
 const (
 	None Code = iota
 
@@ -90,20 +90,20 @@
 	FlowNoAlternate
 	FlowRefused
 
-	last
+	numCodes
 )
 
 // Info describes one reason.
 type Info struct {
 	Code Code
 	Kind Kind
-	// Name is the value of the Request-Reason header and of the counter's tag.
+	// Name is the value of the Request-Reason header and of the counter tag.
 	Name string
-	// Text explains the reason to operators.
+	// Text describes the reason for operators.
 	Text string
 }
 
-var table = [last]Info{
+var table = [numCodes]Info{
 	SlotsFull:          {Kind: KindNotRun, Name: "slots-full", Text: "All slots are taken and the queue is turned off."},
 	QueueFull:          {Kind: KindNotRun, Name: "queue-full", Text: "All slots are taken and the queue for them is full."},
 	WaitTooLong:        {Kind: KindNotRun, Name: "wait-too-long", Text: "The expected wait for a slot is longer than the bound of the queue, or the wait reached it."},
@@ -155,7 +155,7 @@
 
 // Info returns the description of the reason.
 func (c Code) Info() Info {
-	if c >= last {
+	if c >= numCodes {
 		return Info{Code: c}
 	}
 	info := table[c]
@@ -168,15 +168,15 @@
 	return c.Info().Name
 }
 
-// Kind returns the group of the reason, 0 for None.
+// Kind returns the kind of the reason, 0 for None.
 func (c Code) Kind() Kind {
 	return c.Info().Kind
 }
 
 // Table returns every reason in stable order.
 func Table() []Info {
-	all := make([]Info, 0, last)
-	for c := None + 1; c < last; c++ {
+	all := make([]Info, 0, numCodes)
+	for c := None + 1; c < numCodes; c++ {
 		all = append(all, c.Info())
 	}
 	return all
--- a/reason/reason_test.go
+++ b/reason/reason_test.go
@@ -10,7 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/reason"
 )
 
-func TestTableIsWholeAndUnique(t *testing.T) {
+func TestTableIsCompleteAndUnique(t *testing.T) {
 	is := is.New(t)
 	name := regexp.MustCompile(`^[a-z]+(-[a-z]+)*$`)
 	type key struct {
@@ -22,9 +22,9 @@
 		is.True(name.MatchString(info.Name))         // lower-case words
 		is.True(info.Text != "")                     // has an explanation
 		is.True(info.Kind >= reason.KindNotRun)      // has a kind
-		is.True(info.Kind <= reason.KindFlow)        // of the known ones
-		is.True(!seen[key{info.Kind, info.Name}])    // stands once
-		is.Equal(info.Code.String(), info.Name)      // found by its code
+		is.True(info.Kind <= reason.KindFlow)        // the kind is known
+		is.True(!seen[key{info.Kind, info.Name}])    // unique within the kind
+		is.Equal(info.Code.String(), info.Name)      // the code resolves to the name
 		is.True(info.Kind.String() != "unspecified") // kind has a name
 		seen[key{info.Kind, info.Name}] = true
 	}
