--- a/internal/agentd/announce_test.go
+++ b/internal/agentd/announce_test.go
@@ -13,7 +13,7 @@
 	"eelgrasswharf.example/eelgrasswharf/health"
 )
 
-func TestAnnouncementsAreChecked(t *testing.T) {
+func TestReadAnnouncement(t *testing.T) {
 	good := `{"service":"lodgement","target":"t1","url":"http://127.0.0.1:80","state":"serving"}`
 	cases := []struct {
 		name, old, new string
@@ -42,21 +42,21 @@
 
 func TestAnnouncementForAnotherTargetIsRefused(t *testing.T) {
 	is := is.New(t)
-	_, a, backend := oneAgent(t)
+	_, a, backend := startSingleAgent(t)
 	what := announcement{Service: testService, Target: "t1", URL: backend.server.URL, State: backendServing}
 	is.Equal(a.announceRaw(t, what), http.StatusOK)
 	what.Target = "t2"
 	is.Equal(a.announceRaw(t, what), http.StatusConflict)
 	what.Target = "t1"
 	what.Service = "certificates"
-	is.Equal(a.announceRaw(t, what), http.StatusConflict) // not what the agent's certificate names
+	is.Equal(a.announceRaw(t, what), http.StatusConflict) // the certificate is for another service
 	what.State = "dead"
 	is.Equal(a.announceRaw(t, what), http.StatusBadRequest)
 }
 
-func TestAnnouncementsComeFromTheOwnHost(t *testing.T) {
+func TestAnnouncementsFromOtherHostsAreRefused(t *testing.T) {
 	is := is.New(t)
-	_, a, _ := oneAgent(t)
+	_, a, _ := startSingleAgent(t)
 	request := httptest.NewRequest("POST", "/announce", strings.NewReader("{}"))
 	request.RemoteAddr = "192.0.2.1:1"
 	recorder := httptest.NewRecorder()
@@ -64,37 +64,37 @@
 	is.Equal(recorder.Code, http.StatusForbidden)
 }
 
-func TestSlotsAndRestartOfTheBackend(t *testing.T) {
+func TestBackendSlotsAndRestart(t *testing.T) {
 	is := is.New(t)
-	w, a, backend := oneAgent(t)
+	tc, a, backend := startSingleAgent(t)
 	is.Equal(a.published.last().GetSlots(), uint32(4))
-	w.known.mu.Lock()
-	w.known.service = &configpb.Service{Number: 1, Slots: 2}
-	w.known.mu.Unlock()
-	eventually(t, "the smaller number of slots", func() bool { return a.published.last().GetSlots() == 2 })
+	tc.targets.mu.Lock()
+	tc.targets.service = &configpb.Service{Number: 1, Slots: 2}
+	tc.targets.mu.Unlock()
+	eventually(t, "smaller number of slots", func() bool { return a.published.last().GetSlots() == 2 })
 	second := newFakeBackend(t)
 	a.announceState(t, "t1", second.server.URL, "serving")
-	eventually(t, "restart told", func() bool {
+	eventually(t, "restart announced", func() bool {
 		a.published.mu.Lock()
 		defer a.published.mu.Unlock()
 		return a.published.restarts == 1
 	})
-	is.Equal(mustSend(t, w.caller(), "GET", w.url("/echo?text=x"), "").body, "x")
-	is.Equal(backend.ran(""), 0)
-	is.Equal(second.ran(""), 1)
+	is.Equal(mustSend(t, tc.caller(), "GET", tc.url("/echo?text=x"), "").body, "x")
+	is.Equal(backend.runCount(""), 0)
+	is.Equal(second.runCount(""), 1)
 }
 
-// Whatever the endpoints claim, what the agent sees of the requests decides.
-func TestEndpointsThatLieCostLittle(t *testing.T) {
+// Observed requests override whatever the health and load endpoints report.
+func TestWrongEndpointReportsAreOverridden(t *testing.T) {
 	reports := map[string]http.HandlerFunc{
-		"always ill":  func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"always well": func(http.ResponseWriter, *http.Request) {},
-		"frozen":      func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"always unhealthy": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"always healthy":   func(http.ResponseWriter, *http.Request) {},
+		"hanging":          func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 	}
 	for name, report := range reports {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w, a, backend := oneAgent(t)
+			w, a, backend := startSingleAgent(t)
 			mux := http.NewServeMux()
 			mux.HandleFunc("/health", report)
 			mux.HandleFunc("/load", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"running":4}`)) })
@@ -109,38 +109,37 @@
 			for range health.MinSamples {
 				is.Equal(w.mustSend(t, "GET", "/echo?text=x", "").body, "x")
 			}
-			eventually(t, "verdict of well", func() bool { return !a.plane.Load().current().ill })
-			// A quarter of the slots at most for the report, and the flows.
-			eventually(t, "load near the truth", func() bool { return a.plane.Load().current().load <= 260 })
+			eventually(t, "healthy verdict", func() bool { return !a.dataPlane.Load().current().unhealthy })
+			// At most a quarter of the slots for the report, plus the flows.
+			eventually(t, "load close to the observed load", func() bool { return a.dataPlane.Load().current().load <= 260 })
 			for range 2 * health.MinSamples {
 				w.mustSend(t, "GET", "/status?code=500", "")
 			}
-			eventually(t, "verdict of ill", func() bool { return a.plane.Load().current().ill })
+			eventually(t, "unhealthy verdict", func() bool { return a.dataPlane.Load().current().unhealthy })
 		})
 	}
 }
 
-// A caller that began at a target which then fails sends its next requests to
-// another one, and its open session stays.
-func TestCallersLeaveAFailingTarget(t *testing.T) {
+// New requests of a caller move away from a failing target. Its open watch stays.
+func TestUnhealthyTargetSendsCallersAway(t *testing.T) {
 	is := is.New(t)
-	w, a, backend := oneAgent(t)
-	session := openWatch(t, w.client, w.url("/watch"))
-	b := w.startAgent("t2", newFakeBackend(t).server.URL)
-	c := w.startAgent("t3", newFakeBackend(t).server.URL)
-	w.known.set(a.published.last(), b.published.last(), c.published.last())
-	w.entry.choose(a.FrameAddr(), b.FrameAddr())
+	tc, a, backend := startSingleAgent(t)
+	session := openWatch(t, tc.client, tc.url("/watch"))
+	b := tc.startAgent("t2", newFakeBackend(t).server.URL)
+	c := tc.startAgent("t3", newFakeBackend(t).server.URL)
+	tc.targets.set(a.published.last(), b.published.last(), c.published.last())
+	tc.entry.setRoute(a.FrameAddr(), b.FrameAddr())
 	for range 2 * health.MinSamples {
-		got := w.mustSend(t, "GET", "/status?code=500", "")
-		if got.header.Get(headerTarget) == b.plane.Load().self.String() {
+		got := tc.mustSend(t, "GET", "/status?code=500", "")
+		if got.header.Get(headerTarget) == b.dataPlane.Load().self.String() {
 			break
 		}
 	}
-	movesTo(t, w, b)
-	is.True(a.plane.Load().current().ill)
-	backend.events <- "still here"
-	is.Equal(session.line(t), "still here")
-	is.Equal(backend.gone.Load(), int64(0))
+	awaitRequestsAt(t, tc, b)
+	is.True(a.dataPlane.Load().current().unhealthy)
+	backend.events <- "still open"
+	is.Equal(session.line(t), "still open")
+	is.Equal(backend.cancelled.Load(), int64(0))
 	session.close()
 }
 
@@ -152,11 +151,11 @@
 		want    health.Report
 		running int
 	}{
-		{"well", func(http.ResponseWriter, *http.Request) {}, `{"running":3,"slots":4}`, health.ReportHealthy, 3},
-		{"ill", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, `{"running":-3}`, health.ReportUnhealthy, -1},
-		{"frozen", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, `{`, health.ReportNoResponse, -1},
-		{"no figure", func(http.ResponseWriter, *http.Request) {}, `{}`, health.ReportHealthy, -1},
-		{"absurd", func(http.ResponseWriter, *http.Request) {}, `{"running":99999999999}`, health.ReportHealthy, -1},
+		{"healthy", func(http.ResponseWriter, *http.Request) {}, `{"running":3,"slots":4}`, health.ReportHealthy, 3},
+		{"unhealthy", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, `{"running":-3}`, health.ReportUnhealthy, -1},
+		{"hanging", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, `{`, health.ReportNoResponse, -1},
+		{"no value", func(http.ResponseWriter, *http.Request) {}, `{}`, health.ReportHealthy, -1},
+		{"out of range", func(http.ResponseWriter, *http.Request) {}, `{"running":99999999999}`, health.ReportHealthy, -1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -166,9 +165,9 @@
 			mux.HandleFunc("/load", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(c.load)) })
 			server := httptest.NewServer(mux)
 			defer server.Close()
-			p := newPoller(&backendRecord{}, newHealthState(newClock()), 200*time.Millisecond)
-			is.Equal(p.askHealth(t.Context(), server.URL+"/health"), c.want)
-			is.Equal(p.askLoad(t.Context(), server.URL+"/load"), c.running)
+			p := newPoller(&backendTracker{}, newHealthState(newClock()), 200*time.Millisecond)
+			is.Equal(p.pollHealth(t.Context(), server.URL+"/health"), c.want)
+			is.Equal(p.pollLoad(t.Context(), server.URL+"/load"), c.running)
 		})
 	}
 }
--- a/internal/agentd/announcement.go
+++ b/internal/agentd/announcement.go
@@ -17,17 +17,16 @@
 	maxAnnouncement = 64 << 10
 	// maxWatchPaths bounds the watch paths of one announcement.
 	maxWatchPaths = 64
-	// maxAge bounds the age that a backend server claims: nothing asks whether
-	// it is older.
+	// maxAge bounds the age that a backend server may claim.
 	maxAge = 365 * 24 * time.Hour
-	// defaultWatchPath is used when an announcement names no watch paths.
+	// defaultWatchPath is used for an announcement without watch paths.
 	defaultWatchPath = "/watch"
 )
 
-// ErrAnnouncement is returned for an announcement that the agent refuses.
+// ErrAnnouncement is returned for an invalid or conflicting announcement.
 var ErrAnnouncement = errors.New("announcement refused")
 
-// backendState is what a backend server says of itself.
+// backendState is the state that a backend server announces.
 type backendState string
 
 // States of a backend server.
@@ -36,7 +35,7 @@
 	backendDraining backendState = "draining"
 )
 
-// announcement is the JSON body by which the backend server announces itself.
+// announcement is the JSON body with which the backend server announces itself.
 type announcement struct {
 	Service    string       `json:"service"`
 	Target     string       `json:"target"`
@@ -46,22 +45,21 @@
 	LoadPath   string       `json:"load_path"`
 	WatchPaths []string     `json:"watch_paths"`
 	State      backendState `json:"state"`
-	// AgeMS is the time since the backend server started, nil if it does not
-	// tell.
+	// AgeMS is the time since the backend server started, nil if unknown.
 	AgeMS *uint64 `json:"age_ms,omitempty"`
 
 	base *url.URL
 }
 
-// announcementReply is the JSON answer to an announcement.
+// announcementReply is the JSON response to an announcement.
 type announcementReply struct {
-	// LeaseMS is the time within which the next announcement has to come.
+	// LeaseMS is the time within which the announcement must be repeated.
 	LeaseMS int64 `json:"lease_ms"`
-	// Target is the registered identity, empty until there is one.
+	// Target is the registered identity, empty before registration.
 	Target string `json:"target,omitempty"`
 }
 
-// readAnnouncement decodes and checks an announcement.
+// readAnnouncement decodes and validates an announcement.
 func readAnnouncement(r io.Reader) (*announcement, error) {
 	a := &announcement{}
 	if err := json.NewDecoder(io.LimitReader(r, maxAnnouncement)).Decode(a); err != nil {
@@ -81,7 +79,7 @@
 	return a, a.checkPaths()
 }
 
-// age returns the claimed time since the start, negative if there is no claim.
+// age returns the claimed time since the start, negative if unknown.
 func (a *announcement) age() time.Duration {
 	if a.AgeMS == nil {
 		return -1
@@ -104,7 +102,8 @@
 	return nil
 }
 
-// endpoint returns the URL of a path of the backend server, empty without one.
+// endpoint returns the URL of a path of the backend server, empty if the path is
+// empty.
 func (a *announcement) endpoint(path string) string {
 	if path == "" {
 		return ""
@@ -129,20 +128,20 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := d.announced(a); err != nil {
+	if err := d.acceptAnnouncement(a); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	reply := announcementReply{LeaseMS: d.timing.announceLease.Milliseconds()}
-	if plane := d.plane.Load(); plane != nil {
-		reply.Target = plane.self.String()
+	if dataPlane := d.dataPlane.Load(); dataPlane != nil {
+		reply.Target = dataPlane.self.String()
 	}
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// ownHost reports whether a request came from this host: from the loopback
-// network or from the address that it was sent to.
+// ownHost reports whether a request came from this host: from a loopback address or
+// from the address that the server listens on.
 func ownHost(r *http.Request, listen netip.Addr) bool {
 	remote, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/agentd/attempt.go
+++ b/internal/agentd/attempt.go
@@ -21,37 +21,36 @@
 
 const (
 	dialTimeout = time.Second
-	// notRun is the value by which a backend server says that it did not run
-	// a request.
+	// notRun is the Request-Outcome of a backend server that did not run the request.
 	notRun = "not-run"
 )
 
-// hopHeaders belong to one connection and are never passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownHeaders are set by the agent; a caller or backend server cannot forge
-// them on the other side.
-var ownHeaders = []string{
+// agentHeaders are set by the agent only and removed from requests and responses that
+// it forwards.
+var agentHeaders = []string{
 	headerOutcome, headerReason, headerReplayed, headerTarget, headerID, headerRetryAfterMS,
 }
 
-// sentCounter is a connection that counts the bytes it took. Once sealed it
-// takes no more, so that the count is final.
-type sentCounter struct {
+// countingConn counts the bytes written. After closeAndCount it accepts no more, so
+// that the count is final.
+type countingConn struct {
 	net.Conn
 	mu     sync.Mutex
 	sent   int64
-	sealed bool
+	closed bool
 }
 
 // Write implements net.Conn.
-func (c *sentCounter) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sealed {
+	if c.closed {
 		return 0, ErrAttemptEnded
 	}
 	n, err := c.Conn.Write(p)
@@ -59,51 +58,51 @@
 	return n, err
 }
 
-// seal closes the connection and returns the number of bytes it ever took.
-func (c *sentCounter) seal() int64 {
-	_ = c.Close() // first, as it ends a write that holds the lock
+// closeAndCount closes the connection and returns the number of bytes written.
+func (c *countingConn) closeAndCount() int64 {
+	_ = c.Close() // before locking, to unblock a write that holds the lock
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.closed = true
 	return c.sent
 }
 
-// dialed holds the connection of one attempt.
-type dialed struct {
+// attemptConn holds the connection of one attempt.
+type attemptConn struct {
 	mu     sync.Mutex
-	conn   *sentCounter
-	sealed bool
+	conn   *countingConn
+	closed bool
 }
 
-type dialedKey struct{}
+type attemptConnKey struct{}
 
-// put takes over a new connection, unless the attempt is over.
-func (d *dialed) put(conn net.Conn) (net.Conn, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.sealed {
+// set stores a new connection and wraps it, unless the attempt has ended.
+func (a *attemptConn) set(conn net.Conn) (net.Conn, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.closed {
 		_ = conn.Close()
 		return nil, ErrAttemptEnded
 	}
-	d.conn = &sentCounter{Conn: conn}
-	return d.conn, nil
+	a.conn = &countingConn{Conn: conn}
+	return a.conn, nil
 }
 
-// seal ends the attempt and returns the number of bytes that were sent.
-func (d *dialed) seal() int64 {
-	d.mu.Lock()
-	d.sealed = true
-	conn := d.conn
-	d.mu.Unlock()
+// closeAndCount ends the attempt and returns the number of bytes sent.
+func (a *attemptConn) closeAndCount() int64 {
+	a.mu.Lock()
+	a.closed = true
+	conn := a.conn
+	a.mu.Unlock()
 	if conn == nil {
 		return 0
 	}
-	return conn.seal()
+	return conn.closeAndCount()
 }
 
-// newBackendTransport returns a transport that opens a connection for each
-// request and never repeats one by itself. net/http would repeat a request
-// with an Idempotency-Key on a broken reused connection.
+// newBackendTransport returns a transport that opens a connection for each request
+// and never retries by itself. With reused connections, net/http would retry a
+// request with an Idempotency-Key.
 func newBackendTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
@@ -115,43 +114,42 @@
 			if err != nil {
 				return nil, err
 			}
-			holder, ok := ctx.Value(dialedKey{}).(*dialed)
+			holder, ok := ctx.Value(attemptConnKey{}).(*attemptConn)
 			if !ok {
 				return conn, nil
 			}
-			return holder.put(conn)
+			return holder.set(conn)
 		},
 	}
 }
 
-// exchange is an answer of the backend server whose body is still to be read.
+// exchange is a response of the backend server whose body has not been read yet.
 type exchange struct {
-	response *http.Response
-	dialed   *dialed
+	response    *http.Response
+	attemptConn *attemptConn
 }
 
-// abandon gives the exchange up and closes its connection.
+// abandon closes the connection without reading the rest of the response.
 func (x *exchange) abandon() {
-	x.dialed.seal()
+	x.attemptConn.closeAndCount()
 	_ = x.response.Body.Close()
 }
 
-// result is what became of one attempt.
+// result is the result of one attempt.
 type result struct {
 	outcome retry.Outcome
 	reason  reason.Code
-	// exchange is set when the backend server answered.
+	// exchange is set when the backend server responded.
 	exchange *exchange
-	// comeBack is when the backend server wants to be asked again, 0 if it
-	// did not say.
-	comeBack time.Duration
+	// retryAfter is the retry delay that the backend server asked for, 0 if none.
+	retryAfter time.Duration
 }
 
-// attempt sends the request once and reads the header of the answer.
+// attempt sends the request once and reads the response header.
 func attempt(transport http.RoundTripper, base *url.URL, c *call, self string) result {
-	holder := &dialed{}
-	ctx := context.WithValue(c.ctx, dialedKey{}, holder)
-	response, err := transport.RoundTrip(outgoing(ctx, base, c, self))
+	holder := &attemptConn{}
+	ctx := context.WithValue(c.ctx, attemptConnKey{}, holder)
+	response, err := transport.RoundTrip(newBackendRequest(ctx, base, c, self))
 	if err != nil {
 		return failedAttempt(c, holder, reason.None)
 	}
@@ -163,18 +161,18 @@
 		_ = response.Body.Close()
 		return failedAttempt(c, holder, reason.AnswerUndelimited)
 	}
-	x := &exchange{response: response, dialed: holder}
-	if !refusedNotRun(response) {
+	x := &exchange{response: response, attemptConn: holder}
+	if !reportsNotRun(response) {
 		return result{outcome: retry.Answered, exchange: x}
 	}
 	x.abandon()
 	outcome, why := retry.Classify(retry.Attempt{BytesSent: 1, RefusedNotRun: true})
-	return result{outcome: outcome, reason: why, comeBack: readRetryAfter(response.Header)}
+	return result{outcome: outcome, reason: why, retryAfter: readRetryAfter(response.Header)}
 }
 
-// failedAttempt classifies an attempt without a proper answer.
-func failedAttempt(c *call, holder *dialed, why reason.Code) result {
-	sent := holder.seal()
+// failedAttempt classifies an attempt without a valid response.
+func failedAttempt(c *call, holder *attemptConn, why reason.Code) result {
+	sent := holder.closeAndCount()
 	if why == reason.None && c.ctx.Err() != nil {
 		why = ctxReason(c.ctx, reason.Deadline, reason.None)
 	}
@@ -185,8 +183,8 @@
 	return result{outcome: outcome, reason: code}
 }
 
-// outgoing builds the request to the backend server.
-func outgoing(ctx context.Context, base *url.URL, c *call, self string) *http.Request {
+// newBackendRequest returns the request to the backend server.
+func newBackendRequest(ctx context.Context, base *url.URL, c *call, self string) *http.Request {
 	in := c.request
 	target := *base
 	target.Path = strings.TrimSuffix(base.Path, "/") + in.URL.Path
@@ -202,13 +200,13 @@
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
-		Header:        passedHeaders(in.Header),
+		Header:        forwardedHeaders(in.Header),
 		ContentLength: int64(len(c.body)),
 	}).WithContext(ctx)
 	if len(c.body) > 0 {
 		out.Body = io.NopCloser(bytes.NewReader(c.body))
 	}
-	if c.lasting {
+	if c.deadlineCoversResponse {
 		out.Header.Set(headerTimeout, strconv.FormatInt(max(c.remaining().Milliseconds(), 1), 10))
 	}
 	out.Header.Set(headerID, c.id)
@@ -219,8 +217,8 @@
 	return out
 }
 
-// passedHeaders copies the headers that go to the other side.
-func passedHeaders(from http.Header) http.Header {
+// forwardedHeaders copies the headers that are forwarded.
+func forwardedHeaders(from http.Header) http.Header {
 	to := from.Clone()
 	if to == nil {
 		to = make(http.Header)
@@ -230,17 +228,17 @@
 			to.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		to.Del(name)
 	}
-	for _, name := range ownHeaders {
+	for _, name := range agentHeaders {
 		to.Del(name)
 	}
 	return to
 }
 
-// undelimited reports whether the end of an answer's body could not be told
-// from a broken connection.
+// undelimited reports whether a truncated response body could not be distinguished
+// from a complete one.
 func undelimited(request *http.Request, response *http.Response) bool {
 	if response.Body == http.NoBody || request.Method == http.MethodHead {
 		return false
@@ -248,9 +246,9 @@
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0
 }
 
-// refusedNotRun reports whether the backend server said in the documented form
-// that it did not run the request.
-func refusedNotRun(response *http.Response) bool {
+// reportsNotRun reports whether the backend server reported that it did not run the
+// request.
+func reportsNotRun(response *http.Response) bool {
 	return response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(headerOutcome) == notRun
 }
 
@@ -262,7 +260,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// healthResult tells what an attempt says of the backend server.
+// healthResult returns the result of an attempt for the health tracker.
 func healthResult(r result) health.Result {
 	switch {
 	case r.reason == reason.BackendUnreachable:
@@ -280,5 +278,5 @@
 	}
 }
 
-// errCut is returned for an answer that ended early.
-var errCut = errors.New("answer ended early")
+// errTruncated is returned for a truncated response.
+var errTruncated = errors.New("truncated response")
--- a/internal/agentd/backend.go
+++ b/internal/agentd/backend.go
@@ -9,24 +9,24 @@
 	"eelgrasswharf.example/eelgrasswharf/health"
 )
 
-// backendRecord holds the last announcement of the backend server.
-type backendRecord struct {
+// backendTracker holds the last announcement of the backend server.
+type backendTracker struct {
 	mu      sync.Mutex
 	current *announcement
 	uptime  health.Uptime
 }
 
-// listen notes since when announcements are taken and the lease of each.
-func (b *backendRecord) listen(now, lease time.Duration) {
+// listen records when the agent began to accept announcements, and their lease.
+func (b *backendTracker) listen(now, lease time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.uptime = health.Uptime{ListeningSince: now, Lease: lease}
 }
 
-// renew records an announcement. It refuses one for another target than the
-// first one, and passes over what a replaced server says while it drains: heard
-// in turn with its successor, the target would drain and start cold each time.
-func (b *backendRecord) renew(a *announcement, now time.Duration) error {
+// update records an announcement. It refuses one for a different target than the
+// first, and ignores a draining server that was replaced: alternating with the new
+// one, it would make the target drain and cold-start repeatedly.
+func (b *backendTracker) update(a *announcement, now time.Duration) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.current != nil && (a.Service != b.current.Service || a.Target != b.current.Target) {
@@ -41,14 +41,14 @@
 }
 
 // get returns the last announcement, nil if there was none.
-func (b *backendRecord) get() *announcement {
+func (b *backendTracker) get() *announcement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.current
 }
 
-// view returns what the proxy needs.
-func (b *backendRecord) view() (backendView, bool) {
+// view returns what the proxy needs to know of the backend server.
+func (b *backendTracker) view() (backendView, bool) {
 	a := b.get()
 	if a == nil {
 		return backendView{}, false
@@ -56,25 +56,25 @@
 	return backendView{url: a.base, watchPaths: a.WatchPaths}, true
 }
 
-// backendFigures is a look at the backend server's announcements.
-type backendFigures struct {
+// backendSnapshot is the state of the backend server at one time.
+type backendSnapshot struct {
 	draining bool
-	lapsed   bool
+	expired  bool
 	slots    uint32
-	// since is the time of the cold start.
-	since time.Duration
+	// startTime is the time of the cold start.
+	startTime time.Duration
 }
 
-func (b *backendRecord) figures(now time.Duration) backendFigures {
+func (b *backendTracker) snapshot(now time.Duration) backendSnapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.current == nil {
-		return backendFigures{lapsed: true}
+		return backendSnapshot{expired: true}
 	}
-	return backendFigures{
-		draining: b.current.State == backendDraining,
-		lapsed:   b.uptime.Expired(now),
-		slots:    b.current.Slots,
-		since:    b.uptime.StartTime(),
+	return backendSnapshot{
+		draining:  b.current.State == backendDraining,
+		expired:   b.uptime.Expired(now),
+		slots:     b.current.Slots,
+		startTime: b.uptime.StartTime(),
 	}
 }
--- a/internal/agentd/bench_test.go
+++ b/internal/agentd/bench_test.go
@@ -13,7 +13,7 @@
 	"eelgrasswharf.example/eelgrasswharf/frame"
 )
 
-// BenchmarkReceive measures the checks on one frame of an established flow.
+// BenchmarkReceive measures the validation of one frame of an established flow.
 func BenchmarkReceive(b *testing.B) {
 	secrets := []connid.Secret{{ID: 1, Key: [connid.SecretLength]byte{1}}}
 	self := identity{serviceNumber: 1, number: 2, incarnation: 3, address: netip.MustParseAddrPort("127.0.0.1:7")}
@@ -40,8 +40,8 @@
 	}
 }
 
-// BenchmarkAttempt measures one request to the backend server on a connection
-// of its own, against one on a connection that is kept.
+// BenchmarkAttempt compares a request on a new connection with one on a reused
+// connection.
 func BenchmarkAttempt(b *testing.B) {
 	server := newBenchBackend(b)
 	base, err := url.Parse(server)
@@ -62,7 +62,7 @@
 				if res.exchange == nil {
 					b.Fatal(res.reason)
 				}
-				if _, _, err := readHead(res.exchange.response, maxRecordBytes); err != nil {
+				if _, _, err := readPrefix(res.exchange.response, maxRecordBytes); err != nil {
 					b.Fatal(err)
 				}
 				_ = res.exchange.response.Body.Close()
--- a/internal/agentd/call.go
+++ b/internal/agentd/call.go
@@ -30,114 +30,114 @@
 )
 
 const (
-	// eventStream is the type of the answer to a watch.
-	eventStream = "text/event-stream"
-	// maxTimeout bounds the deadline that a caller may ask for.
+	// eventStreamType is the content type of a watch response.
+	eventStreamType = "text/event-stream"
+	// maxTimeout bounds the Request-Timeout of a caller.
 	maxTimeout = 24 * time.Hour
-	// lossSettles is the time within which a lost connection shows after its
-	// requests have ended.
-	lossSettles = 50 * time.Millisecond
+	// connLossDelay is the time within which a lost connection is detected after its
+	// requests were cancelled.
+	connLossDelay = 50 * time.Millisecond
 	// idBytes is the length of a request ID before encoding.
 	idBytes = 12
 )
 
-// errDeadline is the cause of a context whose deadline passed.
+// errDeadline is the cancellation cause when the deadline expires.
 var errDeadline = errors.New("deadline passed")
 
-// connectionKey finds the context of the caller's connection in that of a
-// request.
-type connectionKey struct{}
+// connContextKey is the context key of the context of the caller's connection.
+type connContextKey struct{}
 
 // call is one request of a caller.
 type call struct {
 	request *http.Request
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
-	// stopWatch ends the watch over the caller's connection, nil without one.
-	stopWatch func() bool
-	// timer ends the context at the deadline.
+	// stopAfterFunc stops cancelUnlessConnLost, nil without an idempotency key.
+	stopAfterFunc func() bool
+	// timer cancels the context at the deadline.
 	timer *time.Timer
-	// deadline is on the monotonic clock. A watch without a Request-Timeout
-	// has one for the header of its answer only.
+	// deadline is on the monotonic clock. For a watch without a Request-Timeout it
+	// covers the response header only.
 	deadline time.Time
-	// lasting is set when the deadline covers the whole answer.
-	lasting bool
-	watch   bool
-	key     string
-	// arrived is when a request with a key came, on the daemon's clock.
-	arrived time.Duration
-	id      string
-	body    []byte
+	// deadlineCoversResponse is set when the deadline covers the complete response.
+	deadlineCoversResponse bool
+	watch                  bool
+	key                    string
+	// receivedAt is set for a request with a key, on the daemon's clock.
+	receivedAt time.Duration
+	id         string
+	body       []byte
 }
 
-// newCall reads the protocol headers of a request.
+// newCall parses the protocol headers of a request.
 func newCall(r *http.Request, watchPaths []string, defaultDeadline time.Duration) (*call, reason.Code) {
 	c := &call{request: r, id: newRequestID(), watch: isWatch(r, watchPaths)}
-	timeout, told, ok := readTimeout(r.Header)
+	timeout, explicit, ok := readTimeout(r.Header)
 	if !ok || r.Method == http.MethodConnect {
 		return nil, reason.RequestInvalid
 	}
-	c.key = usableKey(r)
+	c.key = validKey(r)
 	if c.key == "" && len(r.Header.Values(headerKey)) > 0 {
 		return nil, reason.KeyInvalid
 	}
-	if !told {
+	if !explicit {
 		timeout = defaultDeadline
 	}
-	c.lasting = told || !c.watch
+	c.deadlineCoversResponse = explicit || !c.watch
 	c.deadline = time.Now().Add(timeout)
-	c.start()
+	c.initContext()
 	c.timer = time.AfterFunc(timeout, func() { c.cancel(errDeadline) })
 	return c, reason.None
 }
 
-// start makes the context that the call runs in. A request that may not be
-// repeated goes on when its caller's connection is lost, so that the caller
-// finds the recorded answer when it comes back. Only a cancelled request ends.
-func (c *call) start() {
+// initContext creates the context of the call. A request with an idempotency key
+// continues when the caller's connection is lost, so that a retry gets the recorded
+// response. It ends when the caller cancels it.
+func (c *call) initContext() {
 	parent := c.request.Context()
 	if c.key == "" {
 		c.ctx, c.cancel = context.WithCancelCause(parent)
 		return
 	}
 	c.ctx, c.cancel = context.WithCancelCause(context.WithoutCancel(parent))
-	c.stopWatch = context.AfterFunc(parent, c.cancelUnlessLost)
+	c.stopAfterFunc = context.AfterFunc(parent, c.cancelUnlessConnLost)
 }
 
-// cancelUnlessLost cancels the call if its request ended while its connection
-// lives. The two ends of a lost connection come shortly after each other.
-func (c *call) cancelUnlessLost() {
-	connection, ok := c.request.Context().Value(connectionKey{}).(context.Context)
-	if ok && !pause(connection, lossSettles) {
+// cancelUnlessConnLost cancels the call if its request was cancelled on an open
+// connection. When a connection is lost, its requests may be cancelled shortly before
+// the connection itself.
+func (c *call) cancelUnlessConnLost() {
+	connection, ok := c.request.Context().Value(connContextKey{}).(context.Context)
+	if ok && !pause(connection, connLossDelay) {
 		return
 	}
 	c.cancel(context.Canceled)
 }
 
-// end frees what the call holds.
+// end releases the resources of the call.
 func (c *call) end() {
-	if c.stopWatch != nil {
-		c.stopWatch()
+	if c.stopAfterFunc != nil {
+		c.stopAfterFunc()
 	}
 	c.timer.Stop()
 	c.cancel(nil)
 }
 
-// keepOpen lifts the deadline of a watch whose answer has begun.
-func (c *call) keepOpen() {
-	if !c.lasting {
+// clearDeadline removes the deadline of a watch whose response has begun.
+func (c *call) clearDeadline() {
+	if !c.deadlineCoversResponse {
 		c.timer.Stop()
 	}
 }
 
-// remaining returns the time to the deadline. It asks the clock, as a timer
-// fires late in a process that was frozen.
+// remaining returns the time to the deadline. It reads the clock because timers fire
+// late after a stall.
 func (c *call) remaining() time.Duration {
 	return time.Until(c.deadline)
 }
 
-// over tells why the call cannot go on, None if it can.
-func (c *call) over() reason.Code {
+// endReason returns why the call cannot continue, None if it can.
+func (c *call) endReason() reason.Code {
 	if c.request.Context().Err() != nil {
 		return reason.CallerGone
 	}
@@ -147,7 +147,8 @@
 	return reason.None
 }
 
-// digest tells another request under the same idempotency key.
+// digest identifies the request, to detect a different request with the same
+// idempotency key.
 func (c *call) digest() []byte {
 	h := sha256.New()
 	_, _ = io.WriteString(h, c.request.Method+"\n"+c.request.URL.RequestURI()+"\n")
@@ -155,7 +156,7 @@
 	return h.Sum(nil)
 }
 
-// ctxReason returns one of two reasons by the cause of a context's end.
+// ctxReason returns onDeadline if the deadline ended the context, else onCaller.
 func ctxReason(ctx context.Context, onDeadline, onCaller reason.Code) reason.Code {
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		return onDeadline
@@ -163,8 +164,9 @@
 	return onCaller
 }
 
-// readTimeout returns the Request-Timeout in milliseconds, if there is one.
-func readTimeout(h http.Header) (timeout time.Duration, told, ok bool) {
+// readTimeout parses Request-Timeout, which is in milliseconds. explicit is false if
+// the header is missing, ok is false if it is invalid.
+func readTimeout(h http.Header) (timeout time.Duration, explicit, ok bool) {
 	values := h.Values(headerTimeout)
 	if len(values) == 0 {
 		return 0, false, true
@@ -176,9 +178,9 @@
 	return time.Duration(min(ms, maxTimeout.Milliseconds())) * time.Millisecond, true, true
 }
 
-// usableKey returns the idempotency key of a request, empty if there is none
-// under which a request may run.
-func usableKey(r *http.Request) string {
+// validKey returns the idempotency key of a request, empty if it is missing or
+// invalid.
+func validKey(r *http.Request) string {
 	keys := r.Header.Values(headerKey)
 	if len(keys) != 1 || len(keys[0]) > maxKeyBytes {
 		return ""
@@ -186,12 +188,12 @@
 	return keys[0]
 }
 
-// isWatch reports whether the answer to a request streams without an end.
+// isWatch reports whether the response to a request is an endless stream.
 func isWatch(r *http.Request, watchPaths []string) bool {
 	if r.Method != http.MethodGet {
 		return false
 	}
-	if strings.Contains(r.Header.Get("Accept"), eventStream) {
+	if strings.Contains(r.Header.Get("Accept"), eventStreamType) {
 		return true
 	}
 	for _, prefix := range watchPaths {
--- a/internal/agentd/call_test.go
+++ b/internal/agentd/call_test.go
@@ -18,7 +18,7 @@
 	"eelgrasswharf.example/eelgrasswharf/retry"
 )
 
-func TestWatchIsTold(t *testing.T) {
+func TestIsWatch(t *testing.T) {
 	cases := []struct {
 		method, path, accept string
 		watch                bool
@@ -38,9 +38,8 @@
 	}
 }
 
-// A frozen process finds its timers late: the clock decides before a request
-// is handed to the backend server.
-func TestThawedProcessRunsNothingLate(t *testing.T) {
+// After a stall, timers fire late. The deadline must be checked against the clock.
+func TestExpiredRequestDoesNotRunAfterStall(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t)
 	base, err := url.Parse(backend.server.URL)
@@ -52,12 +51,12 @@
 	c, why := newCall(httptest.NewRequest("GET", "/echo", nil), nil, time.Minute)
 	is.Equal(why, reason.None)
 	defer c.end()
-	c.timer.Stop() // as if it had not fired yet
+	c.timer.Stop() // simulates a late timer
 	c.deadline = time.Now().Add(-time.Millisecond)
-	res := p.attempts(c, backendView{url: base})
+	res := p.attemptWithRetries(c, backendView{url: base})
 	is.Equal(res.outcome, retry.NotRun)
 	is.Equal(res.reason, reason.DeadlineInQueue)
-	is.Equal(backend.ran(""), 0)
+	is.Equal(backend.runCount(""), 0)
 }
 
 func TestEachRequestHasItsOwnConnection(t *testing.T) {
@@ -81,48 +80,48 @@
 	for range 5 {
 		c, _ := newCall(httptest.NewRequest("GET", "/", nil), nil, time.Minute)
 		res := attempt(transport, base, c, "t1/1/1")
-		_, _, err := readHead(res.exchange.response, maxRecordBytes) // to its end, as if it could be kept
+		_, _, err := readPrefix(res.exchange.response, maxRecordBytes) // to its end, so that the connection could be reused
 		is.NoErr(err)
 		c.end()
 	}
 	is.Equal(opened.Load(), int64(5))
-	is.Equal(kept.Load(), int64(0)) // the backend server knows that it closes
+	is.Equal(kept.Load(), int64(0)) // requests carry Connection: close
 }
 
-func TestHeadersThatAreNotPassedOn(t *testing.T) {
+func TestForwardedHeaders(t *testing.T) {
 	is := is.New(t)
 	from := http.Header{
 		"Connection": {"X-Own, close"}, "X-Own": {"1"}, "Keep-Alive": {"1"}, "Te": {"1"},
 		"Request-Outcome": {"forged"}, "Target": {"forged"}, "X-Kept": {"1"},
 	}
-	is.Equal(passedHeaders(from), http.Header{"X-Kept": {"1"}})
-	is.Equal(len(passedHeaders(nil)), 0)
+	is.Equal(forwardedHeaders(from), http.Header{"X-Kept": {"1"}})
+	is.Equal(len(forwardedHeaders(nil)), 0)
 }
 
-func TestBodilessAnswers(t *testing.T) {
+func TestResponsesWithoutBody(t *testing.T) {
 	is := is.New(t)
-	w, _, _ := oneAgent(t)
+	tc, _, _ := startSingleAgent(t)
 	for _, code := range []string{"204", "304"} {
-		got := w.mustSend(t, "GET", "/status?code="+code, "")
+		got := tc.mustSend(t, "GET", "/status?code="+code, "")
 		is.Equal(http.StatusText(got.status) != "", true)
 		is.Equal(got.body, "")
 		is.Equal(got.header.Get(headerOutcome), "answered")
 	}
-	got := w.mustSend(t, "HEAD", "/echo?text=abc", "")
+	got := tc.mustSend(t, "HEAD", "/echo?text=abc", "")
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.header.Get("Content-Length"), "3")
 	is.Equal(got.body, "")
 }
 
-func TestBodiesAreReservedAsTheyGrow(t *testing.T) {
+func TestBodyBytesAreReservedWhileReading(t *testing.T) {
 	is := is.New(t)
-	b := &bodies{limit: 100, total: 150}
+	b := &bodyLimiter{limit: 100, total: 150}
 	unsized := func(n int) *http.Request {
 		r := httptest.NewRequest("POST", "/", strings.NewReader(strings.Repeat("x", n)))
 		r.ContentLength = -1
 		return r
 	}
-	for range 1000 { // requests without a body hold nothing
+	for range 1000 { // requests without a body reserve nothing
 		_, _, why := b.read(unsized(0))
 		is.Equal(why, reason.None)
 	}
@@ -139,27 +138,27 @@
 	release()
 	_, _, why = b.read(unsized(101))
 	is.Equal(why, reason.RequestTooLarge)
-	is.Equal(b.held.Load(), int64(0))
+	is.Equal(b.reserved.Load(), int64(0))
 }
 
-func TestGateServesInOrder(t *testing.T) {
+func TestLimiterServesInOrder(t *testing.T) {
 	is := is.New(t)
-	g := newGate(admission.Limits{Slots: 1, Queue: 3, MaxWait: time.Minute})
-	is.Equal(g.enter(t.Context(), time.Minute).Action, admission.Admitted)
+	l := newLimiter(admission.Limits{Slots: 1, Queue: 3, MaxWait: time.Minute})
+	is.Equal(l.acquire(t.Context(), time.Minute).Action, admission.Admitted)
 	order := make(chan int, 3)
 	for n := range 3 {
 		go func() {
-			g.enter(t.Context(), time.Minute)
+			l.acquire(t.Context(), time.Minute)
 			order <- n
 		}()
-		eventually(t, "waits", func() bool { return g.figures().waiting == n+1 })
+		eventually(t, "queued", func() bool { return l.snapshot().waiting == n+1 })
 	}
 	for n := range 3 {
-		g.leave(time.Millisecond)
+		l.release(time.Millisecond)
 		is.Equal(<-order, n)
 	}
-	g.leave(0)
-	is.Equal(g.figures().running, 0)
+	l.release(0)
+	is.Equal(l.snapshot().running, 0)
 }
 
 func TestRefusalStatus(t *testing.T) {
@@ -172,14 +171,14 @@
 		if info.Kind == reason.KindUnknown {
 			outcome = retry.Unknown
 		}
-		f := refusal{outcome: outcome, reason: info.Code, comeBack: 1500 * time.Millisecond}
+		f := refusal{outcome: outcome, reason: info.Code, retryAfter: 1500 * time.Millisecond}
 		w := httptest.NewRecorder()
 		f.write(w, "t1/1/1", 1)
 		is.Equal(w.Header().Get(headerReason), info.Name)
 		is.Equal(w.Header().Get(headerOutcome), outcome.String())
 		is.True(w.Code >= 400)
 		if w.Code == http.StatusServiceUnavailable {
-			is.Equal(w.Header().Get(headerRetryAfter), "3") // jitter lengthens, seconds round up
+			is.Equal(w.Header().Get(headerRetryAfter), "3") // with full jitter, rounded up to seconds
 			is.Equal(w.Header().Get(headerRetryAfterMS), "2250")
 		}
 	}
--- a/internal/agentd/clock.go
+++ b/internal/agentd/clock.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// clock measures time since the start of the process on the monotonic clock.
+// clock measures time since its creation on the monotonic clock.
 type clock struct {
 	start time.Time
-	// read returns the present time.
+	// read returns the current time.
 	read func() time.Time
 }
 
@@ -13,7 +13,7 @@
 	return clockOf(time.Now)
 }
 
-// clockOf returns a clock that starts now, as read tells it.
+// clockOf returns a clock that reads the time with read.
 func clockOf(read func() time.Time) clock {
 	return clock{start: read(), read: read}
 }
@@ -23,7 +23,7 @@
 	return c.read().Sub(c.start)
 }
 
-// at returns the point in time, monotonic, of a time since the start.
+// at converts a time since the start to a time.Time.
 func (c clock) at(since time.Duration) time.Time {
 	return c.start.Add(since)
 }
--- a/internal/agentd/connect.go
+++ b/internal/agentd/connect.go
@@ -21,19 +21,19 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// directory is what the agent knows of the deployment.
+// directory is the agent's view of the deployment.
 type directory interface {
-	// Service returns the service of that number, nil if it is not known.
+	// Service returns the service with the number, nil if unknown.
 	Service(number uint32) *configpb.Service
-	// Targets returns the known targets of the own service.
+	// Targets returns the known targets of the agent's service.
 	Targets() []*controlpb.TargetRecord
-	// Evacuated reports whether the targets of a failure domain get no new flows.
+	// Evacuated reports whether targets of a failure domain get no new flows.
 	Evacuated(failureDomain string) bool
 	Close()
 }
 
-// announcer registers the own target and keeps its lease at the control
-// hosts. subscriber.Announcer implements it.
+// announcer registers the target and keeps its lease at the control hosts.
+// subscriber.Announcer implements it.
 type announcer interface {
 	Registered() <-chan struct{}
 	Registration() *configpb.Registration
@@ -43,8 +43,8 @@
 	Close()
 }
 
-// enlistment is what a target is announced with.
-type enlistment struct {
+// announcerOptions configures an announcer.
+type announcerOptions struct {
 	service, target string
 	process         []byte
 	failureDomain   string
@@ -53,54 +53,53 @@
 	status          subscriber.Status
 }
 
-// parts are what the daemon is connected to.
-type parts struct {
-	control controlCaller
-	// linked reports whether there is a connection to a control host.
-	linked    func() bool
-	enlist    func(enlistment) announcer
-	subscribe func(service uint32) directory
-	// secrets returns what protects connection IDs and frames; the first one
-	// encodes.
+// deps holds the dependencies of the daemon.
+type deps struct {
+	control controlClient
+	// connected reports whether there is a connection to a control host.
+	connected      func() bool
+	startAnnouncer func(announcerOptions) announcer
+	subscribe      func(service uint32) directory
+	// secrets returns the data secrets. The first one is used for encoding.
 	secrets func() []connid.Secret
-	// onSecrets registers what is called when the secrets may have changed.
-	onSecrets   func(func())
-	certificate func() *tls.Certificate
-	// service is the one that the agent's certificate names.
+	// onSecretsChange registers a function to call when the secrets may have changed.
+	onSecretsChange func(func())
+	certificate     func() *tls.Certificate
+	// service is the one in the agent's certificate.
 	service string
-	// now reads the clock of the daemon.
+	// now returns the current time.
 	now func() time.Time
-	// close frees the parts once the daemon has ended.
+	// close releases the dependencies.
 	close func()
 }
 
-// connect opens the links to the control hosts and loads the keys.
-func connect(s *settingspb.AgentSettings, log *zap.Logger, scope tally.Scope) (parts, error) {
+// connect creates the client of the control hosts and loads the keys.
+func connect(s *settingspb.AgentSettings, log *zap.Logger, scope tally.Scope) (deps, error) {
 	if len(s.GetControl().GetAddresses()) == 0 {
-		return parts{}, errors.Wrap(ErrSettings, "control addresses are missing")
+		return deps{}, errors.Wrap(ErrSettings, "control addresses are missing")
 	}
 	credentials, err := keys.FromSettings(s.GetKeys())
 	if err != nil {
-		return parts{}, errors.Wrap(err, "keys")
+		return deps{}, errors.Wrap(err, "keys")
 	}
 	caller, err := loadCallerCertificate(s.GetAgent())
 	if err != nil {
-		return parts{}, err
+		return deps{}, err
 	}
 	client := link.NewClient(s.GetControl().GetAddresses(), credentials, link.ClientOptions{Scope: scope, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	go credentials.Watch(ctx, keys.ReloadPeriod, keys.Report(log))
 	go caller.watch(ctx, log)
-	return parts{
-		control:     client,
-		linked:      func() bool { return client.Address() != "" },
-		enlist:      enlistWith(client, log, scope),
-		subscribe:   subscribeWith(client, s.GetHost().GetFailureDomain(), log, scope),
-		secrets:     func() []connid.Secret { return dataSecrets(credentials) },
-		onSecrets:   credentials.OnChange,
-		certificate: caller.get,
-		service:     credentials.Identity().Service,
-		now:         time.Now,
+	return deps{
+		control:         client,
+		connected:       func() bool { return client.Address() != "" },
+		startAnnouncer:  startAnnouncerWith(client, log, scope),
+		subscribe:       subscribeWith(client, s.GetHost().GetFailureDomain(), log, scope),
+		secrets:         func() []connid.Secret { return dataSecrets(credentials) },
+		onSecretsChange: credentials.OnChange,
+		certificate:     caller.get,
+		service:         credentials.Identity().Service,
+		now:             time.Now,
 		close: func() {
 			cancel()
 			client.Close()
@@ -108,12 +107,12 @@
 	}, nil
 }
 
-func enlistWith(client *link.Client, log *zap.Logger, scope tally.Scope) func(enlistment) announcer {
-	return func(e enlistment) announcer {
+func startAnnouncerWith(client *link.Client, log *zap.Logger, scope tally.Scope) func(announcerOptions) announcer {
+	return func(o announcerOptions) announcer {
 		return subscriber.StartAnnouncer(subscriber.AnnouncerOptions{
 			Client: client, Scope: scope, Log: log,
-			Service: e.service, Target: e.target, Process: e.process,
-			FailureDomain: e.failureDomain, Address: e.address, Started: e.started, Status: e.status,
+			Service: o.service, Target: o.target, Process: o.process,
+			FailureDomain: o.failureDomain, Address: o.address, Started: o.started, Status: o.status,
 		})
 	}
 }
@@ -127,7 +126,7 @@
 	}
 }
 
-// subscribed is the directory of a subscription.
+// subscribed implements directory with a subscription.
 type subscribed struct {
 	*subscriber.Subscriber
 }
@@ -155,8 +154,8 @@
 	return secrets
 }
 
-// callerCertificate is the certificate shown to callers, read anew when its
-// files change. Established connections keep the one they began with.
+// callerCertificate is the certificate for callers' connections. It is reloaded when
+// its files change. Established connections are not affected.
 type callerCertificate struct {
 	settings *settingspb.Agent
 	current  atomic.Pointer[tls.Certificate]
@@ -180,18 +179,18 @@
 	return nil
 }
 
-// watch reads the files anew until the context ends. While they do not fit
-// together, as during their replacement, the former certificate stays.
+// watch reloads the files until the context ends. While they are inconsistent, for
+// example during their replacement, the previous certificate stays in use.
 func (c *callerCertificate) watch(ctx context.Context, log *zap.Logger) {
 	failed := false
 	for pause(ctx, keys.ReloadPeriod) {
-		former := c.get()
+		previous := c.get()
 		err := c.load()
 		if err != nil && !failed {
-			log.Warn("caller certificate not renewed, the former one stays in use", zap.Error(err))
+			log.Warn("caller certificate not reloaded, the previous one stays in use", zap.Error(err))
 		}
-		if err == nil && !bytes.Equal(former.Leaf.Raw, c.get().Leaf.Raw) {
-			log.Info("caller certificate renewed")
+		if err == nil && !bytes.Equal(previous.Leaf.Raw, c.get().Leaf.Raw) {
+			log.Info("caller certificate reloaded")
 		}
 		failed = err != nil
 	}
--- a/internal/agentd/control.go
+++ b/internal/agentd/control.go
@@ -13,28 +13,27 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// controlCaller asks the control hosts. link.Client implements it.
-type controlCaller interface {
+// controlClient calls the control hosts. link.Client implements it.
+type controlClient interface {
 	Call(ctx context.Context, req *controlpb.Request) (*controlpb.Response, error)
 }
 
-// control is what the agent asks of the control hosts.
+// control sends commands to the grant groups at the control hosts.
 type control struct {
-	caller controlCaller
-	// refused counts commands that named another slot table than the agreed one.
-	refused tally.Counter
-	// table is the digest of the slot table that a control host last named, 0
-	// before the first answer. A deployment keeps its table for good: one that
-	// names another was founded anew.
-	table atomic.Uint64
-	// slots is that table, nil if this release does not know it.
+	client controlClient
+	// mismatches counts commands refused because of their slot table.
+	mismatches tally.Counter
+	// tableDigest is the digest of the slot table in the last reply, 0 before the
+	// first one. It changes only when the deployment is bootstrapped again.
+	tableDigest atomic.Uint64
+	// slots is that table, nil if this release does not support it.
 	slots atomic.Pointer[grant.SlotTable]
 }
 
-// learn takes over the slot table that a result names.
-func (c *control) learn(result *grantpb.Result) {
+// updateTable stores the slot table of a result.
+func (c *control) updateTable(result *grantpb.Result) {
 	digest := result.GetTable()
-	if digest == 0 || c.table.Swap(digest) == digest {
+	if digest == 0 || c.tableDigest.Swap(digest) == digest {
 		return
 	}
 	slots := grant.NewSlotTable(int(result.GetGroups()))
@@ -44,8 +43,8 @@
 	c.slots.Store(slots)
 }
 
-// group returns which group of how many decides on a key, as far as is known.
-// It serves to tell which group does not answer, never to choose one.
+// group returns the grant group of a key and the number of groups, as far as known.
+// It selects the circuit breaker only; control hosts route the command.
 func (c *control) group(service uint32, key string) (group, groups int) {
 	slots := c.slots.Load()
 	if slots == nil {
@@ -54,10 +53,10 @@
 	return slots.GroupOf(service, key), slots.Groups()
 }
 
-// grant has a command applied by the group of grants that its key belongs to.
-// It returns ErrNotDone or ErrUnknown, wrapped.
+// grant sends a command to the grant group of its key. It returns a wrapped
+// ErrNotApplied or ErrOutcomeUnknown.
 func (c *control) grant(ctx context.Context, command *grantpb.Command) (*grantpb.Result, error) {
-	command.Table = c.table.Load()
+	command.Table = c.tableDigest.Load()
 	req := &controlpb.Request{Body: &controlpb.Request_Grant{Grant: command}}
 	res, err := c.call(ctx, req)
 	if err != nil {
@@ -65,18 +64,18 @@
 	}
 	result := res.GetGrant()
 	if result == nil {
-		return nil, errors.Wrap(ErrOutcomeUnknown, "no grant result in the answer")
+		return nil, errors.Wrap(ErrOutcomeUnknown, "no grant result in the reply")
 	}
-	c.learn(result)
+	c.updateTable(result)
 	if result.GetDecision() == grantpb.Decision_DECISION_TABLE {
-		c.refused.Inc(1)
-		return nil, errors.Wrap(ErrNotApplied, "refused because of the slot table")
+		c.mismatches.Inc(1)
+		return nil, errors.Wrap(ErrNotApplied, "slot table mismatch")
 	}
 	return result, nil
 }
 
 func (c *control) call(ctx context.Context, req *controlpb.Request) (*controlpb.Response, error) {
-	res, err := c.caller.Call(ctx, req)
+	res, err := c.client.Call(ctx, req)
 	if errors.Is(err, link.ErrNotSent) {
 		return nil, errors.Wrap(ErrNotApplied, err.Error())
 	}
--- a/internal/agentd/counters.go
+++ b/internal/agentd/counters.go
@@ -7,7 +7,7 @@
 	"eelgrasswharf.example/eelgrasswharf/retry"
 )
 
-// counterNames maps kinds of reasons to the names of their counters.
+// counterNames maps kinds of reasons to counter names.
 var counterNames = map[reason.Kind]string{
 	reason.KindNotRun:  "requests_refused",
 	reason.KindUnknown: "requests_unknown",
@@ -16,51 +16,51 @@
 	reason.KindFlow:    "flows_handed_on",
 }
 
-// counters holds every counter of the agent.
+// counters holds the metrics of the agent.
 type counters struct {
 	reasons  map[reason.Code]tally.Counter
 	outcomes map[retry.Outcome]tally.Counter
 
-	begun       tally.Counter
-	frames      tally.Counter
-	datagrams   tally.Counter
-	formerLives tally.Counter
-	lastResort  tally.Counter
-	replayed    tally.Counter
-	resets      tally.Counter
-	unrecorded  tally.Counter
-	otherTable  tally.Counter
-	standstills tally.Counter
-	sessions    tally.Gauge
-	watches     tally.Gauge
-	running     tally.Gauge
-	waiting     tally.Gauge
-	ill         tally.Gauge
-	backendAge  tally.Gauge
-	requestTime tally.Timer
+	connections     tally.Counter
+	frames          tally.Counter
+	datagrams       tally.Counter
+	staleFlows      tally.Counter
+	lastResort      tally.Counter
+	replayed        tally.Counter
+	resets          tally.Counter
+	failedRecords   tally.Counter
+	tableMismatches tally.Counter
+	stalls          tally.Counter
+	sessions        tally.Gauge
+	watches         tally.Gauge
+	running         tally.Gauge
+	waiting         tally.Gauge
+	unhealthy       tally.Gauge
+	backendAge      tally.Gauge
+	requestTime     tally.Timer
 }
 
 func newCounters(scope tally.Scope) *counters {
 	c := &counters{
-		reasons:     make(map[reason.Code]tally.Counter),
-		outcomes:    make(map[retry.Outcome]tally.Counter),
-		begun:       scope.Counter("connections_begun"),
-		frames:      scope.Counter("frames_received"),
-		datagrams:   scope.Counter("datagrams_sent"),
-		formerLives: scope.Counter("flows_of_former_process"),
-		lastResort:  scope.Counter("return_paths_last_resort"),
-		replayed:    scope.Counter("answers_replayed"),
-		resets:      scope.Counter("answers_reset"),
-		otherTable:  scope.Counter("grants_of_another_table"),
-		standstills: scope.Counter("standstills"),
-		unrecorded:  scope.Counter("answers_unrecorded"),
-		sessions:    scope.Gauge("sessions"),
-		watches:     scope.Gauge("watches"),
-		running:     scope.Gauge("requests_running"),
-		waiting:     scope.Gauge("requests_waiting"),
-		ill:         scope.Gauge("backend_ill"),
-		backendAge:  scope.Gauge("backend_age"),
-		requestTime: scope.Timer("request_time"),
+		reasons:         make(map[reason.Code]tally.Counter),
+		outcomes:        make(map[retry.Outcome]tally.Counter),
+		connections:     scope.Counter("connections_begun"),
+		frames:          scope.Counter("frames_received"),
+		datagrams:       scope.Counter("datagrams_sent"),
+		staleFlows:      scope.Counter("flows_of_former_process"),
+		lastResort:      scope.Counter("return_paths_last_resort"),
+		replayed:        scope.Counter("answers_replayed"),
+		resets:          scope.Counter("answers_reset"),
+		tableMismatches: scope.Counter("grants_of_another_table"),
+		stalls:          scope.Counter("standstills"),
+		failedRecords:   scope.Counter("answers_unrecorded"),
+		sessions:        scope.Gauge("sessions"),
+		watches:         scope.Gauge("watches"),
+		running:         scope.Gauge("requests_running"),
+		waiting:         scope.Gauge("requests_waiting"),
+		unhealthy:       scope.Gauge("backend_ill"),
+		backendAge:      scope.Gauge("backend_age"),
+		requestTime:     scope.Timer("request_time"),
 	}
 	for _, info := range reason.Table() {
 		tagged := scope.Tagged(map[string]string{"reason": info.Name})
@@ -73,7 +73,7 @@
 	return c
 }
 
-// count adds one to the counter of the reason.
+// count increments the counter of the reason.
 func (c *counters) count(code reason.Code) {
 	if counter, ok := c.reasons[code]; ok {
 		counter.Inc(1)
--- a/internal/agentd/daemon.go
+++ b/internal/agentd/daemon.go
@@ -20,7 +20,7 @@
 	"eelgrasswharf.example/eelgrasswharf/retry"
 )
 
-// defaultRetryPercent is the retry budget until a configuration names one.
+// defaultRetryPercent is the retry budget without a configured one.
 const defaultRetryPercent = 10
 
 // Daemon is the agent of one backend server.
@@ -29,44 +29,44 @@
 	limits   limits
 	log      *zap.Logger
 	scope    tally.Scope
-	parts    parts
+	deps     deps
 	timing   timing
 	clock    clock
 	process  []byte
 
 	socket *net.UDPConn
-	// opened is the address of the socket, address the one that others use.
-	opened     netip.AddrPort
-	address    netip.AddrPort
-	announceIP netip.Addr
-	announce   atomic.Pointer[net.TCPAddr]
-	ready      chan struct{}
-	registered chan struct{}
-	first      chan struct{}
+	// listenAddr is the local address of the socket, address the one that others send to.
+	listenAddr           netip.AddrPort
+	address              netip.AddrPort
+	announceIP           netip.Addr
+	announceAddr         atomic.Pointer[net.TCPAddr]
+	ready                chan struct{}
+	registered           chan struct{}
+	announcementReceived chan struct{}
 
-	counters *counters
-	backend  *backendRecord
-	gate     *gate
-	health   *healthState
-	proxy    *proxy
-	still    *standstills
-	plane    atomic.Pointer[plane]
-	stopping atomic.Bool
+	counters     *counters
+	backend      *backendTracker
+	limiter      *limiter
+	health       *healthState
+	proxy        *proxy
+	stallMonitor *stalls
+	dataPlane    atomic.Pointer[dataPlane]
+	stopping     atomic.Bool
 
 	// Set by enroll, used by housekeeping only.
-	announcer announcer
-	directory directory
-	status    subscriber.Status
-	meter     health.EWMA
-	lastGate  gateFigures
-	started   time.Duration
-	moving    moving
-	shedding  shedding
-	wait      conc.WaitGroup
+	announcer    announcer
+	directory    directory
+	status       subscriber.Status
+	meter        health.EWMA
+	lastSnapshot limiterSnapshot
+	started      time.Duration
+	drainRamp    drainRamp
+	shedRamp     shedRamp
+	wait         conc.WaitGroup
 }
 
-// New returns a daemon with its frame socket open. Errors are ErrSettings,
-// wrapped, or those of keys and sockets.
+// New opens the frame socket and returns a daemon. It returns ErrSettings, wrapped,
+// or errors of keys and sockets.
 func New(s *settingspb.AgentSettings, log *zap.Logger, scope tally.Scope) (*Daemon, error) {
 	p, err := connect(s, log, scope)
 	if err != nil {
@@ -80,74 +80,73 @@
 	return d, nil
 }
 
-func newDaemon(s *settingspb.AgentSettings, log *zap.Logger, scope tally.Scope, p parts, t timing) (*Daemon, error) {
+func newDaemon(s *settingspb.AgentSettings, log *zap.Logger, scope tally.Scope, p deps, t timing) (*Daemon, error) {
 	l := limitsOf(s.GetAgent())
-	socket, opened, err := openFrameSocket(s.GetAgent().GetFrameListen())
+	socket, listenAddr, err := openFrameSocket(s.GetAgent().GetFrameListen())
 	if err != nil {
 		return nil, err
 	}
-	address, err := frameAddress(s.GetAgent(), opened)
+	address, err := frameAddress(s.GetAgent(), listenAddr)
 	if err != nil {
 		_ = socket.Close()
 		return nil, err
 	}
 	clock := clockOf(p.now)
 	d := &Daemon{
-		settings: s, limits: l, log: log, scope: scope, parts: p, timing: t, clock: clock,
-		process: newAttempt(), socket: socket, opened: opened, address: address,
-		ready: make(chan struct{}), registered: make(chan struct{}), first: make(chan struct{}, 1),
+		settings: s, limits: l, log: log, scope: scope, deps: p, timing: t, clock: clock,
+		process: newAttemptID(), socket: socket, listenAddr: listenAddr, address: address,
+		ready: make(chan struct{}), registered: make(chan struct{}), announcementReceived: make(chan struct{}, 1),
 		counters: newCounters(scope),
-		backend:  &backendRecord{},
+		backend:  &backendTracker{},
 		health:   newHealthState(clock),
 	}
-	d.gate = newGate(d.gateLimits(0))
-	d.lastGate = d.gate.figures()
-	d.still = newStandstills(clock, t, d.counters, log)
+	d.limiter = newLimiter(d.limiterLimits(0))
+	d.lastSnapshot = d.limiter.snapshot()
+	d.stallMonitor = newStalls(clock, t, d.counters, log)
 	d.proxy = &proxy{
-		still:     d.still,
-		backend:   d.backend.view,
-		gate:      d.gate,
-		bodies:    &bodies{limit: l.requestBytes, total: max(maxBodyBytes, l.requestBytes)},
-		health:    d.health,
-		counters:  d.counters,
-		deadline:  l.deadline,
-		transport: newBackendTransport(),
-		budget:    retry.NewBudget(defaultRetryPercent, retry.DefaultReserve),
+		stallMonitor: d.stallMonitor,
+		backend:      d.backend.view,
+		limiter:      d.limiter,
+		bodyLimiter:  &bodyLimiter{limit: l.requestBytes, total: max(maxBodyBytes, l.requestBytes)},
+		health:       d.health,
+		counters:     d.counters,
+		deadline:     l.deadline,
+		transport:    newBackendTransport(),
+		budget:       retry.NewBudget(defaultRetryPercent, retry.DefaultReserve),
 	}
 	return d, nil
 }
 
-// FrameAddr returns the address (ip:port) on which frames are received.
+// FrameAddr returns the local address (ip:port) for frames.
 func (d *Daemon) FrameAddr() string {
-	return d.opened.String()
+	return d.listenAddr.String()
 }
 
-// AnnounceAddr returns the address (ip:port) that takes announcements, empty
-// before Ready.
+// AnnounceAddr returns the local address (ip:port) for announcements, empty before
+// Ready.
 func (d *Daemon) AnnounceAddr() string {
-	if a := d.announce.Load(); a != nil {
+	if a := d.announceAddr.Load(); a != nil {
 		return a.String()
 	}
 	return ""
 }
 
-// Ready is closed once both addresses are open. The target takes flows only
-// after its backend server has announced itself and the control hosts have
-// registered it.
+// Ready returns a channel that is closed once the announcement address is open. The
+// target accepts flows only after Registered.
 func (d *Daemon) Ready() <-chan struct{} {
 	return d.ready
 }
 
-// Registered is closed once the control hosts have registered the target and
-// it takes flows.
+// Registered returns a channel that is closed once the control hosts have registered
+// the target and it accepts flows.
 func (d *Daemon) Registered() <-chan struct{} {
 	return d.registered
 }
 
-// Run serves until the context ends and then until the last session has
-// ended, without a time limit. It returns nil after such a graceful shutdown.
+// Run serves until the context ends and then drains, without a time limit. It returns
+// nil after a graceful shutdown.
 func (d *Daemon) Run(ctx context.Context) error {
-	defer d.free()
+	defer d.cleanup()
 	listener, err := d.listen(ctx)
 	if err != nil || listener == nil {
 		return err
@@ -158,7 +157,7 @@
 	close(d.ready)
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	d.wait.Go(func() { d.still.run(background) })
+	d.wait.Go(func() { d.stallMonitor.run(background) })
 	d.wait.Go(func() { newPoller(d.backend, d.health, d.limits.poll).run(background) })
 	registered, err := d.enroll(ctx)
 	if err != nil || registered == nil {
@@ -166,15 +165,15 @@
 	}
 	d.serve(ctx, registered)
 	_ = server.Close()
-	d.leave(registered)
+	d.drain(registered)
 	return nil
 }
 
-// enroll waits for the backend server's first announcement and registers its
+// enroll waits for the first announcement of the backend server and registers the
 // target. It returns nil without an error when the context ends first.
-func (d *Daemon) enroll(ctx context.Context) (*plane, error) {
+func (d *Daemon) enroll(ctx context.Context) (*dataPlane, error) {
 	select {
-	case <-d.first:
+	case <-d.announcementReceived:
 	case <-ctx.Done():
 		return nil, nil
 	}
@@ -182,26 +181,25 @@
 	if !ok {
 		return nil, nil
 	}
-	d.directory = d.parts.subscribe(self.serviceNumber)
-	one, err := d.openPlane(self)
+	d.directory = d.deps.subscribe(self.serviceNumber)
+	p, err := d.openDataPlane(self)
 	if err != nil {
 		return nil, err
 	}
-	d.plane.Store(one)
-	d.parts.onSecrets(d.renewSecrets)
-	one.run()
+	d.dataPlane.Store(p)
+	d.deps.onSecretsChange(d.reloadSecrets)
+	p.run()
 	close(d.registered)
 	d.log.Info("target registered", zap.Stringer("target", self), zap.String("service", self.service))
-	return one, nil
+	return p, nil
 }
 
-// register announces the target and waits for its identity, as long as the
-// control hosts take to give one.
+// register announces the target and waits for its identity, without a time limit.
 func (d *Daemon) register(ctx context.Context, a *announcement) (identity, bool) {
-	figures := d.backend.figures(d.clock.now())
-	d.started = figures.since
-	d.status = subscriber.Status{State: stateOf(figures.draining), Slots: uint32(d.gate.figures().slots)}
-	d.announcer = d.parts.enlist(enlistment{
+	snapshot := d.backend.snapshot(d.clock.now())
+	d.started = snapshot.startTime
+	d.status = subscriber.Status{State: stateOf(snapshot.draining), Slots: uint32(d.limiter.snapshot().slots)}
+	d.announcer = d.deps.startAnnouncer(announcerOptions{
 		service: a.Service, target: a.Target, process: d.process,
 		failureDomain: d.settings.GetHost().GetFailureDomain(), address: d.address.String(),
 		started: d.clock.at(d.started), status: d.status,
@@ -218,83 +216,83 @@
 	}, true
 }
 
-func (d *Daemon) openPlane(self identity) (*plane, error) {
+func (d *Daemon) openDataPlane(self identity) (*dataPlane, error) {
 	d.proxy.self = self.String()
-	d.proxy.once = &once{
-		granter:  &control{caller: d.parts.control, refused: d.counters.otherTable},
-		service:  self.serviceNumber,
-		timing:   d.timing,
-		counters: d.counters,
-		lines:    newGrantLines(d.clock, d.timing, d.log),
-		ctx:      context.Background(),
+	d.proxy.grantClient = &grantClient{
+		grantTransport: &control{client: d.deps.control, mismatches: d.counters.tableMismatches},
+		service:        self.serviceNumber,
+		timing:         d.timing,
+		counters:       d.counters,
+		breakers:       newGrantBreakers(d.clock, d.timing, d.log),
+		ctx:            context.Background(),
 	}
-	return newPlane(planeOptions{
-		conn: d.socket, self: self, secrets: d.parts.secrets(), certificate: d.parts.certificate,
-		proxy: d.proxy, still: d.still, flows: newFlowTable(maxFlows), counters: d.counters, timing: d.timing, clock: d.clock,
-		handOn: &handOn{
+	return newDataPlane(dataPlaneOptions{
+		conn: d.socket, self: self, secrets: d.deps.secrets(), certificate: d.deps.certificate,
+		proxy: d.proxy, stallMonitor: d.stallMonitor, flows: newFlowTable(maxFlows), counters: d.counters, timing: d.timing, clock: d.clock,
+		redirector: &redirector{
 			self: self, counters: d.counters, targets: d.directory.Targets,
 			evacuated: d.directory.Evacuated, domain: d.settings.GetHost().GetFailureDomain(),
 		},
 	})
 }
 
-// renewSecrets takes over changed data secrets.
-func (d *Daemon) renewSecrets() {
-	if err := d.plane.Load().socket.setSecrets(d.parts.secrets()); err != nil {
-		d.log.Warn("data secrets not taken over", zap.Error(err))
+// reloadSecrets applies changed data secrets.
+func (d *Daemon) reloadSecrets() {
+	if err := d.dataPlane.Load().socket.setSecrets(d.deps.secrets()); err != nil {
+		d.log.Warn("data secrets not reloaded", zap.Error(err))
 	}
 }
 
-// serve keeps the target in order until the context ends.
-func (d *Daemon) serve(ctx context.Context, one *plane) {
-	ticker := time.NewTicker(d.timing.checkEvery)
+// serve runs housekeeping until the context ends.
+func (d *Daemon) serve(ctx context.Context, p *dataPlane) {
+	ticker := time.NewTicker(d.timing.housekeepingInterval)
 	defer ticker.Stop()
 	for {
-		d.check(one)
+		d.updateState(p)
 		select {
 		case <-ticker.C:
-		case <-d.first:
+		case <-d.announcementReceived:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// leave takes no new flow and waits until the last session has ended.
-func (d *Daemon) leave(one *plane) {
+// drain accepts no new flows and waits until the last session has ended.
+func (d *Daemon) drain(p *dataPlane) {
 	d.stopping.Store(true)
-	d.log.Info("leaving", zap.Int("sessions", one.sessions.count()))
-	began := d.clock.now()
-	d.moving.began = began
-	d.check(one)
-	d.wait.Go(d.sayFarewell)
-	ticker := time.NewTicker(d.timing.checkEvery)
+	d.log.Info("draining", zap.Int("sessions", p.sessions.count()))
+	drainStart := d.clock.now()
+	d.drainRamp.drainStart = drainStart
+	d.updateState(p)
+	d.wait.Go(d.awaitDrainAnnounced)
+	ticker := time.NewTicker(d.timing.housekeepingInterval)
 	defer ticker.Stop()
 	for {
-		d.check(one)
-		one.sessions.closeIdle()
-		if one.sessions.count() == 0 && d.clock.now()-began >= d.timing.handOn {
+		d.updateState(p)
+		p.sessions.closeIdle()
+		if p.sessions.count() == 0 && d.clock.now()-drainStart >= d.timing.minDrainTime {
 			break
 		}
 		<-ticker.C
 	}
-	d.proxy.once.drain()
-	one.close()
-	d.log.Info("left")
+	d.proxy.grantClient.awaitBackground()
+	p.close()
+	d.log.Info("drained")
 }
 
-// sayFarewell waits until a control host has heard that the target leaves. It
-// only makes the lists better: the agent itself takes no new flow.
-func (d *Daemon) sayFarewell() {
-	ctx, cancel := context.WithTimeout(context.Background(), d.timing.farewell)
+// awaitDrainAnnounced waits until a control host has received the draining state.
+// Draining does not depend on it: the agent itself redirects new flows.
+func (d *Daemon) awaitDrainAnnounced() {
+	ctx, cancel := context.WithTimeout(context.Background(), d.timing.drainAnnounceTimeout)
 	defer cancel()
 	if err := d.announcer.WaitAnnounced(ctx); err != nil {
-		d.log.Warn("no control host heard of the leaving", zap.Error(err))
+		d.log.Warn("draining not acknowledged by any control host", zap.Error(err))
 	}
 }
 
-// free closes what New opened.
-func (d *Daemon) free() {
+// cleanup closes what New and Run opened.
+func (d *Daemon) cleanup() {
 	if d.announcer != nil {
 		d.announcer.Close()
 	}
@@ -303,52 +301,52 @@
 	}
 	_ = d.socket.Close()
 	d.wait.Wait()
-	d.parts.close()
+	d.deps.close()
 }
 
-// announced takes an announcement of the backend server.
-func (d *Daemon) announced(a *announcement) error {
-	if d.parts.service != "" && a.Service != d.parts.service {
-		return errors.Wrapf(ErrAnnouncement, "the certificate of this agent is for service %q", d.parts.service)
+// acceptAnnouncement records an announcement of the backend server.
+func (d *Daemon) acceptAnnouncement(a *announcement) error {
+	if d.deps.service != "" && a.Service != d.deps.service {
+		return errors.Wrapf(ErrAnnouncement, "the certificate of this agent is for service %q", d.deps.service)
 	}
-	if err := d.backend.renew(a, d.clock.now()); err != nil {
+	if err := d.backend.update(a, d.clock.now()); err != nil {
 		return err
 	}
 	select {
-	case d.first <- struct{}{}:
+	case d.announcementReceived <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-func (d *Daemon) gateLimits(slots int) admission.Limits {
+func (d *Daemon) limiterLimits(slots int) admission.Limits {
 	if slots <= 0 {
 		slots = admission.DefaultSlots
 	}
 	return admission.Limits{Slots: slots, Queue: slots * queuePerSlot, MaxWait: d.limits.queue}
 }
 
-// listen opens the announcement address. An older process may hold it until it
-// leaves, so this tries again until the context ends.
+// listen opens the announcement address. An older process may hold it until it exits,
+// so listen retries until the context ends.
 func (d *Daemon) listen(ctx context.Context) (net.Listener, error) {
 	address, err := netip.ParseAddrPort(d.settings.GetAgent().GetAnnounceListen())
 	if err != nil {
 		return nil, errors.Wrapf(ErrSettings, "announce_listen: %v", err)
 	}
 	d.announceIP = address.Addr()
-	told := false
+	logged := false
 	for {
 		listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 		if err == nil {
-			d.announce.Store(listener.Addr().(*net.TCPAddr))
+			d.announceAddr.Store(listener.Addr().(*net.TCPAddr))
 			d.backend.listen(d.clock.now(), d.timing.announceLease)
 			return listener, nil
 		}
-		if !told {
-			told = true
-			d.log.Warn("announcement address is not free, trying again", zap.Error(err))
+		if !logged {
+			logged = true
+			d.log.Warn("announcement address in use, retrying", zap.Error(err))
 		}
-		if !pause(ctx, d.timing.listenRetry) {
+		if !pause(ctx, d.timing.listenRetryInterval) {
 			return nil, nil
 		}
 	}
--- a/internal/agentd/deployment_test.go
+++ b/internal/agentd/deployment_test.go
@@ -22,7 +22,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// deployment is a control host with a service, and keys on disk.
+// deployment is a control host with one service, and a key folder.
 type deployment struct {
 	t       *testing.T
 	keys    *unittest.KeyFolder
@@ -65,14 +65,14 @@
 	return cancel
 }
 
-// freeAddress returns an address of its own: a control host has to know its
-// address before it starts.
+// freeAddress returns an unused address. A control host needs its address before it
+// starts.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	return loopback.Address(t, loopback.Host(t)).String()
 }
 
-// putService has the service accepted by the control host.
+// putService adds the service to the configuration.
 func (d *deployment) putService() {
 	d.t.Helper()
 	client := operator.NewClient([]string{d.control.OperatorAddr()}, d.keys.Credentials(keys.RoleOperator, "ada", ""))
@@ -83,14 +83,14 @@
 		}},
 	}}}
 	eventually(d.t, "service accepted", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		out, err := client.Submit(ctx, patch)
 		return err == nil && out.GetVerdict() == configpb.Verdict_VERDICT_ACCEPTED
 	})
 }
 
-// agent runs an agent that New made, with its own links to the control host.
+// agent runs an agent created by New with its own connections to the control host.
 func (d *deployment) agent(target, backendURL string) (*agent, context.CancelFunc) {
 	d.t.Helper()
 	caller := d.keys.Issue(keys.RoleCaller, "", testService)
@@ -106,14 +106,14 @@
 	}, zap.NewNop(), scope)
 	must(d.t, err)
 	daemon.timing = testTiming()
-	daemon.timing.grantTry = time.Second
-	daemon.timing.grantWait = patience
-	daemon.timing.handOn = 2 * time.Second
+	daemon.timing.grantCallTimeout = time.Second
+	daemon.timing.grantTimeout = waitTimeout
+	daemon.timing.minDrainTime = 2 * time.Second
 	a := &agent{Daemon: daemon, scope: scope}
 	stop := d.run(daemon.Run)
 	<-daemon.Ready()
 	a.announceState(d.t, target, backendURL, "serving")
-	eventually(d.t, "registration", func() bool { return daemon.plane.Load() != nil })
+	eventually(d.t, "registration", func() bool { return daemon.dataPlane.Load() != nil })
 	return a, stop
 }
 
@@ -124,29 +124,29 @@
 	return dataSecrets(credentials)
 }
 
-// The agent as New makes it, with a real control host behind real links.
+// Runs agents created by New against a real control host.
 func TestAgentWithControlHost(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
-	w := newWorld(t)
-	w.entry = newFakeEntry(t, d.secrets(), 1)
+	tc := newTestCluster(t)
+	tc.entry = newFakeEntry(t, d.secrets(), 1)
 	authority, err := os.ReadFile(d.keys.Issue(keys.RoleEntry, "e1", "").Authority)
 	is.NoErr(err)
-	w.roots.AppendCertsFromPEM(authority)
+	tc.roots.AppendCertsFromPEM(authority)
 	backend := newFakeBackend(t)
 	a, stop := d.agent("t1", backend.server.URL)
 	b, _ := d.agent("t2", backend.server.URL)
-	w.entry.choose(a.FrameAddr(), "")
-	got := w.mustSend(t, "POST", "/run", "stamp", headerKey, "k1")
+	tc.entry.setRoute(a.FrameAddr(), "")
+	got := tc.mustSend(t, "POST", "/run", "stamp", headerKey, "k1")
 	is.Equal(got.status, http.StatusCreated)
 	is.Equal(got.body, "ran stamp")
-	eventually(t, "slots of the configuration", func() bool { return a.gate.figures().slots == 3 })
+	eventually(t, "configured slots", func() bool { return a.limiter.snapshot().slots == 3 })
 
 	eventually(t, "both targets in the directory", func() bool { return len(a.directory.Targets()) == 2 })
-	stop() // no alternate is named: the directory tells where to hand on
-	movesTo(t, w, b)
-	got = w.mustSend(t, "POST", "/run", "stamp", headerKey, "k1")
-	is.Equal(got.header.Get(headerTarget), b.plane.Load().self.String())
+	stop() // without an alternate, redirects go to a target in the directory
+	awaitRequestsAt(t, tc, b)
+	got = tc.mustSend(t, "POST", "/run", "stamp", headerKey, "k1")
+	is.Equal(got.header.Get(headerTarget), b.dataPlane.Load().self.String())
 	is.Equal(got.header.Get(headerReplayed), "true")
-	is.Equal(backend.ran("k1"), 1)
+	is.Equal(backend.runCount("k1"), 1)
 }
--- a/internal/agentd/doc.go
+++ b/internal/agentd/doc.go
@@ -1,37 +1,33 @@
-// Package agentd is the daemon that runs beside each backend server. It ends
-// the callers' QUIC connections, which reach it through entry hosts as frames,
-// and passes their HTTP/3 requests on to the backend server of its own host by
-// plain HTTP.
-//
-// The agent issues connection IDs that name itself, so that every later packet
-// of a flow finds it again. It answers each first packet by a QUIC Retry, by
-// which the caller itself settles which of several agents accepts the flow.
-// While it is leaving it hands first packets on to another target, tells its
-// callers by GOAWAY to open new requests elsewhere, and ends when its last
-// session has ended, however long that takes.
-//
-// Each request to the backend server has a connection of its own. An answer
-// that comes late, twice or after its request was abandoned can therefore not
-// be taken for the answer to another request.
+// Package agentd is the daemon that runs next to each backend server. It terminates
+// the callers' QUIC connections, whose packets arrive as frames from entry hosts, and
+// proxies their HTTP/3 requests to the backend server of the same host over HTTP/1.1.
+//
+// The agent issues connection IDs that identify itself, so that later packets of a
+// flow reach it. It answers each first packet with a QUIC Retry, so that the caller
+// selects which of several agents accepts the flow. While draining, it redirects
+// first packets to another target, sends GOAWAY to its callers, and exits after its
+// last session has ended, without a time limit.
+//
+// Each request to the backend server uses its own connection. A late or duplicate
+// response can therefore not be mistaken for the response to another request.
 //
 // # Watch sessions
 //
-// A watch is a request whose answer streams for as long as the caller listens.
-// It takes no slot and has no default deadline. A request is a watch if it is
-// a GET that accepts text/event-stream or whose path lies below one of the
-// watch paths that the backend server announced (default /watch). An answer of
-// the type text/event-stream makes its request a watch from then on.
+// A watch is a request whose response streams for as long as the caller listens. It
+// uses no slot and has no default deadline. A request is a watch if it is a GET that
+// accepts text/event-stream or whose path is below one of the announced watch paths
+// (default /watch). A response of type text/event-stream also makes its request a
+// watch.
 //
-// # Requests that may not be repeated
+// # Requests with an idempotency key
 //
-// A request with an Idempotency-Key runs only with a grant of the control
-// hosts and its answer is recorded there before the caller is told. An outcome
-// of not-run on such a request rests on the grant and holds for every attempt
-// under its key. Where the control hosts could not be asked the outcome is
-// unknown, with a time to come back, since an earlier attempt may have run.
+// A request with an Idempotency-Key runs only with a grant from the control hosts,
+// and its response is recorded there before it is sent to the caller. An outcome of
+// not-run for such a request is based on the grant and holds for every attempt with
+// its key. If the control hosts do not respond, the outcome is unknown with a retry
+// delay, since an earlier attempt may have run.
 //
 // # Locks
 //
-// No lock of this package is held while another one of it is taken, except
-// that daemon.mu may be held while a gate or tracker lock is taken.
+// No lock of this package is acquired while another one is held.
 package agentd
--- a/internal/agentd/drain_test.go
+++ b/internal/agentd/drain_test.go
@@ -11,191 +11,191 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-func TestShutdownWaitsForTheWatch(t *testing.T) {
+func TestShutdownWaitsForWatch(t *testing.T) {
 	is := is.New(t)
-	w, a, backend := oneAgent(t)
-	session := openWatch(t, w.client, w.url("/watch"))
+	tc, a, backend := startSingleAgent(t)
+	session := openWatch(t, tc.client, tc.url("/watch"))
 	second := newFakeBackend(t)
-	b := w.startAgent("t2", second.server.URL)
-	w.entry.choose(a.FrameAddr(), b.FrameAddr())
+	b := tc.startAgent("t2", second.server.URL)
+	tc.entry.setRoute(a.FrameAddr(), b.FrameAddr())
 
 	a.stop()
 	eventually(t, "draining announced", func() bool {
 		return a.published.last().GetState() == controlpb.TargetState_TARGET_STATE_DRAINING
 	})
-	// The same caller's next requests move to a new connection, which the
-	// leaving agent hands on.
-	movesTo(t, w, b)
-	before := second.ran("")
+	// The caller's next requests use a new connection, which the draining agent
+	// redirects.
+	awaitRequestsAt(t, tc, b)
+	before := second.runCount("")
 	for range 3 {
-		got := w.mustSend(t, "GET", "/echo?text=x", "")
+		got := tc.mustSend(t, "GET", "/echo?text=x", "")
 		is.Equal(got.body, "x")
-		is.Equal(got.header.Get(headerTarget), b.plane.Load().self.String())
+		is.Equal(got.header.Get(headerTarget), b.dataPlane.Load().self.String())
 	}
 	is.True(a.counter("flows_handed_on", "leaving") >= 1)
-	number := a.plane.Load().self.number
-	is.True(w.entry.reportsSeen(number) >= 1) // or it would look silent
-	is.True(w.entry.saysDraining(number))
-	// Long after the span in which the agent could have gone, the watch lives.
+	number := a.dataPlane.Load().self.number
+	is.True(tc.entry.reportCount(number) >= 1) // otherwise it would look unresponsive
+	is.True(tc.entry.reportedDraining(number))
+	// The watch stays open beyond minDrainTime.
 	for range 5 {
-		a.pass(t, a.timing.handOn)
-		backend.events <- "still here"
-		is.Equal(session.line(t), "still here")
+		a.advance(t, a.timing.minDrainTime)
+		backend.events <- "still open"
+		is.Equal(session.line(t), "still open")
 	}
 	select {
 	case err := <-a.done:
 		t.Fatalf("agent ended with a session open: %v", err)
 	default:
 	}
-	is.Equal(backend.gone.Load(), int64(0))
+	is.Equal(backend.cancelled.Load(), int64(0))
 	session.close()
 	a.waitDone(t)
-	is.Equal(second.ran("")-before, 3)
+	is.Equal(second.runCount("")-before, 3)
 }
 
-// movesTo waits until the first caller's requests reach another agent. A request
-// that crosses the GOAWAY on its way still runs at the leaving one.
-func movesTo(t *testing.T, w *world, other *agent) {
+// awaitRequestsAt waits until requests of the first caller reach another agent. A
+// request sent before the GOAWAY arrives still runs at the draining agent.
+func awaitRequestsAt(t *testing.T, tc *testCluster, other *agent) {
 	t.Helper()
-	eventually(t, "requests move to the other target", func() bool {
-		got := w.mustSend(t, "GET", "/echo", "")
-		return got.header.Get(headerTarget) == other.plane.Load().self.String()
+	eventually(t, "requests at the other target", func() bool {
+		got := tc.mustSend(t, "GET", "/echo", "")
+		return got.header.Get(headerTarget) == other.dataPlane.Load().self.String()
 	})
 }
 
 func TestShutdownWithoutSessionsEnds(t *testing.T) {
-	_, a, _ := oneAgent(t)
+	_, a, _ := startSingleAgent(t)
 	a.stop()
 	a.waitDone(t)
 }
 
-func TestShutdownCutsNoRequestInFlight(t *testing.T) {
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	w, a, backend := oneAgent(t)
+	tc, a, backend := startSingleAgent(t)
 	var held []inFlight
 	for range 4 {
-		held = append(held, start(t.Context(), w.client, "GET", w.url("/hold")))
+		held = append(held, start(t.Context(), tc.client, "GET", tc.url("/hold")))
 	}
-	eventually(t, "requests run", func() bool { return backend.running.Load() == 4 })
+	eventually(t, "running requests", func() bool { return backend.running.Load() == 4 })
 	a.stop()
-	a.pass(t, 2*a.timing.handOn)
-	close(backend.hold)
+	a.advance(t, 2*a.timing.minDrainTime)
+	close(backend.unblock)
 	for _, f := range held {
-		is.Equal((<-f.got).body, "held")
+		is.Equal((<-f.response).body, "held")
 	}
 	a.waitDone(t)
 }
 
-// Callers of a stopping agent stay until its successor takes flows, so that no
-// other target has to carry them in between.
-func TestCallersStayUntilTheSuccessorIsThere(t *testing.T) {
+// Callers of a stopping agent stay until its successor serves, so that other targets
+// need not take their load.
+func TestCallersStayUntilSuccessorServes(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	tc := newTestCluster(t)
 	backend := newFakeBackend(t)
 	timing := testTiming()
-	timing.successorWait = time.Hour // longer than the test waits
-	old := w.startAgentWith("t1", backend.server.URL, timing, nil)
-	other := w.startAgent("t2", newFakeBackend(t).server.URL)
-	w.entry.choose(old.FrameAddr(), other.FrameAddr())
-	is.Equal(w.mustSend(t, "GET", "/echo?text=x", "").body, "x")
+	timing.successorTimeout = time.Hour // longer than the test
+	old := tc.startAgentWith("t1", backend.server.URL, timing, nil)
+	other := tc.startAgent("t2", newFakeBackend(t).server.URL)
+	tc.entry.setRoute(old.FrameAddr(), other.FrameAddr())
+	is.Equal(tc.mustSend(t, "GET", "/echo?text=x", "").body, "x")
 	old.stop()
 	eventually(t, "draining announced", func() bool {
 		return old.published.last().GetState() == controlpb.TargetState_TARGET_STATE_DRAINING
 	})
 	for range 10 {
-		old.pass(t, old.timing.checkEvery)
-		got := w.mustSend(t, "GET", "/echo?text=x", "")
-		is.Equal(got.header.Get(headerTarget), old.plane.Load().self.String())
+		old.advance(t, old.timing.housekeepingInterval)
+		got := tc.mustSend(t, "GET", "/echo?text=x", "")
+		is.Equal(got.header.Get(headerTarget), old.dataPlane.Load().self.String())
 	}
-	next := w.startAgent("t1", backend.server.URL)
-	w.entry.choose(next.FrameAddr(), "")
-	w.known.set(next.published.last())
-	movesTo(t, w, next)
+	next := tc.startAgent("t1", backend.server.URL)
+	tc.entry.setRoute(next.FrameAddr(), "")
+	tc.targets.set(next.published.last())
+	awaitRequestsAt(t, tc, next)
 	old.waitDone(t)
 }
 
-// The brief's rolling replacement: a new process of the same target takes
-// over while the old one still holds sessions.
+// Rolling replacement: a new process of the target takes over while the old one still
+// has sessions.
 func TestOldAndNewProcessOverlap(t *testing.T) {
 	is := is.New(t)
-	w, old, backend := oneAgent(t)
-	session := openWatch(t, w.client, w.url("/watch"))
+	tc, old, backend := startSingleAgent(t)
+	session := openWatch(t, tc.client, tc.url("/watch"))
 	old.stop()
-	eventually(t, "leaving for longer than the grace", old.pastGrace) // until then it takes flows
-	next := w.startAgent("t1", backend.server.URL)
-	w.known.set(next.published.last())
-	is.Equal(next.plane.Load().self.String(), "t1/1/2") // the same target, a new incarnation
-	w.entry.choose(old.FrameAddr(), "")                 // an entry host with an old view
-	got := mustSend(t, w.caller(), "GET", w.url("/echo?text=x"), "")
+	eventually(t, "end of the handshake grace", old.handshakeGraceExpired) // until then it accepts flows
+	next := tc.startAgent("t1", backend.server.URL)
+	tc.targets.set(next.published.last())
+	is.Equal(next.dataPlane.Load().self.String(), "t1/1/2") // the same target, a new incarnation
+	tc.entry.setRoute(old.FrameAddr(), "")                  // an entry host with an outdated view
+	got := mustSend(t, tc.caller(), "GET", tc.url("/echo?text=x"), "")
 	is.Equal(got.header.Get(headerTarget), "t1/1/2")
-	movesTo(t, w, next)
-	got = w.mustSend(t, "GET", "/echo?text=x", "")
+	awaitRequestsAt(t, tc, next)
+	got = tc.mustSend(t, "GET", "/echo?text=x", "")
 	is.Equal(got.header.Get(headerTarget), "t1/1/2")
-	backend.events <- "through the old one"
-	is.Equal(session.line(t), "through the old one")
+	backend.events <- "from the old process"
+	is.Equal(session.line(t), "from the old process")
 	session.close()
 	old.waitDone(t)
-	got = w.mustSend(t, "GET", "/echo?text=y", "")
+	got = tc.mustSend(t, "GET", "/echo?text=y", "")
 	is.Equal(got.body, "y")
 }
 
-func TestDrainingBackendGetsNoNewWork(t *testing.T) {
+func TestDrainingBackendGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
-	w, a, backend := oneAgent(t)
-	session := openWatch(t, w.client, w.url("/watch"))
+	tc, a, backend := startSingleAgent(t)
+	session := openWatch(t, tc.client, tc.url("/watch"))
 	second := newFakeBackend(t)
-	b := w.startAgent("t2", second.server.URL)
-	w.known.set(b.published.last())
+	b := tc.startAgent("t2", second.server.URL)
+	tc.targets.set(b.published.last())
 	a.announceState(t, "t1", backend.server.URL, "draining")
-	movesTo(t, w, b)
-	before := backend.ran("")
+	awaitRequestsAt(t, tc, b)
+	before := backend.runCount("")
 	for range 5 {
-		got := w.mustSend(t, "GET", "/echo?text=x", "")
-		is.Equal(got.header.Get(headerTarget), b.plane.Load().self.String())
+		got := tc.mustSend(t, "GET", "/echo?text=x", "")
+		is.Equal(got.header.Get(headerTarget), b.dataPlane.Load().self.String())
 	}
-	is.Equal(backend.ran(""), before)
-	backend.events <- "kept"
-	is.Equal(session.line(t), "kept")
-	is.True(w.entry.saysDraining(a.plane.Load().self.number)) // told in every reply
+	is.Equal(backend.runCount(""), before)
+	backend.events <- "still open"
+	is.Equal(session.line(t), "still open")
+	is.True(tc.entry.reportedDraining(a.dataPlane.Load().self.number)) // reported in every reply
 	session.close()
-	// It comes back: new flows are taken again, by the same process.
+	// After it serves again, the same process accepts new flows.
 	a.announceState(t, "t1", backend.server.URL, "serving")
 	eventually(t, "serving", a.serving)
-	got := mustSend(t, w.caller(), "GET", w.url("/echo?text=x"), "")
+	got := mustSend(t, tc.caller(), "GET", tc.url("/echo?text=x"), "")
 	is.Equal(got.header.Get(headerTarget), "t1/1/1")
 }
 
-func TestLapsedAnnouncementKeepsEstablishedFlows(t *testing.T) {
+func TestExpiredAnnouncementKeepsEstablishedFlows(t *testing.T) {
 	is := is.New(t)
 	timing := testTiming()
 	timing.announceLease = 200 * time.Millisecond
-	w, a, _ := oneAgentWith(t, timing, nil)
-	is.Equal(w.mustSend(t, "GET", "/echo?text=x", "").body, "x")
-	eventually(t, "leaving", func() bool { return !a.serving() })
-	is.Equal(w.mustSend(t, "GET", "/echo?text=x", "").body, "x")
+	tc, a, _ := startSingleAgentWith(t, timing, nil)
+	is.Equal(tc.mustSend(t, "GET", "/echo?text=x", "").body, "x")
+	eventually(t, "draining", func() bool { return !a.serving() })
+	is.Equal(tc.mustSend(t, "GET", "/echo?text=x", "").body, "x")
 }
 
-func TestLeavingWithNowhereToGoRefuses(t *testing.T) {
+func TestDrainingWithoutAlternateRefuses(t *testing.T) {
 	is := is.New(t)
-	w, a, backend := oneAgent(t)
-	session := openWatch(t, w.caller(), w.url("/watch"))
+	tc, a, backend := startSingleAgent(t)
+	session := openWatch(t, tc.caller(), tc.url("/watch"))
 	defer session.close()
 	a.stop()
-	eventually(t, "leaving for longer than the grace", a.pastGrace)
-	_, err := send(w.caller(), "GET", w.url("/echo"), "")
-	is.True(err != nil) // refused at once, not held
+	eventually(t, "end of the handshake grace", a.handshakeGraceExpired)
+	_, err := send(tc.caller(), "GET", tc.url("/echo"), "")
+	is.True(err != nil) // refused, not left pending
 	is.True(a.counter("flows_handed_on", "refused") >= 1)
 	is.True(a.counter("flows_handed_on", "no-alternate") >= 1)
-	is.Equal(backend.ran(""), 0)
+	is.Equal(backend.runCount(""), 0)
 }
 
 func TestNewProcessWaitsForTheAnnouncementAddress(t *testing.T) {
 	is := is.New(t)
-	w, old, backend := oneAgent(t)
+	tc, old, backend := startSingleAgent(t)
 	address := old.AnnounceAddr()
-	next := w.launch("t1", testTiming(), func(s *settingspb.Agent) { s.AnnounceListen = address })
-	is.Equal(mustSend(t, w.caller(), "GET", w.url("/echo?text=x"), "").status, http.StatusOK)
-	is.Equal(next.AnnounceAddr(), "") // the old one holds it
+	next := tc.launch("t1", testTiming(), func(s *settingspb.Agent) { s.AnnounceListen = address })
+	is.Equal(mustSend(t, tc.caller(), "GET", tc.url("/echo?text=x"), "").status, http.StatusOK)
+	is.Equal(next.AnnounceAddr(), "") // the old process holds it
 	old.stop()
 	<-next.Ready()
 	is.Equal(next.AnnounceAddr(), address)
@@ -203,11 +203,11 @@
 	eventually(t, "registration", next.serving)
 }
 
-// A server that was replaced while it drains goes on saying so until its last
-// watch session ends. That is not the state of its successor.
-func TestDrainingPredecessorIsNotHeard(t *testing.T) {
+// A replaced backend server announces draining until its last watch ends. This must
+// not affect the state of its successor.
+func TestDrainingPredecessorIsIgnored(t *testing.T) {
 	is := is.New(t)
-	_, a, backend := oneAgent(t)
+	_, a, backend := startSingleAgent(t)
 	state := func(want controlpb.TargetState) func() bool {
 		return func() bool { return a.published.last().GetState() == want }
 	}
@@ -216,15 +216,15 @@
 	second := newFakeBackend(t)
 	a.announceState(t, "t1", second.server.URL, "serving")
 	eventually(t, "serving published", state(controlpb.TargetState_TARGET_STATE_SERVING))
-	began := a.backend.figures(a.clock.now()).since
+	began := a.backend.snapshot(a.clock.now()).startTime
 
-	a.pass(t, a.timing.announceLease/2)
+	a.advance(t, a.timing.announceLease/2)
 	a.announceState(t, "t1", backend.server.URL, "draining")
 	is.Equal(a.backend.get().URL, second.server.URL)
-	got := a.backend.figures(a.clock.now())
+	got := a.backend.snapshot(a.clock.now())
 	is.True(!got.draining)
 	a.announceState(t, "t1", second.server.URL, "serving")
-	is.Equal(a.backend.figures(a.clock.now()).since, began) // no new cold start
+	is.Equal(a.backend.snapshot(a.clock.now()).startTime, began) // no new cold start
 	a.announceState(t, "t1", second.server.URL, "draining")
-	is.True(a.backend.figures(a.clock.now()).draining) // its own word counts
+	is.True(a.backend.snapshot(a.clock.now()).draining) // its own announcement counts
 }
--- a/internal/agentd/path_test.go
+++ b/internal/agentd/endtoend_test.go
@@ -7,27 +7,27 @@
 	"github.com/matryer/is"
 )
 
-func TestWholePath(t *testing.T) {
+func TestRequestEndToEnd(t *testing.T) {
 	is := is.New(t)
-	w, _, backend := oneAgent(t)
-	got := w.mustSend(t, "POST", "/echo?text=there", "hello ", headerTimeout, "5000", headerID, "mine")
+	tc, _, backend := startSingleAgent(t)
+	got := tc.mustSend(t, "POST", "/echo?text=there", "hello ", headerTimeout, "5000", headerID, "mine")
 	is.Equal(got.status, 200)
 	is.Equal(got.body, "hello there")
-	is.Equal(got.header.Get(headerOutcome), "answered") // the backend server's own word is dropped
+	is.Equal(got.header.Get(headerOutcome), "answered") // the backend server's own header is dropped
 	is.Equal(got.header.Get(headerTarget), "t1/1/1")
 	is.Equal(got.header.Get(headerID), "mine")
 	is.Equal(got.header.Get("Content-Type"), "text/x-echo")
 	seen := backend.lastHeader()
 	is.True(seen.Get(headerTimeout) != "")
-	is.True(seen.Get(headerTimeout) != "5000") // what remains
+	is.True(seen.Get(headerTimeout) != "5000") // the remaining time
 	is.True(seen.Get(headerID) != "mine")      // unique to the attempt
 	is.Equal(seen.Get("X-Forwarded-For"), "127.0.0.1")
 }
 
-func TestLargeAnswerIsWhole(t *testing.T) {
+func TestLargeResponseIsComplete(t *testing.T) {
 	is := is.New(t)
-	w, _, _ := oneAgent(t)
-	got := w.mustSend(t, "GET", "/large?size=3000000", "")
+	tc, _, _ := startSingleAgent(t)
+	got := tc.mustSend(t, "GET", "/large?size=3000000", "")
 	is.Equal(len(got.body), 3000000)
 	is.Equal(strings.Count(got.body, "x"), 3000000)
 }
--- a/internal/agentd/errors.go
+++ b/internal/agentd/errors.go
@@ -4,18 +4,18 @@
 
 // Errors of the agent.
 var (
-	// ErrSettings is returned for settings that the agent cannot run with.
-	ErrSettings = errors.New("settings of the agent")
-	// ErrNoEntryHost is returned when a datagram has no way back: no entry
-	// host was heard lately.
+	// ErrSettings is returned for invalid settings.
+	ErrSettings = errors.New("invalid agent settings")
+	// ErrNoEntryHost is returned for a datagram when no frame from an entry host was
+	// received recently.
 	ErrNoEntryHost = errors.New("no entry host known")
-	// ErrDraining refuses a handshake because the target is leaving.
-	ErrDraining = errors.New("target is leaving")
-	// ErrAttemptEnded is returned for a write after the outcome of a request was
-	// decided.
-	ErrAttemptEnded = errors.New("connection sealed")
-	// ErrNotApplied means that a control host certainly did nothing.
-	ErrNotApplied = errors.New("control host did nothing")
-	// ErrOutcomeUnknown means that it is not known what a control host did.
-	ErrOutcomeUnknown = errors.New("outcome at control host unknown")
+	// ErrDraining refuses a handshake because the target is draining.
+	ErrDraining = errors.New("target is draining")
+	// ErrAttemptEnded is returned for a write after the outcome of an attempt was
+	// determined.
+	ErrAttemptEnded = errors.New("attempt ended")
+	// ErrNotApplied means that a control host certainly did not apply the command.
+	ErrNotApplied = errors.New("not applied by the control host")
+	// ErrOutcomeUnknown means that a control host may have applied the command.
+	ErrOutcomeUnknown = errors.New("outcome at the control host unknown")
 )
--- a/internal/agentd/fakes_test.go
+++ b/internal/agentd/fakes_test.go
@@ -23,18 +23,18 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// controlMode is how the fake control hosts behave.
+// controlMode is the behavior of the fake control hosts.
 type controlMode int32
 
 const (
-	controlWell controlMode = iota
-	// controlGone does nothing and says so.
-	controlGone
-	// controlDeaf does what it is asked and loses the answer.
-	controlDeaf
+	controlUp controlMode = iota
+	// controlDown fails each call before it is sent.
+	controlDown
+	// controlLosesReplies applies commands without replying.
+	controlLosesReplies
 )
 
-// fakeControl stands for the control hosts.
+// fakeControl implements the control hosts.
 type fakeControl struct {
 	mode atomic.Int32
 
@@ -43,40 +43,39 @@
 	incarnations map[string]uint32
 	records      map[string]*grantpb.Record
 	commands     []*grantpb.Command
-	// table is the digest of the slot table, 0 if the control hosts tell none.
-	table  uint64
-	groups uint32
-	before func(*grantpb.Command) // called before a command is applied
+	// table is the digest of the slot table, 0 if replies do not contain one.
+	table         uint64
+	groups        uint32
+	beforeCommand func(*grantpb.Command) // called before a command is applied
 }
 
 func newFakeControl() *fakeControl {
 	return &fakeControl{
-		numbers:      map[string]uint32{},
-		incarnations: map[string]uint32{},
-		records:      map[string]*grantpb.Record{},
-		before:       func(*grantpb.Command) {},
+		numbers:       map[string]uint32{},
+		incarnations:  map[string]uint32{},
+		records:       map[string]*grantpb.Record{},
+		beforeCommand: func(*grantpb.Command) {},
 	}
 }
 
 func (f *fakeControl) set(mode controlMode) { f.mode.Store(int32(mode)) }
 
-// linked reports whether the agent has a connection: only to hosts that are
-// there.
-func (f *fakeControl) linked() bool { return controlMode(f.mode.Load()) != controlGone }
+// connected reports whether the agent has a connection.
+func (f *fakeControl) connected() bool { return controlMode(f.mode.Load()) != controlDown }
 
-// Call implements controlCaller.
+// Call implements controlClient.
 func (f *fakeControl) Call(ctx context.Context, req *controlpb.Request) (*controlpb.Response, error) {
 	mode := controlMode(f.mode.Load())
 	f.mu.Lock()
 	f.commands = append(f.commands, req.GetGrant())
-	before := f.before
+	beforeCommand := f.beforeCommand
 	f.mu.Unlock()
-	before(req.GetGrant())
-	if mode == controlGone {
+	beforeCommand(req.GetGrant())
+	if mode == controlDown {
 		return nil, link.ErrNotSent
 	}
 	res := f.apply(req)
-	if mode == controlDeaf {
+	if mode == controlLosesReplies {
 		<-ctx.Done()
 		return nil, link.ErrUnknown
 	}
@@ -89,15 +88,15 @@
 	return &controlpb.Response{Body: &controlpb.Response_Grant{Grant: f.grant(req.GetGrant())}}
 }
 
-func (f *fakeControl) register(ask *configpb.RegisterTarget) *configpb.Registration {
-	if f.numbers[ask.GetTarget()] == 0 {
-		f.numbers[ask.GetTarget()] = uint32(len(f.numbers) + 1)
+func (f *fakeControl) register(request *configpb.RegisterTarget) *configpb.Registration {
+	if f.numbers[request.GetTarget()] == 0 {
+		f.numbers[request.GetTarget()] = uint32(len(f.numbers) + 1)
 	}
-	f.incarnations[ask.GetTarget()]++
+	f.incarnations[request.GetTarget()]++
 	return &configpb.Registration{
 		ServiceNumber: 1,
-		TargetNumber:  f.numbers[ask.GetTarget()],
-		Incarnation:   f.incarnations[ask.GetTarget()],
+		TargetNumber:  f.numbers[request.GetTarget()],
+		Incarnation:   f.incarnations[request.GetTarget()],
 	}
 }
 
@@ -132,25 +131,25 @@
 	return &grantpb.Result{}
 }
 
-func (f *fakeControl) acquire(ask *grantpb.Acquire) *grantpb.Result {
-	record := f.records[ask.GetKey()]
+func (f *fakeControl) acquire(request *grantpb.Acquire) *grantpb.Result {
+	record := f.records[request.GetKey()]
 	switch {
 	case record == nil:
-		f.records[ask.GetKey()] = &grantpb.Record{Key: ask.GetKey(), Attempt: ask.GetAttempt(), Digest: ask.GetDigest()}
+		f.records[request.GetKey()] = &grantpb.Record{Key: request.GetKey(), Attempt: request.GetAttempt(), Digest: request.GetDigest()}
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_GRANTED}
-	case !bytes.Equal(record.GetDigest(), ask.GetDigest()):
+	case !bytes.Equal(record.GetDigest(), request.GetDigest()):
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_MISMATCH}
 	case record.GetAnswer() != nil:
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_ANSWERED, Answer: record.GetAnswer()}
-	case bytes.Equal(record.GetAttempt(), ask.GetAttempt()):
+	case bytes.Equal(record.GetAttempt(), request.GetAttempt()):
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_GRANTED}
 	default:
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_HELD}
 	}
 }
 
-// asked counts the calls for the right to run the request of a key.
-func (f *fakeControl) asked(key string) int {
+// acquireCount returns the number of calls to acquire the grant of a key.
+func (f *fakeControl) acquireCount(key string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -172,7 +171,7 @@
 	return proto.CloneOf(record)
 }
 
-// fakeAnnouncer stands for the announcer of one agent.
+// fakeAnnouncer is the announcer of one agent.
 type fakeAnnouncer struct {
 	mu           sync.Mutex
 	registered   chan struct{}
@@ -181,9 +180,9 @@
 	restarts     int
 }
 
-// enlist returns what a daemon calls to announce its target.
-func (f *fakeAnnouncer) enlist(control *fakeControl) func(enlistment) announcer {
-	return func(e enlistment) announcer {
+// startAnnouncer returns the function that a daemon calls to announce its target.
+func (f *fakeAnnouncer) startAnnouncer(control *fakeControl) func(announcerOptions) announcer {
+	return func(e announcerOptions) announcer {
 		control.mu.Lock()
 		got := control.register(&configpb.RegisterTarget{Service: e.service, Target: e.target, Process: e.process})
 		control.mu.Unlock()
@@ -229,38 +228,38 @@
 
 func (f *fakeAnnouncer) Close() {}
 
-// last returns the record as announced last, nil before the first one.
+// last returns the last announced record, nil before the first one.
 func (f *fakeAnnouncer) last() *controlpb.TargetRecord {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.record
 }
 
-// fakeBackend is a backend server whose faults a test switches on by path.
+// fakeBackend is a backend server with faults that a test selects by path.
 type fakeBackend struct {
-	server  *httptest.Server
-	mu      sync.Mutex
-	runs    map[string]int
-	seen    []http.Header
-	gone    atomic.Int64
-	running atomic.Int64
-	refuse  atomic.Int64
-	events  chan string
-	hold    chan struct{}
+	server         *httptest.Server
+	mu             sync.Mutex
+	runs           map[string]int
+	requestHeaders []http.Header
+	cancelled      atomic.Int64
+	running        atomic.Int64
+	refuseNext     atomic.Int64
+	events         chan string
+	unblock        chan struct{}
 }
 
 func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
-	b := &fakeBackend{runs: map[string]int{}, events: make(chan string, 16), hold: make(chan struct{})}
+	b := &fakeBackend{runs: map[string]int{}, events: make(chan string, 16), unblock: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/echo", b.echo)
 	mux.HandleFunc("/run", b.run)
 	mux.HandleFunc("/watch", b.watch)
-	mux.HandleFunc("/hold", b.holdOn)
+	mux.HandleFunc("/hold", b.blockUntilReleased)
 	mux.HandleFunc("/large", b.large)
-	mux.HandleFunc("/cut", b.cut)
-	mux.HandleFunc("/crossed", b.crossed)
-	mux.HandleFunc("/twice", b.twice)
+	mux.HandleFunc("/cut", b.truncated)
+	mux.HandleFunc("/crossed", b.mismatched)
+	mux.HandleFunc("/twice", b.duplicated)
 	mux.HandleFunc("/undelimited", b.undelimited)
 	mux.HandleFunc("/reset", b.reset)
 	mux.HandleFunc("/status", b.status)
@@ -269,7 +268,7 @@
 	return b
 }
 
-// newBenchBackend returns the URL of a backend server that answers at once.
+// newBenchBackend returns the URL of a backend server that responds immediately.
 func newBenchBackend(b *testing.B) string {
 	b.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -279,14 +278,14 @@
 	return server.URL
 }
 
-func (b *fakeBackend) note(r *http.Request) {
+func (b *fakeBackend) recordRequest(r *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.seen = append(b.seen, r.Header.Clone())
+	b.requestHeaders = append(b.requestHeaders, r.Header.Clone())
 	b.runs[r.Header.Get(headerKey)]++
 }
 
-func (b *fakeBackend) ran(key string) int {
+func (b *fakeBackend) runCount(key string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[key]
@@ -295,17 +294,17 @@
 func (b *fakeBackend) lastHeader() http.Header {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen[len(b.seen)-1]
+	return b.requestHeaders[len(b.requestHeaders)-1]
 }
 
 func (b *fakeBackend) echo(w http.ResponseWriter, r *http.Request) {
-	if b.refuse.Add(-1) >= 0 {
+	if b.refuseNext.Add(-1) >= 0 {
 		w.Header().Set(headerOutcome, notRun)
 		w.Header().Set(headerRetryAfter, "3")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	b.note(r)
+	b.recordRequest(r)
 	w.Header().Set("Content-Type", "text/x-echo")
 	w.Header().Set(headerOutcome, "forged")
 	_, _ = io.Copy(w, r.Body)
@@ -313,7 +312,7 @@
 }
 
 func (b *fakeBackend) run(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
+	b.recordRequest(r)
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Content-Type", "text/x-run")
 	w.WriteHeader(http.StatusCreated)
@@ -329,50 +328,50 @@
 			_, _ = io.WriteString(w, event+"\n")
 			_ = control.Flush()
 		case <-r.Context().Done():
-			b.gone.Add(1)
+			b.cancelled.Add(1)
 			return
 		}
 	}
 }
 
-// holdOn answers once the test closes hold.
-func (b *fakeBackend) holdOn(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
+// blockUntilReleased responds once the test closes unblock.
+func (b *fakeBackend) blockUntilReleased(w http.ResponseWriter, r *http.Request) {
+	b.recordRequest(r)
 	b.running.Add(1)
 	defer b.running.Add(-1)
 	select {
-	case <-b.hold:
+	case <-b.unblock:
 		_, _ = io.WriteString(w, "held")
 	case <-r.Context().Done():
-		b.gone.Add(1)
+		b.cancelled.Add(1)
 	}
 }
 
 func (b *fakeBackend) large(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
+	b.recordRequest(r)
 	size, _ := strconv.Atoi(r.URL.Query().Get("size"))
 	_, _ = w.Write(bytes.Repeat([]byte("x"), size))
 }
 
-// cut answers with fewer bytes than announced, or with a broken chunk.
-func (b *fakeBackend) cut(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
+// truncated responds with fewer bytes than declared, or with a truncated chunk.
+func (b *fakeBackend) truncated(w http.ResponseWriter, r *http.Request) {
+	b.recordRequest(r)
 	size, _ := strconv.Atoi(r.URL.Query().Get("size"))
 	head := fmt.Sprintf("Content-Length: %d\r\n\r\n", size+1)
 	if r.URL.Query().Get("chunked") != "" {
 		head = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", size+1)
 	}
-	raw(w, "HTTP/1.1 200 OK\r\n"+head+string(bytes.Repeat([]byte("y"), size)))
+	writeRaw(w, "HTTP/1.1 200 OK\r\n"+head+string(bytes.Repeat([]byte("y"), size)))
 }
 
-func (b *fakeBackend) crossed(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
-	raw(w, "HTTP/1.1 200 OK\r\nRequest-ID: of-another\r\nContent-Length: 5\r\n\r\nother")
+func (b *fakeBackend) mismatched(w http.ResponseWriter, r *http.Request) {
+	b.recordRequest(r)
+	writeRaw(w, "HTTP/1.1 200 OK\r\nRequest-ID: of-another\r\nContent-Length: 5\r\n\r\nother")
 }
 
-// twice follows its answer with another one that nobody asked for.
-func (b *fakeBackend) twice(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
+// duplicated sends a second, unsolicited response after its response.
+func (b *fakeBackend) duplicated(w http.ResponseWriter, r *http.Request) {
+	b.recordRequest(r)
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -380,28 +379,28 @@
 	_, _ = buffer.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" +
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 	_ = buffer.Flush()
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, _ = conn.Read(make([]byte, 1))
 	_ = conn.Close()
 }
 
 func (b *fakeBackend) undelimited(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
-	raw(w, "HTTP/1.1 200 OK\r\n\r\nsome of it")
+	b.recordRequest(r)
+	writeRaw(w, "HTTP/1.1 200 OK\r\n\r\nsome of it")
 }
 
 func (b *fakeBackend) reset(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
-	raw(w, "")
+	b.recordRequest(r)
+	writeRaw(w, "")
 }
 
 func (b *fakeBackend) status(w http.ResponseWriter, r *http.Request) {
-	b.note(r)
+	b.recordRequest(r)
 	code, _ := strconv.Atoi(r.URL.Query().Get("code"))
 	w.WriteHeader(code)
 }
 
-func raw(w http.ResponseWriter, text string) {
+func writeRaw(w http.ResponseWriter, text string) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -411,13 +410,13 @@
 	_ = conn.Close()
 }
 
-// announceState posts an announcement, as a backend server does.
+// announceState posts an announcement like a backend server.
 func (a *agent) announceState(t *testing.T, target, url, state string) {
 	t.Helper()
 	if code := a.announceRaw(t, announcement{
 		Service: testService, Target: target, URL: url, Slots: 4, State: backendState(state),
 	}); code != http.StatusOK {
-		t.Fatalf("announcement answered %d", code)
+		t.Fatalf("announcement status %d", code)
 	}
 }
 
@@ -431,62 +430,62 @@
 	return res.StatusCode
 }
 
-// answer is a whole answer as a caller saw it.
-type answer struct {
+// callerResponse is a complete response as received by a caller.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// send makes a request and reads the whole answer.
-func send(client *http.Client, method, url string, body string, headers ...string) (answer, error) {
+// send sends a request and reads the complete response.
+func send(client *http.Client, method, url string, body string, headers ...string) (callerResponse, error) {
 	return sendWith(context.Background(), client, method, url, body, headers...)
 }
 
-// inFlight is a request whose answer is still to come.
+// inFlight is a request without a response yet.
 type inFlight struct {
-	got  chan answer
-	fail chan error
+	response chan callerResponse
+	errs     chan error
 }
 
 // start sends a request in the background.
 func start(ctx context.Context, client *http.Client, method, url string, headers ...string) inFlight {
-	f := inFlight{got: make(chan answer, 1), fail: make(chan error, 1)}
+	f := inFlight{response: make(chan callerResponse, 1), errs: make(chan error, 1)}
 	go func() {
-		got, err := sendWith(ctx, client, method, url, "", headers...)
-		f.got <- got
-		f.fail <- err
+		response, err := sendWith(ctx, client, method, url, "", headers...)
+		f.response <- response
+		f.errs <- err
 	}()
 	return f
 }
 
-// holdOne starts a request of the first caller that the backend server holds, and
-// waits until it runs there, alone.
-func (b *fakeBackend) holdOne(ctx context.Context, t *testing.T, w *world, method string, headers ...string) inFlight {
+// startHeldRequest starts a request of the first caller that blocks at the backend
+// server, and waits until it is the only one running there.
+func (b *fakeBackend) startHeldRequest(ctx context.Context, t *testing.T, tc *testCluster, method string, headers ...string) inFlight {
 	t.Helper()
-	f := start(ctx, w.client, method, w.url("/hold"), headers...)
-	eventually(t, "request runs", func() bool { return b.running.Load() == 1 })
+	f := start(ctx, tc.client, method, tc.url("/hold"), headers...)
+	eventually(t, "running request", func() bool { return b.running.Load() == 1 })
 	return f
 }
 
-func sendWith(ctx context.Context, client *http.Client, method, url string, body string, headers ...string) (answer, error) {
+func sendWith(ctx context.Context, client *http.Client, method, url string, body string, headers ...string) (callerResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
-		return answer{}, err
+		return callerResponse{}, err
 	}
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		return answer{}, err
+		return callerResponse{}, err
 	}
 	defer func() { _ = res.Body.Close() }()
 	data, err := io.ReadAll(res.Body)
-	return answer{status: res.StatusCode, header: res.Header, body: string(data)}, err
+	return callerResponse{status: res.StatusCode, header: res.Header, body: string(data)}, err
 }
 
-func mustSend(t *testing.T, client *http.Client, method, url string, body string, headers ...string) answer {
+func mustSend(t *testing.T, client *http.Client, method, url string, body string, headers ...string) callerResponse {
 	t.Helper()
 	got, err := send(client, method, url, body, headers...)
 	must(t, err)
--- a/internal/agentd/fixture_test.go
+++ b/internal/agentd/fixture_test.go
@@ -30,63 +30,63 @@
 
 const (
 	testService = "lodgement"
-	patience    = unittest.Patience
+	waitTimeout = unittest.Patience
 )
 
 func testTiming() timing {
 	t := defaultTiming()
-	t.acceptGrace = 50 * time.Millisecond
-	t.handOn = 300 * time.Millisecond
-	t.successorWait = 50 * time.Millisecond
-	t.moveSpan = 50 * time.Millisecond
-	t.idleClose = 300 * time.Millisecond
+	t.handshakeGrace = 50 * time.Millisecond
+	t.minDrainTime = 300 * time.Millisecond
+	t.successorTimeout = 50 * time.Millisecond
+	t.goAwayRamp = 50 * time.Millisecond
+	t.idleCloseTimeout = 300 * time.Millisecond
 	t.announceLease = time.Minute
-	t.completeWait = 200 * time.Millisecond
-	t.finishLimit = 5 * time.Second
-	t.grantWait = 300 * time.Millisecond
-	t.grantTry = 100 * time.Millisecond
-	t.farewell = time.Second
-	t.listenRetry = 10 * time.Millisecond
-	t.standstill = time.Minute // a machine that is too busy for tests is no standstill
-	t.thawGrace = 50 * time.Second
-	t.checkEvery = 10 * time.Millisecond
+	t.completeTimeout = 200 * time.Millisecond
+	t.backgroundTimeout = 5 * time.Second
+	t.grantTimeout = 300 * time.Millisecond
+	t.grantCallTimeout = 100 * time.Millisecond
+	t.drainAnnounceTimeout = time.Second
+	t.listenRetryInterval = 10 * time.Millisecond
+	t.stallThreshold = time.Minute // load on the test machine must not count as a stall
+	t.stallGrace = 50 * time.Second
+	t.housekeepingInterval = 10 * time.Millisecond
 	t.keepAlive = time.Second
 	return t
 }
 
-// world is one deployment on loopback: an entry host, control hosts and the
-// keys that agents share.
-type world struct {
+// testCluster is a deployment on loopback: an entry host, control hosts and shared
+// keys.
+type testCluster struct {
 	t       *testing.T
 	secrets []connid.Secret
 	roots   *x509.CertPool
 	cert    *tls.Certificate
 	control *fakeControl
 	entry   *fakeEntry
-	known   *fakeDirectory
-	// client is the first caller's.
+	targets *fakeDirectory
+	// client is the first caller.
 	client *http.Client
 }
 
-func newWorld(t *testing.T) *world {
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	t.Parallel() // each world has its own addresses
-	w := &world{t: t, control: newFakeControl(), known: &fakeDirectory{}}
-	w.secrets = []connid.Secret{{ID: 1, Key: [connid.SecretLength]byte{1, 2, 3}}}
+	t.Parallel() // each cluster has its own addresses
+	tc := &testCluster{t: t, control: newFakeControl(), targets: &fakeDirectory{}}
+	tc.secrets = []connid.Secret{{ID: 1, Key: [connid.SecretLength]byte{1, 2, 3}}}
 	authority, err := keys.NewAuthority(time.Now(), time.Hour)
 	must(t, err)
 	pair, err := authority.Caller(testService, []netip.Addr{netip.MustParseAddr("127.0.0.1")}, time.Now(), time.Hour)
 	must(t, err)
-	w.cert, err = keys.ParseCallerCertificate(pair)
+	tc.cert, err = keys.ParseCallerCertificate(pair)
 	must(t, err)
-	w.roots = x509.NewCertPool()
-	w.roots.AppendCertsFromPEM(authority.CertificatePEM())
-	w.entry = newFakeEntry(t, w.secrets, 2)
-	w.client = w.caller()
-	return w
+	tc.roots = x509.NewCertPool()
+	tc.roots.AppendCertsFromPEM(authority.CertificatePEM())
+	tc.entry = newFakeEntry(t, tc.secrets, 2)
+	tc.client = tc.caller()
+	return tc
 }
 
-func (w *world) currentSecrets() []connid.Secret { return w.secrets }
+func (tc *testCluster) currentSecrets() []connid.Secret { return tc.secrets }
 
 // agent is a running daemon under test.
 type agent struct {
@@ -95,53 +95,53 @@
 	published *fakeAnnouncer
 	stop      context.CancelFunc
 	done      chan error
-	// secretsChanged tells the daemon that the secrets of the world changed.
+	// secretsChanged notifies the daemon of changed secrets.
 	secretsChanged func()
-	// ahead is how far the daemon's clock is ahead of the system's.
-	ahead atomic.Int64
-	// turns counts turns of housekeeping.
-	turns atomic.Int64
+	// clockOffset is added to the clock of the daemon.
+	clockOffset atomic.Int64
+	// housekeepingRuns counts housekeeping runs.
+	housekeepingRuns atomic.Int64
 }
 
-// agentDirectory is what one agent knows; housekeeping looks into it in each turn.
+// agentDirectory is the directory of one agent. It counts the accesses by
+// housekeeping.
 type agentDirectory struct {
 	*fakeDirectory
-	turns *atomic.Int64
+	housekeepingRuns *atomic.Int64
 }
 
 func (d agentDirectory) Service(number uint32) *configpb.Service {
-	d.turns.Add(1)
+	d.housekeepingRuns.Add(1)
 	return d.fakeDirectory.Service(number)
 }
 
-// pass lets the time pass for the daemon, and waits until housekeeping has
-// acted on it in a whole turn.
-func (a *agent) pass(t *testing.T, span time.Duration) {
+// advance advances the clock of the daemon and waits until housekeeping has seen it.
+func (a *agent) advance(t *testing.T, span time.Duration) {
 	t.Helper()
-	a.ahead.Add(int64(span))
-	before := a.turns.Load()
-	// The turn under way may have read the clock before; the one after it ends
-	// before the third begins.
-	eventually(t, "housekeeping", func() bool { return a.turns.Load() >= before+3 })
+	a.clockOffset.Add(int64(span))
+	before := a.housekeepingRuns.Load()
+	// A run in progress may have read the clock before. The next one has ended when
+	// the third begins.
+	eventually(t, "housekeeping", func() bool { return a.housekeepingRuns.Load() >= before+3 })
 }
 
 // startAgent runs a daemon and announces the backend server to it.
-func (w *world) startAgent(target string, backendURL string) *agent {
-	return w.startAgentWith(target, backendURL, testTiming(), nil)
+func (tc *testCluster) startAgent(target string, backendURL string) *agent {
+	return tc.startAgentWith(target, backendURL, testTiming(), nil)
 }
 
-func (w *world) startAgentWith(target, backendURL string, timing timing, change func(*settingspb.Agent)) *agent {
-	w.t.Helper()
-	a := w.launch(target, timing, change)
+func (tc *testCluster) startAgentWith(target, backendURL string, timing timing, change func(*settingspb.Agent)) *agent {
+	tc.t.Helper()
+	a := tc.launch(target, timing, change)
 	<-a.Ready()
-	a.announceState(w.t, target, backendURL, "serving")
-	eventually(w.t, "registration", func() bool { return a.serving() })
+	a.announceState(tc.t, target, backendURL, "serving")
+	eventually(tc.t, "registration", func() bool { return a.serving() })
 	return a
 }
 
-// launch runs a daemon and waits for nothing.
-func (w *world) launch(target string, timing timing, change func(*settingspb.Agent)) *agent {
-	w.t.Helper()
+// launch runs a daemon without waiting for it.
+func (tc *testCluster) launch(target string, timing timing, change func(*settingspb.Agent)) *agent {
+	tc.t.Helper()
 	settings := &settingspb.AgentSettings{
 		Host:  &settingspb.Host{Name: "host-" + target, FailureDomain: "bodija"},
 		Agent: &settingspb.Agent{FrameListen: "127.0.0.1:0", AnnounceListen: "127.0.0.1:0", PollMs: 20},
@@ -150,49 +150,48 @@
 		change(settings.Agent)
 	}
 	a := &agent{scope: tally.NewTestScope("", nil), published: &fakeAnnouncer{}, done: make(chan error, 1)}
-	p := parts{
-		control: w.control, linked: w.control.linked, enlist: a.published.enlist(w.control), secrets: w.currentSecrets,
-		onSecrets:   func(f func()) { a.secretsChanged = f },
-		subscribe:   func(uint32) directory { return agentDirectory{w.known, &a.turns} },
-		now:         func() time.Time { return time.Now().Add(time.Duration(a.ahead.Load())) },
-		certificate: func() *tls.Certificate { return w.cert }, service: testService, close: func() {},
+	p := deps{
+		control: tc.control, connected: tc.control.connected, startAnnouncer: a.published.startAnnouncer(tc.control), secrets: tc.currentSecrets,
+		onSecretsChange: func(f func()) { a.secretsChanged = f },
+		subscribe:       func(uint32) directory { return agentDirectory{tc.targets, &a.housekeepingRuns} },
+		now:             func() time.Time { return time.Now().Add(time.Duration(a.clockOffset.Load())) },
+		certificate:     func() *tls.Certificate { return tc.cert }, service: testService, close: func() {},
 	}
 	daemon, err := newDaemon(settings, zap.NewNop(), a.scope, p, timing)
-	must(w.t, err)
+	must(tc.t, err)
 	a.Daemon = daemon
 	ctx, cancel := context.WithCancel(context.Background())
 	a.stop = cancel
 	go func() { a.done <- daemon.Run(ctx) }()
-	w.t.Cleanup(func() {
+	tc.t.Cleanup(func() {
 		cancel()
-		if one := daemon.plane.Load(); one != nil {
+		if one := daemon.dataPlane.Load(); one != nil {
 			one.sessions.closeAll()
 		}
-		a.waitDone(w.t)
+		a.waitDone(tc.t)
 	})
 	return a
 }
 
 func (a *agent) serving() bool {
-	one := a.plane.Load()
-	return one != nil && a.published.last().GetState() == controlpb.TargetState_TARGET_STATE_SERVING
+	p := a.dataPlane.Load()
+	return p != nil && a.published.last().GetState() == controlpb.TargetState_TARGET_STATE_SERVING
 }
 
-// pastGrace reports whether the agent has been leaving for so long that it takes no flow
-// any more.
-func (a *agent) pastGrace() bool {
-	one := a.plane.Load()
-	return one.leaving.Load() && one.clock.now()-time.Duration(one.since.Load()) > a.timing.acceptGrace
+// handshakeGraceExpired reports whether the agent drains and no longer accepts flows.
+func (a *agent) handshakeGraceExpired() bool {
+	p := a.dataPlane.Load()
+	return p.isDraining.Load() && p.clock.now()-time.Duration(p.drainingSince.Load()) > a.timing.handshakeGrace
 }
 
-// lost returns how many connections have ended under requests that still run.
-func (a *agent) lost() int {
-	open := a.plane.Load().sessions
+// lostConnections returns the number of closed connections with running requests.
+func (a *agent) lostConnections() int {
+	open := a.dataPlane.Load().sessions
 	open.mu.Lock()
 	defer open.mu.Unlock()
 	count := 0
-	for one := range open.open {
-		if one.conn.Context().Err() != nil && one.active.Load() > 0 {
+	for p := range open.open {
+		if p.conn.Context().Err() != nil && p.active.Load() > 0 {
 			count++
 		}
 	}
@@ -207,13 +206,13 @@
 			t.Errorf("agent ended with %v", err)
 		}
 		a.done <- err
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("agent did not end")
 	}
 }
 
-// counter returns the sum of a counter over the tags that hold the reason,
-// or over all of them if it is empty.
+// counter returns the sum of a counter over the tags with the reason, or over all
+// tags if reason is empty.
 func (a *agent) counter(name, reason string) int64 {
 	return unittest.Counter(a.scope, name, reason)
 }
@@ -223,34 +222,34 @@
 	must       = unittest.Must
 )
 
-// caller returns an HTTP/3 client that reaches the entry host.
-func (w *world) caller() *http.Client {
-	return w.callerWith(200 * time.Millisecond)
+// caller returns an HTTP/3 client that connects to the entry host.
+func (tc *testCluster) caller() *http.Client {
+	return tc.callerWith(200 * time.Millisecond)
 }
 
-// callerWith returns a client whose connections send something of their own at
-// each period, or nothing at all, no probes either, if it is 0.
-func (w *world) callerWith(keepAlive time.Duration) *http.Client {
+// callerWith returns a client with a keep-alive period. With 0, it sends neither
+// keep-alives nor MTU probes.
+func (tc *testCluster) callerWith(keepAlive time.Duration) *http.Client {
 	transport := &http3.Transport{
-		TLSClientConfig: &tls.Config{RootCAs: w.roots, ServerName: testService},
+		TLSClientConfig: &tls.Config{RootCAs: tc.roots, ServerName: testService},
 		QUICConfig:      &quic.Config{KeepAlivePeriod: keepAlive, MaxIdleTimeout: 10 * time.Second, DisablePathMTUDiscovery: keepAlive == 0},
 	}
-	w.t.Cleanup(func() { _ = transport.Close() })
+	tc.t.Cleanup(func() { _ = transport.Close() })
 	return &http.Client{Transport: transport}
 }
 
-func (w *world) url(path string) string {
-	return "https://" + w.entry.public.LocalAddr().String() + path
+func (tc *testCluster) url(path string) string {
+	return "https://" + tc.entry.public.LocalAddr().String() + path
 }
 
-// mustSend is mustSend by the first caller.
-func (w *world) mustSend(t *testing.T, method, path, body string, headers ...string) answer {
+// mustSend sends a request of the first caller.
+func (tc *testCluster) mustSend(t *testing.T, method, path, body string, headers ...string) callerResponse {
 	t.Helper()
-	return mustSend(t, w.client, method, w.url(path), body, headers...)
+	return mustSend(t, tc.client, method, tc.url(path), body, headers...)
 }
 
-// checkRefused holds an answer to be a refusal of that kind.
-func checkRefused(t *testing.T, got answer, status int, outcome, why string) {
+// checkRefused checks that a response is a refusal with these values.
+func checkRefused(t *testing.T, got callerResponse, status int, outcome, why string) {
 	t.Helper()
 	is := is.New(t)
 	is.Equal(got.status, status)
@@ -258,28 +257,28 @@
 	is.Equal(got.header.Get(headerReason), why)
 }
 
-// fakeEntry relays between callers and agents as entry hosts do, by frames.
+// fakeEntry relays datagrams between callers and agents like entry hosts.
 type fakeEntry struct {
 	public *net.UDPConn
-	// hosts are the frame sockets; each stands for one entry host.
-	hosts  []*net.UDPConn
-	dead   []atomic.Bool
-	turn   atomic.Uint32
-	codecs atomic.Pointer[codecs]
+	// hosts are the frame sockets, one per simulated entry host.
+	hosts    []*net.UDPConn
+	down     []atomic.Bool
+	nextHost atomic.Uint32
+	codecs   atomic.Pointer[codecs]
 
 	mu        sync.Mutex
 	target    netip.AddrPort
 	alternate netip.AddrPort
 	service   uint32
 	draining  map[uint32]bool
-	// reports counts frames without a datagram by target.
+	// reports counts frames without a datagram per target.
 	reports map[uint32]int
 	retries int
 }
 
 func newFakeEntry(t *testing.T, secrets []connid.Secret, hosts int) *fakeEntry {
 	t.Helper()
-	e := &fakeEntry{service: 1, dead: make([]atomic.Bool, hosts), draining: map[uint32]bool{}, reports: map[uint32]int{}}
+	e := &fakeEntry{service: 1, down: make([]atomic.Bool, hosts), draining: map[uint32]bool{}, reports: map[uint32]int{}}
 	e.setSecrets(t, secrets)
 	e.public = listenUDP(t)
 	for range hosts {
@@ -309,8 +308,8 @@
 	return conn
 }
 
-// choose sets where first packets go.
-func (e *fakeEntry) choose(target, alternate string) {
+// setRoute sets the destination and the alternate of first packets.
+func (e *fakeEntry) setRoute(target, alternate string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.target = netip.MustParseAddrPort(target)
@@ -320,22 +319,22 @@
 	}
 }
 
-// retriesSeen returns the number of QUIC Retries that agents sent.
-func (e *fakeEntry) retriesSeen() int {
+// retryCount returns the number of QUIC Retries sent by agents.
+func (e *fakeEntry) retryCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.retries
 }
 
-// reportsSeen returns the number of frames without a datagram of a target.
-func (e *fakeEntry) reportsSeen(target uint32) int {
+// reportCount returns the number of frames without a datagram from a target.
+func (e *fakeEntry) reportCount(target uint32) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.reports[target]
 }
 
-// saysDraining reports what the last reply of a target said.
-func (e *fakeEntry) saysDraining(target uint32) bool {
+// reportedDraining returns the draining flag of the last reply of a target.
+func (e *fakeEntry) reportedDraining(target uint32) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.draining[target]
@@ -354,8 +353,8 @@
 		}
 		datagram := buffer[frame.HeaderLength : frame.HeaderLength+n]
 		h, to := e.route(datagram, netip.AddrPortFrom(caller.Addr().Unmap(), caller.Port()))
-		host := int(e.turn.Add(1)) % len(e.hosts)
-		if !to.IsValid() || e.dead[host].Load() {
+		host := int(e.nextHost.Add(1)) % len(e.hosts)
+		if !to.IsValid() || e.down[host].Load() {
 			continue
 		}
 		e.codecs.Load().frames.Put(buffer, &h)
@@ -390,7 +389,7 @@
 			return
 		}
 		var h frame.Header
-		if e.dead[host].Load() || e.codecs.Load().frames.Parse(buffer[:n], &h) != frame.OK || h.Kind != frame.Reply {
+		if e.down[host].Load() || e.codecs.Load().frames.Parse(buffer[:n], &h) != frame.OK || h.Kind != frame.Reply {
 			continue
 		}
 		e.mu.Lock()
@@ -406,12 +405,12 @@
 	}
 }
 
-// fakeDirectory is what agents know of the deployment.
+// fakeDirectory is the agents' view of the deployment.
 type fakeDirectory struct {
 	mu      sync.Mutex
 	service *configpb.Service
 	targets []*controlpb.TargetRecord
-	// evacuated is the failure domain that is evacuated, if any.
+	// evacuated is the evacuated failure domain, if any.
 	evacuated string
 }
 
@@ -441,7 +440,7 @@
 	f.targets = targets
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidFrameListen(t *testing.T) {
 	for _, listen := range []string{"", "0.0.0.0:0", "[::1]:0", "127.0.0.1"} {
 		t.Run(listen, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/agentd/flows.go
+++ b/internal/agentd/flows.go
@@ -8,23 +8,23 @@
 	"eelgrasswharf.example/eelgrasswharf/returnpath"
 )
 
-// flowIdle is the age after which a silent flow may leave a full table.
+// flowIdle is the idle time after which a flow may be evicted from a full table.
 const flowIdle = 2 * time.Minute
 
-// flowKey names a flow by its two public ends.
+// flowKey identifies a flow by its two public addresses.
 type flowKey struct {
 	caller, public netip.AddrPort
 }
 
-// flow is a caller as quic-go sees it. It implements net.Addr, so that a reply
-// knows the public address that the caller talks to.
+// flow is the remote address that quic-go sees. It implements net.Addr and holds the
+// public address that the caller uses, for replies.
 type flow struct {
 	key  flowKey
 	text string
 
 	// Guarded by flowTable.mu.
-	path  returnpath.Path
-	heard time.Duration
+	path     returnpath.Path
+	received time.Duration
 }
 
 func newFlow(key flowKey) *flow {
@@ -34,7 +34,7 @@
 // Network implements net.Addr.
 func (f *flow) Network() string { return "udp" }
 
-// String implements net.Addr. It is the address of the caller.
+// String implements net.Addr. It returns the caller's address.
 func (f *flow) String() string { return f.text }
 
 // flowTable holds the return paths of established flows.
@@ -49,27 +49,27 @@
 	return &flowTable{flows: make(map[flowKey]*flow), recent: returnpath.NewRecentHosts(), limit: limit}
 }
 
-// heard records a frame and returns the flow it belongs to. A frame that may
-// open a flow leaves nothing behind in the table: a flood of them would fill
-// it.
-func (t *flowTable) heard(key flowKey, entry netip.AddrPort, now time.Duration, established bool) *flow {
+// received records a frame and returns its flow. Only established flows are added to
+// the table, so that a flood of first packets cannot fill it.
+func (t *flowTable) received(key flowKey, entry netip.AddrPort, now time.Duration, established bool) *flow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.recent.RecordReceived(entry, now)
 	f, known := t.flows[key]
 	if !known {
 		f = newFlow(key)
-		if established && t.makeRoom(now) {
+		if established && t.evictIdle(now) {
 			t.flows[key] = f
 		}
 	}
 	f.path.RecordReceived(entry, now)
-	f.heard = now
+	f.received = now
 	return f
 }
 
-// next returns the entry host for the next datagram to the flow.
-func (t *flowTable) next(f *flow, now time.Duration) (entry netip.AddrPort, lastResort, ok bool) {
+// nextEntryHost returns the entry host for the next datagram of the flow. lastResort
+// is set if it is not one of the flow's own entry hosts.
+func (t *flowTable) nextEntryHost(f *flow, now time.Duration) (entry netip.AddrPort, lastResort, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if current, known := t.flows[f.key]; known {
@@ -85,14 +85,14 @@
 	return entry, false, ok
 }
 
-// makeRoom reports whether one more flow fits, after removing idle ones if the
-// table is full.
-func (t *flowTable) makeRoom(now time.Duration) bool {
+// evictIdle removes idle flows from a full table and reports whether there is room
+// for another flow.
+func (t *flowTable) evictIdle(now time.Duration) bool {
 	if len(t.flows) < t.limit {
 		return true
 	}
 	for key, f := range t.flows {
-		if now-f.heard > flowIdle {
+		if now-f.received > flowIdle {
 			delete(t.flows, key)
 		}
 	}
--- a/internal/agentd/fuzz_test.go
+++ b/internal/agentd/fuzz_test.go
@@ -11,8 +11,7 @@
 	"eelgrasswharf.example/eelgrasswharf/reason"
 )
 
-// FuzzReadAnnouncement reads what anybody on the own host may send. One that
-// is taken names all that the agent relies on.
+// FuzzReadAnnouncement checks that an accepted announcement has all required fields.
 func FuzzReadAnnouncement(f *testing.F) {
 	f.Add([]byte(`{"service":"lodgement","target":"l-1","url":"http://127.0.0.1:1","slots":4,"state":"serving"}`))
 	f.Add([]byte(`{"service":"s","target":"t","url":"http://h","state":"draining","health_path":"/h","watch_paths":["/w"]}`))
@@ -28,17 +27,17 @@
 		named := a.Service != "" && a.Target != "" && a.base != nil && a.base.Host != ""
 		known := a.State == backendServing || a.State == backendDraining
 		if !named || !known || len(a.WatchPaths) == 0 || len(a.WatchPaths) > maxWatchPaths {
-			t.Fatalf("took %+v", a)
+			t.Fatalf("accepted %+v", a)
 		}
 		for _, path := range a.WatchPaths {
 			if path != "" && !strings.HasPrefix(path, "/") {
-				t.Fatalf("took the watch path %q", path)
+				t.Fatalf("accepted the watch path %q", path)
 			}
 		}
 	})
 }
 
-// FuzzReadLoad reads load reports, which may lie but not break the arithmetic.
+// FuzzReadLoad checks that accepted load reports are within range.
 func FuzzReadLoad(f *testing.F) {
 	f.Add([]byte(`{"running":3,"slots":4}`))
 	f.Add([]byte(`{"running":-1}`))
@@ -48,22 +47,22 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		running, err := readLoad(data)
 		if err == nil && (running < 0 || running > maxReportedRunning) {
-			t.Fatalf("took %d running", running)
+			t.Fatalf("accepted %d running", running)
 		}
 	})
 }
 
-// FuzzProtocolHeaders reads the headers by which callers and backend servers
-// tell deadlines, keys and when to come back.
+// FuzzProtocolHeaders checks the parsing of timeouts, idempotency keys and retry
+// delays.
 func FuzzProtocolHeaders(f *testing.F) {
 	f.Add("250", "key", "1")
 	f.Add("0", "", "-1")
 	f.Add("-5", strings.Repeat("k", maxKeyBytes+1), "65536")
 	f.Add("99999999999999999999", "\x00", "Fri, 01 Jan 2027 00:00:00 GMT")
 	f.Add("1e3", " ", "0")
-	f.Fuzz(func(t *testing.T, timeout, key, comeBack string) {
-		if wait := readRetryAfter(http.Header{headerRetryAfter: {comeBack}}); wait < 0 || wait > 1<<16*time.Second {
-			t.Fatalf("come back after %v", wait)
+	f.Fuzz(func(t *testing.T, timeout, key, retryAfter string) {
+		if wait := readRetryAfter(http.Header{headerRetryAfter: {retryAfter}}); wait < 0 || wait > 1<<16*time.Second {
+			t.Fatalf("retry after %v", wait)
 		}
 		r := httptest.NewRequest(http.MethodPost, "/run", nil)
 		r.Header[headerTimeout] = []string{timeout}
--- a/internal/agentd/moving_test.go
+++ b/internal/agentd/goaway_test.go
@@ -11,9 +11,9 @@
 	"eelgrasswharf.example/eelgrasswharf/health"
 )
 
-func TestCallersOfAStoppingAgentMoveToItsSuccessor(t *testing.T) {
+func TestDrainRamp(t *testing.T) {
 	is := is.New(t)
-	const began = time.Minute
+	const drainStart = time.Minute
 	timing := defaultTiming()
 	self := identity{serviceNumber: 1, number: 2, incarnation: 3}
 	record := func(number, incarnation uint32, state controlpb.TargetState) *controlpb.TargetRecord {
@@ -25,36 +25,36 @@
 	next := successor(self, append(others, record(2, 4, draining), record(2, 5, serving)))
 	is.Equal(next.GetIncarnation(), uint32(5))
 
-	m := moving{began: began}
-	is.Equal(m.share(began+timing.successorWait-1, nil, timing), 0.0)
-	met := began + timing.successorWait - 1
+	m := drainRamp{drainStart: drainStart}
+	is.Equal(m.share(drainStart+timing.successorTimeout-1, nil, timing), 0.0)
+	met := drainStart + timing.successorTimeout - 1
 	is.Equal(m.share(met, next, timing), 0.0)
-	is.Equal(m.share(met+timing.moveSpan/2, next, timing), 0.5)
-	is.Equal(m.share(met+timing.moveSpan/2, nil, timing), 0.5) // lost from sight
+	is.Equal(m.share(met+timing.goAwayRamp/2, next, timing), 0.5)
+	is.Equal(m.share(met+timing.goAwayRamp/2, nil, timing), 0.5) // the successor is no longer known
 	is.Equal(m.share(met+time.Hour, next, timing), 1.0)
 
-	alone := moving{began: began}
-	is.Equal(alone.share(began+timing.successorWait, nil, timing), 1.0)
-	leaving := moving{began: began}
-	is.Equal(leaving.share(began, record(2, 4, draining), timing), 1.0)
+	alone := drainRamp{drainStart: drainStart}
+	is.Equal(alone.share(drainStart+timing.successorTimeout, nil, timing), 1.0)
+	leaving := drainRamp{drainStart: drainStart}
+	is.Equal(leaving.share(drainStart, record(2, 4, draining), timing), 1.0)
 }
 
-// Callers are told by and by; those that are gone count as told.
-func TestCallersAreToldByAndBy(t *testing.T) {
+// The number of callers that get GOAWAY rises with the share. Closed connections count.
+func TestSelectForGoAwayIsGradual(t *testing.T) {
 	is := is.New(t)
 	const callers = 10
 	s := newSessions(nil, newClock(), testTiming())
 	for range callers {
 		s.open[&session{}] = struct{}{}
 	}
-	told := 0
+	selected := 0
 	for tenth := range callers + 1 {
-		for _, one := range s.next(float64(tenth) / callers) {
-			one.leaving.Store(true)
-			delete(s.open, one)
-			told++
+		for _, sess := range s.selectForGoAway(float64(tenth) / callers) {
+			sess.draining.Store(true)
+			delete(s.open, sess)
+			selected++
 		}
-		is.Equal(told, tenth)
+		is.Equal(selected, tenth)
 	}
 }
 
@@ -73,14 +73,14 @@
 		percent uint32
 		want    bool
 	}{
-		{"well", health.Verdict{Basis: health.BasisObservation}, well, 0, false},
-		{"seen to fail", seen, well, 0, true},
-		{"says that it is ill", health.Verdict{Ill: true, Basis: health.BasisReport}, well, 0, false},
-		{"alone", seen, well[:1], 0, false},
+		{"healthy", health.Verdict{Basis: health.BasisObservation}, well, 0, false},
+		{"observed failures", seen, well, 0, true},
+		{"reported unhealthy", health.Verdict{Ill: true, Basis: health.BasisReport}, well, 0, false},
+		{"only target", seen, well[:1], 0, false},
 		{"one of two", seen, well[:2], 0, false},
 		{"one of two, panic at 60 %", seen, well[:2], 60, true},
 		{"two of three", seen, append(well[:2:2], record(1, 3, serving, true)), 0, false},
-		{"others leave", seen, append(well[:1:1], record(1, 2, draining, false), record(1, 3, draining, false)), 0, false},
+		{"others drain", seen, append(well[:1:1], record(1, 2, draining, false), record(1, 3, draining, false)), 0, false},
 		{"others are of another service", seen, append(well[:1:1], record(2, 2, serving, false), record(2, 3, serving, false)), 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -89,15 +89,15 @@
 	}
 }
 
-func TestCallersOfAnIllTargetLeaveByAndBy(t *testing.T) {
+func TestShedRamp(t *testing.T) {
 	is := is.New(t)
 	const began = time.Minute
 	timing := defaultTiming()
-	var s shedding
+	var s shedRamp
 	is.Equal(s.share(began, false, timing), 0.0)
 	is.Equal(s.share(began, true, timing), 0.0)
-	is.Equal(s.share(began+timing.moveSpan/2, true, timing), 0.5)
-	is.Equal(s.share(began+time.Hour, true, timing), maxShed)
-	is.Equal(s.share(began+time.Hour, false, timing), 0.0) // well again
+	is.Equal(s.share(began+timing.goAwayRamp/2, true, timing), 0.5)
+	is.Equal(s.share(began+time.Hour, true, timing), maxShedShare)
+	is.Equal(s.share(began+time.Hour, false, timing), 0.0) // healthy again
 	is.Equal(s.share(began+2*time.Hour, true, timing), 0.0)
 }
--- a/internal/agentd/healthstate.go
+++ b/internal/agentd/healthstate.go
@@ -6,7 +6,7 @@
 	"eelgrasswharf.example/eelgrasswharf/health"
 )
 
-// healthState guards the tracker of the backend server.
+// healthState wraps the health tracker with a lock and a clock.
 type healthState struct {
 	clock clock
 
@@ -31,8 +31,7 @@
 	h.tracker.RequestEnded(h.clock.now(), result)
 }
 
-// observe records a result apart from the start of a request, for an answer
-// that failed after its header had counted.
+// observe records a failure after the response header was counted as a success.
 func (h *healthState) observe(result health.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,8 +39,7 @@
 	h.tracker.RequestEnded(h.clock.now(), result)
 }
 
-// report records a poll of both endpoints. running is negative when the load
-// endpoint gave no figure.
+// report records a poll of both endpoints. running is negative if unknown.
 func (h *healthState) report(report health.Report, running int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/agentd/housekeeping.go
+++ b/internal/agentd/housekeeping.go
@@ -10,79 +10,79 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// check brings the state of the target up to date and tells the control hosts
-// of each change.
-func (d *Daemon) check(one *plane) {
-	backend := d.backend.figures(d.clock.now())
+// updateState updates the state of the target and publishes changes to the control
+// hosts.
+func (d *Daemon) updateState(p *dataPlane) {
+	backend := d.backend.snapshot(d.clock.now())
 	verdict, reported := d.health.verdict()
-	d.proxy.once.checkLines(d.parts.linked())
+	d.proxy.grantClient.updateLinks(d.deps.connected())
 	stopping := d.stopping.Load()
-	leaving := stopping || backend.draining || backend.lapsed
-	goAway := d.goAway(one, stopping, backend.draining, verdict)
-	d.applyConfig(one.self.serviceNumber, backend.slots)
-	gate := d.gate.figures()
+	notServing := stopping || backend.draining || backend.expired
+	goAwayShare := d.goAwayShare(p, stopping, backend.draining, verdict)
+	d.applyConfig(p.self.serviceNumber, backend.slots)
+	limiter := d.limiter.snapshot()
 	load := health.LoadInput{
-		Requests: float64(gate.running + gate.waiting), Slots: gate.slots, ReportedRunning: reported,
+		Requests: float64(limiter.running + limiter.waiting), Slots: limiter.slots, ReportedRunning: reported,
 	}
-	state := &targetState{present: health.Load(load), draining: leaving, ill: verdict.Ill}
-	load.Requests = d.averageRequests(gate)
+	state := &targetState{currentLoad: health.Load(load), draining: notServing, unhealthy: verdict.Ill}
+	load.Requests = d.averageRequests(limiter)
 	load.FlowCapacity = d.limits.flows
-	one.basis.Store((*loadBasis)(&load))
-	before := one.current()
-	one.state.Store(state)
-	// Open sessions stay, and so does the record of the target: entry hosts learn of an
+	p.lastInput.Store((*loadInput)(&load))
+	before := p.current()
+	p.state.Store(state)
+	// Open sessions and the registration of the target remain: entry hosts learn of the
 	// evacuation from the configuration.
 	evacuated := d.directory.Evacuated(d.settings.GetHost().GetFailureDomain())
-	one.setLeaving(leaving || evacuated, goAway)
-	d.logChange(before, *state, verdict) // what a line tells is in force already
-	if goAway > 0 {
-		one.sessions.closeIdle()
+	p.updateDrain(notServing || evacuated, goAwayShare)
+	d.logChange(before, *state, verdict) // logged only after it has taken effect
+	if goAwayShare > 0 {
+		p.sessions.closeIdle()
 	}
-	d.gauges(one, gate, verdict)
-	d.counters.backendAge.Update((d.clock.now() - backend.since).Seconds())
-	d.publish(state, gate.slots, backend.since)
+	d.gauges(p, limiter, verdict)
+	d.counters.backendAge.Update((d.clock.now() - backend.startTime).Seconds())
+	d.publish(state, limiter.slots, backend.startTime)
 }
 
-// goAway returns the share of the callers that are told to go elsewhere.
-func (d *Daemon) goAway(one *plane, stopping, draining bool, verdict health.Verdict) float64 {
+// goAwayShare returns the share of callers to send GOAWAY.
+func (d *Daemon) goAwayShare(p *dataPlane, stopping, draining bool, verdict health.Verdict) float64 {
 	now, targets := d.clock.now(), d.directory.Targets()
 	switch {
 	case draining:
 		return 1
 	case stopping:
-		return d.moving.share(now, successor(one.self, targets), d.timing)
+		return d.drainRamp.share(now, successor(p.self, targets), d.timing)
 	default:
-		policy := d.directory.Service(one.self.serviceNumber).GetPolicy()
-		return d.shedding.share(now, shouldShed(verdict, one.self, targets, policy), d.timing)
+		policy := d.directory.Service(p.self.serviceNumber).GetPolicy()
+		return d.shedRamp.share(now, shouldShed(verdict, p.self, targets, policy), d.timing)
 	}
 }
 
-// averageRequests returns the requests that run or wait on average.
-func (d *Daemon) averageRequests(gate gateFigures) float64 {
-	requests, over := gate.since(d.lastGate)
-	d.lastGate = gate
+// averageRequests returns the average number of running and queued requests.
+func (d *Daemon) averageRequests(stats limiterSnapshot) float64 {
+	requests, over := stats.meanSince(d.lastSnapshot)
+	d.lastSnapshot = stats
 	d.meter.Observe(requests, over)
 	return d.meter.Value()
 }
 
 func (d *Daemon) logChange(old, now targetState, verdict health.Verdict) {
 	if old.draining != now.draining {
-		d.log.Info("taking new flows", zap.Bool("yes", !now.draining))
+		d.log.Info("accepting new flows", zap.Bool("yes", !now.draining))
 	}
-	if old.ill != now.ill {
-		d.log.Info("backend server", zap.Bool("ill", now.ill), zap.Stringer("basis", verdict.Basis))
+	if old.unhealthy != now.unhealthy {
+		d.log.Info("backend server health changed", zap.Bool("unhealthy", now.unhealthy), zap.Stringer("basis", verdict.Basis))
 	}
 }
 
-// applyConfig takes slots and retry budget from the configuration. The smaller
-// of the configured and the announced number of slots holds.
+// applyConfig applies slots and retry budget from the configuration. The smaller of
+// the configured and the announced number of slots is used.
 func (d *Daemon) applyConfig(service, announced uint32) {
 	slots := announced
 	config := d.directory.Service(service)
 	if configured := config.GetSlots(); configured > 0 && (slots == 0 || configured < slots) {
 		slots = configured
 	}
-	d.gate.setLimits(d.gateLimits(int(slots)))
+	d.limiter.setLimits(d.limiterLimits(int(slots)))
 	percent := config.GetPolicy().GetRetryPercent()
 	if percent == 0 {
 		percent = defaultRetryPercent
@@ -90,25 +90,25 @@
 	d.proxy.setRetryPercent(percent)
 }
 
-func (d *Daemon) gauges(one *plane, gate gateFigures, verdict health.Verdict) {
-	d.counters.sessions.Update(float64(one.sessions.count()))
+func (d *Daemon) gauges(p *dataPlane, stats limiterSnapshot, verdict health.Verdict) {
+	d.counters.sessions.Update(float64(p.sessions.count()))
 	d.counters.watches.Update(float64(d.proxy.watches.Load()))
-	d.counters.running.Update(float64(gate.running))
-	d.counters.waiting.Update(float64(gate.waiting))
-	ill := 0.0
+	d.counters.running.Update(float64(stats.running))
+	d.counters.waiting.Update(float64(stats.waiting))
+	unhealthy := 0.0
 	if verdict.Ill {
-		ill = 1
+		unhealthy = 1
 	}
-	d.counters.ill.Update(ill)
+	d.counters.unhealthy.Update(unhealthy)
 }
 
-// publish tells the control hosts of the target when its status changed.
-func (d *Daemon) publish(state *targetState, slots int, since time.Duration) {
-	if since != d.started {
-		d.started = since
-		d.announcer.Restarted(d.clock.at(since))
+// publish announces the target to the control hosts when its status has changed.
+func (d *Daemon) publish(state *targetState, slots int, startTime time.Duration) {
+	if startTime != d.started {
+		d.started = startTime
+		d.announcer.Restarted(d.clock.at(startTime))
 	}
-	status := subscriber.Status{State: stateOf(state.draining), Ill: state.ill, Slots: uint32(slots)}
+	status := subscriber.Status{State: stateOf(state.draining), Ill: state.unhealthy, Slots: uint32(slots)}
 	if status != d.status {
 		d.status = status
 		d.announcer.Update(status)
--- a/internal/agentd/identity.go
+++ b/internal/agentd/identity.go
@@ -13,11 +13,11 @@
 	"eelgrasswharf.example/eelgrasswharf/connid"
 )
 
-// resetPurpose separates the key of stateless resets from other uses of the
-// data secret.
+// resetPurpose separates the key for stateless resets from other keys derived from
+// the data secret.
 const resetPurpose = "eelgrasswharf stateless reset"
 
-// identity is what the control hosts registered for this process.
+// identity is the identity that the control hosts assigned to this process.
 type identity struct {
 	service       string
 	target        string
@@ -36,7 +36,7 @@
 	return connid.Target{Address: id.address, Number: id.number, Incarnation: id.incarnation}
 }
 
-// resetKey derives the key of stateless resets for one incarnation.
+// resetKey derives the key for stateless resets of one incarnation.
 func resetKey(secret connid.Secret, number, incarnation uint32) *quic.StatelessResetKey {
 	mac := hmac.New(sha256.New, secret.Key[:])
 	mac.Write([]byte(resetPurpose))
@@ -49,7 +49,7 @@
 	return &key
 }
 
-// idGenerator issues connection IDs that name one target.
+// idGenerator generates connection IDs that identify one target.
 type idGenerator struct {
 	codec   func() *connid.Codec
 	target  connid.Target
--- a/internal/agentd/load_test.go
+++ b/internal/agentd/load_test.go
@@ -10,71 +10,69 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-func TestGateTellsTheMeanOfATime(t *testing.T) {
+func TestLimiterMeanSince(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
-	from := gateFigures{spent: 3 * time.Second, at: began, running: 1}
-	to := gateFigures{spent: 5 * time.Second, at: began.Add(500 * time.Millisecond), running: 2, waiting: 1}
-	requests, over := to.since(from)
+	from := limiterSnapshot{busyTime: 3 * time.Second, takenAt: began, running: 1}
+	to := limiterSnapshot{busyTime: 5 * time.Second, takenAt: began.Add(500 * time.Millisecond), running: 2, waiting: 1}
+	requests, over := to.meanSince(from)
 	is.Equal(requests, 4.0)
 	is.Equal(over, 500*time.Millisecond)
-	requests, over = to.since(to)
-	is.Equal(requests, 3.0) // no time between: those of the moment
+	requests, over = to.meanSince(to)
+	is.Equal(requests, 3.0) // without time in between: the current number
 	is.Equal(over, time.Duration(0))
 }
 
-func TestGateAddsUpRunningAndWaiting(t *testing.T) {
+func TestLimiterBusyTime(t *testing.T) {
 	is := is.New(t)
-	g := newGate(admission.Limits{Slots: 1, Queue: 1, MaxWait: time.Minute})
-	before := g.figures()
-	is.Equal(g.enter(t.Context(), time.Minute).Action, admission.Admitted)
-	_, w := g.arrive(time.Minute)
+	l := newLimiter(admission.Limits{Slots: 1, Queue: 1, MaxWait: time.Minute})
+	before := l.snapshot()
+	is.Equal(l.acquire(t.Context(), time.Minute).Action, admission.Admitted)
+	_, w := l.admit(time.Minute)
 	is.True(w != nil)
-	g.mu.Lock()
-	g.changed = g.changed.Add(-time.Hour) // as if an hour had passed
-	g.mu.Unlock()
-	grown := g.figures().spent - before.spent
+	l.mu.Lock()
+	l.lastChange = l.lastChange.Add(-time.Hour) // simulates an hour
+	l.mu.Unlock()
+	grown := l.snapshot().busyTime - before.busyTime
 	is.True(grown >= 2*time.Hour)
-	g.leave(0)
-	g.leave(0)
-	is.Equal(g.figures().running+g.figures().waiting, 0)
+	l.release(0)
+	l.release(0)
+	is.Equal(l.snapshot().running+l.snapshot().waiting, 0)
 }
 
-func TestLoadCountsTheFlowsOfTheMoment(t *testing.T) {
+func TestLoadCountsCurrentFlows(t *testing.T) {
 	is := is.New(t)
-	b := loadBasis{Requests: 1, Slots: 4, ReportedRunning: -1, FlowCapacity: 100}
+	b := loadInput{Requests: 1, Slots: 4, ReportedRunning: -1, FlowCapacity: 100}
 	is.Equal(b.load(0), uint16(250))
 	is.Equal(b.load(50), uint16(750))
 }
 
-// Flows with a watch bring hardly any requests and do not count.
-func TestWatchedFlowsAreNoLoad(t *testing.T) {
+func TestWatchFlowsDoNotCountAsLoad(t *testing.T) {
 	is := is.New(t)
-	w, a, backend := oneAgent(t)
+	tc, a, backend := startSingleAgent(t)
 	backend.events <- "first"
-	is.Equal(mustSend(t, w.caller(), "GET", w.url("/echo?text=x"), "").status, 200)
-	one := a.plane.Load()
-	eventually(t, "a working flow", func() bool { return one.workingFlows() == 1 })
-	watching := w.caller()
-	go func() { _, _ = send(watching, "GET", w.url("/watch"), "", "Accept", eventStream) }()
+	is.Equal(mustSend(t, tc.caller(), "GET", tc.url("/echo?text=x"), "").status, 200)
+	p := a.dataPlane.Load()
+	eventually(t, "a flow without a watch", func() bool { return p.nonWatchFlows() == 1 })
+	watching := tc.caller()
+	go func() { _, _ = send(watching, "GET", tc.url("/watch"), "", "Accept", eventStreamType) }()
 	eventually(t, "a watch", func() bool { return a.proxy.watches.Load() == 1 })
-	eventually(t, "two flows", func() bool { return one.sessions.count() == 2 })
-	is.Equal(one.workingFlows(), 1)
+	eventually(t, "two flows", func() bool { return p.sessions.count() == 2 })
+	is.Equal(p.nonWatchFlows(), 1)
 }
 
-// Flows far above the capacity show in the load, by which entry hosts choose;
-// for them alone no first packet is handed on.
-func TestFlowsAreNoReasonToHandOn(t *testing.T) {
+// Flows beyond the capacity count for the reported load, but do not cause redirects.
+func TestFlowsAloneDoNotRedirect(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
-	a := w.startAgentWith("t1", newFakeBackend(t).server.URL, testTiming(), func(s *settingspb.Agent) { s.FlowCapacity = 1 })
-	w.entry.choose(a.FrameAddr(), "127.0.0.1:9") // an alternate that nobody listens at
+	tc := newTestCluster(t)
+	a := tc.startAgentWith("t1", newFakeBackend(t).server.URL, testTiming(), func(s *settingspb.Agent) { s.FlowCapacity = 1 })
+	tc.entry.setRoute(a.FrameAddr(), "127.0.0.1:9") // an alternate without a listener
 	for range 4 {
-		is.Equal(mustSend(t, w.caller(), "GET", w.url("/echo?text=x"), "").status, 200)
+		is.Equal(mustSend(t, tc.caller(), "GET", tc.url("/echo?text=x"), "").status, 200)
 	}
-	one := a.plane.Load()
-	eventually(t, "four flows", func() bool { return one.workingFlows() == 4 })
-	is.True(one.current().load > 2*loadedFrom)
-	is.True(one.current().present < loadedFrom)
+	p := a.dataPlane.Load()
+	eventually(t, "four flows", func() bool { return p.nonWatchFlows() == 4 })
+	is.True(p.current().load > 2*overloadThreshold)
+	is.True(p.current().currentLoad < overloadThreshold)
 	is.Equal(a.counter("flows_handed_on", ""), int64(0))
 }
--- a/internal/agentd/poll.go
+++ b/internal/agentd/poll.go
@@ -15,24 +15,24 @@
 const (
 	// maxPollTimeout bounds one poll.
 	maxPollTimeout = 500 * time.Millisecond
-	// maxReport bounds the body of a report in bytes.
-	maxReport = 4 << 10
-	// maxReportedRunning bounds the figure that is believed at all.
+	// maxReportBytes bounds the body of a response.
+	maxReportBytes = 4 << 10
+	// maxReportedRunning bounds the accepted number of running requests.
 	maxReportedRunning = 1 << 20
 )
 
-// errReport is returned for a load report that makes no sense.
+// errReport is returned for an invalid load report.
 var errReport = errors.New("load report")
 
-// poller asks the health and load endpoints of the backend server.
+// poller polls the health and load endpoints of the backend server.
 type poller struct {
-	backend *backendRecord
+	backend *backendTracker
 	health  *healthState
 	period  time.Duration
 	client  *http.Client
 }
 
-func newPoller(backend *backendRecord, health *healthState, period time.Duration) *poller {
+func newPoller(backend *backendTracker, health *healthState, period time.Duration) *poller {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: noRedirect}
 	return &poller{backend: backend, health: health, period: period, client: client}
 }
@@ -62,18 +62,18 @@
 	}
 	report := health.ReportHealthy
 	if a.HealthPath != "" {
-		report = p.askHealth(ctx, a.endpoint(a.HealthPath))
+		report = p.pollHealth(ctx, a.endpoint(a.HealthPath))
 	}
 	running := -1
 	if a.LoadPath != "" {
-		running = p.askLoad(ctx, a.endpoint(a.LoadPath))
+		running = p.pollLoad(ctx, a.endpoint(a.LoadPath))
 	}
 	if ctx.Err() == nil {
 		p.health.report(report, running)
 	}
 }
 
-func (p *poller) askHealth(ctx context.Context, url string) health.Report {
+func (p *poller) pollHealth(ctx context.Context, url string) health.Report {
 	status, _, err := p.get(ctx, url)
 	switch {
 	case err != nil:
@@ -85,9 +85,9 @@
 	}
 }
 
-// askLoad returns the reported number of running requests, negative if there
-// is no sensible report.
-func (p *poller) askLoad(ctx context.Context, url string) int {
+// pollLoad returns the reported number of running requests, negative if there is no
+// valid report.
+func (p *poller) pollLoad(ctx context.Context, url string) int {
 	status, body, err := p.get(ctx, url)
 	if err != nil || status != http.StatusOK {
 		return -1
@@ -124,7 +124,7 @@
 		return 0, nil, errors.Wrap(err, "poll")
 	}
 	defer func() { _ = res.Body.Close() }()
-	body, err = io.ReadAll(io.LimitReader(res.Body, maxReport))
+	body, err = io.ReadAll(io.LimitReader(res.Body, maxReportBytes))
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "poll")
 	}
--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -17,10 +17,10 @@
 	"eelgrasswharf.example/eelgrasswharf/retry"
 )
 
-// backendComeBack is told to callers when no backend server is there.
-const backendComeBack = time.Second
+// backendRetryAfter is the retry delay when the backend server is unavailable.
+const backendRetryAfter = time.Second
 
-// retryPolicy bounds the attempts at the backend server of this host.
+// retryPolicy bounds the attempts at the backend server.
 var retryPolicy = retry.Policy{
 	MaxAttempts:  3,
 	BaseBackoff:  20 * time.Millisecond,
@@ -28,23 +28,23 @@
 	MinRemaining: 5 * time.Millisecond,
 }
 
-// backendView is what the proxy has to know of the backend server.
+// backendView is what the proxy needs to know of the backend server.
 type backendView struct {
 	url        *url.URL
 	watchPaths []string
 }
 
-// proxy passes requests on to the backend server. It implements http.Handler.
+// proxy forwards requests to the backend server. It implements http.Handler.
 type proxy struct {
-	self     string
-	backend  func() (backendView, bool)
-	gate     *gate
-	bodies   *bodies
-	once     *once
-	still    *standstills
-	health   *healthState
-	counters *counters
-	deadline time.Duration
+	self         string
+	backend      func() (backendView, bool)
+	limiter      *limiter
+	bodyLimiter  *bodyLimiter
+	grantClient  *grantClient
+	stallMonitor *stalls
+	health       *healthState
+	counters     *counters
+	deadline     time.Duration
 
 	transport *http.Transport
 	watches   atomic.Int64
@@ -58,12 +58,12 @@
 	view, present := p.backend()
 	c, why := newCall(r, view.watchPaths, p.deadline)
 	if why != reason.None {
-		p.refuse(w, beforeAsking(why, 0, usableKey(r)))
+		p.refuse(w, refusalBeforeGrant(why, 0, validKey(r)))
 		return
 	}
 	defer c.end()
 	if !present {
-		p.refuse(w, beforeAsking(reason.BackendAbsent, backendComeBack, c.key))
+		p.refuse(w, refusalBeforeGrant(reason.BackendAbsent, backendRetryAfter, c.key))
 		return
 	}
 	if c.watch && c.key == "" {
@@ -73,15 +73,15 @@
 	p.serveRequest(w, c, view)
 }
 
-// serveRequest serves a request that is no watch.
+// serveRequest serves a request that is not a watch.
 func (p *proxy) serveRequest(w http.ResponseWriter, c *call, view backendView) {
 	if c.key != "" {
-		c.arrived = p.still.look()
+		c.receivedAt = p.stallMonitor.tick()
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(c.deadline)
-	body, release, why := p.bodies.read(c.request)
+	body, release, why := p.bodyLimiter.read(c.request)
 	if why != reason.None {
-		p.refuse(w, beforeAsking(why, backendComeBack, c.key))
+		p.refuse(w, refusalBeforeGrant(why, backendRetryAfter, c.key))
 		return
 	}
 	defer release()
@@ -90,120 +90,118 @@
 		p.run(w, c, view, nil)
 		return
 	}
-	verdict := p.ask(c)
+	decision := p.acquireGrant(c)
 	switch {
-	case verdict.refusal != nil:
-		p.refuse(w, *verdict.refusal)
-	case verdict.answer != nil:
-		p.replay(w, verdict.answer)
+	case decision.refusal != nil:
+		p.refuse(w, *decision.refusal)
+	case decision.answer != nil:
+		p.replay(w, decision.answer)
 	default:
-		p.run(w, c, view, verdict.right)
+		p.run(w, c, view, decision.keyGrant)
 	}
 }
 
-// ask asks for the right to run a request with a key. One that may have waited
-// while this process stood still gets none: its caller may have been told by
-// another target that the key was not run. The question itself may have gone
-// out after a standstill, and a refusal may have come before it, so this is
-// looked at again. A right that was granted before one holds the key, and nobody
-// else was told not-run since.
-func (p *proxy) ask(c *call) grantVerdict {
-	if p.still.held(c) {
-		return unasked(reason.AgentStalled)
-	}
-	verdict := p.once.acquire(c)
-	if verdict.answer != nil || !p.still.held(c) {
-		return verdict
-	}
-	if verdict.right != nil {
-		p.once.release(verdict.right)
-	}
-	return unasked(reason.AgentStalled)
+// acquireGrant acquires the grant for a request with a key. A request that may
+// predate a stall gets none, because another target may have reported its key as not
+// run in the meantime. The check is repeated after the call to the control hosts,
+// which a stall may have delayed too. A later stall is harmless, since the grant
+// holds the key.
+func (p *proxy) acquireGrant(c *call) grantDecision {
+	if p.stallMonitor.mayPredateStall(c) {
+		return priorAttemptUnknown(reason.AgentStalled)
+	}
+	decision := p.grantClient.acquire(c)
+	if decision.answer != nil || !p.stallMonitor.mayPredateStall(c) {
+		return decision
+	}
+	if decision.keyGrant != nil {
+		p.grantClient.release(decision.keyGrant)
+	}
+	return priorAttemptUnknown(reason.AgentStalled)
 }
 
-// serveWatch serves a request whose answer streams without an end. It takes no
-// slot.
+// serveWatch serves a request with an endless response. It uses no slot.
 func (p *proxy) serveWatch(w http.ResponseWriter, c *call, view backendView) {
 	defer p.watches.Add(-1)
 	if p.watches.Add(1) > maxWatches {
-		p.refuse(w, refusal{outcome: retry.NotRun, reason: reason.WatchesFull, comeBack: p.gate.figures().comeBack})
+		p.refuse(w, refusal{outcome: retry.NotRun, reason: reason.WatchesFull, retryAfter: p.limiter.snapshot().retryAfter})
 		return
 	}
-	res := p.attempts(c, view)
+	res := p.attemptWithRetries(c, view)
 	if res.outcome != retry.Answered {
 		p.refuseResult(w, c, res, nil)
 		return
 	}
 	defer res.exchange.abandon()
 	p.counters.outcomes[retry.Answered].Inc(1)
-	c.keepOpen()
-	answerHead(w, c, res.exchange.response, p.self)
+	c.clearDeadline()
+	writeResponseHeader(w, c, res.exchange.response, p.self)
 	_ = http.NewResponseController(w).Flush()
-	p.pass(w, c, res.exchange)
+	p.streamResponse(w, c, res.exchange)
 }
 
-// run takes a slot, has the backend server run the request and passes the
-// answer on.
-func (p *proxy) run(w http.ResponseWriter, c *call, view backendView, r *right) {
-	verdict := p.gate.enter(c.ctx, c.remaining())
-	if verdict.Action != admission.Admitted {
-		comeBack := max(verdict.RetryAfter, p.giveBack(r))
-		p.refuse(w, refusal{outcome: retry.NotRun, reason: verdict.Reason, comeBack: comeBack})
+// run acquires a slot, sends the request to the backend server and forwards the
+// response.
+func (p *proxy) run(w http.ResponseWriter, c *call, view backendView, g *keyGrant) {
+	decision := p.limiter.acquire(c.ctx, c.remaining())
+	if decision.Action != admission.Admitted {
+		retryAfter := max(decision.RetryAfter, p.releaseGrant(g))
+		p.refuse(w, refusal{outcome: retry.NotRun, reason: decision.Reason, retryAfter: retryAfter})
 		return
 	}
-	slot := &slot{gate: p.gate, began: time.Now()}
-	defer slot.leave(false)
-	res := p.attempts(c, view)
+	slot := &slot{limiter: p.limiter, began: time.Now()}
+	defer slot.release(false)
+	res := p.attemptWithRetries(c, view)
 	if res.outcome != retry.Answered {
-		slot.leave(false)
-		p.refuseResult(w, c, res, r)
+		slot.release(false)
+		p.refuseResult(w, c, res, g)
 		return
 	}
 	defer res.exchange.abandon()
-	if isEventStream(res.exchange.response) && r == nil {
-		slot.leave(false)
-		c.keepOpen()
+	if isEventStream(res.exchange.response) && g == nil {
+		slot.release(false)
+		c.clearDeadline()
 	}
-	p.answer(w, c, res.exchange, r, slot)
-	slot.leave(true)
+	p.forwardResponse(w, c, res.exchange, g, slot)
+	slot.release(true)
 }
 
-// answer passes a backend server's answer on. A short one is read whole first:
-// a truncated one is then refused instead of cut off in the middle. The slot is
-// given back once the backend server is done: to record the answer takes longer
-// than many a request.
-func (p *proxy) answer(w http.ResponseWriter, c *call, x *exchange, r *right, s *slot) {
-	if r == nil && !short(x.response, maxRecordBytes) {
+// forwardResponse forwards a response of the backend server. A short response is read
+// completely first, so that a truncated one is refused instead of reset midway. The
+// slot is released before the response is recorded, which can take longer than the
+// request.
+func (p *proxy) forwardResponse(w http.ResponseWriter, c *call, x *exchange, g *keyGrant, s *slot) {
+	if g == nil && !fitsLimit(x.response, maxRecordBytes) {
 		p.counters.outcomes[retry.Answered].Inc(1)
-		answerHead(w, c, x.response, p.self)
-		p.pass(w, c, x)
+		writeResponseHeader(w, c, x.response, p.self)
+		p.streamResponse(w, c, x)
 		return
 	}
-	head, whole, err := readHead(x.response, maxRecordBytes)
+	prefix, full, err := readPrefix(x.response, maxRecordBytes)
 	if err != nil {
-		p.cut(w, c)
+		p.refuseTruncated(w, c)
 		return
 	}
-	if whole {
-		s.leave(true)
+	if full {
+		s.release(true)
 	}
-	if r != nil && whole {
-		p.once.complete(r, record(x.response, head))
+	if g != nil && full {
+		p.grantClient.complete(g, recordedAnswer(x.response, prefix))
 	}
 	p.counters.outcomes[retry.Answered].Inc(1)
-	answerHead(w, c, x.response, p.self)
-	if _, err := w.Write(head); err != nil || whole {
-		trailers(w, x.response)
+	writeResponseHeader(w, c, x.response, p.self)
+	if _, err := w.Write(prefix); err != nil || full {
+		copyTrailers(w, x.response)
 		return
 	}
-	p.pass(w, c, x)
-	if r != nil {
-		p.once.complete(r, &grantpb.Answer{Status: uint32(x.response.StatusCode), BodyOmitted: true})
+	p.streamResponse(w, c, x)
+	if g != nil {
+		p.grantClient.complete(g, &grantpb.Answer{Status: uint32(x.response.StatusCode), BodyOmitted: true})
 	}
 }
 
-// cut refuses a request whose answer ended early.
-func (p *proxy) cut(w http.ResponseWriter, c *call) {
+// refuseTruncated refuses a request whose response was truncated.
+func (p *proxy) refuseTruncated(w http.ResponseWriter, c *call) {
 	why := reason.AnswerTruncated
 	if c.ctx.Err() != nil {
 		why = ctxReason(c.ctx, reason.Deadline, reason.CallerGone)
@@ -212,16 +210,16 @@
 	p.refuse(w, refusal{outcome: retry.Unknown, reason: why})
 }
 
-// pass streams the rest of an answer. An answer that ends early is reset, as
-// an ordinary end would make it look whole.
-func (p *proxy) pass(w http.ResponseWriter, c *call, x *exchange) {
+// streamResponse streams the rest of a response. A truncated response resets the
+// stream, since a normal end would make it look complete.
+func (p *proxy) streamResponse(w http.ResponseWriter, c *call, x *exchange) {
 	err := stream(w, x.response)
 	if err == nil {
-		trailers(w, x.response)
+		copyTrailers(w, x.response)
 		return
 	}
 	x.abandon()
-	if errors.Is(err, errCut) && c.request.Context().Err() == nil {
+	if errors.Is(err, errTruncated) && c.request.Context().Err() == nil {
 		p.counters.count(reason.AnswerTruncated)
 		p.health.observe(health.Failed)
 	}
@@ -229,12 +227,12 @@
 	panic(http.ErrAbortHandler)
 }
 
-// attempts sends the request, and again if it provably did not run and
-// budget and deadline allow.
-func (p *proxy) attempts(c *call, view backendView) result {
-	p.earn()
+// attemptWithRetries sends the request and retries it while it certainly did not run
+// and budget and deadline allow.
+func (p *proxy) attemptWithRetries(c *call, view backendView) result {
+	p.depositRetry()
 	for n := 1; ; n++ {
-		if why := c.over(); why != reason.None {
+		if why := c.endReason(); why != reason.None {
 			return result{outcome: retry.NotRun, reason: why}
 		}
 		p.health.started()
@@ -252,7 +250,7 @@
 	}
 }
 
-func (p *proxy) earn() {
+func (p *proxy) depositRetry() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.Deposit()
@@ -271,29 +269,29 @@
 	p.budget.SetPercent(percent)
 }
 
-// refuseResult tells the caller of a request that got no answer.
-func (p *proxy) refuseResult(w http.ResponseWriter, c *call, res result, r *right) {
-	comeBack := max(res.comeBack, p.gate.figures().comeBack)
+// refuseResult refuses a request that got no response.
+func (p *proxy) refuseResult(w http.ResponseWriter, c *call, res result, g *keyGrant) {
+	retryAfter := max(res.retryAfter, p.limiter.snapshot().retryAfter)
 	if res.outcome == retry.NotRun {
-		comeBack = max(comeBack, p.giveBack(r))
+		retryAfter = max(retryAfter, p.releaseGrant(g))
 	}
 	if res.reason == reason.BackendUnreachable {
-		comeBack = max(comeBack, backendComeBack)
+		retryAfter = max(retryAfter, backendRetryAfter)
 	}
-	p.refuse(w, refusal{outcome: res.outcome, reason: res.reason, comeBack: comeBack})
+	p.refuse(w, refusal{outcome: res.outcome, reason: res.reason, retryAfter: retryAfter})
 }
 
-// giveBack releases the right of a request that provably did not run. It
-// returns the least time to come back, in which the release should be done.
-func (p *proxy) giveBack(r *right) time.Duration {
-	if r == nil {
+// releaseGrant releases the grant of a request that certainly did not run. It returns
+// the least retry delay, within which the release should complete.
+func (p *proxy) releaseGrant(g *keyGrant) time.Duration {
+	if g == nil {
 		return 0
 	}
-	p.once.release(r)
-	return releaseComeBack
+	p.grantClient.release(g)
+	return releaseRetryAfter
 }
 
-// replay answers with the recorded answer of an earlier attempt.
+// replay sends the recorded response of an earlier attempt.
 func (p *proxy) replay(w http.ResponseWriter, answer *grantpb.Answer) {
 	p.counters.replayed.Inc(1)
 	p.counters.outcomes[retry.Answered].Inc(1)
@@ -312,12 +310,12 @@
 func (p *proxy) refuse(w http.ResponseWriter, f refusal) {
 	p.counters.count(f.reason)
 	p.counters.outcomes[f.outcome].Inc(1)
-	f.write(w, p.self, random())
+	f.write(w, p.self, randomJitter())
 }
 
-// record is the answer as the control hosts keep it. A body that they would drop
-// is not sent to them: it would go through the log of each.
-func record(response *http.Response, body []byte) *grantpb.Answer {
+// recordedAnswer returns the response as recorded at the control hosts. A body over
+// grant.MaxBody is omitted here, since they would drop it only after replication.
+func recordedAnswer(response *http.Response, body []byte) *grantpb.Answer {
 	answer := &grantpb.Answer{
 		Status:      uint32(response.StatusCode),
 		ContentType: response.Header.Get("Content-Type"),
@@ -330,23 +328,23 @@
 	return answer
 }
 
-// slot is a slot that one request holds.
+// slot is a slot held by one request.
 type slot struct {
-	gate  *gate
-	began time.Time
-	left  bool
+	limiter  *limiter
+	began    time.Time
+	released bool
 }
 
-// leave gives the slot back, once. ended is set when the request ran to its
-// end, so that its duration counts.
-func (s *slot) leave(ended bool) {
-	if s.left {
+// release releases the slot once. ended is set if the request completed, so that its
+// duration is recorded.
+func (s *slot) release(ended bool) {
+	if s.released {
 		return
 	}
-	s.left = true
+	s.released = true
 	took := time.Duration(0)
 	if ended {
 		took = time.Since(s.began)
 	}
-	s.gate.leave(took)
+	s.limiter.release(took)
 }
--- a/internal/agentd/chance.go
+++ b/internal/agentd/rand.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 )
 
-// newRand returns a source of chance for jitter, seeded by the system.
+// newRand returns a randomly seeded random source.
 func newRand() *rand.Rand {
 	var seed [16]byte
 	_, _ = crand.Read(seed[:])
--- a/internal/agentd/relay.go
+++ b/internal/agentd/relay.go
@@ -10,13 +10,13 @@
 	"eelgrasswharf.example/eelgrasswharf/retry"
 )
 
-// relayBuffer is the size of the pieces in which an answer is passed on.
+// relayBuffer is the buffer size for streaming a response.
 const relayBuffer = 16 << 10
 
-// answerHead writes the header of a backend server's answer.
-func answerHead(w http.ResponseWriter, c *call, response *http.Response, self string) {
+// writeResponseHeader forwards the header of a response.
+func writeResponseHeader(w http.ResponseWriter, c *call, response *http.Response, self string) {
 	h := w.Header()
-	for name, values := range passedHeaders(response.Header) {
+	for name, values := range forwardedHeaders(response.Header) {
 		h[name] = values
 	}
 	h.Set(headerOutcome, retry.Answered.String())
@@ -27,23 +27,23 @@
 	w.WriteHeader(response.StatusCode)
 }
 
-// readHead reads an answer's body up to limit bytes. whole is set when that
-// was all of it; err is set when the body ended early.
-func readHead(response *http.Response, limit int64) (head []byte, whole bool, err error) {
-	head, err = io.ReadAll(io.LimitReader(response.Body, limit+1))
+// readPrefix reads up to limit bytes of a response body. complete is set if that is
+// the entire body. It returns errTruncated for a truncated body.
+func readPrefix(response *http.Response, limit int64) (prefix []byte, complete bool, err error) {
+	prefix, err = io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
-		return nil, false, errors.Wrap(errCut, err.Error())
+		return nil, false, errors.Wrap(errTruncated, err.Error())
 	}
-	return head, int64(len(head)) <= limit, nil
+	return prefix, int64(len(prefix)) <= limit, nil
 }
 
-// short reports whether an answer's body fits the limit by its own word.
-func short(response *http.Response, limit int64) bool {
+// fitsLimit reports whether the content length is known and within the limit.
+func fitsLimit(response *http.Response, limit int64) bool {
 	return response.ContentLength >= 0 && response.ContentLength <= limit
 }
 
-// stream passes the rest of an answer on as it comes. It returns errCut when
-// the backend server broke off, or the error of writing to the caller.
+// stream forwards the rest of a response as it arrives. It returns errTruncated for a
+// truncated response, or the error of writing to the caller.
 func stream(w http.ResponseWriter, response *http.Response) error {
 	control := http.NewResponseController(w)
 	buffer := make([]byte, relayBuffer)
@@ -61,19 +61,19 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(errCut, err.Error())
+			return errors.Wrap(errTruncated, err.Error())
 		}
 	}
 }
 
-// trailers copies the trailers of an answer that was read to its end.
-func trailers(w http.ResponseWriter, response *http.Response) {
+// copyTrailers copies the trailers of a response that was read to its end.
+func copyTrailers(w http.ResponseWriter, response *http.Response) {
 	for name, values := range response.Trailer {
 		w.Header()[http.TrailerPrefix+name] = values
 	}
 }
 
-// isEventStream reports whether the answer streams without an end.
+// isEventStream reports whether the response is an endless stream.
 func isEventStream(response *http.Response) bool {
-	return strings.HasPrefix(response.Header.Get("Content-Type"), eventStream)
+	return strings.HasPrefix(response.Header.Get("Content-Type"), eventStreamType)
 }
--- a/internal/agentd/reset.go
+++ b/internal/agentd/reset.go
@@ -14,19 +14,20 @@
 const (
 	// resetToken is the length of a stateless reset token in bytes.
 	resetToken = 16
-	// resetLength is the length of a stateless reset (RFC 9000, 10.3).
+	// resetLength is the length of a stateless reset in bytes (RFC 9000, section
+	// 10.3).
 	resetLength = 21 + resetToken
-	// shortHeaderBit marks a packet with a short header and the fixed bit.
+	// shortHeaderBit is the first byte of a packet with a short header and the fixed
+	// bit.
 	shortHeaderBit = 0x40
-	// lowSecretBits hold the ID of the secret in a connection ID.
+	// lowSecretBits masks the ID of the data secret in a connection ID.
 	lowSecretBits = 0x07
 )
 
-// formerLife answers a packet of a flow that an earlier process at the very
-// same address held. That process is gone, since this one has its port, so its
-// callers are told at once by a stateless reset instead of waiting for their
-// idle timeout. It returns nil for any other packet.
-func (s *frameSocket) formerLife(datagram []byte) []byte {
+// staleFlowReset returns a stateless reset for a packet of a flow of an earlier
+// process at the same address, nil for any other packet. That process has exited,
+// since this one has its port. The reset spares the caller its idle timeout.
+func (s *frameSocket) staleFlowReset(datagram []byte) []byte {
 	header, ok := quicheader.Parse(datagram, connid.Length)
 	if !ok || header.Type != quicheader.Short || len(datagram) <= resetLength {
 		return nil
@@ -42,8 +43,8 @@
 	return statelessReset(resetKey(secret, named.Number, named.Incarnation), header.Destination)
 }
 
-// secretOf returns the secret that an ID was made with. The process that made
-// it derived its resets from the same one.
+// secretOf returns the data secret of a connection ID. The reset key of the process
+// that issued the ID was derived from the same secret.
 func (s *frameSocket) secretOf(id []byte) (connid.Secret, bool) {
 	for _, secret := range s.codecs.Load().secrets {
 		if secret.ID == id[0]&lowSecretBits {
@@ -53,8 +54,8 @@
 	return connid.Secret{}, false
 }
 
-// statelessReset returns the datagram by which a caller knows that its
-// connection is gone. The token is computed as quic-go does.
+// statelessReset returns a stateless reset packet. The token is computed as in
+// quic-go.
 func statelessReset(key *quic.StatelessResetKey, id []byte) []byte {
 	datagram := make([]byte, resetLength)
 	_, _ = crand.Read(datagram)
--- a/internal/agentd/sessions.go
+++ b/internal/agentd/sessions.go
@@ -13,18 +13,18 @@
 	"github.com/sourcegraph/conc"
 )
 
-// session is one caller's connection. Each has an HTTP/3 server of its own, so
-// that it can be told to go elsewhere apart from the others and none is lost
-// between the accept queue and the shutdown of a shared server.
+// session is the connection of one caller. Each has its own HTTP/3 server, so that it
+// can get GOAWAY separately and no connection is lost between the accept queue and
+// the shutdown of a shared server.
 type session struct {
 	conn    *quic.Conn
 	server  *http3.Server
 	started chan struct{}
 	ended   chan struct{}
 
-	active   atomic.Int64
-	leaving  atomic.Bool
-	lastBusy atomic.Int64
+	active     atomic.Int64
+	draining   atomic.Bool
+	lastActive atomic.Int64
 }
 
 // sessions holds the callers' connections.
@@ -33,17 +33,18 @@
 	clock   clock
 	timing  timing
 
-	// number is the length of open, for reads without the lock.
+	// number is len(open), for reads without the lock.
 	number atomic.Int64
 
 	mu   sync.Mutex
 	open map[*session]struct{}
-	// leaving is the share of the callers that are told to go elsewhere; from
-	// 1 on, new ones are as well.
-	leaving float64
-	// told counts the callers that were told, those that are gone included.
-	told int
-	wait conc.WaitGroup
+	// draining is the share of callers that get GOAWAY. At 1, new connections get it
+	// too.
+	draining float64
+	// goAwayCount is the number of callers that got GOAWAY, including closed
+	// connections.
+	goAwayCount int
+	wait        conc.WaitGroup
 }
 
 func newSessions(handler http.Handler, clock clock, timing timing) *sessions {
@@ -62,102 +63,102 @@
 }
 
 func (s *sessions) start(conn *quic.Conn) {
-	one := &session{conn: conn, started: make(chan struct{}), ended: make(chan struct{})}
-	one.lastBusy.Store(int64(s.clock.now()))
-	one.server = &http3.Server{
+	sess := &session{conn: conn, started: make(chan struct{}), ended: make(chan struct{})}
+	sess.lastActive.Store(int64(s.clock.now()))
+	sess.server = &http3.Server{
 		MaxHeaderBytes: maxHeaderBytes,
-		Handler:        one.counting(s.handler, s.clock),
+		Handler:        sess.counting(s.handler, s.clock),
 		ConnContext: func(ctx context.Context, _ *quic.Conn) context.Context {
-			close(one.started)
-			return context.WithValue(ctx, connectionKey{}, conn.Context())
+			close(sess.started)
+			return context.WithValue(ctx, connContextKey{}, conn.Context())
 		},
 	}
 	s.mu.Lock()
-	s.open[one] = struct{}{}
+	s.open[sess] = struct{}{}
 	s.number.Store(int64(len(s.open)))
-	leaving := s.leaving >= 1
+	draining := s.draining >= 1
 	s.mu.Unlock()
-	s.wait.Go(func() { s.serve(one) })
-	if leaving {
-		s.goAway(one)
+	s.wait.Go(func() { s.serve(sess) })
+	if draining {
+		s.sendGoAway(sess)
 	}
 }
 
 // serve runs until the connection and all its requests have ended.
-func (s *sessions) serve(one *session) {
-	_ = one.server.ServeQUICConn(one.conn)
-	_ = one.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
-	close(one.ended)
+func (s *sessions) serve(sess *session) {
+	_ = sess.server.ServeQUICConn(sess.conn)
+	_ = sess.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
+	close(sess.ended)
 	s.mu.Lock()
-	delete(s.open, one)
+	delete(s.open, sess)
 	s.number.Store(int64(len(s.open)))
 	s.mu.Unlock()
 }
 
-// counting wraps the handler so that the session knows its running requests.
-func (one *session) counting(next http.Handler, clock clock) http.Handler {
+// counting wraps the handler to count the running requests of the session.
+func (sess *session) counting(next http.Handler, clock clock) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		one.active.Add(1)
+		sess.active.Add(1)
 		defer func() {
-			one.lastBusy.Store(int64(clock.now()))
-			one.active.Add(-1)
+			sess.lastActive.Store(int64(clock.now()))
+			sess.active.Add(-1)
 		}()
 		next.ServeHTTP(w, r)
 	})
 }
 
-// setLeaving tells a share of the callers, from 0 to 1, to open new requests
-// elsewhere. A share of 1 holds for new connections as well.
-func (s *sessions) setLeaving(share float64) {
-	for _, one := range s.next(share) {
-		s.goAway(one)
+// updateDrain sends GOAWAY to a share, from 0 to 1, of the callers. At 1, new
+// connections get it too.
+func (s *sessions) updateDrain(share float64) {
+	for _, sess := range s.selectForGoAway(share) {
+		s.sendGoAway(sess)
 	}
 }
 
-// next returns the callers that are to be told now.
-func (s *sessions) next(share float64) []*session {
+// selectForGoAway returns the sessions to send GOAWAY to now.
+func (s *sessions) selectForGoAway(share float64) []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = share
+	s.draining = share
 	if share <= 0 {
-		s.told = 0
+		s.goAwayCount = 0
 		return nil
 	}
 	var staying []*session
-	for one := range s.open {
-		if !one.leaving.Load() {
-			staying = append(staying, one)
+	for sess := range s.open {
+		if !sess.draining.Load() {
+			staying = append(staying, sess)
 		}
 	}
-	more := int(math.Ceil(share*float64(s.told+len(staying)))) - s.told
+	more := int(math.Ceil(share*float64(s.goAwayCount+len(staying)))) - s.goAwayCount
 	more = min(max(more, 0), len(staying))
-	s.told += more
+	s.goAwayCount += more
 	return staying[:more]
 }
 
-// goAway sends GOAWAY on a connection. Requests under way go on, new ones are
-// refused in a way that tells the caller that they were not run.
-func (s *sessions) goAway(one *session) {
-	if one.leaving.Swap(true) {
+// sendGoAway sends GOAWAY on a connection. Requests in progress continue. New ones
+// are rejected with the HTTP/3 error that marks them as not processed.
+func (s *sessions) sendGoAway(sess *session) {
+	if sess.draining.Swap(true) {
 		return
 	}
-	one.lastBusy.Store(int64(s.clock.now()))
+	sess.lastActive.Store(int64(s.clock.now()))
 	s.wait.Go(func() {
 		select {
-		case <-one.started:
-			// No time limit: the session ends when its caller ends it.
-			_ = one.server.Shutdown(context.Background())
-		case <-one.ended:
+		case <-sess.started:
+			// No time limit: the session ends when the caller ends it.
+			_ = sess.server.Shutdown(context.Background())
+		case <-sess.ended:
 		}
 	})
 }
 
-// closeIdle closes connections that were told to go elsewhere and have had no
-// request since. A caller that follows the protocol closes them itself.
+// closeIdle closes connections that got GOAWAY and have had no request since. Callers
+// normally close them themselves.
 func (s *sessions) closeIdle() {
 	now := s.clock.now()
-	for _, one := range s.idle(now) {
-		_ = one.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
+	for _, sess := range s.idle(now) {
+		_ = sess.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 	}
 }
 
@@ -165,10 +166,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var idle []*session
-	for one := range s.open {
-		quiet := now-time.Duration(one.lastBusy.Load()) > s.timing.idleClose
-		if one.leaving.Load() && one.active.Load() == 0 && quiet {
-			idle = append(idle, one)
+	for sess := range s.open {
+		inactive := now-time.Duration(sess.lastActive.Load()) > s.timing.idleCloseTimeout
+		if sess.draining.Load() && sess.active.Load() == 0 && inactive {
+			idle = append(idle, sess)
 		}
 	}
 	return idle
@@ -179,11 +180,11 @@
 	return int(s.number.Load())
 }
 
-// closeAll ends every connection at once.
+// closeAll closes every connection.
 func (s *sessions) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for one := range s.open {
-		_ = one.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
+	for sess := range s.open {
+		_ = sess.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 	}
 }
--- a/internal/agentd/settings.go
+++ b/internal/agentd/settings.go
@@ -10,7 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// Defaults of the settings that are left at zero.
+// Defaults for settings that are 0.
 const (
 	defaultRequestBytes = 1 << 20
 	defaultQueue        = 50 * time.Millisecond
@@ -19,13 +19,13 @@
 	defaultFlows        = 285
 )
 
-// limits are the bounds that the settings name.
+// limits holds the bounds in the settings.
 type limits struct {
 	requestBytes int64
 	queue        time.Duration
 	deadline     time.Duration
 	poll         time.Duration
-	// flows count as a full target.
+	// flows is the number of flows of a fully loaded target.
 	flows int
 }
 
@@ -35,8 +35,7 @@
 		queue:        milliseconds(s.GetQueueMs(), defaultQueue),
 		deadline:     milliseconds(s.GetDefaultDeadlineMs(), defaultDeadline),
 		poll:         milliseconds(s.GetPollMs(), defaultPoll),
-		// 2,000 flows of a service over 7 targets.
-		flows: defaultFlows,
+		flows:        defaultFlows,
 	}
 	if n := s.GetFlowCapacity(); n > 0 {
 		l.flows = int(n)
@@ -54,8 +53,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// frameAddress returns the address that others send frames to: the one that
-// the settings name, else the one that was opened. Connection IDs name it.
+// frameAddress returns the address that others send frames to: the configured one,
+// else the local address. Connection IDs contain it.
 func frameAddress(s *settingspb.Agent, opened netip.AddrPort) (netip.AddrPort, error) {
 	text := s.GetFrameAddress()
 	if text == "" {
@@ -68,8 +67,8 @@
 	return address, nil
 }
 
-// openFrameSocket opens the address for frames. Connection IDs name it, so it
-// has to be one IPv4 number.
+// openFrameSocket opens the address for frames. It must be a single IPv4 address
+// because connection IDs contain it.
 func openFrameSocket(listen string) (*net.UDPConn, netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
--- a/internal/agentd/slot_test.go
+++ b/internal/agentd/slot_test.go
@@ -9,44 +9,42 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// A request that is shed gets its answer while the release of its right is
-// still under way.
-func TestShedRequestIsToldAtOnce(t *testing.T) {
+// A shed request does not wait for the release of its grant.
+func TestShedRequestDoesNotWaitForRelease(t *testing.T) {
 	is := is.New(t)
 	timing := testTiming()
-	timing.completeWait = time.Minute // longer than the test waits
-	w, _, backend := oneAgentWith(t, timing, func(s *settingspb.Agent) { s.QueueMs = 1000 })
+	timing.completeTimeout = time.Minute // longer than the test
+	tc, _, backend := startSingleAgentWith(t, timing, func(s *settingspb.Agent) { s.QueueMs = 1000 })
 	const slots = 4
 	var held []inFlight
 	for range slots {
-		held = append(held, start(t.Context(), w.client, "POST", w.url("/hold")))
+		held = append(held, start(t.Context(), tc.client, "POST", tc.url("/hold")))
 	}
-	eventually(t, "slots taken", func() bool { return backend.running.Load() == slots })
-	shed := start(t.Context(), w.client, "POST", w.url("/run"), headerKey, "k1")
-	eventually(t, "right granted", func() bool { return w.control.record("k1") != nil })
-	w.control.set(controlDeaf)
-	is.Equal((<-shed.got).header.Get(headerOutcome), "not-run")
-	eventually(t, "release", func() bool { return w.control.record("k1") == nil })
-	w.control.set(controlWell)
-	close(backend.hold)
+	eventually(t, "slots in use", func() bool { return backend.running.Load() == slots })
+	shed := start(t.Context(), tc.client, "POST", tc.url("/run"), headerKey, "k1")
+	eventually(t, "grant", func() bool { return tc.control.record("k1") != nil })
+	tc.control.set(controlLosesReplies)
+	is.Equal((<-shed.response).header.Get(headerOutcome), "not-run")
+	eventually(t, "released grant", func() bool { return tc.control.record("k1") == nil })
+	tc.control.set(controlUp)
+	close(backend.unblock)
 	for _, f := range held {
-		is.Equal((<-f.got).body, "held")
+		is.Equal((<-f.response).body, "held")
 	}
 }
 
-// The backend server is done when its answer is whole: its slot serves the next
-// request while the answer is recorded.
-func TestSlotIsFreeWhileTheAnswerIsRecorded(t *testing.T) {
+// The slot is released when the response is complete, before it is recorded.
+func TestSlotIsReleasedBeforeResponseIsRecorded(t *testing.T) {
 	is := is.New(t)
 	timing := testTiming()
-	timing.completeWait = time.Minute // longer than the test waits
-	w, a, backend := oneAgentWith(t, timing, nil)
-	held := backend.holdOne(t.Context(), t, w, "POST", headerKey, "k1")
-	is.Equal(a.gate.figures().running, 1)
-	w.control.set(controlDeaf)
-	close(backend.hold)
-	eventually(t, "slot given back", func() bool { return a.gate.figures().running == 0 })
-	is.Equal(len(held.got), 0) // the caller is told once the answer is recorded
-	w.control.set(controlWell)
-	is.Equal((<-held.got).body, "held")
+	timing.completeTimeout = time.Minute // longer than the test
+	tc, a, backend := startSingleAgentWith(t, timing, nil)
+	held := backend.startHeldRequest(t.Context(), t, tc, "POST", headerKey, "k1")
+	is.Equal(a.limiter.snapshot().running, 1)
+	tc.control.set(controlLosesReplies)
+	close(backend.unblock)
+	eventually(t, "released slot", func() bool { return a.limiter.snapshot().running == 0 })
+	is.Equal(len(held.response), 0) // the response is sent after it is recorded
+	tc.control.set(controlUp)
+	is.Equal((<-held.response).body, "held")
 }
