--- a/internal/agentd/socket.go
+++ b/internal/agentd/socket.go
@@ -16,33 +16,31 @@
 	"eelgrasswharf.example/eelgrasswharf/reason"
 )
 
-// maxFrame is the largest frame that the agent reads.
+// maxFrame is the size of the largest frame in bytes.
 const maxFrame = 2048
 
-// targetState is what the agent tells entry hosts in each reply.
+// targetState is the state reported to entry hosts in each reply.
 type targetState struct {
-	// load is an average, by which entry hosts choose; present is the load of
-	// the last check, by which the agent hands flows on.
-	load     uint16
-	present  uint16
-	draining bool
-	ill      bool
+	// load uses the average requests. Entry hosts select targets by it. currentLoad is
+	// the load at the last check, which decides about redirects.
+	load        uint16
+	currentLoad uint16
+	draining    bool
+	unhealthy   bool
 }
 
-// loadBasis is what the load is made of but for the flows, which change from
-// one frame to the next.
-type loadBasis health.LoadInput
+// loadInput is the input of the load without the flows, which change with each frame.
+type loadInput health.LoadInput
 
-// load returns the load with the flows that are open now. A figure that told
-// of them later would draw all new flows of that time to the same target.
-func (b loadBasis) load(flows int) uint16 {
+// load returns the load for the given number of open flows. The current number is
+// used because a delayed load would attract all new flows to one target.
+func (b loadInput) load(flows int) uint16 {
 	b.Flows = flows
 	return health.Load(health.LoadInput(b))
 }
 
-// frameSocket carries the callers' datagrams in frames from and to entry
-// hosts. It implements net.PacketConn for quic-go, which sees the callers'
-// own addresses.
+// frameSocket exchanges the callers' datagrams with entry hosts as frames. It
+// implements net.PacketConn for quic-go, which sees the callers' addresses.
 type frameSocket struct {
 	conn     *net.UDPConn
 	codecs   atomic.Pointer[codecs]
@@ -51,17 +49,17 @@
 	clock    clock
 	counters *counters
 	state    func() targetState
-	// elsewhere returns where to hand on a first packet, if not taken here.
-	elsewhere func(h *frame.Header) (netip.AddrPort, bool)
+	// redirectAddress returns where to redirect a first packet, if at all.
+	redirectAddress func(h *frame.Header) (netip.AddrPort, bool)
 
-	// Used by the one goroutine that reads.
+	// Used by the reading goroutine only.
 	in     [maxFrame]byte
 	header frame.Header
 
 	buffers sync.Pool
 }
 
-// codecs are made of one list of data secrets.
+// codecs holds the codecs for one list of data secrets.
 type codecs struct {
 	frames  *frame.Codec
 	ids     *connid.Codec
@@ -74,8 +72,8 @@
 	return s, s.setSecrets(secrets)
 }
 
-// setSecrets changes the data secrets. Flows go on as long as the list holds
-// the secrets that their connection IDs were made with.
+// setSecrets changes the data secrets. Flows continue while the list contains the
+// secret of their connection IDs.
 func (s *frameSocket) setSecrets(secrets []connid.Secret) error {
 	frames, err := frame.NewCodec(secrets)
 	if err != nil {
@@ -89,8 +87,7 @@
 	return nil
 }
 
-// ReadFrom implements net.PacketConn. It returns the next datagram that is
-// meant for this target.
+// ReadFrom implements net.PacketConn. It returns the next datagram for this target.
 func (s *frameSocket) ReadFrom(p []byte) (int, net.Addr, error) {
 	for {
 		n, entry, err := s.conn.ReadFromUDPAddrPort(s.in[:])
@@ -106,8 +103,8 @@
 	}
 }
 
-// receive checks one frame. It returns a nil flow for a frame that is refused
-// or handed on.
+// receive validates one frame. It returns a nil flow for a frame that is refused or
+// redirected.
 func (s *frameSocket) receive(data []byte, entry netip.AddrPort) (*flow, []byte) {
 	s.counters.frames.Inc(1)
 	h := &s.header
@@ -118,34 +115,34 @@
 	datagram := data[frame.HeaderLength:]
 	if why := s.check(h, datagram); why != reason.None {
 		s.counters.count(why)
-		s.answerFormerLife(h, datagram, entry)
+		s.resetStaleFlow(h, datagram, entry)
 		return nil, nil
 	}
 	if h.Kind == frame.First {
-		entry = entryOf(h, entry)
-		if s.passOn(h, data, entry) {
+		entry = entryHostOf(h, entry)
+		if s.redirect(h, data, entry) {
 			return nil, nil
 		}
 	}
 	key := flowKey{caller: h.Caller, public: h.Public}
-	return s.flows.heard(key, entry, s.clock.now(), h.Kind == frame.Forward), datagram
+	return s.flows.received(key, entry, s.clock.now(), h.Kind == frame.Forward), datagram
 }
 
-// answerFormerLife resets a flow of an earlier process at this address.
-func (s *frameSocket) answerFormerLife(h *frame.Header, datagram []byte, entry netip.AddrPort) {
+// resetStaleFlow resets a flow of an earlier process at this address.
+func (s *frameSocket) resetStaleFlow(h *frame.Header, datagram []byte, entry netip.AddrPort) {
 	if h.Kind != frame.Forward {
 		return
 	}
-	reset := s.formerLife(datagram)
+	reset := s.staleFlowReset(datagram)
 	if reset == nil {
 		return
 	}
-	s.counters.formerLives.Inc(1)
+	s.counters.staleFlows.Inc(1)
 	s.send(reset, newFlow(flowKey{caller: h.Caller, public: h.Public}), entry)
 }
 
-// check tells why a frame is not for this target. A frame that names it in the
-// header only is refused too: the connection ID within the datagram decides.
+// check returns why a frame is not for this target. The connection ID in the datagram
+// must name the target, not only the frame header.
 func (s *frameSocket) check(h *frame.Header, datagram []byte) reason.Code {
 	switch h.Kind {
 	case frame.First:
@@ -157,8 +154,7 @@
 	}
 }
 
-// checkFirst holds a first packet to the service of the public address: it
-// names no target yet.
+// checkFirst validates a first packet. It names a service but no target.
 func (s *frameSocket) checkFirst(h *frame.Header, datagram []byte) reason.Code {
 	if h.Service != s.self.serviceNumber {
 		return reason.FrameService
@@ -170,10 +166,9 @@
 	return reason.None
 }
 
-// checkForward holds a packet of an established flow to its connection ID,
-// which only this process issues. The service of the public address is not
-// asked for: the address may have passed to another service, or be retired,
-// while the flow goes on.
+// checkForward validates a packet of an established flow by its connection ID, which
+// only this process issues. It ignores the service of the public address, which may
+// have been reassigned or removed while the flow continues.
 func (s *frameSocket) checkForward(h *frame.Header, datagram []byte) reason.Code {
 	if h.Target != s.self.number {
 		return reason.FrameTarget
@@ -192,20 +187,20 @@
 	return reason.None
 }
 
-// entryOf returns the entry host that a first packet came through. A frame that
-// another agent handed on names it in place of the alternate.
-func entryOf(h *frame.Header, sender netip.AddrPort) netip.AddrPort {
+// entryHostOf returns the entry host of a first packet. A redirected frame carries it
+// in the alternate field.
+func entryHostOf(h *frame.Header, sender netip.AddrPort) netip.AddrPort {
 	if h.Hops > 0 && h.Alternate.IsValid() {
 		return h.Alternate
 	}
 	return sender
 }
 
-// passOn hands a first packet on to another target and reports whether it did.
-// The frame then names the entry host, through which the other agent answers. The
-// entry host also gets a report of this target, which would look silent otherwise.
-func (s *frameSocket) passOn(h *frame.Header, data []byte, entry netip.AddrPort) bool {
-	to, ok := s.elsewhere(h)
+// redirect sends a first packet to another target and reports whether it did. The
+// frame then carries the entry host for the replies of that target. The entry host
+// gets a report from this target, which would look unresponsive otherwise.
+func (s *frameSocket) redirect(h *frame.Header, data []byte, entry netip.AddrPort) bool {
+	to, ok := s.redirectAddress(h)
 	if !ok {
 		return false
 	}
@@ -225,7 +220,7 @@
 	if !ok || len(p)+frame.HeaderLength > maxFrame {
 		return 0, errors.Wrap(ErrNoEntryHost, "address")
 	}
-	entry, lastResort, ok := s.flows.next(f, s.clock.now())
+	entry, lastResort, ok := s.flows.nextEntryHost(f, s.clock.now())
 	if !ok {
 		return 0, ErrNoEntryHost
 	}
@@ -236,15 +231,14 @@
 	return len(p), nil
 }
 
-// send writes one datagram for a caller.
+// send sends one datagram to a caller.
 func (s *frameSocket) send(p []byte, f *flow, entry netip.AddrPort) {
 	s.counters.datagrams.Inc(1)
 	s.write(p, f.key, entry)
 }
 
-// write writes one reply frame, which without a datagram is a report. A failure to
-// send is a lost packet, which QUIC mends; reported as an error it would end the
-// caller's connection.
+// write sends one reply frame. Without a datagram it is a report. Errors are ignored,
+// as QUIC recovers from lost packets but would close the connection on an error.
 func (s *frameSocket) write(p []byte, key flowKey, entry netip.AddrPort) {
 	buffer := s.buffers.Get().(*[maxFrame]byte)
 	defer s.buffers.Put(buffer)
@@ -258,7 +252,7 @@
 		Incarnation: s.self.incarnation,
 		Load:        state.load,
 		Draining:    state.draining,
-		Unhealthy:   state.ill,
+		Unhealthy:   state.unhealthy,
 	}
 	s.codecs.Load().frames.Put(buffer[:], &h)
 	n := copy(buffer[frame.HeaderLength:], p)
@@ -280,8 +274,8 @@
 // SetWriteDeadline implements net.PacketConn.
 func (s *frameSocket) SetWriteDeadline(t time.Time) error { return s.conn.SetWriteDeadline(t) }
 
-// SetReadBuffer lets quic-go size the buffer of the socket.
+// SetReadBuffer lets quic-go set the receive buffer size.
 func (s *frameSocket) SetReadBuffer(bytes int) error { return s.conn.SetReadBuffer(bytes) }
 
-// SetWriteBuffer lets quic-go size the buffer of the socket.
+// SetWriteBuffer lets quic-go set the send buffer size.
 func (s *frameSocket) SetWriteBuffer(bytes int) error { return s.conn.SetWriteBuffer(bytes) }
--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -21,7 +21,7 @@
 	registeredMessage = "target registered"
 	// takingMessage is the log message of an agent that takes new flows from
 	// now on, or no more.
-	takingMessage = "taking new flows"
+	takingMessage = "accepting new flows"
 
 	// backendAge is the gauge of the backend server's age.
 	backendAge = "backend_age"
