--- a/internal/backend/announce.go
+++ b/internal/backend/announce.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// firstRetry is the pause before another attempt while the agent has
-	// not yet taken an announcement, for instance because it starts later.
-	firstRetry = 200 * time.Millisecond
+	// retryInterval is the delay after an announcement that the agent did not accept,
+	// for example because it has not started yet.
+	retryInterval = 200 * time.Millisecond
 	// announceTimeout bounds one announcement.
 	announceTimeout = 2 * time.Second
 )
 
-// State is what a server says of itself to its agent.
+// State is the state that a server announces.
 type State string
 
 // States of a server.
@@ -42,79 +42,79 @@
 	AgeMS int64 `json:"age_ms"`
 }
 
-// ErrAnnouncement reports an announcement that the agent did not take.
-var ErrAnnouncement = errors.New("the agent did not take the announcement")
+// ErrAnnouncement reports an announcement that the agent did not accept.
+var ErrAnnouncement = errors.New("announcement not accepted")
 
-// announcer tells the agent about the server, again and again.
+// announcer periodically announces the server to its agent.
 type announcer struct {
 	url    string
 	period time.Duration
 	log    *zap.Logger
 	client http.Client
-	// changed asks for an announcement at once; the channel is closed when
-	// that one was taken.
-	changed chan chan struct{}
+	// announceRequests requests an immediate announcement. The received channel is
+	// closed when it was accepted.
+	announceRequests chan chan struct{}
 	// done is closed when run returns.
 	done chan struct{}
 }
 
 func newAnnouncer(address string, period time.Duration, log *zap.Logger) *announcer {
 	return &announcer{
-		url:     "http://" + address + "/announce",
-		period:  period,
-		log:     log,
-		changed: make(chan chan struct{}),
-		done:    make(chan struct{}),
+		url:              "http://" + address + "/announce",
+		period:           period,
+		log:              log,
+		announceRequests: make(chan chan struct{}),
+		done:             make(chan struct{}),
 	}
 }
 
-// run announces what current returns until ctx ends.
+// run announces the result of current until ctx ends.
 func (a *announcer) run(ctx context.Context, current func() Announcement) {
 	defer close(a.done)
-	taken := false
+	accepted := false
 	var waiting []chan struct{}
 	for {
 		err := a.post(ctx, current())
 		if ctx.Err() != nil {
 			return
 		}
-		if ok := err == nil; ok != taken {
-			taken = ok
-			a.log.Info("announcement", zap.Bool("taken", ok), zap.Error(err))
+		if ok := err == nil; ok != accepted {
+			accepted = ok
+			a.log.Info("announcement status changed", zap.Bool("accepted", ok), zap.Error(err))
 		}
-		if taken {
+		if accepted {
 			for _, w := range waiting {
 				close(w)
 			}
 			waiting = nil
 		}
-		pause := a.period
-		if !taken {
-			pause = min(firstRetry, a.period)
+		delay := a.period
+		if !accepted {
+			delay = min(retryInterval, a.period)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-a.changed:
+		case w := <-a.announceRequests:
 			waiting = append(waiting, w)
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// announceNow waits until the agent took an announcement made after the call,
+// announceNow waits until the agent has accepted an announcement made after the call,
 // or the server was closed.
 func (a *announcer) announceNow(ctx context.Context) error {
-	taken := make(chan struct{})
+	accepted := make(chan struct{})
 	select {
-	case a.changed <- taken:
+	case a.announceRequests <- accepted:
 	case <-a.done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case <-taken:
+	case <-accepted:
 		return nil
 	case <-a.done:
 		return nil
@@ -123,10 +123,10 @@
 	}
 }
 
-func (a *announcer) post(ctx context.Context, what Announcement) error {
+func (a *announcer) post(ctx context.Context, announcement Announcement) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	body, err := json.Marshal(what)
+	body, err := json.Marshal(announcement)
 	if err != nil {
 		return errors.Wrap(err, "encode announcement")
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-// call returns the answer and the error of reading its body.
+// call returns the response, its body and the error of reading the body.
 func call(t *testing.T, method, url, body string, header http.Header) (*http.Response, string, error) {
 	t.Helper()
 	is := is.New(t)
@@ -53,53 +53,53 @@
 	return res.StatusCode, text
 }
 
-// agent is a fake that takes announcements.
-type agent struct {
+// fakeAgent accepts announcements.
+type fakeAgent struct {
 	*httptest.Server
-	mu   sync.Mutex
-	seen []backend.Announcement
-	deny bool
+	mu            sync.Mutex
+	announcements []backend.Announcement
+	refuse        bool
 }
 
-func newAgent(t *testing.T) *agent {
-	a := &agent{}
+func newFakeAgent(t *testing.T) *fakeAgent {
+	a := &fakeAgent{}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var what backend.Announcement
-		if json.NewDecoder(r.Body).Decode(&what) != nil || r.URL.Path != "/announce" {
+		var announcement backend.Announcement
+		if json.NewDecoder(r.Body).Decode(&announcement) != nil || r.URL.Path != "/announce" {
 			http.Error(w, "bad", http.StatusBadRequest)
 			return
 		}
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if a.deny {
+		if a.refuse {
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 			return
 		}
-		a.seen = append(a.seen, what)
+		a.announcements = append(a.announcements, announcement)
 	}))
 	t.Cleanup(a.Close)
 	return a
 }
 
-func (a *agent) address() string { return strings.TrimPrefix(a.URL, "http://") }
+func (a *fakeAgent) address() string { return strings.TrimPrefix(a.URL, "http://") }
 
-func (a *agent) setDeny(deny bool) {
+func (a *fakeAgent) setRefuse(refuse bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.deny = deny
+	a.refuse = refuse
 }
 
-func (a *agent) last() (backend.Announcement, bool) {
+func (a *fakeAgent) last() (backend.Announcement, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.seen) == 0 {
+	if len(a.announcements) == 0 {
 		return backend.Announcement{}, false
 	}
-	return a.seen[len(a.seen)-1], true
+	return a.announcements[len(a.announcements)-1], true
 }
 
-// await polls until ok; the test's own time limit ends a wait in vain.
-func await(t *testing.T, ok func() bool) {
+// eventually polls until ok. Only the timeout of the test binary bounds it.
+func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for !ok() {
 		time.Sleep(time.Millisecond)
@@ -125,7 +125,7 @@
 	is.Equal(text, "0")
 }
 
-func TestFullServerSaysNotRun(t *testing.T) {
+func TestFullServerReportsNotRun(t *testing.T) {
 	is := is.New(t)
 	s := start(t, backend.Options{Slots: 1})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -137,19 +137,19 @@
 			res.Body.Close()
 		}
 	})
-	await(t, func() bool { return s.Running() == 1 })
+	eventually(t, func() bool { return s.Running() == 1 })
 	res, _, err := call(t, http.MethodPost, s.URL()+"/run", "", http.Header{"Idempotency-Key": {"k"}})
 	is.NoErr(err)
 	is.Equal(res.StatusCode, 503)
 	is.Equal(res.Header.Get("Request-Outcome"), "not-run")
 	is.Equal(res.Header.Get("Request-Reason"), "full")
 	is.Equal(s.RunCount("k"), 0)
-	cancel() // the closing of the connection cancels the work
+	cancel() // closing the connection cancels the work
 	wg.Wait()
-	await(t, func() bool { return s.Running() == 0 })
+	eventually(t, func() bool { return s.Running() == 0 })
 }
 
-func TestDeadlineEndsWork(t *testing.T) {
+func TestDeadlineCancelsWork(t *testing.T) {
 	is := is.New(t)
 	s := start(t, backend.Options{})
 	res, _, err := call(t, http.MethodPost, s.URL()+"/run?ms=600000", "", http.Header{"Request-Timeout": {"5"}})
@@ -158,7 +158,7 @@
 	is.Equal(s.Running(), 0)
 }
 
-func TestLyingEndpoints(t *testing.T) {
+func TestWrongEndpointReports(t *testing.T) {
 	is := is.New(t)
 	s := start(t, backend.Options{Slots: 3})
 	is.NoErr(s.SetFaults(backend.Faults{Health: backend.HealthAlwaysUp, Broken: true, Load: backend.LoadFull}))
@@ -178,7 +178,7 @@
 	is.Equal(status, 503) // honest
 }
 
-func TestFrozenHealth(t *testing.T) {
+func TestHangingHealthEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := start(t, backend.Options{Faults: backend.Faults{Health: backend.HealthHang}})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
@@ -189,7 +189,7 @@
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-func TestTruncatedAnswer(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	is := is.New(t)
 	s := start(t, backend.Options{Faults: backend.Faults{TruncateEvery: 2}})
 	_, text, err := call(t, http.MethodGet, s.URL()+"/echo?text=whole", "", nil)
@@ -199,7 +199,7 @@
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 }
 
-func TestCrossedAnswer(t *testing.T) {
+func TestStrayResponse(t *testing.T) {
 	is := is.New(t)
 	s := start(t, backend.Options{Faults: backend.Faults{CrossEvery: 1}})
 	conn := dial(t, s.URL())
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestLateAnswerStillCounts(t *testing.T) {
+func TestLateResponseStillCountsRun(t *testing.T) {
 	s := start(t, backend.Options{Faults: backend.Faults{LateEvery: 1, LateBy: time.Hour}})
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
@@ -226,7 +226,7 @@
 			res.Body.Close()
 		}
 	})
-	await(t, func() bool { return s.RunCount("k") == 1 })
+	eventually(t, func() bool { return s.RunCount("k") == 1 })
 	cancel()
 	wg.Wait()
 }
--- a/internal/backend/cold_test.go
+++ b/internal/backend/coldstart_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestColdStartStretchesWork(t *testing.T) {
+func TestColdStartScalesWork(t *testing.T) {
 	const work = 10 * time.Millisecond
 	cold := ColdStart{Duration: 2 * time.Second, Slowdown: 5}
 	for _, tt := range []struct {
@@ -23,7 +23,7 @@
 		{"no slowdown", ColdStart{Duration: time.Second, Slowdown: 0.5}, 0, work},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			is.New(t).Equal(tt.cold.stretch(work, tt.age), tt.want)
+			is.New(t).Equal(tt.cold.scale(work, tt.age), tt.want)
 		})
 	}
 }
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,18 +1,17 @@
 // Package backend is the built-in backend server for development and tests.
 //
-// It speaks the protocol that an agent expects of a backend server on its own
-// host: it announces itself, answers health and load polls, refuses work
-// beyond its slots with an explicit "not run", honours deadlines and
-// cancellation, and drains. Faults make it misbehave in the ways that backend
-// servers of several vendors do.
+// It implements the protocol that an agent expects of its backend server: it
+// announces itself, responds to health and load polls, refuses work beyond its slots
+// with an explicit "not run", honors deadlines and cancellation, and drains. Faults
+// make it misbehave like faulty backend servers.
 //
 // Paths:
 //
-//	GET  /echo?text=T&ms=N  answers T, after N milliseconds
+//	GET  /echo?text=T&ms=N  returns T after N milliseconds
 //	POST /run?ms=N          counts a run under Idempotency-Key, works for N
-//	                        milliseconds, answers the body of the request
+//	                        milliseconds, returns the body of the request
 //	GET  /watch?ms=N        streams a line "event I" every N milliseconds
-//	GET  /runs?key=K        answers how often K ran, as a decimal number
-//	GET  /health            200 when well, 503 when ill
+//	GET  /runs?key=K        returns the number of runs of K in decimal
+//	GET  /health            200 when healthy, 503 when unhealthy
 //	GET  /load              {"running":N,"slots":N}
 package backend
--- a/internal/backend/drain_test.go
+++ b/internal/backend/drain_test.go
@@ -24,18 +24,17 @@
 	return conn
 }
 
-func TestAnnouncesUntilTaken(t *testing.T) {
+func TestAnnouncesUntilAccepted(t *testing.T) {
 	is := is.New(t)
-	a := newAgent(t)
-	a.setDeny(true)
+	a := newFakeAgent(t)
+	a.setRefuse(true)
 	before := time.Now()
 	s := start(t, backend.Options{
 		Service: "lodgement", Target: "l-1", Announce: a.address(), Slots: 2, AnnouncePeriod: time.Millisecond,
 	})
-	a.setDeny(false)
-	await(t, func() bool { _, ok := a.last(); return ok })
+	a.setRefuse(false)
+	eventually(t, func() bool { _, ok := a.last(); return ok })
 	got, _ := a.last()
-	// The age is that of the server, which was made after before.
 	is.True(got.AgeMS >= 0)
 	is.True(got.AgeMS <= time.Since(before).Milliseconds())
 	got.AgeMS = 0
@@ -45,9 +44,9 @@
 	})
 }
 
-func TestDrainWaitsForWatchAndWork(t *testing.T) {
+func TestDrainWaitsForWatchesAndRequests(t *testing.T) {
 	is := is.New(t)
-	a := newAgent(t)
+	a := newFakeAgent(t)
 	s := start(t, backend.Options{Announce: a.address(), AnnouncePeriod: time.Hour, DrainGrace: time.Hour})
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, s.URL()+"/watch?ms=1", nil)
 	is.NoErr(err)
@@ -61,11 +60,11 @@
 	drained := make(chan error, 1)
 	var wg conc.WaitGroup
 	wg.Go(func() { drained <- s.Drain(t.Context()) })
-	await(t, func() bool {
+	eventually(t, func() bool {
 		last, ok := a.last()
 		return ok && last.State == backend.StateDraining
 	})
-	for range 10 { // the watch goes on through the drain
+	for range 10 { // the watch continues while draining
 		_, err = lines.ReadString('\n')
 		is.NoErr(err)
 	}
@@ -74,7 +73,7 @@
 	is.Equal(text, "within the grace")
 	select {
 	case <-drained:
-		t.Fatal("drained before the watch ended")
+		t.Fatal("drained before the end of the watch")
 	default:
 	}
 	res.Body.Close()
@@ -89,13 +88,13 @@
 	is.NoErr(err)
 	res, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
-	await(t, func() bool { return s.Watching() == 1 })
+	eventually(t, func() bool { return s.Watching() == 1 })
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = s.Drain(t.Context()) })
-	await(t, func() bool {
-		answer, _, err := call(t, http.MethodPost, s.URL()+"/run", "", http.Header{"Idempotency-Key": {"k"}})
+	eventually(t, func() bool {
+		response, _, err := call(t, http.MethodPost, s.URL()+"/run", "", http.Header{"Idempotency-Key": {"k"}})
 		is.NoErr(err)
-		return answer.StatusCode == 503 && answer.Header.Get("Request-Reason") == "draining"
+		return response.StatusCode == 503 && response.Header.Get("Request-Reason") == "draining"
 	})
 	is.True(s.LateRequests() > 0)
 	res.Body.Close()
@@ -104,7 +103,7 @@
 
 func TestDrainEndsWithContext(t *testing.T) {
 	is := is.New(t)
-	s := start(t, backend.Options{Announce: "127.0.0.1:1"}) // nobody takes the announcement
+	s := start(t, backend.Options{Announce: "127.0.0.1:1"}) // no agent
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	is.True(errors.Is(s.Drain(ctx), context.Canceled))
@@ -114,5 +113,5 @@
 	is := is.New(t)
 	s := start(t, backend.Options{Announce: "127.0.0.1:1", DrainGrace: time.Millisecond})
 	is.NoErr(s.Drain(t.Context()))
-	is.NoErr(s.Drain(t.Context())) // again is harmless
+	is.NoErr(s.Drain(t.Context())) // has no effect on a closed server
 }
--- a/internal/backend/faults.go
+++ b/internal/backend/faults.go
@@ -6,59 +6,58 @@
 	"github.com/go-faster/errors"
 )
 
-// HealthMode says how the health endpoint answers.
+// HealthMode is the behavior of the health endpoint.
 type HealthMode string
 
 // Modes of the health endpoint.
 const (
-	// HealthHonest is ill while Broken is set, and well otherwise.
+	// HealthHonest is unhealthy while Faults.Broken is set, healthy otherwise.
 	HealthHonest     HealthMode = "honest"
 	HealthAlwaysUp   HealthMode = "well"
 	HealthAlwaysDown HealthMode = "ill"
-	// HealthHang takes the poll and never answers.
+	// HealthHang accepts the poll and never responds.
 	HealthHang HealthMode = "frozen"
 )
 
-// LoadMode says how the load endpoint answers.
+// LoadMode is the behavior of the load endpoint.
 type LoadMode string
 
 // Modes of the load endpoint.
 const (
 	LoadHonest LoadMode = "honest"
-	// LoadIdle claims that nothing runs.
+	// LoadIdle reports no running requests.
 	LoadIdle LoadMode = "idle"
-	// LoadFull claims that every slot is taken.
+	// LoadFull reports that all slots are in use.
 	LoadFull LoadMode = "full"
-	// LoadStale repeats the first figure for ever.
+	// LoadStale repeats the first reported value.
 	LoadStale LoadMode = "stale"
 )
 
 // ErrFault reports an unknown mode.
 var ErrFault = errors.New("unknown fault mode")
 
-// Faults are the ways in which a server misbehaves. The zero value is a
-// server without faults. A field ...Every of N hits every Nth request for
-// work (echo and run), 0 hits none.
+// Faults configures the misbehavior of a server. The zero value is a server without
+// faults. A field ...Every of N affects every Nth request for work (echo and run), 0
+// affects none.
 type Faults struct {
 	Health HealthMode
 	Load   LoadMode
-	// Age is the least age that the server claims.
+	// Age is the least age that the server reports.
 	Age time.Duration
-	// Broken answers 500 to requests for work, without running them.
+	// Broken responds with 500 to requests for work without running them.
 	Broken bool
-	// LateEvery holds an answer back for LateBy after the work is done.
+	// LateEvery delays a response by LateBy after the work is done.
 	LateEvery uint64
 	LateBy    time.Duration
-	// TruncateEvery announces a longer body than it sends and closes the
-	// connection in the middle.
+	// TruncateEvery declares a longer body than it sends and closes the connection.
 	TruncateEvery uint64
-	// CrossEvery follows an answer with a second one that nobody asked for,
-	// on the same connection, where a client that reuses the connection
-	// takes it for the answer to its next request.
+	// CrossEvery sends a second, unsolicited response on the same connection. A
+	// client that reuses the connection may take it for the response to its next
+	// request.
 	CrossEvery uint64
 }
 
-// Validate returns ErrFault for an unknown mode. Empty modes are honest.
+// Validate returns ErrFault for an unknown mode. An empty mode means honest.
 func (f Faults) Validate() error {
 	switch f.Health {
 	case "", HealthHonest, HealthAlwaysUp, HealthAlwaysDown, HealthHang:
@@ -73,7 +72,7 @@
 	return nil
 }
 
-// hits tells whether the nth request, counted from 1, is one of every.
-func hits(every, n uint64) bool {
+// selected reports whether a fault affects the nth request, counted from 1.
+func selected(every, n uint64) bool {
 	return every > 0 && n%every == 0
 }
--- a/internal/backend/handlers.go
+++ b/internal/backend/handlers.go
@@ -17,39 +17,39 @@
 	loadPath   = "/load"
 
 	// Headers of the backend server protocol.
-	headerOutcome = "Request-Outcome"
-	headerReason  = "Request-Reason"
-	headerTimeOut = "Request-Timeout"
-	headerKey     = "Idempotency-Key"
-	outcomeNotRun = "not-run"
+	headerOutcome        = "Request-Outcome"
+	headerReason         = "Request-Reason"
+	headerRequestTimeout = "Request-Timeout"
+	headerKey            = "Idempotency-Key"
+	outcomeNotRun        = "not-run"
 
 	maxBody       = 16 << 20
 	defaultWatch  = time.Second
-	crossLinger   = 200 * time.Millisecond
-	strayAnswer   = "an answer to another request"
+	strayLinger   = 200 * time.Millisecond
+	strayResponse = "an answer to another request"
 	retryAfterSec = "1"
 )
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /echo", s.working(s.echo))
-	mux.HandleFunc("POST /run", s.working(s.run))
+	mux.HandleFunc("GET /echo", s.withAdmission(s.echo))
+	mux.HandleFunc("POST /run", s.withAdmission(s.run))
 	mux.HandleFunc("GET /watch", s.watch)
-	mux.HandleFunc("GET /runs", s.countRuns)
+	mux.HandleFunc("GET /runs", s.handleRuns)
 	mux.HandleFunc("GET "+healthPath, s.health)
 	mux.HandleFunc("GET "+loadPath, s.load)
 	return mux
 }
 
-// worker does the work of one request and returns its answer. It returns an
-// error when ctx ended first.
+// worker does the work of one request and returns the response body. It returns an
+// error if ctx ends first.
 type worker func(ctx context.Context, r *http.Request, body []byte) ([]byte, error)
 
-// working wraps a worker with admission, deadline and answer faults.
-func (s *Server) working(w worker) http.HandlerFunc {
+// withAdmission wraps a worker with admission, deadline and response faults.
+func (s *Server) withAdmission(w worker) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		faults := s.currentFaults()
-		number := s.work.Add(1)
+		number := s.requestCount.Add(1)
 		if reason := s.admit(faults); reason != "" {
 			refuse(rw, reason)
 			return
@@ -66,22 +66,22 @@
 			return
 		}
 		defer cancel()
-		answer, err := w(ctx, r, body)
-		if err == nil && hits(faults.LateEvery, number) {
+		response, err := w(ctx, r, body)
+		if err == nil && selected(faults.LateEvery, number) {
 			err = sleep.For(r.Context(), faults.LateBy)
 		}
 		if err != nil {
 			http.Error(rw, "the deadline passed during the work", http.StatusGatewayTimeout)
 			return
 		}
-		writeAnswer(rw, answer, hits(faults.TruncateEvery, number), hits(faults.CrossEvery, number))
+		writeResponse(rw, response, selected(faults.TruncateEvery, number), selected(faults.CrossEvery, number))
 	}
 }
 
-// admit takes a slot or returns the reason why the request is not run.
+// admit acquires a slot or returns the reason why the request is refused.
 func (s *Server) admit(f Faults) string {
-	if from := s.drainFrom.Load(); from != nil && time.Since(*from) > s.opts.DrainGrace {
-		s.lateNew.Add(1)
+	if from := s.drainStart.Load(); from != nil && time.Since(*from) > s.opts.DrainGrace {
+		s.lateRequests.Add(1)
 		return "draining"
 	}
 	if f.Broken {
@@ -94,8 +94,8 @@
 	return ""
 }
 
-// refuse answers a request that was not run. A broken server does not keep to
-// the protocol: it answers a plain 500.
+// refuse responds to a request that was not run. A broken server responds with a
+// plain 500.
 func refuse(rw http.ResponseWriter, reason string) {
 	if reason == "broken" {
 		http.Error(rw, "broken", http.StatusInternalServerError)
@@ -107,9 +107,9 @@
 	http.Error(rw, "not run: "+reason, http.StatusServiceUnavailable)
 }
 
-// deadline is the context of the request, ended by its Request-Timeout.
+// deadline returns the context of the request with the timeout in Request-Timeout.
 func deadline(r *http.Request) (context.Context, context.CancelFunc, error) {
-	text := r.Header.Get(headerTimeOut)
+	text := r.Header.Get(headerRequestTimeout)
 	if text == "" {
 		ctx, cancel := context.WithCancel(r.Context())
 		return ctx, cancel, nil
@@ -127,21 +127,20 @@
 	return []byte(r.URL.Query().Get("text")), err
 }
 
-// workTime is how long the work of a request takes now.
+// workTime returns the current duration of the work of a request.
 func (s *Server) workTime(r *http.Request) time.Duration {
-	return s.opts.Cold.stretch(milliseconds(r, 0), time.Since(s.began))
+	return s.opts.Cold.scale(milliseconds(r, 0), time.Since(s.startTime))
 }
 
-// run counts before it works: whoever asks later has to learn of a run that
-// was cut off in the middle. A request that may be repeated is counted under
-// the parameter key.
+// run counts the run before it works, so that interrupted runs count too. A request
+// without an idempotency key may be counted under the query parameter key.
 func (s *Server) run(ctx context.Context, r *http.Request, body []byte) ([]byte, error) {
 	key := r.Header.Get(headerKey)
 	if key == "" {
 		key = r.URL.Query().Get("key")
 	}
 	if key != "" {
-		if err := s.runs.add(key); err != nil {
+		if err := s.runLog.add(key); err != nil {
 			return nil, err
 		}
 	}
@@ -153,7 +152,7 @@
 	s.watching.Add(1)
 	defer s.watching.Add(-1)
 	period := max(milliseconds(r, defaultWatch), time.Millisecond)
-	// By this type an agent knows an answer without an end.
+	// Agents recognize an endless response by this type.
 	rw.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(rw)
 	for i := 1; ; i++ {
@@ -169,23 +168,23 @@
 	}
 }
 
-func (s *Server) countRuns(rw http.ResponseWriter, r *http.Request) {
-	fmt.Fprint(rw, s.runs.Count(r.URL.Query().Get("key")))
+func (s *Server) handleRuns(rw http.ResponseWriter, r *http.Request) {
+	fmt.Fprint(rw, s.runLog.Count(r.URL.Query().Get("key")))
 }
 
 func (s *Server) health(rw http.ResponseWriter, r *http.Request) {
 	f := s.currentFaults()
-	ill := f.Broken
+	unhealthy := f.Broken
 	switch f.Health {
 	case HealthAlwaysUp:
-		ill = false
+		unhealthy = false
 	case HealthAlwaysDown:
-		ill = true
+		unhealthy = true
 	case HealthHang:
 		<-r.Context().Done()
 		return
 	}
-	if ill {
+	if unhealthy {
 		http.Error(rw, "ill", http.StatusServiceUnavailable)
 		return
 	}
@@ -201,7 +200,7 @@
 func (s *Server) load(rw http.ResponseWriter, _ *http.Request) {
 	report := loadReport{Running: s.reportedLoad(), Slots: s.opts.Slots}
 	rw.Header().Set("Content-Type", "application/json")
-	// The poller is gone when this fails.
+	// Fails only if the client has disconnected.
 	_ = json.NewEncoder(rw).Encode(report)
 }
 
@@ -215,21 +214,21 @@
 	case LoadFull:
 		return int64(s.opts.Slots)
 	case LoadStale:
-		if s.stale == nil {
-			s.stale = &running
+		if s.staleRunning == nil {
+			s.staleRunning = &running
 		}
-		return *s.stale
+		return *s.staleRunning
 	}
 	return running
 }
 
-// writeAnswer sends the answer, cut short or followed by a stray one when a
-// fault says so. Both need the bare connection.
-func writeAnswer(rw http.ResponseWriter, answer []byte, truncate, cross bool) {
+// writeResponse sends the response, truncated or followed by a stray one if
+// requested. Both faults hijack the connection.
+func writeResponse(rw http.ResponseWriter, body []byte, truncate, cross bool) {
 	if !truncate && !cross {
-		rw.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-		// The caller is gone when this fails.
-		_, _ = rw.Write(answer)
+		rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
+		// Fails only if the client has disconnected.
+		_, _ = rw.Write(body)
 		return
 	}
 	conn, buffer, err := http.NewResponseController(rw).Hijack()
@@ -239,16 +238,16 @@
 	}
 	defer conn.Close()
 	if truncate {
-		fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(answer)+1)
-		_, _ = buffer.Write(answer[:len(answer)/2])
+		fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)+1)
+		_, _ = buffer.Write(body[:len(body)/2])
 		_ = buffer.Flush()
 		return
 	}
-	writeRaw(buffer, answer)
-	writeRaw(buffer, []byte(strayAnswer))
+	writeRaw(buffer, body)
+	writeRaw(buffer, []byte(strayResponse))
 	_ = buffer.Flush()
-	// Left open for a moment, so that the client may reuse it.
-	_ = conn.SetReadDeadline(time.Now().Add(crossLinger))
+	// Keep the connection open briefly, so that the client can reuse it.
+	_ = conn.SetReadDeadline(time.Now().Add(strayLinger))
 	_, _ = conn.Read(make([]byte, 1))
 }
 
@@ -256,7 +255,7 @@
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// milliseconds reads the parameter ms.
+// milliseconds returns the duration in the query parameter ms.
 func milliseconds(r *http.Request, fallback time.Duration) time.Duration {
 	n, err := strconv.ParseUint(r.URL.Query().Get("ms"), 10, 31)
 	if err != nil {
--- a/internal/backend/ledger.go
+++ b/internal/backend/runlog.go
@@ -9,35 +9,35 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrRunLog reports a run log that cannot be read or opened.
+// ErrRunLog reports a run log that cannot be opened, read or written.
 var ErrRunLog = errors.New("run log")
 
-const runLogMode = 0o600
+const runLogFileMode = 0o600
 
-// RunLog counts how often each idempotency key began to run. It keeps every
-// key: the server is for development and tests. It may be used concurrently.
+// RunLog counts the runs of each idempotency key. It keeps every key, since the
+// server is for development and tests. It is safe for concurrent use.
 type RunLog struct {
-	mu   sync.Mutex
-	runs map[string]int
-	log  *os.File
+	mu     sync.Mutex
+	counts map[string]int
+	log    *os.File
 }
 
-// OpenRunLog returns a ledger that writes each run to a file before the run
-// begins, and starts with the runs that the file has. The file is not synced:
-// it outlives the process, not the host.
+// OpenRunLog returns a run log that is appended to a file before each run,
+// initialized from the file. Writes are not synced: the log survives a restart of the
+// process, not of the host.
 func OpenRunLog(path string) (*RunLog, error) {
-	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, runLogMode)
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, runLogFileMode)
 	if err != nil {
 		return nil, errors.Wrap(ErrRunLog, err.Error())
 	}
-	l := &RunLog{runs: map[string]int{}, log: file}
+	l := &RunLog{counts: map[string]int{}, log: file}
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		key, err := strconv.Unquote(lines.Text())
 		if err != nil {
 			return nil, errors.Wrapf(ErrRunLog, "%s: line %q", path, lines.Text())
 		}
-		l.runs[key]++
+		l.counts[key]++
 	}
 	if err := lines.Err(); err != nil {
 		return nil, errors.Wrap(ErrRunLog, err.Error())
@@ -45,7 +45,7 @@
 	return l, nil
 }
 
-// add records a run. It fails only if the run could not be written.
+// add records a run. It returns an error if the run could not be written.
 func (l *RunLog) add(key string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,16 +54,16 @@
 			return errors.Wrap(ErrRunLog, err.Error())
 		}
 	}
-	if l.runs == nil {
-		l.runs = map[string]int{}
+	if l.counts == nil {
+		l.counts = map[string]int{}
 	}
-	l.runs[key]++
+	l.counts[key]++
 	return nil
 }
 
-// Count returns how often the key began to run.
+// Count returns the number of runs of the key.
 func (l *RunLog) Count(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.runs[key]
+	return l.counts[key]
 }
--- a/internal/backend/ledger_test.go
+++ b/internal/backend/runlog_test.go
@@ -9,23 +9,23 @@
 	"github.com/matryer/is"
 )
 
-func TestRunLogOutlivesTheServer(t *testing.T) {
+func TestRunLogIsPersistent(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "runs")
-	for life := range 3 {
+	for restarts := range 3 {
 		l, err := OpenRunLog(path)
 		is.NoErr(err)
-		is.Equal(l.Count("two\nlines"), life)
+		is.Equal(l.Count("two\nlines"), restarts)
 		is.NoErr(l.add("two\nlines"))
-		is.Equal(l.Count("two\nlines"), life+1)
+		is.Equal(l.Count("two\nlines"), restarts+1)
 		is.Equal(l.Count("other"), 0)
 	}
 }
 
-func TestDamagedRunLogIsRefused(t *testing.T) {
+func TestInvalidRunLogIsRefused(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "runs")
-	is.NoErr(os.WriteFile(path, []byte("no quotes\n"), runLogMode))
+	is.NoErr(os.WriteFile(path, []byte("no quotes\n"), runLogFileMode))
 	_, err := OpenRunLog(path)
 	is.True(errors.Is(err, ErrRunLog))
 	_, err = OpenRunLog(t.TempDir())
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -14,47 +14,46 @@
 )
 
 const (
-	// DefaultSlots is the number of requests run at a time when the options
-	// name none.
+	// DefaultSlots is the default of Options.Slots.
 	DefaultSlots = 4
-	// DefaultAnnouncePeriod is the time between two announcements.
+	// DefaultAnnouncePeriod is the time between announcements.
 	DefaultAnnouncePeriod = 2 * time.Second
-	// DefaultDrainGrace is how long a draining server still takes requests
-	// that were on their way when it announced its leaving.
+	// DefaultDrainGrace is how long a draining server still accepts requests that
+	// were sent before its agent knew of the draining.
 	DefaultDrainGrace = 3 * time.Second
 
-	// drainPoll is the pause between two looks for running requests.
-	drainPoll     = 10 * time.Millisecond
-	headerTimeout = 10 * time.Second
+	// drainPollInterval is the interval of checks for running requests.
+	drainPollInterval = 10 * time.Millisecond
+	headerTimeout     = 10 * time.Second
 )
 
 // ErrListen reports that the address of the server cannot be opened.
 var ErrListen = errors.New("cannot listen")
 
-// Options describe one server.
+// Options configures a server.
 type Options struct {
-	// Service and Target are the names that the server announces.
+	// Service and Target are the announced names.
 	Service, Target string
-	// Listen is the address (ip:port) for requests; port 0 takes a free one.
+	// Listen is the address (ip:port) for requests. Port 0 selects a free port.
 	Listen string
-	// Announce is the address (ip:port) where the agent takes
-	// announcements. Empty announces to nobody.
+	// Announce is the address (ip:port) of the agent for announcements. If empty, the
+	// server does not announce itself.
 	Announce string
-	// Slots is how many requests run at a time; 0 means DefaultSlots.
+	// Slots is the number of requests that run at the same time, 0 means
+	// DefaultSlots.
 	Slots uint32
-	// AnnouncePeriod and DrainGrace replace their defaults unless 0.
+	// AnnouncePeriod and DrainGrace override their defaults unless 0.
 	AnnouncePeriod, DrainGrace time.Duration
 	Faults                     Faults
-	// Cold makes work take longer at first. The zero value starts warm.
+	// Cold makes work slower at first. The zero value starts warm.
 	Cold ColdStart
-	// RunLog counts the runs. Several servers, or the lives of one, may share
-	// it. Nil takes a new one.
+	// RunLog counts the runs. Several servers may share it. If nil, a new one is
+	// used.
 	RunLog *RunLog
 	Log    *zap.Logger
 }
 
-// Server is a running backend server. Its methods may be called from any
-// goroutine.
+// Server is a running backend server. Its methods are safe for concurrent use.
 type Server struct {
 	opts     Options
 	url      string
@@ -63,22 +62,22 @@
 	stop     context.CancelFunc
 	wait     conc.WaitGroup
 
-	began     time.Time
-	runs      *RunLog
-	work      atomic.Uint64
-	running   atomic.Int64
-	watching  atomic.Int64
-	lateNew   atomic.Int64
-	drainFrom atomic.Pointer[time.Time]
+	startTime    time.Time
+	runLog       *RunLog
+	requestCount atomic.Uint64
+	running      atomic.Int64
+	watching     atomic.Int64
+	lateRequests atomic.Int64
+	drainStart   atomic.Pointer[time.Time]
 
 	mu     sync.Mutex
 	faults Faults
-	// stale is the figure that LoadStale repeats.
-	stale *int64
+	// staleRunning is the value that LoadStale repeats.
+	staleRunning *int64
 }
 
-// Start opens the address and begins to announce. It returns ErrListen when
-// the address cannot be opened and ErrFault for unknown faults.
+// Start opens the address and begins to announce. It returns ErrListen if the address
+// cannot be opened and ErrFault for unknown fault modes.
 func Start(o Options) (*Server, error) {
 	if err := o.Faults.Validate(); err != nil {
 		return nil, err
@@ -91,7 +90,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
 		opts: o, url: "http://" + listener.Addr().String(), stop: stop, faults: o.Faults,
-		began: time.Now(), runs: o.RunLog,
+		startTime: time.Now(), runLog: o.RunLog,
 	}
 	s.http = &http.Server{
 		Handler:           s.handler(),
@@ -125,11 +124,11 @@
 	return o
 }
 
-// URL is where the server takes requests.
+// URL returns the base URL of the server.
 func (s *Server) URL() string { return s.url }
 
-// SetFaults replaces the faults from now on. It returns ErrFault for unknown
-// ones and keeps the old ones then.
+// SetFaults replaces the faults. It returns ErrFault for unknown modes and then
+// changes nothing.
 func (s *Server) SetFaults(f Faults) error {
 	if err := f.Validate(); err != nil {
 		return err
@@ -137,31 +136,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.stale = nil
+	s.staleRunning = nil
 	return nil
 }
 
-// RunCount tells how often the idempotency key began to run.
-func (s *Server) RunCount(key string) int { return s.runs.Count(key) }
+// RunCount returns the number of runs of the idempotency key.
+func (s *Server) RunCount(key string) int { return s.runLog.Count(key) }
 
-// Running is the number of requests for work that run now.
+// Running returns the number of running requests for work.
 func (s *Server) Running() int { return int(s.running.Load()) }
 
-// Watching is the number of open watch streams.
+// Watching returns the number of open watch streams.
 func (s *Server) Watching() int { return int(s.watching.Load()) }
 
-// LateRequests counts requests for work that arrived after the grace of the
-// drain and were refused.
-func (s *Server) LateRequests() int { return int(s.lateNew.Load()) }
+// LateRequests returns the number of requests refused after the drain grace.
+func (s *Server) LateRequests() int { return int(s.lateRequests.Load()) }
 
-// Drain announces that the server leaves, waits until its agent has taken
-// that (or the grace has passed, when the agent is gone) and every request and
-// watch stream has ended, and closes the server. There is no time limit but ctx, at whose end the rest is cut off and its
-// error returned. Draining a closed server does nothing.
+// Drain announces that the server drains, waits until its agent has accepted the
+// announcement or the grace has passed, and every request and watch stream has ended,
+// and closes the server. There is no time limit except ctx. When it ends, Drain
+// closes the server and returns the error of ctx. Draining a closed server does
+// nothing.
 func (s *Server) Drain(ctx context.Context) error {
 	now := time.Now()
-	s.drainFrom.CompareAndSwap(nil, &now)
-	err := s.awaitQuiet(ctx)
+	s.drainStart.CompareAndSwap(nil, &now)
+	err := s.awaitIdle(ctx)
 	closeErr := s.Close()
 	if err != nil {
 		return errors.Wrap(err, "drain")
@@ -169,13 +168,13 @@
 	return closeErr
 }
 
-func (s *Server) awaitQuiet(ctx context.Context) error {
+func (s *Server) awaitIdle(ctx context.Context) error {
 	if s.announce != nil {
-		if err := s.sayLeaving(ctx); err != nil {
+		if err := s.announceDraining(ctx); err != nil {
 			return err
 		}
 	}
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for s.running.Load() > 0 || s.watching.Load() > 0 {
 		select {
@@ -187,17 +186,18 @@
 	return nil
 }
 
-// sayLeaving returns only the error of ctx.
-func (s *Server) sayLeaving(ctx context.Context) error {
+// announceDraining waits for the agent to accept the draining state. It returns only
+// the error of ctx.
+func (s *Server) announceDraining(ctx context.Context) error {
 	graced, cancel := context.WithTimeout(ctx, s.opts.DrainGrace)
 	defer cancel()
 	if err := s.announce.announceNow(graced); err != nil && ctx.Err() == nil {
-		s.opts.Log.Warn("the agent did not hear of the leaving", zap.Error(err))
+		s.opts.Log.Warn("draining not acknowledged by the agent", zap.Error(err))
 	}
 	return ctx.Err()
 }
 
-// Close ends the server at once, with whatever still runs.
+// Close closes the server and cancels running requests.
 func (s *Server) Close() error {
 	s.stop()
 	err := s.http.Close()
@@ -207,7 +207,7 @@
 
 func (s *Server) announcement() Announcement {
 	state := StateServing
-	if s.drainFrom.Load() != nil {
+	if s.drainStart.Load() != nil {
 		state = StateDraining
 	}
 	return Announcement{
@@ -218,7 +218,7 @@
 		HealthPath: healthPath,
 		LoadPath:   loadPath,
 		State:      state,
-		AgeMS:      max(time.Since(s.began), s.currentFaults().Age).Milliseconds(),
+		AgeMS:      max(time.Since(s.startTime), s.currentFaults().Age).Milliseconds(),
 	}
 }
 
