--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -13,15 +13,15 @@
 	"eelgrasswharf.example/eelgrasswharf/reason"
 )
 
-const far = time.Minute
+const farDeadline = time.Minute
 
 func TestLimiterAdmitsThenQueuesThenSheds(t *testing.T) {
 	is := is.New(t)
 	l := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 1, MaxWait: 50 * time.Millisecond})
-	is.Equal(l.Admit(far).Action, admission.Admitted)
-	is.Equal(l.Admit(far).Action, admission.Admitted)
-	is.Equal(l.Admit(far).Action, admission.Queued)
-	d := l.Admit(far)
+	is.Equal(l.Admit(farDeadline).Action, admission.Admitted)
+	is.Equal(l.Admit(farDeadline).Action, admission.Admitted)
+	is.Equal(l.Admit(farDeadline).Action, admission.Queued)
+	d := l.Admit(farDeadline)
 	is.Equal(d.Action, admission.Shed)
 	is.Equal(d.Reason, reason.QueueFull)
 	is.True(d.RetryAfter > 0)
@@ -36,10 +36,10 @@
 func TestLimiterShedsOnExpectedWait(t *testing.T) {
 	is := is.New(t)
 	l := admission.NewLimiter(admission.Limits{Slots: 1, Queue: 8, MaxWait: 50 * time.Millisecond})
-	is.Equal(l.Admit(far).Action, admission.Admitted)
+	is.Equal(l.Admit(farDeadline).Action, admission.Admitted)
 	l.Release(time.Second)
-	is.Equal(l.Admit(far).Action, admission.Admitted)
-	d := l.Admit(far)
+	is.Equal(l.Admit(farDeadline).Action, admission.Admitted)
+	d := l.Admit(farDeadline)
 	is.Equal(d.Reason, reason.WaitTooLong)
 	is.Equal(d.RetryAfter, time.Second) // the expected wait for a slot
 }
@@ -47,12 +47,12 @@
 func TestLimiterShedsOnDeadline(t *testing.T) {
 	is := is.New(t)
 	l := admission.NewLimiter(admission.Limits{Slots: 2, Queue: 8, MaxWait: time.Second})
-	is.Equal(l.Admit(far).Action, admission.Admitted)
+	is.Equal(l.Admit(farDeadline).Action, admission.Admitted)
 	l.Release(100 * time.Millisecond)
 	is.Equal(l.Admit(0).Reason, reason.DeadlineTooClose)
 	is.Equal(l.Admit(50*time.Millisecond).Action, admission.Admitted)       // idle: always admitted
 	is.Equal(l.Admit(50*time.Millisecond).Reason, reason.DeadlineTooClose)  // would not complete in time
-	is.Equal(l.Admit(far).Action, admission.Admitted)                       // takes the second slot
+	is.Equal(l.Admit(farDeadline).Action, admission.Admitted)               // takes the second slot
 	is.Equal(l.Admit(120*time.Millisecond).Reason, reason.DeadlineTooClose) // wait plus service time exceed the deadline
 	is.Equal(l.Admit(200*time.Millisecond).Action, admission.Queued)        // both fit the deadline
 	is.Equal(l.Abandon(reason.WaitTooLong).Reason, reason.WaitTooLong)
@@ -63,9 +63,9 @@
 	is := is.New(t)
 	l := admission.NewLimiter(admission.Limits{})
 	for range admission.DefaultSlots {
-		is.Equal(l.Admit(far).Action, admission.Admitted)
+		is.Equal(l.Admit(farDeadline).Action, admission.Admitted)
 	}
-	is.Equal(l.Admit(far).Reason, reason.SlotsFull)
+	is.Equal(l.Admit(farDeadline).Reason, reason.SlotsFull)
 }
 
 func TestLimiterNeverExceedsItsLimits(t *testing.T) {
@@ -78,8 +78,8 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				d := l.Admit(time.Duration(rapid.Int64Range(-10, 500).Draw(t, "remaining")) * time.Millisecond)
-				running += count(d.Action == admission.Admitted)
-				waiting += count(d.Action == admission.Queued)
+				running += boolToInt(d.Action == admission.Admitted)
+				waiting += boolToInt(d.Action == admission.Queued)
 				if d.Action == admission.Shed && (d.Reason == reason.None || d.RetryAfter <= 0) {
 					t.Fatalf("shed without reason or retry delay: %+v", d)
 				}
@@ -106,7 +106,7 @@
 	})
 }
 
-func count(yes bool) int {
+func boolToInt(yes bool) int {
 	if yes {
 		return 1
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -14,8 +14,8 @@
 
 const tick = 100 * time.Millisecond
 
-// serve records one request with the given result.
-func serve(t *health.Tracker, now time.Duration, r health.Result) {
+// recordRequest records one request with the given result.
+func recordRequest(t *health.Tracker, now time.Duration, r health.Result) {
 	t.RequestStarted(now)
 	t.RequestEnded(now, r)
 }
@@ -29,7 +29,7 @@
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisReport})
 	for range health.MinSamples {
-		serve(tr, now, health.Answered)
+		recordRequest(tr, now, health.Answered)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Basis: health.BasisObservation})
 	now += 2 * health.Window // no observations left, the report stays contradicted
@@ -58,7 +58,7 @@
 	now := time.Second
 	tr.ReportReceived(now, health.ReportHealthy)
 	for range health.MinSamples {
-		serve(tr, now, health.Failed)
+		recordRequest(tr, now, health.Failed)
 		tr.ReportReceived(now, health.ReportHealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisObservation})
@@ -70,10 +70,10 @@
 	is := is.New(t)
 	tr := health.NewTracker()
 	for range health.RefusedThreshold - 1 {
-		serve(tr, 0, health.Refused)
+		recordRequest(tr, 0, health.Refused)
 	}
 	is.True(!tr.Verdict(0).Ill)
-	serve(tr, 0, health.Refused)
+	recordRequest(tr, 0, health.Refused)
 	is.True(tr.Verdict(0).Ill)
 }
 
@@ -82,7 +82,7 @@
 	tr := health.NewTracker()
 	now := time.Duration(0)
 	for range health.MinSamples {
-		serve(tr, now, health.Answered)
+		recordRequest(tr, now, health.Answered)
 		tr.ReportReceived(now, health.ReportNoResponse)
 	}
 	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests complete
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	tr := health.NewTracker()
 	for range 3 * health.MinSamples {
-		serve(tr, 0, health.Cancelled)
+		recordRequest(tr, 0, health.Cancelled)
 	}
 	is.Equal(tr.Verdict(0), health.Verdict{})
 	is.Equal(tr.InFlight(), 0)
@@ -109,16 +109,16 @@
 	now, holdDowns := time.Second, []time.Duration{}
 	for range 6 {
 		for range health.RefusedThreshold {
-			serve(tr, now, health.Refused)
+			recordRequest(tr, now, health.Refused)
 		}
-		began := now
-		for tr.Verdict(now).Ill && now-began < time.Minute {
+		start := now
+		for tr.Verdict(now).Ill && now-start < time.Minute {
 			now += tick
-			if tr.Verdict(now).Basis == health.BasisObservation && now-began > health.MaxHoldDown+health.Window {
+			if tr.Verdict(now).Basis == health.BasisObservation && now-start > health.MaxHoldDown+health.Window {
 				break
 			}
 		}
-		holdDowns = append(holdDowns, now-began)
+		holdDowns = append(holdDowns, now-start)
 	}
 	for i := 1; i < len(holdDowns); i++ {
 		is.True(holdDowns[i] >= holdDowns[i-1]) // never shorter while failures recur
@@ -133,11 +133,11 @@
 		for range rapid.IntRange(1, 100).Draw(t, "rounds") {
 			now += time.Duration(rapid.Int64Range(0, 300).Draw(t, "ms")) * time.Millisecond
 			tr.ReportReceived(now, health.Report(rapid.IntRange(1, 3).Draw(t, "report")))
-			serve(tr, now, health.Answered)
-			serve(tr, now, health.Answered)
-			serve(tr, now, health.Answered)
-			serve(tr, now, health.Result(rapid.IntRange(1, 5).Draw(t, "result")))
-			serve(tr, now, health.Answered)
+			recordRequest(tr, now, health.Answered)
+			recordRequest(tr, now, health.Answered)
+			recordRequest(tr, now, health.Answered)
+			recordRequest(tr, now, health.Result(rapid.IntRange(1, 5).Draw(t, "result")))
+			recordRequest(tr, now, health.Answered)
 			if v := tr.Verdict(now); v.Ill {
 				t.Fatalf("one failure in five resulted in verdict %+v", v)
 			}
@@ -154,11 +154,11 @@
 			Flows:           rapid.IntRange(0, 4000).Draw(t, "flows"),
 			FlowCapacity:    2000,
 		}
-		honest := health.Load(in)
+		baseline := health.Load(in)
 		in.ReportedRunning = rapid.IntRange(-5, 1<<40).Draw(t, "reported")
-		reported := health.Load(in)
-		if reported < honest || reported > honest+250 {
-			t.Fatalf("a report changed the load from %d to %d", honest, reported)
+		withReport := health.Load(in)
+		if withReport < baseline || withReport > baseline+250 {
+			t.Fatalf("a report changed the load from %d to %d", baseline, withReport)
 		}
 	})
 }
--- a/internal/agentd/announce_test.go
+++ b/internal/agentd/announce_test.go
@@ -43,15 +43,15 @@
 func TestAnnouncementForAnotherTargetIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, a, backend := startSingleAgent(t)
-	what := announcement{Service: testService, Target: "t1", URL: backend.server.URL, State: backendServing}
-	is.Equal(a.announceRaw(t, what), http.StatusOK)
-	what.Target = "t2"
-	is.Equal(a.announceRaw(t, what), http.StatusConflict)
-	what.Target = "t1"
-	what.Service = "certificates"
-	is.Equal(a.announceRaw(t, what), http.StatusConflict) // the certificate is for another service
-	what.State = "dead"
-	is.Equal(a.announceRaw(t, what), http.StatusBadRequest)
+	ann := announcement{Service: testService, Target: "t1", URL: backend.server.URL, State: backendServing}
+	is.Equal(a.announceRaw(t, ann), http.StatusOK)
+	ann.Target = "t2"
+	is.Equal(a.announceRaw(t, ann), http.StatusConflict)
+	ann.Target = "t1"
+	ann.Service = "certificates"
+	is.Equal(a.announceRaw(t, ann), http.StatusConflict) // the certificate is for another service
+	ann.State = "dead"
+	is.Equal(a.announceRaw(t, ann), http.StatusBadRequest)
 }
 
 func TestAnnouncementsFromOtherHostsAreRefused(t *testing.T) {
@@ -99,10 +99,10 @@
 			mux.HandleFunc("/health", report)
 			mux.HandleFunc("/load", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"running":4}`)) })
 			mux.HandleFunc("/", func(rw http.ResponseWriter, r *http.Request) { backend.server.Config.Handler.ServeHTTP(rw, r) })
-			lying := httptest.NewServer(mux)
-			t.Cleanup(lying.Close)
+			faulty := httptest.NewServer(mux)
+			t.Cleanup(faulty.Close)
 			a.announceRaw(t, announcement{
-				Service: testService, Target: "t1", URL: lying.URL, State: backendServing,
+				Service: testService, Target: "t1", URL: faulty.URL, State: backendServing,
 				HealthPath: "/health", LoadPath: "/load",
 			})
 			eventually(t, "load report", func() bool { _, running := a.health.verdict(); return running == 4 })
--- a/internal/agentd/announcement.go
+++ b/internal/agentd/announcement.go
@@ -119,7 +119,7 @@
 }
 
 func (d *Daemon) handleAnnounce(w http.ResponseWriter, r *http.Request) {
-	if !ownHost(r, d.announceIP) {
+	if !fromSameHost(r, d.announceIP) {
 		http.Error(w, "announcements come from the own host only", http.StatusForbidden)
 		return
 	}
@@ -140,9 +140,9 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// ownHost reports whether a request came from this host: from a loopback address or
+// fromSameHost reports whether a request came from this host: from a loopback address or
 // from the address that the server listens on.
-func ownHost(r *http.Request, listen netip.Addr) bool {
+func fromSameHost(r *http.Request, listen netip.Addr) bool {
 	remote, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return false
--- a/internal/agentd/call_test.go
+++ b/internal/agentd/call_test.go
@@ -61,10 +61,10 @@
 
 func TestEachRequestHasItsOwnConnection(t *testing.T) {
 	is := is.New(t)
-	var opened, kept atomic.Int64
+	var opened, keptAlive atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if !r.Close {
-			kept.Add(1)
+			keptAlive.Add(1)
 		}
 	}))
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -85,7 +85,7 @@
 		c.end()
 	}
 	is.Equal(opened.Load(), int64(5))
-	is.Equal(kept.Load(), int64(0)) // requests carry Connection: close
+	is.Equal(keptAlive.Load(), int64(0)) // requests carry Connection: close
 }
 
 func TestForwardedHeaders(t *testing.T) {
--- a/internal/agentd/endtoend_test.go
+++ b/internal/agentd/endtoend_test.go
@@ -17,11 +17,11 @@
 	is.Equal(got.header.Get(headerTarget), "t1/1/1")
 	is.Equal(got.header.Get(headerID), "mine")
 	is.Equal(got.header.Get("Content-Type"), "text/x-echo")
-	seen := backend.lastHeader()
-	is.True(seen.Get(headerTimeout) != "")
-	is.True(seen.Get(headerTimeout) != "5000") // the remaining time
-	is.True(seen.Get(headerID) != "mine")      // unique to the attempt
-	is.Equal(seen.Get("X-Forwarded-For"), "127.0.0.1")
+	backendHeaders := backend.lastHeader()
+	is.True(backendHeaders.Get(headerTimeout) != "")
+	is.True(backendHeaders.Get(headerTimeout) != "5000") // the remaining time
+	is.True(backendHeaders.Get(headerID) != "mine")      // unique to the attempt
+	is.Equal(backendHeaders.Get("X-Forwarded-For"), "127.0.0.1")
 }
 
 func TestLargeResponseIsComplete(t *testing.T) {
--- a/internal/agentd/fakes_test.go
+++ b/internal/agentd/fakes_test.go
@@ -420,9 +420,9 @@
 	}
 }
 
-func (a *agent) announceRaw(t *testing.T, what announcement) int {
+func (a *agent) announceRaw(t *testing.T, ann announcement) int {
 	t.Helper()
-	body, err := json.Marshal(what)
+	body, err := json.Marshal(ann)
 	must(t, err)
 	res, err := http.Post("http://"+a.AnnounceAddr()+"/announce", "application/json", bytes.NewReader(body))
 	must(t, err)
--- a/internal/agentd/flow_test.go
+++ b/internal/agentd/flow_test.go
@@ -274,9 +274,9 @@
 	tc, a, backend := startSingleAgent(t)
 	session := openWatch(t, tc.client, tc.url("/watch"))
 	defer session.close()
-	former := tc.secrets[0]
+	previous := tc.secrets[0]
 	next := connid.Secret{ID: 2, Key: [connid.SecretLength]byte{9}}
-	for _, secrets := range [][]connid.Secret{{former, next}, {next, former}} {
+	for _, secrets := range [][]connid.Secret{{previous, next}, {next, previous}} {
 		tc.secrets = secrets
 		a.secretsChanged()
 		tc.entry.setSecrets(t, secrets)
--- a/internal/agentd/fuzz_test.go
+++ b/internal/agentd/fuzz_test.go
@@ -24,9 +24,9 @@
 		if err != nil {
 			return
 		}
-		named := a.Service != "" && a.Target != "" && a.base != nil && a.base.Host != ""
+		complete := a.Service != "" && a.Target != "" && a.base != nil && a.base.Host != ""
 		known := a.State == backendServing || a.State == backendDraining
-		if !named || !known || len(a.WatchPaths) == 0 || len(a.WatchPaths) > maxWatchPaths {
+		if !complete || !known || len(a.WatchPaths) == 0 || len(a.WatchPaths) > maxWatchPaths {
 			t.Fatalf("accepted %+v", a)
 		}
 		for _, path := range a.WatchPaths {
--- a/internal/agentd/goaway_test.go
+++ b/internal/agentd/goaway_test.go
@@ -25,18 +25,18 @@
 	next := successor(self, append(others, record(2, 4, draining), record(2, 5, serving)))
 	is.Equal(next.GetIncarnation(), uint32(5))
 
-	m := drainRamp{drainStart: drainStart}
-	is.Equal(m.share(drainStart+timing.successorTimeout-1, nil, timing), 0.0)
-	met := drainStart + timing.successorTimeout - 1
-	is.Equal(m.share(met, next, timing), 0.0)
-	is.Equal(m.share(met+timing.goAwayRamp/2, next, timing), 0.5)
-	is.Equal(m.share(met+timing.goAwayRamp/2, nil, timing), 0.5) // the successor is no longer known
-	is.Equal(m.share(met+time.Hour, next, timing), 1.0)
+	r := drainRamp{drainStart: drainStart}
+	is.Equal(r.share(drainStart+timing.successorTimeout-1, nil, timing), 0.0)
+	seenAt := drainStart + timing.successorTimeout - 1
+	is.Equal(r.share(seenAt, next, timing), 0.0)
+	is.Equal(r.share(seenAt+timing.goAwayRamp/2, next, timing), 0.5)
+	is.Equal(r.share(seenAt+timing.goAwayRamp/2, nil, timing), 0.5) // the successor is no longer known
+	is.Equal(r.share(seenAt+time.Hour, next, timing), 1.0)
 
 	alone := drainRamp{drainStart: drainStart}
 	is.Equal(alone.share(drainStart+timing.successorTimeout, nil, timing), 1.0)
-	leaving := drainRamp{drainStart: drainStart}
-	is.Equal(leaving.share(drainStart, record(2, 4, draining), timing), 1.0)
+	stopping := drainRamp{drainStart: drainStart}
+	is.Equal(stopping.share(drainStart, record(2, 4, draining), timing), 1.0)
 }
 
 // The number of callers that get GOAWAY rises with the share. Closed connections count.
@@ -93,11 +93,11 @@
 	is := is.New(t)
 	const began = time.Minute
 	timing := defaultTiming()
-	var s shedRamp
-	is.Equal(s.share(began, false, timing), 0.0)
-	is.Equal(s.share(began, true, timing), 0.0)
-	is.Equal(s.share(began+timing.goAwayRamp/2, true, timing), 0.5)
-	is.Equal(s.share(began+time.Hour, true, timing), maxShedShare)
-	is.Equal(s.share(began+time.Hour, false, timing), 0.0) // healthy again
-	is.Equal(s.share(began+2*time.Hour, true, timing), 0.0)
+	var r shedRamp
+	is.Equal(r.share(began, false, timing), 0.0)
+	is.Equal(r.share(began, true, timing), 0.0)
+	is.Equal(r.share(began+timing.goAwayRamp/2, true, timing), 0.5)
+	is.Equal(r.share(began+time.Hour, true, timing), maxShedShare)
+	is.Equal(r.share(began+time.Hour, false, timing), 0.0) // healthy again
+	is.Equal(r.share(began+2*time.Hour, true, timing), 0.0)
 }
--- a/internal/agentd/grantbreaker.go
+++ b/internal/agentd/grantbreaker.go
@@ -58,10 +58,10 @@
 }
 
 // record records the result of a call that began at the given time.
-func (b *grantBreaker) record(began time.Duration, answered bool) {
+func (b *grantBreaker) record(began time.Duration, succeeded bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if answered {
+	if succeeded {
 		b.breaker.RecordSuccess()
 	} else {
 		b.breaker.RecordFailure(began, b.clock.now())
--- a/internal/agentd/load_test.go
+++ b/internal/agentd/load_test.go
@@ -33,8 +33,8 @@
 	l.mu.Lock()
 	l.lastChange = l.lastChange.Add(-time.Hour) // simulates an hour
 	l.mu.Unlock()
-	grown := l.snapshot().busyTime - before.busyTime
-	is.True(grown >= 2*time.Hour)
+	increase := l.snapshot().busyTime - before.busyTime
+	is.True(increase >= 2*time.Hour)
 	l.release(0)
 	l.release(0)
 	is.Equal(l.snapshot().running+l.snapshot().waiting, 0)
--- a/internal/agentd/redirect.go
+++ b/internal/agentd/redirect.go
@@ -55,8 +55,8 @@
 		return reason.FlowLeaving
 	}
 	state := r.state()
-	loaded := state.currentLoad >= overloadThreshold || state.unhealthy
-	if loaded && h.Hops == 0 && r.usable(h.Alternate) {
+	overloaded := state.currentLoad >= overloadThreshold || state.unhealthy
+	if overloaded && h.Hops == 0 && r.usable(h.Alternate) {
 		return reason.FlowLoaded
 	}
 	return reason.None
--- a/internal/agentd/settings.go
+++ b/internal/agentd/settings.go
@@ -55,10 +55,10 @@
 
 // frameAddress returns the address that others send frames to: the configured one,
 // else the local address. Connection IDs contain it.
-func frameAddress(s *settingspb.Agent, opened netip.AddrPort) (netip.AddrPort, error) {
+func frameAddress(s *settingspb.Agent, listenAddr netip.AddrPort) (netip.AddrPort, error) {
 	text := s.GetFrameAddress()
 	if text == "" {
-		return opened, nil
+		return listenAddr, nil
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || !address.Addr().Is4() || address.Addr().IsUnspecified() || address.Port() == 0 {
--- a/internal/agentd/settings_test.go
+++ b/internal/agentd/settings_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestFrameAddress(t *testing.T) {
-	opened := netip.MustParseAddrPort("127.0.0.1:7300")
+	listenAddr := netip.MustParseAddrPort("127.0.0.1:7300")
 	for _, tt := range []struct {
 		name, setting, want string
 	}{
@@ -24,7 +24,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			got, err := frameAddress(&settingspb.Agent{FrameAddress: tt.setting}, opened)
+			got, err := frameAddress(&settingspb.Agent{FrameAddress: tt.setting}, listenAddr)
 			is.Equal(errors.Is(err, ErrSettings), tt.want == "")
 			if tt.want != "" {
 				is.Equal(got.String(), tt.want)
--- a/internal/backend/coldstart.go
+++ b/internal/backend/coldstart.go
@@ -15,6 +15,6 @@
 	if age >= c.Duration || c.Slowdown <= 1 {
 		return work
 	}
-	left := 1 - float64(age)/float64(c.Duration)
-	return time.Duration(float64(work) * (1 + (c.Slowdown-1)*left))
+	remaining := 1 - float64(age)/float64(c.Duration)
+	return time.Duration(float64(work) * (1 + (c.Slowdown-1)*remaining))
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -189,9 +189,9 @@
 // announceDraining waits for the agent to accept the draining state. It returns only
 // the error of ctx.
 func (s *Server) announceDraining(ctx context.Context) error {
-	graced, cancel := context.WithTimeout(ctx, s.opts.DrainGrace)
+	graceCtx, cancel := context.WithTimeout(ctx, s.opts.DrainGrace)
 	defer cancel()
-	if err := s.announce.announceNow(graced); err != nil && ctx.Err() == nil {
+	if err := s.announce.announceNow(graceCtx); err != nil && ctx.Err() == nil {
 		s.opts.Log.Warn("draining not acknowledged by the agent", zap.Error(err))
 	}
 	return ctx.Err()
