--- a/admission/admission.go
+++ b/admission/admission.go
@@ -35,7 +35,7 @@
 	Shed
 )
 
-// Decision tells how to handle one request.
+// Decision specifies how to handle one request.
 type Decision struct {
 	Action Action
 	// Reason is set when the request is shed.
--- a/health/health.go
+++ b/health/health.go
@@ -54,7 +54,7 @@
 const (
 	ReportHealthy Report = iota + 1
 	ReportUnhealthy
-	// ReportNoResponse means that the endpoint did not answer in time.
+	// ReportNoResponse means that the endpoint did not respond in time.
 	ReportNoResponse
 )
 
--- a/internal/agentd/dataplane.go
+++ b/internal/agentd/dataplane.go
@@ -85,7 +85,7 @@
 	return p, nil
 }
 
-// newTransport returns the QUIC transport of the frame socket. It answers every first
+// newTransport returns the QUIC transport of the frame socket. It replies to every first
 // packet without a token with a Retry, whose connection ID identifies this agent.
 func (p *dataPlane) newTransport(secret connid.Secret) *quic.Transport {
 	return &quic.Transport{
--- a/internal/agentd/doc.go
+++ b/internal/agentd/doc.go
@@ -3,7 +3,7 @@
 // proxies their HTTP/3 requests to the backend server of the same host over HTTP/1.1.
 //
 // The agent issues connection IDs that identify itself, so that later packets of a
-// flow reach it. It answers each first packet with a QUIC Retry, so that the caller
+// flow reach it. It replies to each first packet with a QUIC Retry, so that the caller
 // selects which of several agents accepts the flow. While draining, it redirects
 // first packets to another target, sends GOAWAY to its callers, and exits after its
 // last session has ended, without a time limit.
--- a/internal/agentd/grantclient.go
+++ b/internal/agentd/grantclient.go
@@ -64,7 +64,7 @@
 	ctx                context.Context
 }
 
-// grantDecision tells whether a request may run.
+// grantDecision specifies whether a request may run.
 type grantDecision struct {
 	// keyGrant is set when the request may run.
 	keyGrant *keyGrant
--- a/retry/circuitbreaker.go
+++ b/retry/circuitbreaker.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Permit tells whether a call may be made.
+// Permit specifies whether a call may be made.
 type Permit uint8
 
 // Permits of a CircuitBreaker.
--- a/retry/outcome.go
+++ b/retry/outcome.go
@@ -2,7 +2,7 @@
 
 import "eelgrasswharf.example/eelgrasswharf/reason"
 
-// Outcome tells whether a request ran.
+// Outcome is what is known about whether a request ran.
 type Outcome uint8
 
 // Outcomes of a request.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -62,7 +62,7 @@
 	MinRemaining time.Duration
 }
 
-// Decision tells whether to retry.
+// Decision specifies whether to retry.
 type Decision struct {
 	Retry bool
 	// Delay is the backoff before the next attempt.
