--- a/internal/controld/barrier.go
+++ b/internal/controld/barrier.go
@@ -7,8 +7,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// barrier shares confirmed reads: all that ask while one read runs wait for
-// the next one together. A wave of subscribers thus costs two rounds.
+// barrier coalesces confirmed reads: all callers that arrive during a read share the next
+// one.
 type barrier struct {
 	ctx  context.Context
 	read func(context.Context) error
@@ -27,7 +27,7 @@
 
 // wait returns once everything that was committed before the call is applied.
 func (b *barrier) wait(ctx context.Context) error {
-	r, first := b.enlist()
+	r, first := b.joinRound()
 	if first {
 		b.wg.Go(b.run)
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-func (b *barrier) enlist() (r *round, first bool) {
+func (b *barrier) joinRound() (r *round, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next == nil {
@@ -51,7 +51,7 @@
 }
 
 func (b *barrier) run() {
-	for r := b.take(); r != nil; r = b.take() {
+	for r := b.nextRound(); r != nil; r = b.nextRound() {
 		ctx, cancel := context.WithTimeout(b.ctx, barrierTimeout)
 		r.err = b.read(ctx)
 		cancel()
@@ -59,8 +59,8 @@
 	}
 }
 
-// take returns the round that starts now, or nil when nobody waits.
-func (b *barrier) take() *round {
+// nextRound returns the round that starts now, or nil if nobody waits.
+func (b *barrier) nextRound() *round {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.next
--- a/internal/controld/bench_test.go
+++ b/internal/controld/bench_test.go
@@ -18,7 +18,7 @@
 	d.startAll("c1", "c2", "c3")
 	ops := d.operator("c1")
 	d.accept(ops, patch("p0", 0, put("lodgement", "192.0.2.1:443")))
-	var all []*watcher
+	var all []*recorder
 	for _, host := range []string{"c1", "c2", "c3"} {
 		for i := range links {
 			c := d.link(keys.RoleEntry, fmt.Sprintf("e%d-%s", i, host), "", host)
--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -26,69 +26,67 @@
 
 // Errors of New and Run.
 var (
-	// ErrIdentity tells that the certificate does not name this control host.
+	// ErrIdentity means that the certificate does not name this control host.
 	ErrIdentity = errors.New("certificate does not name this control host")
-	// ErrInvalidVoters tells that the initial voters are unusable.
-	ErrInvalidVoters = errors.New("initial voters are unusable")
-	// ErrInvalidGrantGroups tells that this host cannot have its number of groups of
-	// grants: it is beyond the bound, or the deployment agreed on another one.
-	// In the latter case a host that is started again takes the agreed one.
-	ErrInvalidGrantGroups = errors.New("unfit number of groups of grants")
-	// ErrInvalidStandby tells that this host is to stand by although it votes, or although
-	// its members do not follow the hosts.
-	ErrInvalidStandby = errors.New("only a host with transient and automatic_members may stand by")
+	// ErrInvalidVoters means that the initial voters are invalid.
+	ErrInvalidVoters = errors.New("invalid initial voters")
+	// ErrInvalidGrantGroups means that the number of grant groups exceeds its bound, or
+	// differs from the agreed one. In the latter case a restart adopts the agreed number.
+	ErrInvalidGrantGroups = errors.New("invalid number of grant groups")
+	// ErrInvalidStandby means that standby mode is set for a host that has a durable log or
+	// no automatic members.
+	ErrInvalidStandby = errors.New("stand_by requires transient and automatic_members")
 )
 
-// Daemon is a control host.
+// Daemon runs a control host.
 type Daemon struct {
-	// began is when the daemon was made.
-	began    time.Time
-	settings *settingspb.ControlSettings
-	log      *zap.Logger
-	scope    tally.Scope
-	// replacements is how long replacements of the route table take until their
-	// outcome, inForce how long it is from a version's application here until a
-	// subscriber says that it acts on it.
-	replacements, inForce tally.Histogram
-	creds                 *keys.Credentials
-	name                  string
-	voters                []voter
-	// named replaces voters for a host that joins, nil until other hosts are named.
-	named atomic.Pointer[[]voter]
-	// appointer names the founder where no initial voter keeps its log.
-	appointer appointer
-	ready     chan struct{}
+	startedAt time.Time
+	settings  *settingspb.ControlSettings
+	log       *zap.Logger
+	scope     tally.Scope
+	// replacements measures the time until a route table replacement has an outcome.
+	// activations measures the time from applying a version here until a subscriber reports
+	// it active.
+	replacements, activations tally.Histogram
+	creds                     *keys.Credentials
+	name                      string
+	initialVoters             []seedHost
+	// designated replaces initialVoters for a host that joins, nil if it was not set.
+	designated atomic.Pointer[[]seedHost]
+	// founderSelector selects the founder if no initial voter has a durable log.
+	founderSelector founderSelector
+	ready           chan struct{}
 
 	configs     *configState
 	grants      *grantGroups
 	directory   *directory
 	subscribers *subscribers
 	peers       *peers
-	// groups lists the replicated logs of this host. Like replicas, it does not
-	// change once they are open.
-	groups    []controlpb.Group
-	replicas  map[controlpb.Group]*replica.Replica
-	confirm   *barrier
-	isolation isolation
-	standby   *standby
-	lack      lack
-	server    *link.Server
-	api       *operator.Server
+	// groups lists the replicated logs of this host. Like replicas, it is constant once
+	// they are open.
+	groups      []controlpb.Group
+	replicas    map[controlpb.Group]*replica.Replica
+	readBarrier *barrier
+	isolation   isolation
+	standby     *standby
+	shortage    shortage
+	server      *link.Server
+	api         *operator.Server
 
 	// ctx ends the loops.
 	ctx    context.Context
 	cancel context.CancelFunc
 	loops  conc.WaitGroup
-	// stateConfirmed says that a quorum has confirmed the state here since the start.
+	// stateConfirmed is set once a quorum has confirmed the local state since the start.
 	stateConfirmed atomic.Bool
-	// leaving says that this host stops.
-	leaving atomic.Bool
-	// misfit gets the reason why this host has to be started again.
-	misfit chan error
+	// stopping is set when the shutdown begins.
+	stopping atomic.Bool
+	// restartRequired receives the reason why this host has to be restarted.
+	restartRequired chan error
 }
 
-// New checks the settings and loads the keys. Errors: ErrIdentity, ErrVoters,
-// ErrGrantGroups, ErrStandBy.
+// New validates the settings and loads the keys. Errors: ErrIdentity, ErrInvalidVoters,
+// ErrInvalidGrantGroups, ErrInvalidStandby.
 func New(s *settingspb.ControlSettings, log *zap.Logger, scope tally.Scope) (*Daemon, error) {
 	name := s.GetHost().GetName()
 	creds, err := keys.ForProcess(s.GetKeys(), keys.Identity{Role: keys.RoleControl, Name: name})
@@ -99,39 +97,39 @@
 		return nil, errors.Wrapf(ErrIdentity, "host %q, certificate %s", name, id)
 	}
 	if asked := s.GetReplica().GetGrantGroups(); asked > grant.MaxGroups {
-		return nil, errors.Wrapf(ErrInvalidGrantGroups, "%d, at most %d", asked, grant.MaxGroups)
+		return nil, errors.Wrapf(ErrInvalidGrantGroups, "%d exceeds the limit of %d", asked, grant.MaxGroups)
 	}
 	if r := s.GetReplica(); r.GetStandBy() && !(r.GetTransient() && r.GetAutomaticMembers()) {
 		return nil, ErrInvalidStandby
 	}
-	voters, err := parseVoters(s.GetReplica(), name)
+	initialVoters, err := parseInitialVoters(s.GetReplica(), name)
 	if err != nil {
 		return nil, err
 	}
 	d := &Daemon{
-		began:     time.Now(),
-		settings:  s,
-		log:       log,
-		scope:     scope.SubScope("control"),
-		creds:     creds,
-		name:      name,
-		voters:    voters,
-		ready:     make(chan struct{}),
-		misfit:    make(chan error, 1),
-		configs:   newConfigState(),
-		grants:    newGrantGroups(),
-		directory: newDirectory(rand.Uint64()|1, time.Duration(s.GetReplica().GetLeaseMs())*time.Millisecond),
-		replicas:  map[controlpb.Group]*replica.Replica{},
-		isolation: isolation{changed: newHub()},
-		standby:   newStandby(),
+		startedAt:       time.Now(),
+		settings:        s,
+		log:             log,
+		scope:           scope.SubScope("control"),
+		creds:           creds,
+		name:            name,
+		initialVoters:   initialVoters,
+		ready:           make(chan struct{}),
+		restartRequired: make(chan error, 1),
+		configs:         newConfigState(),
+		grants:          newGrantGroups(),
+		directory:       newDirectory(rand.Uint64()|1, time.Duration(s.GetReplica().GetLeaseMs())*time.Millisecond),
+		replicas:        map[controlpb.Group]*replica.Replica{},
+		isolation:       isolation{changed: newNotifier()},
+		standby:         newStandby(),
 	}
 	d.replacements = d.scope.Histogram("replacement_seconds", metrics.Durations)
-	d.inForce = d.scope.Histogram("in_force_seconds", metrics.Durations)
+	d.activations = d.scope.Histogram("in_force_seconds", metrics.Durations)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.subscribers = d.directory.subscribers
-	d.peers = newPeers(creds, voters, d.directory, log, d.scope)
+	d.peers = newPeers(creds, initialVoters, d.directory, log, d.scope)
 	d.peers.self = d.selfAddress
-	d.confirm = &barrier{ctx: d.ctx, wg: &d.loops, read: func(ctx context.Context) error {
+	d.readBarrier = &barrier{ctx: d.ctx, wg: &d.loops, read: func(ctx context.Context) error {
 		err := d.replicas[controlpb.Group_GROUP_CONFIG].ReadBarrier(ctx)
 		if err == nil && !d.stateConfirmed.Swap(true) {
 			d.directory.changed.notify()
@@ -141,9 +139,8 @@
 	return d, nil
 }
 
-// Run serves until the context ends, then shuts down gracefully and returns
-// nil. It returns an error if it could not start, or if a replica failed. A
-// daemon runs once.
+// Run serves until the context ends, then shuts down gracefully and returns nil. It returns
+// an error if the start or a replica failed. It must be called only once.
 func (d *Daemon) Run(ctx context.Context) error {
 	err := d.open()
 	if err == nil {
@@ -157,15 +154,15 @@
 	return err
 }
 
-// Ready is closed once links and operators are served and the addresses are
-// known. Whether a quorum stands behind this host is another matter.
+// Ready is closed once links and operators are served and the addresses are known. It does
+// not imply a quorum.
 func (d *Daemon) Ready() <-chan struct{} { return d.ready }
 
-// LinkAddr returns the address that peers and subscribers dial, once ready.
+// LinkAddr returns the address of the link server. It must be called after Ready.
 func (d *Daemon) LinkAddr() string { return d.server.Addr().String() }
 
-// OperatorAddr returns the address that operators call, once ready.
-// It is empty if the settings name none.
+// OperatorAddr returns the address of the operators' API, empty if the settings have none.
+// It must be called after Ready.
 func (d *Daemon) OperatorAddr() string {
 	if d.api == nil {
 		return ""
@@ -197,9 +194,9 @@
 	return err
 }
 
-// openReplicas opens the configuration, the first group of grants, and then as
-// many of the others as that one agreed on or, as long as it has not, as the
-// settings ask for.
+// openReplicas opens the replicas of the configuration and of the first grant group, then
+// of as many further grant groups as are agreed on or, before that, as the settings ask
+// for.
 func (d *Daemon) openReplicas() error {
 	d.groups = []controlpb.Group{controlpb.Group_GROUP_CONFIG}
 	if err := d.openReplica(controlpb.Group_GROUP_CONFIG); err != nil {
@@ -231,7 +228,7 @@
 	if entries == 0 {
 		entries = defaultSnapshotEntries
 	}
-	// One that keeps its log in memory has no folder.
+	// A log in memory has no directory.
 	var fs wal.FS
 	if d.settings.GetReplica().GetTransient() {
 		fs = wal.NewMemFS()
@@ -266,22 +263,22 @@
 }
 
 func (d *Daemon) start() {
-	d.loops.Go(d.foundLoop)
+	d.loops.Go(d.bootstrapLoop)
 	d.loops.Go(d.syncLoop)
 	d.loops.Go(d.expireLoop)
-	d.loops.Go(d.spreadLoop)
+	d.loops.Go(d.rebalanceLoop)
 	d.loops.Go(d.advanceLoop)
-	d.loops.Go(d.agreeLoop)
-	d.loops.Go(d.leadLoop)
+	d.loops.Go(d.slotTableLoop)
+	d.loops.Go(d.leadershipLoop)
 	d.loops.Go(d.membersLoop)
 	d.loops.Go(d.rejoinLoop)
-	d.loops.Go(d.tellSeedsLoop)
+	d.loops.Go(d.notifySeedsLoop)
 	d.loops.Go(d.isolationLoop)
 	d.loops.Go(func() { d.creds.Watch(d.ctx, keys.ReloadPeriod, keys.Report(d.log)) })
-	d.log.Info("control host serves", zap.String("link", d.LinkAddr()), zap.String("operator", d.OperatorAddr()))
+	d.log.Info("control host started", zap.String("link", d.LinkAddr()), zap.String("operator", d.OperatorAddr()))
 }
 
-// wait returns when the context ends or a replica fails.
+// wait returns when the context ends, a replica fails or a restart is required.
 func (d *Daemon) wait(ctx context.Context) error {
 	failed := make(chan controlpb.Group, len(d.groups))
 	for _, group := range d.groups {
@@ -298,31 +295,31 @@
 		return nil
 	case group := <-failed:
 		return errors.Wrapf(d.replicas[group].Err(), "replica of %s stopped", groupName(group))
-	case err := <-d.misfit:
+	case err := <-d.restartRequired:
 		return err
 	}
 }
 
-// handOver passes on what this host leads, while it can still be reached. It
-// asks for nothing back.
-func (d *Daemon) handOver() {
-	d.leaving.Store(true)
+// transferLeadership moves the leadership of all groups to other hosts before the links
+// close.
+func (d *Daemon) transferLeadership() {
+	d.stopping.Store(true)
 	var groups conc.WaitGroup
 	for _, opened := range d.replicas {
 		groups.Go(func() {
 			if err := opened.MoveLeadership(context.Background()); err != nil {
-				d.log.Info("leadership not handed over", zap.Error(err))
+				d.log.Info("leadership transfer failed", zap.Error(err))
 			}
 		})
 	}
 	groups.Wait()
 }
 
-// stop hands over, takes no new work, lets calls in progress end while the
-// replicas still run, and then closes the rest.
+// stop transfers leadership, refuses new work, waits for calls in progress while the
+// replicas still run, and closes the rest.
 func (d *Daemon) stop() error {
-	d.log.Info("control host stops")
-	d.handOver()
+	d.log.Info("control host stopping")
+	d.transferLeadership()
 	var calls conc.WaitGroup
 	if d.api != nil {
 		calls.Go(func() {
@@ -335,9 +332,8 @@
 		calls.Go(func() { _ = d.server.Close() })
 	}
 	calls.Wait()
-	// What agents announced last may not have been passed on yet, and nobody
-	// else knows of it.
-	d.peers.tellAll()
+	// The last announcements of agents may not have reached any other host yet.
+	d.peers.syncAll()
 	d.cancel()
 	d.loops.Wait()
 	var first error
@@ -352,8 +348,8 @@
 	return first
 }
 
-// memberAddresses returns the link addresses of the other members of all
-// groups, by name of the host.
+// memberAddresses returns the link addresses of the other members of all groups by host
+// name.
 func (d *Daemon) memberAddresses() map[string]string {
 	out := map[string]string{}
 	for _, group := range d.groups {
@@ -366,8 +362,7 @@
 	return out
 }
 
-// selfAddress returns this host's link address as a group knows it, or
-// nothing if it is no member.
+// selfAddress returns this host's link address in a group, empty if it is no member.
 func (d *Daemon) selfAddress(group controlpb.Group) string {
 	for _, m := range d.replicas[group].Status().Members {
 		if m.Member.GetId().GetName() == d.name {
--- a/internal/controld/daemon_test.go
+++ b/internal/controld/daemon_test.go
@@ -23,7 +23,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-const patience = unittest.Patience
+const waitTimeout = unittest.Patience
 
 // deployment is a set of control hosts in this process.
 type deployment struct {
@@ -38,8 +38,8 @@
 	grantGroups uint32
 	// maxLinks bounds the links of each host; 0 is the default.
 	maxLinks uint32
-	// goneAfterMs, if not 0, lets the members follow the hosts.
-	goneAfterMs uint32
+	// removeAfterMs, if not 0, lets the members follow the hosts.
+	removeAfterMs uint32
 	// transient hosts keep their logs in memory only.
 	transient map[string]bool
 	// standBy has transient hosts stand by as long as they are not needed.
@@ -83,15 +83,15 @@
 			InitialVoters: d.voters, Join: join, TickMs: 20, MaxLinks: d.maxLinks,
 			GrantGroups: d.grantGroups,
 
-			AutomaticMembers: d.goneAfterMs > 0, GoneAfterMs: d.goneAfterMs, LeastVoters: d.leastVoters(),
+			AutomaticMembers: d.removeAfterMs > 0, GoneAfterMs: d.removeAfterMs, LeastVoters: d.minVoters(),
 			Transient: d.transient[name], StandBy: d.standBy && d.transient[name],
 		},
 	}
 }
 
-// leastVoters is what the hosts need for the loss of one.
-func (d *deployment) leastVoters() uint32 {
-	if d.goneAfterMs == 0 {
+// minVoters is what the hosts need for the loss of one.
+func (d *deployment) minVoters() uint32 {
+	if d.removeAfterMs == 0 {
 		return 0
 	}
 	return 3
@@ -125,7 +125,7 @@
 	case <-daemon.Ready():
 	case <-ended:
 		d.t.Fatalf("%s could not start: %v", name, h.result)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		d.t.Fatalf("%s is not ready", name)
 	}
 	d.hosts[name] = h
@@ -139,18 +139,18 @@
 	}
 }
 
-// newLone is one host that runs, with an operator's client for it.
-func newLone(t testing.TB) (*deployment, *operator.Client) {
+// newSingleHost is one host that runs, with an operator's client for it.
+func newSingleHost(t testing.TB) (*deployment, *operator.Client) {
 	t.Helper()
 	d := newDeployment(t, "c1")
 	d.startAll("c1")
 	return d, d.operator("c1")
 }
 
-// newSingle is one host with a first version that these operations made.
-func newSingle(t testing.TB, ops ...*configpb.Operation) *deployment {
+// newSingleHostWith is one host with a first version that these operations made.
+func newSingleHostWith(t testing.TB, ops ...*configpb.Operation) *deployment {
 	t.Helper()
-	d, c := newLone(t)
+	d, c := newSingleHost(t)
 	d.accept(c, patch("p1", 0, ops...))
 	return d
 }
@@ -191,14 +191,14 @@
 	for _, h := range hosts {
 		addrs = append(addrs, d.hosts[h].daemon.LinkAddr())
 	}
-	c := link.NewClient(addrs, d.keys.Credentials(role, name, service), link.ClientOptions{HeartbeatTimeout: patience})
+	c := link.NewClient(addrs, d.keys.Credentials(role, name, service), link.ClientOptions{HeartbeatTimeout: waitTimeout})
 	d.t.Cleanup(c.Close)
 	return c
 }
 
 func testContext(t testing.TB) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -234,13 +234,13 @@
 	return out
 }
 
-// watcher is a subscriber that keeps what it was sent.
-type watcher struct {
+// recorder is a subscriber that keeps what it was sent.
+type recorder struct {
 	t      testing.TB
 	stream *link.ClientStream
 }
 
-func (d *deployment) subscribe(c *link.Client, req *controlpb.Subscribe) *watcher {
+func (d *deployment) subscribe(c *link.Client, req *controlpb.Subscribe) *recorder {
 	d.t.Helper()
 	var stream *link.ClientStream
 	eventually(d.t, "a subscription", func() bool {
@@ -249,13 +249,13 @@
 		return err == nil
 	})
 	d.t.Cleanup(stream.Close)
-	return &watcher{t: d.t, stream: stream}
+	return &recorder{t: d.t, stream: stream}
 }
 
 // await returns the first update that fits.
-func (w *watcher) await(what string, fits func(*controlpb.SubscribeUpdate) bool) *controlpb.SubscribeUpdate {
+func (w *recorder) await(what string, fits func(*controlpb.SubscribeUpdate) bool) *controlpb.SubscribeUpdate {
 	w.t.Helper()
-	must(w.t, w.stream.SetReceiveDeadline(time.Now().Add(patience)))
+	must(w.t, w.stream.SetReceiveDeadline(time.Now().Add(waitTimeout)))
 	for {
 		u, err := w.stream.Receive()
 		if err != nil {
@@ -267,7 +267,7 @@
 	}
 }
 
-func (w *watcher) awaitVersion(version uint64) *controlpb.ConfigUpdate {
+func (w *recorder) awaitVersion(version uint64) *controlpb.ConfigUpdate {
 	w.t.Helper()
 	return w.await(fmt.Sprintf("version %d", version), func(u *controlpb.SubscribeUpdate) bool {
 		return u.GetConfig() != nil && u.GetConfig().GetVersion() == version
@@ -276,7 +276,7 @@
 
 func TestSingleHostPatchReachesSubscriber(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{FailureDomain: "dugbe"})
 
 	first := w.await("a first configuration", func(u *controlpb.SubscribeUpdate) bool { return u.GetConfig() != nil })
--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -8,36 +8,36 @@
 	"eelgrasswharf.example/eelgrasswharf/membership"
 )
 
-// directory shares the directory of targets between goroutines and gives it a
-// monotonic clock.
+// directory makes membership.Directory safe for concurrent use and gives it a monotonic
+// clock.
 type directory struct {
-	changed *hub
+	changed *notifier
 	start   time.Time
-	// subscribers are those of this host. Its lock is never taken with mu held.
+	// subscribers has the subscribers of this host. Its lock is never taken with mu held.
 	subscribers *subscribers
 
 	mu  sync.Mutex
 	dir *membership.Directory
-	// hosts has what other control hosts have told of their subscribers.
-	hosts map[string]hostLoad
+	// loads has the subscriber counts reported by other control hosts.
+	loads map[string]hostLoad
 }
 
 func newDirectory(epoch uint64, lease time.Duration) *directory {
 	return &directory{
-		changed: newHub(),
+		changed: newNotifier(),
 		start:   time.Now(),
 		dir:     membership.New(membership.Options{Epoch: epoch, Lease: lease}),
 
 		subscribers: newSubscribers(),
-		hosts:       map[string]hostLoad{},
+		loads:       map[string]hostLoad{},
 	}
 }
 
 func (d *directory) now() time.Duration { return time.Since(d.start) }
 
-// holds reports whether the directory has heard of an incarnation of a target, or of
-// a later one.
-func (d *directory) holds(number, incarnation uint32) bool {
+// hasIncarnation reports whether the directory has an incarnation of a target or a later
+// one.
+func (d *directory) hasIncarnation(number, incarnation uint32) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.HasIncarnation(number, incarnation)
@@ -45,7 +45,7 @@
 
 func (d *directory) lease() time.Duration { return d.dir.Lease() }
 
-// announce takes the record of an agent.
+// announce merges a record announced by an agent.
 func (d *directory) announce(r *controlpb.TargetRecord) membership.Result {
 	verdict := d.merge(r)
 	if verdict == membership.Changed {
@@ -60,9 +60,9 @@
 	return d.dir.Announce(d.now(), r, membership.Direct)
 }
 
-// hear takes what another control host passes on.
-func (d *directory) hear(host string, m *controlpb.DirectorySync) *controlpb.DirectorySyncReply {
-	d.noteLoad(host, m)
+// applySync merges a sync message of another control host.
+func (d *directory) applySync(host string, m *controlpb.DirectorySync) *controlpb.DirectorySyncReply {
+	d.recordLoad(host, m)
 	reply, changed := d.mergeSync(membership.Source(host), m)
 	if changed {
 		d.changed.notify()
@@ -90,35 +90,35 @@
 	defer d.mu.Unlock()
 	now := d.now()
 	before := d.dir.Sequence()
-	settled := d.dir.Complete(now)
+	complete := d.dir.Complete(now)
 	d.dir.Expire(now)
-	// Subscribers wait for the full list of a directory that has just settled.
-	justSettled := settled && !d.dir.Complete(now-2*expirePeriod)
-	return justSettled || d.dir.Sequence() != before
+	// Subscribers wait for the full list once the directory becomes complete.
+	justCompleted := complete && !d.dir.Complete(now-2*expirePeriod)
+	return justCompleted || d.dir.Sequence() != before
 }
 
-// ownSequence returns the sequence of the last change that is to be passed on.
-func (d *directory) ownSequence() uint64 {
+// localSequence returns the sequence of the last change to be sent to peers.
+func (d *directory) localSequence() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.LocalSequence()
 }
 
-// sync returns what to tell a control host that was told all up to the cursor.
+// sync returns the message for a control host that has all changes up to the cursor.
 func (d *directory) sync(cursor uint64) (*controlpb.DirectorySync, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.Sync(d.now(), cursor)
 }
 
-// repair returns what to tell a control host whose digests differ.
+// repair returns the message for a control host whose digests differ.
 func (d *directory) repair(cursor uint64, digests []uint64) (*controlpb.DirectorySync, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.Repair(d.now(), cursor, digests)
 }
 
-// hasDomain reports whether a target stands in a failure domain.
+// hasDomain reports whether any target is in a failure domain.
 func (d *directory) hasDomain(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,16 +137,15 @@
 	return d.dir.Damped()
 }
 
-// settled reports whether a target that the directory does not hold has no
-// lease.
-func (d *directory) settled() bool {
+// complete reports whether a target missing in the directory has no lease.
+func (d *directory) complete() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.Complete(d.now())
 }
 
-// next returns what the follower has to be sent, or nil.
-func (d *directory) next(f *membership.Subscriber) (*controlpb.DirectoryUpdate, membership.UpdateKind) {
+// nextUpdate returns the next update for a subscriber, or nil.
+func (d *directory) nextUpdate(f *membership.Subscriber) (*controlpb.DirectoryUpdate, membership.UpdateKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.Next(d.now(), f)
--- a/internal/controld/evacuation.go
+++ b/internal/controld/evacuation.go
@@ -16,16 +16,16 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// errCallerGone tells that whoever gave an order no longer waits for its answer.
-var errCallerGone = errors.New("the caller has gone")
+// errCallerCanceled means that the caller of an order no longer waits for its outcome.
+var errCallerCanceled = errors.New("the caller canceled the request")
 
-// Evacuate has the group decide on an order to evacuate a failure domain. Errors are as
-// those of Replace.
+// Evacuate proposes an order to evacuate a failure domain. Errors are those of
+// ReplaceRouteTable.
 func (d *Daemon) Evacuate(ctx context.Context, o *configpb.EvacuationOrder) (*configpb.EvacuationOutcome, error) {
-	if err := d.standsByError(); err != nil {
+	if err := d.standbyError(); err != nil {
 		return nil, err
 	}
-	if findings := d.checkEvacuation(o); len(findings) > 0 {
+	if findings := d.validateEvacuation(o); len(findings) > 0 {
 		return &configpb.EvacuationOutcome{
 			Verdict:  configpb.EvacuationVerdict_EVACUATION_VERDICT_INVALID,
 			Version:  d.configs.version(),
@@ -33,15 +33,15 @@
 		}, nil
 	}
 	if !d.enoughVoters() {
-		return nil, errors.Wrap(operator.ErrNotApplied, errFewVoters.Error())
+		return nil, errors.Wrap(operator.ErrNotApplied, errTooFewVoters.Error())
 	}
-	if err := d.confirm.wait(ctx); err != nil {
+	if err := d.readBarrier.wait(ctx); err != nil {
 		return nil, errors.Wrapf(operator.ErrNotApplied, "no quorum confirms the state: %v", err)
 	}
-	// An order that lay in the socket of a host that stood still may have been carried out
-	// by another host meanwhile, and ended by the next order. Its caller has gone.
+	// While this host was stalled, the caller may have sent the order to another host and
+	// then ended the evacuation. Applying the order now would start it again.
 	if ctx.Err() != nil {
-		return nil, errors.Wrap(operator.ErrNotApplied, errCallerGone.Error())
+		return nil, errors.Wrap(operator.ErrNotApplied, errCallerCanceled.Error())
 	}
 	if out := d.configs.alreadyEvacuated(o); out != nil {
 		return out, nil
@@ -62,28 +62,28 @@
 	}
 	var result configpb.Result
 	if err := proto.Unmarshal(data, &result); err != nil || result.GetEvacuated() == nil {
-		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "the result cannot be read")
+		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "cannot decode the result")
 	}
 	out := result.GetEvacuated()
-	d.log.Info("evacuation", zap.String("failure_domain", o.GetFailureDomain()), zap.Bool("ends", o.GetEnd()),
+	d.log.Info("evacuation order committed", zap.String("failure_domain", o.GetFailureDomain()), zap.Bool("ends", o.GetEnd()),
 		zap.String("order", o.GetId()), zap.Stringer("verdict", out.GetVerdict()), zap.Uint64("version", out.GetVersion()))
 	return out, nil
 }
 
-// checkEvacuation lists the findings of an order. One that ends an evacuation may name any
-// failure domain that is evacuated.
-func (d *Daemon) checkEvacuation(o *configpb.EvacuationOrder) []*configpb.Finding {
+// validateEvacuation lists the findings of an order. An order to end an evacuation may name
+// any evacuated failure domain.
+func (d *Daemon) validateEvacuation(o *configpb.EvacuationOrder) []*configpb.Finding {
 	findings := config.ValidateEvacuation(o)
 	name := o.GetFailureDomain()
-	if len(findings) > 0 || d.knowsDomain(name) || d.configs.isEvacuated(name) {
+	if len(findings) > 0 || d.isKnownDomain(name) || d.configs.isEvacuated(name) {
 		return findings
 	}
 	return []*configpb.Finding{{Place: "failure domain", Text: fmt.Sprintf("%q is unknown", name)}}
 }
 
-// knowsDomain reports whether a failure domain is one of those that the settings name. If
-// they name none, those count that targets or this host stand in.
-func (d *Daemon) knowsDomain(name string) bool {
+// isKnownDomain reports whether the settings list a failure domain. If they list none, the
+// failure domains of the targets and of this host are known.
+func (d *Daemon) isKnownDomain(name string) bool {
 	if named := d.settings.GetReplica().GetFailureDomains(); len(named) > 0 {
 		return slices.Contains(named, name)
 	}
@@ -95,7 +95,7 @@
 	return (*Daemon)(h).Evacuate(ctx, o)
 }
 
-// evacuationStatus lists what is evacuated in a version.
+// evacuationStatus lists the evacuated failure domains of a version.
 func evacuationStatus(c *configpb.Configuration) []operator.EvacuationStatus {
 	out := []operator.EvacuationStatus{}
 	for _, e := range c.GetEvacuations() {
--- a/internal/controld/evacuation_test.go
+++ b/internal/controld/evacuation_test.go
@@ -15,15 +15,15 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// home is the failure domain of the hosts of these tests, the only one that they know.
-const home = "bodija"
+// knownDomain is the failure domain of the hosts of these tests, the only one that they know.
+const knownDomain = "bodija"
 
 func begin(id string) *configpb.EvacuationOrder {
-	return &configpb.EvacuationOrder{Id: id, FailureDomain: home}
+	return &configpb.EvacuationOrder{Id: id, FailureDomain: knownDomain}
 }
 
 func end(id string) *configpb.EvacuationOrder {
-	return &configpb.EvacuationOrder{Id: id, FailureDomain: home, End: true}
+	return &configpb.EvacuationOrder{Id: id, FailureDomain: knownDomain, End: true}
 }
 
 // order gives an order until it has an outcome: a group may have no leader yet.
@@ -50,12 +50,12 @@
 		version, confirmed, err = c.Config(testContext(d.t), 0)
 		return err == nil && confirmed
 	})
-	return config.IsEvacuated(version, home)
+	return config.IsEvacuated(version, knownDomain)
 }
 
 // Each host takes orders and shows the same, copies elsewhere change nothing, and all of
 // it outlives the restart of every host and the loss of a disk.
-func TestEvacuationIsAgreed(t *testing.T) {
+func TestEvacuationIsReplicated(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	is.Equal(d.order(d.operator("c2"), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
@@ -65,7 +65,7 @@
 		is.Equal(d.order(d.operator(name), begin("")), configpb.EvacuationVerdict_EVACUATION_VERDICT_UNCHANGED)
 		shown := d.status(name).Evacuations
 		is.Equal(len(shown), 1)
-		is.Equal(shown[0].FailureDomain, home)
+		is.Equal(shown[0].FailureDomain, knownDomain)
 		is.Equal(shown[0].Order, "o1")
 		is.True(!shown[0].Since.IsZero())
 	}
@@ -86,23 +86,23 @@
 }
 
 // An order outlives the loss of the leader that acknowledged it.
-func TestEvacuationOutlivesTheLeader(t *testing.T) {
+func TestEvacuationSurvivesLossOfLeader(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	leader := d.leader()
 	is.Equal(d.order(d.operator(leader), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
 	d.stop(leader)
-	for _, name := range others(leader) {
+	for _, name := range otherHosts(leader) {
 		is.True(d.evacuated(name))
 	}
-	is.Equal(d.order(d.operator(others(leader)...), end("o2")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
+	is.Equal(d.order(d.operator(otherHosts(leader)...), end("o2")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
 }
 
 // Entry hosts and agents, which follow one service alone, are told of each order.
-func TestSubscribersLearnOfEvacuations(t *testing.T) {
+func TestSubscribersReceiveEvacuations(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
-	watchers := []*watcher{
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
+	watchers := []*recorder{
 		d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{}),
 		d.subscribe(d.link(keys.RoleAgent, "a1", "lodgement", "c1"), &controlpb.Subscribe{Services: []uint32{1}, ScopedConfig: true}),
 	}
@@ -116,7 +116,7 @@
 				next, err := config.Merge(held, u.GetConfig())
 				is.NoErr(err)
 				held = next
-				return config.IsEvacuated(held, home) == evacuated
+				return config.IsEvacuated(held, knownDomain) == evacuated
 			})
 		}
 		step(false)
@@ -127,9 +127,9 @@
 	}
 }
 
-func TestEvacuationOfAnUnknownFailureDomain(t *testing.T) {
+func TestEvacuationOfUnknownFailureDomain(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	for _, name := range []string{"", "elsewhere", "Bodija"} {
 		out, err := d.operator("c1").Evacuate(testContext(t), &configpb.EvacuationOrder{FailureDomain: name})
 		is.NoErr(err)
@@ -141,9 +141,9 @@
 
 // An order whose caller has gone is not carried out: another host may have done so, and
 // the next order may have come since.
-func TestOrderOfACallerThatHasGone(t *testing.T) {
+func TestEvacuationWithCanceledContext(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := d.hosts["c1"].daemon.Evacuate(gone, begin(""))
@@ -152,9 +152,9 @@
 }
 
 // A host that stands by sends the order on, and takes none itself.
-func TestStandbySendsEvacuationsElsewhere(t *testing.T) {
+func TestStandbyRefusesEvacuations(t *testing.T) {
 	is := is.New(t)
-	d := standing(t, 3, 1, "d1", "d2", "d3")
+	d := newStandbyDeployment(t, 3, 1, "d1", "d2", "d3")
 	d.awaitVoters("d1", 3, "d1", true)
 	d.awaitStandby("s1")
 	_, err := d.hosts["s1"].daemon.Evacuate(testContext(t), begin(""))
--- a/internal/controld/export_test.go
+++ b/internal/controld/export_test.go
@@ -6,11 +6,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// Advance moves the logical clock of the grants as a tick of the loop does.
+// Advance advances the logical clock of the grants like advanceLoop.
 func (d *Daemon) Advance(elapsed time.Duration) { d.advance(elapsed) }
 
-// GrantTime returns the logical time of the first group of grants in
-// milliseconds.
+// GrantTime returns the logical time of the first grant group in milliseconds.
 func (d *Daemon) GrantTime() uint64 {
 	first := d.grants.at(0)
 	first.mu.Lock()
@@ -18,8 +17,8 @@
 	return first.machine.Now()
 }
 
-// Links returns how many links the host has accepted.
+// Links returns the number of accepted links.
 func (d *Daemon) Links() int { return d.server.Connections() }
 
-// Traffic returns what the host has exchanged over its links.
+// Traffic returns the bytes transferred over the links.
 func (d *Daemon) Traffic() link.Traffic { return d.server.Traffic() }
--- a/internal/controld/appoint_test.go
+++ b/internal/controld/founder_test.go
@@ -8,7 +8,7 @@
 
 // No initial voter keeps its log: one of the hosts that ask to join founds, the others
 // that keep theirs vote, and those that do not follow.
-func TestFoundingWithoutAVoterAmongTheSeeds(t *testing.T) {
+func TestBootstrapWithTransientSeeds(t *testing.T) {
 	for name, starts := range map[string][]string{
 		"seeds first": {"s1", "s2", "s3", "d1", "d2", "d3"},
 		"seeds last":  {"d3", "d2", "d1", "s3", "s2", "s1"},
@@ -17,7 +17,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := newDeployment(t, "s1", "s2", "s3", "d1", "d2", "d3")
-			d.goneAfterMs = 30_000
+			d.removeAfterMs = 30_000
 			d.voters = d.voters[:3]
 			d.transient = map[string]bool{"s1": true, "s2": true, "s3": true}
 			for _, host := range starts {
@@ -30,7 +30,7 @@
 			for _, host := range starts {
 				eventually(t, "the version reaches it", func() bool { return d.status(host).Version == 1 })
 			}
-			names, _ := d.voting("s3")
+			names, _ := d.votersSeenBy("s3")
 			is.Equal(names, map[string]bool{"d1": true, "d2": true, "d3": true})
 		})
 	}
@@ -38,9 +38,9 @@
 
 // There is one seed, which keeps no log, and the founder that it names starts again before
 // others join.
-func TestFoundingWithOneSeed(t *testing.T) {
+func TestBootstrapWithOneTransientSeed(t *testing.T) {
 	d := newDeployment(t, "s1", "d1", "d2", "d3")
-	d.goneAfterMs = 30_000
+	d.removeAfterMs = 30_000
 	d.voters = d.voters[:1]
 	d.transient = map[string]bool{"s1": true}
 	d.start("s1", "", false)
--- a/internal/controld/grants.go
+++ b/internal/controld/grants.go
@@ -9,7 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/grant"
 )
 
-// grantGroup returns the replicated log of a group of grants, numbered from 0.
+// grantGroup returns the replicated log of a grant group, numbered from 0.
 func grantGroup(index int) controlpb.Group {
 	return controlpb.Group_GROUP_GRANT + controlpb.Group(index)
 }
@@ -19,8 +19,8 @@
 	return int(group - controlpb.Group_GROUP_GRANT)
 }
 
-// groupName names a replicated log towards operators. It is the subfolder of
-// the data folder, too.
+// groupName returns the name of a replicated log for operators, which is also its
+// subdirectory of the data directory.
 func groupName(group controlpb.Group) string {
 	switch group {
 	case controlpb.Group_GROUP_CONFIG:
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("grant-%d", grantIndex(group)+1)
 }
 
-// grantState lets the state machine of a group of grants be read while the
+// grantState makes the state machine of a grant group safe for concurrent reads while the
 // replica applies commands.
 type grantState struct {
 	mu      sync.Mutex
@@ -59,15 +59,15 @@
 	return s.machine.Restore(snapshot)
 }
 
-// grantView is what is read of a group of grants.
+// grantView is a snapshot of the figures and settings of a grant group.
 type grantView struct {
 	held, answered int
-	// records and bytes are how much of the bounds is taken, in percent.
+	// records and bytes are the usage of the bounds, in percent.
 	records, bytes int
-	// table is nil while none was agreed on.
+	// table is nil until a slot table is agreed on.
 	table     *grant.SlotTable
 	retention grant.Retention
-	// used says that a key was decided on.
+	// used is set once any key was decided.
 	used bool
 }
 
@@ -80,12 +80,11 @@
 	return v
 }
 
-// grantGroups has the state of each group of grants. It does not change once
-// the replicas are open.
+// grantGroups has the state of each grant group. It is constant once the replicas are open.
 type grantGroups struct {
 	states []*grantState
-	// fixed is the table once it can't change any more, so that no request
-	// waits for the first group unless its key belongs there.
+	// fixed caches the table once it is final, so that requests take no lock of the first
+	// group.
 	fixed atomic.Pointer[grant.SlotTable]
 }
 
@@ -99,9 +98,9 @@
 
 func (g *grantGroups) count() int { return len(g.states) }
 
-// table returns the slot table by which this host chooses the group of a key,
-// nil if it knows none. A group refuses what was chosen by another table than
-// the agreed one, so a host that lags behind can't do harm.
+// table returns the slot table that maps keys to groups on this host, nil if there is none
+// yet. A stale table is harmless: a group refuses commands that were routed by any other
+// table than the agreed one.
 func (g *grantGroups) table() *grant.SlotTable {
 	if table := g.fixed.Load(); table != nil {
 		return table
@@ -121,11 +120,10 @@
 	return nil
 }
 
-// onlyGroup is the table of a deployment that agreed on none.
+// onlyGroup is the table of a deployment without an agreed one.
 var onlyGroup = grant.NewSlotTable(1)
 
-// wanted returns how many groups this host has to open: what the first one
-// agreed on, else what the settings ask for.
+// wanted returns the number of groups to open: the agreed one, else that of the settings.
 func (g *grantGroups) wanted(settings uint32) int {
 	asked := max(int(settings), 1)
 	if g.count() == 0 {
--- a/internal/controld/grants_test.go
+++ b/internal/controld/grants_test.go
@@ -10,9 +10,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// TestNoGrantBeforeTheTable asks a host before a table is agreed on, and again
+// TestNoGrantBeforeSlotTable asks a host before a table is agreed on, and again
 // once a quorum runs.
-func TestNoGrantBeforeTheTable(t *testing.T) {
+func TestNoGrantBeforeSlotTable(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2", "c3")
 	d.grantGroups = 3
@@ -25,9 +25,9 @@
 	eventually(t, "a grant", func() bool { return ask() == grantpb.Decision_DECISION_GRANTED })
 }
 
-// TestRetentionIsAgreedOnByEachGroup sets the retention through one host. Every
+// TestRetentionIsSetInEachGroup sets the retention through one host. Every
 // host sees it for each group, also one that was restarted.
-func TestRetentionIsAgreedOnByEachGroup(t *testing.T) {
+func TestRetentionIsSetInEachGroup(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2", "c3")
 	d.grantGroups = 3
--- a/internal/controld/group_test.go
+++ b/internal/controld/group_test.go
@@ -64,8 +64,8 @@
 	return d
 }
 
-// others returns the names of the hosts besides one, in order.
-func others(not string) []string {
+// otherHosts returns the names of the hosts besides one, in order.
+func otherHosts(not string) []string {
 	var out []string
 	for _, name := range []string{"c1", "c2", "c3"} {
 		if name != not {
@@ -75,10 +75,10 @@
 	return out
 }
 
-func TestGroupTakesPatchesOnEveryHost(t *testing.T) {
+func TestEveryHostAcceptsPatches(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
-	var watchers []*watcher
+	var watchers []*recorder
 	for _, name := range []string{"c1", "c2", "c3"} {
 		c := d.link(keys.RoleEntry, "e-"+name, "", name)
 		watchers = append(watchers, d.subscribe(c, &controlpb.Subscribe{}))
@@ -86,7 +86,7 @@
 	for i, name := range []string{"c1", "c2", "c3"} {
 		p := patch(fmt.Sprintf("via-%s", name), uint64(i+1), put("certificates", fmt.Sprintf("192.0.2.%d:443", 10+i)))
 		first := d.accept(d.operator(name), p)
-		for _, other := range others(name) {
+		for _, other := range otherHosts(name) {
 			again, err := d.operator(other).Submit(testContext(t), p)
 			is.NoErr(err)
 			is.True(proto.Equal(first, again)) // a resend elsewhere gets the first outcome
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestOneOfTwoRacingPatchesWins(t *testing.T) {
+func TestOneConcurrentPatchIsAccepted(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	for round := range uint64(5) {
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestMinoritySaysSo(t *testing.T) {
+func TestMinorityRefusesWrites(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	eventually(t, "version 1 everywhere", func() bool {
@@ -178,7 +178,7 @@
 func TestGroupSurvivesLossOfLeader(t *testing.T) {
 	d := newGroup(t)
 	leader := d.leader()
-	rest := others(leader)
+	rest := otherHosts(leader)
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", rest[0]), &controlpb.Subscribe{})
 	w.awaitVersion(1)
 	old := d.stop(leader)
@@ -195,24 +195,24 @@
 	})
 }
 
-func TestLostDiskComesBackAsLearner(t *testing.T) {
+func TestHostWithLostDiskRejoinsAsLearner(t *testing.T) {
 	// c1 is the host that founded the group.
 	for _, lost := range []string{"c1", "c3"} {
-		t.Run(lost, func(t *testing.T) { loseDisk(t, lost) })
+		t.Run(lost, func(t *testing.T) { testLostDisk(t, lost) })
 	}
 }
 
-func loseDisk(t *testing.T, lost string) {
+func testLostDisk(t *testing.T, lost string) {
 	is := is.New(t)
 	d := newGroup(t)
-	rest := others(lost)
+	rest := otherHosts(lost)
 	d.stop(lost)
 	d.start(lost, "", false) // the same settings, an empty data folder
 	ops := d.operator(rest...)
 	for i := range uint64(5) {
 		d.accept(ops, patch(fmt.Sprintf("q%d", i), i+1, put("lodgement", "192.0.2.1:443")))
 	}
-	eventually(t, "the host to find itself a stranger", func() bool { return d.hosts[lost].strangers() > 0 })
+	eventually(t, "the host to find itself a stranger", func() bool { return d.hosts[lost].notMemberCount() > 0 })
 	for _, g := range d.status(lost).Groups {
 		is.Equal(g.State, "not founded") // it takes no part under its old name
 	}
@@ -238,7 +238,7 @@
 func TestAnnouncementReachesOtherHosts(t *testing.T) {
 	d := newGroup(t)
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
-	announces(t, agent, registered(t, agent, "t1"))
+	announceTarget(t, agent, registerTarget(t, agent, "t1"))
 	for _, name := range []string{"c2", "c3"} {
 		w := d.subscribe(d.link(keys.RoleEntry, "e-"+name, "", name), &controlpb.Subscribe{})
 		w.await("the target on "+name, func(u *controlpb.SubscribeUpdate) bool {
@@ -247,12 +247,12 @@
 	}
 }
 
-// TestStoppingHostPassesOnWhatItTook stops a host right after an agent announced
+// TestStoppingHostSyncsDirectory stops a host right after an agent announced
 // to it. Nobody announces again.
-func TestStoppingHostPassesOnWhatItTook(t *testing.T) {
+func TestStoppingHostSyncsDirectory(t *testing.T) {
 	d := newGroup(t)
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
-	announces(t, agent, registered(t, agent, "t1"))
+	announceTarget(t, agent, registerTarget(t, agent, "t1"))
 	d.stop("c1")
 	for _, name := range []string{"c2", "c3"} {
 		if n := d.status(name).Targets; n != 1 {
@@ -261,18 +261,18 @@
 	}
 }
 
-// TestRestartedHostIsToldTheDirectory restarts a host that the agent does not
+// TestRestartedHostReceivesDirectory restarts a host that the agent does not
 // announce to: it has forgotten all that it was told.
-func TestRestartedHostIsToldTheDirectory(t *testing.T) {
+func TestRestartedHostReceivesDirectory(t *testing.T) {
 	d := newGroup(t)
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
-	announces(t, agent, registered(t, agent, "t1"))
+	announceTarget(t, agent, registerTarget(t, agent, "t1"))
 	eventually(t, "the target on c2", func() bool { return d.status("c2").Targets == 1 })
 	d.restart("c2")
 	eventually(t, "the target on c2 again", func() bool { return d.status("c2").Targets == 1 })
 }
 
-func TestGrantIsGivenOnceInTheGroup(t *testing.T) {
+func TestKeyIsGrantedOnce(t *testing.T) {
 	d := newGroup(t)
 	var wg conc.WaitGroup
 	var granted [20]atomic.Int32
@@ -308,7 +308,7 @@
 
 func memberRef(name string) operator.MemberRef { return operator.MemberRef{Name: name} }
 
-func TestOnlyTheLeaderMovesTheLogicalClock(t *testing.T) {
+func TestOnlyLeaderAdvancesClock(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	advanceAll := func() {
@@ -356,9 +356,9 @@
 		leader = d.status("c1").Groups[1].Leader
 		return leader != ""
 	})
-	follower := others(leader)[0]
+	follower := otherHosts(leader)[0]
 	const links, each = 5, 60
-	d.stop(others(leader)[1]) // each commit needs the follower
+	d.stop(otherHosts(leader)[1]) // each commit needs the follower
 	ctx := testContext(t)
 	var undecided atomic.Int32
 	var wg conc.WaitGroup
--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -22,19 +22,19 @@
 
 // Refusals of an announcement.
 const (
-	// RefusalSuperseded tells that a newer process of the target is known. The
-	// older one goes on with its sessions and takes no new ones.
+	// RefusalSuperseded means that a newer process of the target is known. The older one
+	// keeps its sessions and takes no new ones.
 	RefusalSuperseded = "a newer process of this target is known"
-	// RefusalIdentity tells that the record contradicts the registration or
-	// the certificate of the agent.
+	// RefusalIdentity means that the record does not match the registration or the
+	// certificate of the agent.
 	RefusalIdentity = "the record does not match the registration"
-	// RefusalInvalid tells that the record breaks a bound.
+	// RefusalInvalid means that the record violates a bound.
 	RefusalInvalid = "the record is improper"
-	// RefusalFull tells that the directory is full.
+	// RefusalFull means that the directory is full.
 	RefusalFull = "the directory is full"
 )
 
-// refusalReason is a value of the tag of the counter of refusals.
+// refusalReason is the reason tag of the refusals counter.
 type refusalReason string
 
 const (
@@ -47,16 +47,16 @@
 	refusedUnknown    refusalReason = "unknown_outcome"
 	refusedSuperseded refusalReason = "superseded"
 	refusedIdentity   refusalReason = "identity"
-	refusedImproper   refusalReason = "improper_record"
+	refusedInvalid    refusalReason = "improper_record"
 	refusedFull       refusalReason = "directory_full"
 	refusedTable      refusalReason = "slot_table"
-	refusedStandsBy   refusalReason = "stands_by"
+	refusedStandby    refusalReason = "stands_by"
 )
 
-// handler answers the requests of peers.
+// handler serves the requests of peers.
 type handler Daemon
 
-// allowed has the roles that may send each kind of request.
+// allowed returns the roles that may send a request.
 func allowed(req *controlpb.Request) []keys.Role {
 	switch req.GetBody().(type) {
 	case *controlpb.Request_Raft, *controlpb.Request_Propose, *controlpb.Request_DirectorySync, *controlpb.Request_Replicas,
@@ -79,8 +79,8 @@
 	if !slices.Contains(roles, peer.Role) {
 		return h.fault(refusedRole, controlpb.FaultKind_FAULT_FORBIDDEN, "the role may not ask this")
 	}
-	if peer.Role != keys.RoleControl && (*Daemon)(h).standsBy() {
-		return h.refuseStandingBy(ctx)
+	if peer.Role != keys.RoleControl && (*Daemon)(h).isStandby() {
+		return h.refuseAsStandby(ctx)
 	}
 	switch body := req.GetBody().(type) {
 	case *controlpb.Request_Raft:
@@ -88,7 +88,7 @@
 	case *controlpb.Request_Propose:
 		return h.propose(ctx, body.Propose)
 	case *controlpb.Request_DirectorySync:
-		reply := h.directory.hear(peer.Name, body.DirectorySync)
+		reply := h.directory.applySync(peer.Name, body.DirectorySync)
 		return &controlpb.Response{Body: &controlpb.Response_DirectorySync{DirectorySync: reply}}
 	case *controlpb.Request_Replicas:
 		reply := (*Daemon)(h).replicaInfos()
@@ -96,10 +96,10 @@
 	case *controlpb.Request_Join:
 		return h.join(ctx, peer, body.Join)
 	case *controlpb.Request_TakeOver:
-		return h.takeOver(ctx, peer, body.TakeOver)
+		return h.handleTakeOver(ctx, peer, body.TakeOver)
 	case *controlpb.Request_Serving:
-		(*Daemon)(h).noteServing(body.Serving.GetAddresses())
-		return done()
+		(*Daemon)(h).setServingHosts(body.Serving.GetAddresses())
+		return doneResponse()
 	case *controlpb.Request_Register:
 		return h.register(ctx, peer, body.Register)
 	case *controlpb.Request_Announce:
@@ -112,7 +112,7 @@
 	return h.version(ctx)
 }
 
-func done() *controlpb.Response {
+func doneResponse() *controlpb.Response {
 	return &controlpb.Response{Body: &controlpb.Response_Done{Done: &controlpb.Done{}}}
 }
 
@@ -135,36 +135,35 @@
 		return h.fault(refusedRequest, controlpb.FaultKind_FAULT_NOT_DONE, "no such group")
 	}
 	for _, m := range batch.GetMessages() {
-		// A control host speaks for itself only.
+		// A control host sends messages only for itself.
 		if m.GetFrom().GetName() != peer.Name {
 			return h.fault(refusedSender, controlpb.FaultKind_FAULT_FORBIDDEN, "message of another host")
 		}
 	}
-	h.peers.learn(peer.Name, batch.GetAddress())
+	h.peers.setAddress(peer.Name, batch.GetAddress())
 	r.Receive(batch.GetMessages())
-	return done()
+	return doneResponse()
 }
 
-// join adds the host that asks as a learner to the groups that this host
-// leads. The answer says whether it is a member of all now.
+// join adds the requesting host as a learner to the groups that this host leads. It
+// succeeds if the host is a member of all groups.
 func (h *handler) join(ctx context.Context, peer link.Peer, j *controlpb.Join) *controlpb.Response {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	if answer := h.standByAnswer(j); answer != nil {
+	if answer := h.standbyResponse(j); answer != nil {
 		return answer
 	}
 	name := cmp.Or(j.GetName(), peer.Name)
-	// A host that leads no group cannot add one, and asking the host that joins who it is
-	// would cost that one a link from each member.
+	// Checked first, so that only leaders dial the joining host.
 	err := errors.Wrap(operator.ErrNotApplied, "this host leads no group")
-	if h.leadsAny() {
+	if h.leadsAnyGroup() {
 		err = (*operatorHandler)(h).addLearner(ctx, j.GetAddress(), name)
 	}
-	if err != nil && h.appoints(peer, j) {
+	if err != nil && h.shouldFound(peer, j) {
 		return &controlpb.Response{Body: &controlpb.Response_Found{Found: &controlpb.Found{}}}
 	}
-	if err != nil && int(j.GetHops()) < joinHops {
-		return h.passOnJoin(ctx, j, name)
+	if err != nil && int(j.GetHops()) < maxJoinHops {
+		return h.forwardJoin(ctx, j, name)
 	}
 	if errors.Is(err, operator.ErrOutcomeUnknown) {
 		return h.fault(refusedUnknown, controlpb.FaultKind_FAULT_UNKNOWN, err.Error())
@@ -172,24 +171,24 @@
 	if err != nil {
 		return h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, err.Error())
 	}
-	return done()
+	return doneResponse()
 }
 
-func (h *handler) leadsAny() bool {
-	return slices.ContainsFunc(h.groups, (*Daemon)(h).leads)
+func (h *handler) leadsAnyGroup() bool {
+	return slices.ContainsFunc(h.groups, (*Daemon)(h).isLeader)
 }
 
-// appoints reports whether a host that asks to join is to found the groups.
-func (h *handler) appoints(peer link.Peer, j *controlpb.Join) bool {
-	if j.GetTransient() || j.GetHops() > 0 || (*Daemon)(h).formed() {
+// shouldFound reports whether a joining host has to bootstrap the groups.
+func (h *handler) shouldFound(peer link.Peer, j *controlpb.Join) bool {
+	if j.GetTransient() || j.GetHops() > 0 || (*Daemon)(h).bootstrapped() {
 		return false
 	}
-	return h.appointer.appoint(voter{name: peer.Name, address: j.GetAddress()})
+	return h.founderSelector.isFounder(seedHost{name: peer.Name, address: j.GetAddress()})
 }
 
-// passOnJoin asks the leaders that this host knows of to add a host: one that
-// joins may not know the address of any leader.
-func (h *handler) passOnJoin(ctx context.Context, j *controlpb.Join, name string) *controlpb.Response {
+// forwardJoin forwards a request to join to the known leaders, since the joining host may
+// not know their addresses.
+func (h *handler) forwardJoin(ctx context.Context, j *controlpb.Join, name string) *controlpb.Response {
 	next := &controlpb.Join{
 		Address:   j.GetAddress(),
 		Transient: j.GetTransient(),
@@ -197,8 +196,8 @@
 		Name:      name,
 		Hops:      j.GetHops() + 1,
 	}
-	if far := h.standby.link(); far != nil {
-		return h.callJoin(ctx, far, next)
+	if remote := h.standby.link(); remote != nil {
+		return h.sendJoin(ctx, remote, next)
 	}
 	answer := h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, "no leader is known")
 	asked := map[string]bool{}
@@ -208,18 +207,18 @@
 			continue
 		}
 		address := h.peers.addressOf(h.replicas[group].MemberByID(s.Leader))
-		far := h.peers.get(address)
-		if far == nil || asked[address] {
+		remote := h.peers.get(address)
+		if remote == nil || asked[address] {
 			continue
 		}
 		asked[address] = true
-		answer = h.callJoin(ctx, far.calls, next)
+		answer = h.sendJoin(ctx, remote.calls, next)
 	}
 	return answer
 }
 
-// callJoin asks another control host to add a host.
-func (h *handler) callJoin(ctx context.Context, to *link.Client, j *controlpb.Join) *controlpb.Response {
+// sendJoin sends a request to join to another control host.
+func (h *handler) sendJoin(ctx context.Context, to *link.Client, j *controlpb.Join) *controlpb.Response {
 	res, err := to.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Join{Join: j}})
 	if err != nil {
 		return h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, err.Error())
@@ -227,7 +226,7 @@
 	return res
 }
 
-// propose replicates a command that a follower forwards.
+// propose replicates a command that a follower forwarded.
 func (h *handler) propose(ctx context.Context, p *controlpb.Propose) *controlpb.Response {
 	r := h.replicas[p.GetGroup()]
 	if r == nil {
@@ -240,13 +239,13 @@
 	return &controlpb.Response{Body: &controlpb.Response_Propose{Propose: reply}}
 }
 
-// proposeStatus sorts an error of a replica.
+// proposeStatus returns the status for an error of a replica.
 func proposeStatus(err error) controlpb.ProposeStatus {
 	return replica.NewProposeReply(nil, err).GetStatus()
 }
 
-// replicate runs a command of an agent and decodes its result. On failure it
-// returns the fault to answer.
+// replicate proposes a command of an agent and decodes its result. On failure it returns
+// the fault to reply with.
 func (h *handler) replicate(ctx context.Context, group controlpb.Group, command, result proto.Message) *controlpb.Response {
 	data, err := proto.Marshal(command)
 	if err != nil {
@@ -254,7 +253,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	answer, err := h.proposeSoon(ctx, group, data)
+	answer, err := h.proposeAwaitingLeader(ctx, group, data)
 	switch proposeStatus(err) {
 	case controlpb.ProposeStatus_PROPOSE_NO_LEADER:
 		return h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, err.Error())
@@ -269,7 +268,7 @@
 	return nil
 }
 
-// unregister forgets a target whose backend server is gone for good.
+// unregister removes a target whose backend server is gone for good.
 func (h *handler) unregister(ctx context.Context, peer link.Peer, u *configpb.UnregisterTarget) *controlpb.Response {
 	id := h.configs.target(u.GetNumber())
 	if id != nil && id.GetService() != peer.Service {
@@ -279,20 +278,20 @@
 	if fault := h.replicate(ctx, controlpb.Group_GROUP_CONFIG, command, new(configpb.Result)); fault != nil {
 		return fault
 	}
-	return done()
+	return doneResponse()
 }
 
-// proposeSoon replicates a command, and waits for a leader for a moment if none is
-// known: agents that come while one is elected would all ask again later.
-func (h *handler) proposeSoon(ctx context.Context, group controlpb.Group, command []byte) ([]byte, error) {
+// proposeAwaitingLeader replicates a command. If no leader is known, it waits for one
+// briefly, so that agents need not retry during an election.
+func (h *handler) proposeAwaitingLeader(ctx context.Context, group controlpb.Group, command []byte) ([]byte, error) {
 	r := h.replicas[group]
-	return insist(ctx, r.WaitForLeader, func() ([]byte, error) { return r.Propose(ctx, command) })
+	return proposeWithRetry(ctx, r.WaitForLeader, func() ([]byte, error) { return r.Propose(ctx, command) })
 }
 
-// insist proposes until that is not refused for want of a leader, for as long as a caller
-// waits. A host that has just learned who leads may have no link to it yet.
-func insist(ctx context.Context, await func(context.Context) bool, propose func() ([]byte, error)) ([]byte, error) {
-	waiting, cancel := context.WithTimeout(ctx, leaderPatience)
+// proposeWithRetry retries propose while there is no leader, up to leaderWaitTimeout. A
+// host that has just learned of a leader may have no link to it yet.
+func proposeWithRetry(ctx context.Context, await func(context.Context) bool, propose func() ([]byte, error)) ([]byte, error) {
+	waiting, cancel := context.WithTimeout(ctx, leaderWaitTimeout)
 	defer cancel()
 	for {
 		answer, err := propose()
@@ -310,8 +309,7 @@
 		return h.fault(refusedService, controlpb.FaultKind_FAULT_FORBIDDEN, "the certificate is for another service")
 	}
 	if held := h.configs.registered(r); held != nil {
-		// The same process gets the same numbers again, whether or not a quorum can
-		// be asked.
+		// The same process gets the same numbers again, even without a quorum.
 		return &controlpb.Response{Body: &controlpb.Response_Registration{Registration: held}}
 	}
 	command := &configpb.Command{Body: &configpb.Command_Register{Register: r}}
@@ -326,13 +324,13 @@
 	return &controlpb.Response{Body: &controlpb.Response_Registration{Registration: registration}}
 }
 
-// grant has a command of an agent applied by the group that its key belongs to.
+// grant applies a command of an agent in the group that owns its key.
 func (h *handler) grant(ctx context.Context, peer link.Peer, c *grantpb.Command) *controlpb.Response {
 	service, key, proper := grant.CommandKey(c)
 	if !proper {
 		return h.fault(refusedRequest, controlpb.FaultKind_FAULT_FORBIDDEN, "an agent may not ask this")
 	}
-	if h.foreign(peer, service) {
+	if h.belongsToOtherService(peer, service) {
 		return h.fault(refusedService, controlpb.FaultKind_FAULT_FORBIDDEN, "the certificate is for another service")
 	}
 	if h.grants.count() == 0 {
@@ -356,47 +354,46 @@
 	return &controlpb.Response{Body: &controlpb.Response_Grant{Grant: result}}
 }
 
-// foreign reports whether a service number is known to be that of another
+// belongsToOtherService reports whether a service number is known to belong to another
 // service than the agent's. A host that lags behind may not know the number.
-func (h *handler) foreign(peer link.Peer, service uint32) bool {
+func (h *handler) belongsToOtherService(peer link.Peer, service uint32) bool {
 	name := h.configs.serviceName(service)
 	return name != "" && name != peer.Service
 }
 
 func (h *handler) announce(peer link.Peer, r *controlpb.TargetRecord) *controlpb.Response {
 	reply := &controlpb.AnnounceReply{LeaseMs: uint32(h.directory.lease().Milliseconds())}
-	if reason, text := h.admit(peer, r); text != "" {
+	if reason, text := h.admitRecord(peer, r); text != "" {
 		h.count(reason)
 		reply.Refusal = text
 	}
 	return &controlpb.Response{Body: &controlpb.Response_Announce{Announce: reply}}
 }
 
-// admit merges the record of an agent or tells why not.
-func (h *handler) admit(peer link.Peer, r *controlpb.TargetRecord) (refusalReason, string) {
-	if h.foreign(peer, r.GetService()) || h.contradicts(r) {
+// admitRecord merges the record of an agent or returns the reason for its refusal.
+func (h *handler) admitRecord(peer link.Peer, r *controlpb.TargetRecord) (refusalReason, string) {
+	if h.belongsToOtherService(peer, r.GetService()) || h.conflictsWithRegistration(r) {
 		return refusedIdentity, RefusalIdentity
 	}
 	switch h.directory.announce(r) {
 	case membership.Superseded:
 		if r.GetState() == controlpb.TargetState_TARGET_STATE_DRAINING {
-			// What the older process asks for is so already.
+			// The older process is draining already.
 			return "", ""
 		}
 		return refusedSuperseded, RefusalSuperseded
 	case membership.Invalid:
-		return refusedImproper, RefusalInvalid
+		return refusedInvalid, RefusalInvalid
 	case membership.AtCapacity:
 		return refusedFull, RefusalFull
 	}
-	// An outdated record is an announcement that was overtaken by a later one
-	// of the same process.
+	// An outdated record was overtaken by a later announcement of the same process.
 	return "", ""
 }
 
-// contradicts reports whether a record speaks for a target number of another
-// service or name.
-func (h *handler) contradicts(r *controlpb.TargetRecord) bool {
+// conflictsWithRegistration reports whether the target number of a record is registered for
+// another service or name.
+func (h *handler) conflictsWithRegistration(r *controlpb.TargetRecord) bool {
 	id := h.configs.target(r.GetNumber())
 	if id == nil {
 		return false
@@ -405,7 +402,7 @@
 }
 
 func (h *handler) version(ctx context.Context) *controlpb.Response {
-	err := h.confirm.wait(ctx)
+	err := h.readBarrier.wait(ctx)
 	reply := &controlpb.VersionReply{Version: h.configs.version(), Confirmed: err == nil}
 	return &controlpb.Response{Body: &controlpb.Response_Version{Version: reply}}
 }
--- a/internal/controld/asks_test.go
+++ b/internal/controld/hostrequests_test.go
@@ -8,27 +8,27 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-func TestLostHostHoldsUpNoQuestion(t *testing.T) {
+func TestHostRequestsAreIndependent(t *testing.T) {
 	is := is.New(t)
-	lost := make(chan struct{})
-	asked := make(chan string)
-	a := newAsks(func(address string) {
-		asked <- address
+	unblock := make(chan struct{})
+	sent := make(chan string)
+	a := newHostRequests(func(address string) {
+		sent <- address
 		if address == "lost" {
-			<-lost
+			<-unblock
 		}
 	})
 	a.start("lost")
-	is.Equal(<-asked, "lost")
+	is.Equal(<-sent, "lost")
 	for range 3 {
 		a.start("lost") // still waits for its answer
 		unittest.Eventually(t, "the other host has answered", func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return !a.waiting["there"]
+			return !a.pending["there"]
 		})
 		a.start("there")
-		is.Equal(<-asked, "there")
+		is.Equal(<-sent, "there")
 	}
-	close(lost)
+	close(unblock)
 }
--- a/internal/controld/internal_test.go
+++ b/internal/controld/internal_test.go
@@ -21,33 +21,33 @@
 func TestBarrierSharesReads(t *testing.T) {
 	is := is.New(t)
 	var reads atomic.Int32
-	entered, leave := make(chan struct{}, 100), make(chan struct{})
+	entered, finish := make(chan struct{}, 100), make(chan struct{})
 	var wg conc.WaitGroup
 	b := &barrier{ctx: context.Background(), wg: &wg, read: func(context.Context) error {
 		reads.Add(1)
 		entered <- struct{}{}
-		<-leave
+		<-finish
 		return nil
 	}}
 	var waiters conc.WaitGroup
 	waiters.Go(func() { is.NoErr(b.wait(context.Background())) })
 	<-entered
-	enlisted := make(chan *round, 50)
+	joined := make(chan *round, 50)
 	for range 50 {
-		r, first := b.enlist()
+		r, first := b.joinRound()
 		is.Equal(first, false) // the running read started too early for it
-		enlisted <- r
+		joined <- r
 	}
-	close(leave)
+	close(finish)
 	for range 50 {
-		<-(<-enlisted).done
+		<-(<-joined).done
 	}
 	waiters.Wait()
 	wg.Wait()
 	is.Equal(reads.Load(), int32(2))
 }
 
-func TestBarrierPassesFailureOn(t *testing.T) {
+func TestBarrierReturnsReadError(t *testing.T) {
 	is := is.New(t)
 	lost := errors.New("no quorum")
 	var wg conc.WaitGroup
@@ -58,22 +58,22 @@
 	wg.Wait()
 }
 
-func TestHubCollapsesWakeUps(t *testing.T) {
+func TestNotifierCoalescesWakeUps(t *testing.T) {
 	is := is.New(t)
-	h := newHub()
-	c := h.join()
+	h := newNotifier()
+	c := h.subscribe()
 	for range 10 {
 		h.notify()
 	}
 	is.Equal(len(c), 1)
-	h.leave(c)
+	h.unsubscribe(c)
 	<-c
 	h.notify()
 	is.Equal(len(c), 0)
 }
 
-// manyVoters names c1 and so on.
-func manyVoters(count int) []string {
+// voterSettings names c1 and so on.
+func voterSettings(count int) []string {
 	var all []string
 	for i := range count {
 		all = append(all, fmt.Sprintf("c%d=127.0.0.1:%d", i+1, i+1))
@@ -81,28 +81,28 @@
 	return all
 }
 
-func TestParseVoters(t *testing.T) {
+func TestParseInitialVoters(t *testing.T) {
 	tests := []struct {
 		name   string
 		voters []string
 		join   bool
-		want   []voter
+		want   []seedHost
 		fails  bool
 	}{
-		{"alone", nil, false, []voter{{"c2", "127.0.0.1:0"}}, false},
-		{"joins", []string{"c1=127.0.0.1:1"}, true, []voter{{"c1", "127.0.0.1:1"}}, false},
+		{"alone", nil, false, []seedHost{{"c2", "127.0.0.1:0"}}, false},
+		{"joins", []string{"c1=127.0.0.1:1"}, true, []seedHost{{"c1", "127.0.0.1:1"}}, false},
 		{"joins without contacts", nil, true, nil, false},
-		{"sorted", []string{"c2=127.0.0.1:2", "c1=127.0.0.1:1"}, false, []voter{{"c1", "127.0.0.1:1"}, {"c2", "127.0.0.1:2"}}, false},
+		{"sorted", []string{"c2=127.0.0.1:2", "c1=127.0.0.1:1"}, false, []seedHost{{"c1", "127.0.0.1:1"}, {"c2", "127.0.0.1:2"}}, false},
 		{"not named", []string{"c1=127.0.0.1:1"}, false, nil, true},
 		{"twice", []string{"c2=127.0.0.1:2", "c2=127.0.0.1:3"}, false, nil, true},
 		{"no address", []string{"c2"}, false, nil, true},
-		{"too many", manyVoters(raft.MaxVoters + 1), false, nil, true},
+		{"too many", voterSettings(raft.MaxVoters + 1), false, nil, true},
 		{"no name", []string{"=127.0.0.1:1", "c2=127.0.0.1:2"}, false, nil, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			got, err := parseVoters(&settingspb.Replica{InitialVoters: test.voters, Join: test.join, Listen: "127.0.0.1:0"}, "c2")
+			got, err := parseInitialVoters(&settingspb.Replica{InitialVoters: test.voters, Join: test.join, Listen: "127.0.0.1:0"}, "c2")
 			is.Equal(errors.Is(err, ErrInvalidVoters), test.fails)
 			if !test.fails {
 				is.Equal(got, test.want)
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestProposeStatusNeverDeniesWhatMayHaveHappened(t *testing.T) {
+func TestProposeStatusOfUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	is.Equal(proposeStatus(nil), controlpb.ProposeStatus_PROPOSE_OK)
 	is.Equal(proposeStatus(replica.ErrNoLeader), controlpb.ProposeStatus_PROPOSE_NO_LEADER)
@@ -129,30 +129,30 @@
 	}
 }
 
-func TestFreshDirectoryRemovesNothingYet(t *testing.T) {
+func TestNewDirectoryRemovesNothing(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(7, 0)
 	d.announce(record(1))
 	f := membership.NewSubscriber(membership.Position{Epoch: 6, Sequence: 9}, nil) // followed another life
-	u, _ := d.next(f)
+	u, _ := d.nextUpdate(f)
 	is.Equal(u.GetFull(), false)
 	is.Equal(len(u.GetPut()), 1)
-	u, _ = d.next(f)
+	u, _ = d.nextUpdate(f)
 	is.Equal(u, nil)
 
 	d.start = d.start.Add(-d.lease()) // a lease later
-	u, _ = d.next(f)
+	u, _ = d.nextUpdate(f)
 	is.True(u.GetFull())
-	u, _ = d.next(f)
+	u, _ = d.nextUpdate(f)
 	is.Equal(u, nil)
 	d.announce(record(2))
-	u, _ = d.next(f)
+	u, _ = d.nextUpdate(f)
 	is.Equal(u.GetFull(), false)
 	is.Equal(len(u.GetPut()), 1)
 }
 
-// syncOf returns what a host with these targets, heard just now, passes on.
-func syncOf(epoch uint64, numbers ...uint32) *controlpb.DirectorySync {
+// syncMessage returns what a host with these targets, heard just now, passes on.
+func syncMessage(epoch uint64, numbers ...uint32) *controlpb.DirectorySync {
 	d := newDirectory(epoch, 0)
 	for _, n := range numbers {
 		d.announce(record(n))
@@ -161,35 +161,35 @@
 	return m
 }
 
-func TestRecordsOfSilentHostAreKept(t *testing.T) {
+func TestRecordsOfInactiveHostAreKept(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(7, 0)
-	is.Equal(len(d.hear("c2", syncOf(8, 1)).GetDigests()), 0)
-	is.Equal(len(d.hear("c3", syncOf(9, 2)).GetDigests()), 0)
+	is.Equal(len(d.applySync("c2", syncMessage(8, 1)).GetDigests()), 0)
+	is.Equal(len(d.applySync("c3", syncMessage(9, 2)).GetDigests()), 0)
 	d.start = d.start.Add(-d.lease() - time.Second)
-	gone := syncOf(9)
-	gone.Ended = []uint32{2}
-	gone.Summary.Serial++
-	d.hear("c3", gone) // c3 is there and has ended its target
+	later := syncMessage(9)
+	later.Ended = []uint32{2}
+	later.Summary.Serial++
+	d.applySync("c3", later) // c3 is there and has ended its target
 	d.expire()
 	is.Equal(d.count(), 1)
 	m, _ := d.sync(0)
 	is.Equal(len(m.GetRecords()), 0) // hearsay is not passed on
 }
 
-func TestChangesArePassedOnOnce(t *testing.T) {
+func TestChangesAreSyncedOnce(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory(7, 0)
 	d.announce(record(1))
 	d.announce(record(1))
-	d.hear("c2", syncOf(8, 2))
+	d.applySync("c2", syncMessage(8, 2))
 	m, cursor := d.sync(0)
 	is.Equal(len(m.GetRecords()), 1)
 	m, again := d.sync(cursor)
 	is.Equal(len(m.GetRecords()), 0)
 	is.Equal(m.GetSummary().GetCount(), uint32(1))
 	is.Equal(again, cursor)
-	is.Equal(d.ownSequence(), cursor)
+	is.Equal(d.localSequence(), cursor)
 }
 
 func TestChangesOutOfScopeAreNotSent(t *testing.T) {
@@ -198,24 +198,24 @@
 	d.announce(record(1))
 	d.start = d.start.Add(-d.lease())
 	f := membership.NewSubscriber(membership.Position{}, membership.NewScope([]uint32{1}))
-	d.next(f)
+	d.nextUpdate(f)
 	other := record(2)
 	other.Service = 2
 	d.announce(other)
-	u, _ := d.next(f)
+	u, _ := d.nextUpdate(f)
 	is.Equal(u, nil)
 	d.announce(record(3))
-	u, _ = d.next(f)
+	u, _ = d.nextUpdate(f)
 	is.Equal(len(u.GetPut()), 1) // and not the other service's target
 	is.Equal(u.GetFull(), false)
 }
 
 // A host that has just learned who leads has no link to the leader for a moment: what it
 // was asked waits for that, and is not refused.
-func TestCommandWaitsForALinkToTheLeader(t *testing.T) {
+func TestProposeWaitsForLinkToLeader(t *testing.T) {
 	is := is.New(t)
 	tries := 0
-	answer, err := insist(t.Context(), func(context.Context) bool { return true }, func() ([]byte, error) {
+	answer, err := proposeWithRetry(t.Context(), func(context.Context) bool { return true }, func() ([]byte, error) {
 		tries++
 		if tries < 4 {
 			return nil, errors.Wrap(replica.ErrNoLeader, "no link to the leader")
@@ -225,13 +225,13 @@
 	is.NoErr(err)
 	is.Equal(string(answer), "done")
 
-	_, err = insist(t.Context(), func(context.Context) bool { return false }, func() ([]byte, error) {
+	_, err = proposeWithRetry(t.Context(), func(context.Context) bool { return false }, func() ([]byte, error) {
 		return nil, replica.ErrNoLeader
 	})
 	is.True(errors.Is(err, replica.ErrNoLeader)) // nobody leads for too long
 
 	tries = 0
-	_, err = insist(t.Context(), func(context.Context) bool { return true }, func() ([]byte, error) {
+	_, err = proposeWithRetry(t.Context(), func(context.Context) bool { return true }, func() ([]byte, error) {
 		tries++
 		return nil, replica.ErrUnknown
 	})
--- a/internal/controld/isolation.go
+++ b/internal/controld/isolation.go
@@ -9,27 +9,26 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// isolation says whether this host has known no leader for a while. One that is cut
-// off from the others may still be reached by its subscribers, who would stay with an
-// old version.
+// isolation is set while this host has known no leader for isolationDelay. Subscribers of a
+// partitioned host would otherwise keep an old version.
 type isolation struct {
 	now     atomic.Bool
-	changed *hub
+	changed *notifier
 }
 
-// isolationLoop follows whether a leader is known.
+// isolationLoop tracks whether a leader is known.
 func (d *Daemon) isolationLoop() {
-	led := time.Now()
+	lastLeader := time.Now()
 	d.every(isolationPeriod, func() {
 		s := d.replicas[controlpb.Group_GROUP_CONFIG].Status()
-		if s.Leader != nil || d.standsBy() {
-			led = time.Now()
+		if s.Leader != nil || d.isStandby() {
+			lastLeader = time.Now()
 		}
-		isolated := time.Since(led) >= isolatedAfter
+		isolated := time.Since(lastLeader) >= isolationDelay
 		if d.isolation.now.Swap(isolated) == isolated {
 			return
 		}
-		d.log.Info("isolation", zap.Bool("isolated", isolated), zap.Duration("without_leader", time.Since(led)))
+		d.log.Info("isolation state changed", zap.Bool("isolated", isolated), zap.Duration("without_leader", time.Since(lastLeader)))
 		d.isolation.changed.notify()
 	})
 }
--- a/internal/controld/lead.go
+++ b/internal/controld/leadership.go
@@ -14,9 +14,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/replica"
 )
 
-// preferred returns the voter that should lead a group of grants: each group
-// the next one, in the order of their names. Nil if there is none.
-func preferred(members []replica.MemberStatus, index int) *raftpb.ReplicaID {
+// preferredLeader returns the voter that should lead a grant group, nil if there is none.
+// The groups are assigned round-robin to the voters by name.
+func preferredLeader(members []replica.MemberStatus, index int) *raftpb.ReplicaID {
 	var voters []*raftpb.ReplicaID
 	for _, m := range members {
 		if !m.Member.GetLearner() {
@@ -32,35 +32,36 @@
 	return voters[index%len(voters)]
 }
 
-// leadLoop asks for the leadership of the groups that this host should lead.
-// It asks instead of being told: a host that stops, or lags behind, does not.
-func (d *Daemon) leadLoop() {
+// leadershipLoop requests the leadership of the groups that this host should lead. The
+// preferred leader requests it itself, because it knows whether it is stopping or lags
+// behind.
+func (d *Daemon) leadershipLoop() {
 	if d.grants.count() == 1 {
 		return
 	}
 	asked := map[int]time.Time{}
-	d.every(spreadPeriod, func() {
+	d.every(leadershipPeriod, func() {
 		for index := range d.grants.count() {
-			if time.Since(asked[index]) < spreadPause || !d.shouldLead(index) {
+			if time.Since(asked[index]) < leadershipInterval || !d.shouldLead(index) {
 				continue
 			}
 			asked[index] = time.Now()
-			d.askToLead(grantGroup(index))
+			d.requestLeadership(grantGroup(index))
 		}
 	})
 }
 
-// shouldLead reports whether this host should lead a group, and can, and does
-// not.
+// shouldLead reports whether this host is the preferred leader of a group, is able to lead
+// it and does not lead it yet.
 func (d *Daemon) shouldLead(index int) bool {
 	s := d.replicas[grantGroup(index)].Status()
-	if d.leaving.Load() || s.Leader == nil || s.Leading() || s.Applied+promoteLag < s.Commit {
+	if d.stopping.Load() || s.Leader == nil || s.Leading() || s.Applied+promoteLag < s.Commit {
 		return false
 	}
-	return proto.Equal(preferred(s.Members, index), s.Self)
+	return proto.Equal(preferredLeader(s.Members, index), s.Self)
 }
 
-func (d *Daemon) askToLead(group controlpb.Group) {
+func (d *Daemon) requestLeadership(group controlpb.Group) {
 	s := d.replicas[group].Status()
 	for _, m := range s.Members {
 		if !proto.Equal(m.Member.GetId(), s.Leader) {
@@ -83,19 +84,18 @@
 	}
 }
 
-// takeOver hands the leadership of a group over to the host that should lead
-// it.
-func (h *handler) takeOver(ctx context.Context, peer link.Peer, t *controlpb.TakeOver) *controlpb.Response {
+// handleTakeOver transfers the leadership of a group to its preferred leader.
+func (h *handler) handleTakeOver(ctx context.Context, peer link.Peer, t *controlpb.TakeOver) *controlpb.Response {
 	r := h.replicas[t.GetGroup()]
 	if r == nil || t.GetGroup() == controlpb.Group_GROUP_CONFIG {
 		return h.fault(refusedRequest, controlpb.FaultKind_FAULT_NOT_DONE, "no such group of grants")
 	}
-	to := preferred(r.Status().Members, grantIndex(t.GetGroup()))
+	to := preferredLeader(r.Status().Members, grantIndex(t.GetGroup()))
 	if to.GetName() != peer.Name {
 		return h.fault(refusedSender, controlpb.FaultKind_FAULT_NOT_DONE, "another host should lead the group")
 	}
 	if err := r.MoveLeadershipTo(ctx, to); err != nil {
 		return h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, err.Error())
 	}
-	return done()
+	return doneResponse()
 }
--- a/internal/controld/loops.go
+++ b/internal/controld/loops.go
@@ -25,26 +25,26 @@
 	}
 }
 
-// syncLoop wakes the links to the other control hosts: soon after a change,
-// and a few times in a lease for a summary of what has not changed.
+// syncLoop triggers a sync with the other control hosts after a change, and a few times per
+// lease for a summary of the unchanged records.
 func (d *Daemon) syncLoop() {
 	var renewed time.Time
-	var told uint64
+	var synced uint64
 	d.every(syncPeriod, func() {
-		own := d.directory.ownSequence()
+		own := d.directory.localSequence()
 		due := time.Since(renewed) >= d.directory.lease()/renewalsPerLease
-		if own == told && !due {
+		if own == synced && !due {
 			return
 		}
-		told = own
+		synced = own
 		if due {
 			renewed = time.Now()
 		}
-		d.passOn()
+		d.triggerSync()
 	})
 }
 
-func (d *Daemon) passOn() {
+func (d *Daemon) triggerSync() {
 	for _, address := range d.memberAddresses() {
 		if p := d.peers.get(address); p != nil {
 			signal(p.sync)
@@ -52,8 +52,8 @@
 	}
 }
 
-// expireLoop ends leases, closes links to former members and counts laggards
-// and bytes.
+// expireLoop ends leases, closes links to former members and updates the gauges of
+// subscribers and the counters of bytes.
 func (d *Daemon) expireLoop() {
 	behind := d.scope.Gauge("subscribers_behind")
 	all := d.scope.Gauge("subscribers")
@@ -67,8 +67,8 @@
 		received.Inc(int64(traffic.BytesReceived - last.BytesReceived))
 		last = traffic
 		d.directory.expire()
-		if d.formed() {
-			d.peers.keepUsed(d.peerAddresses(), unusedPeer)
+		if d.bootstrapped() {
+			d.peers.closeUnused(d.peerAddresses(), unusedPeerTimeout)
 		}
 		list, laggards := d.subscribers.list(d.configs.version())
 		all.Update(float64(len(list)))
@@ -84,7 +84,7 @@
 	return out
 }
 
-// advanceLoop moves the logical clock of the grants while this host leads.
+// advanceLoop advances the logical clock of the grant groups that this host leads.
 func (d *Daemon) advanceLoop() {
 	last := time.Now()
 	d.every(advancePeriod, func() {
@@ -106,7 +106,7 @@
 	scope := d.scope.Tagged(map[string]string{"group": groupName(group)})
 	scope.Gauge("grants_held").Update(float64(v.held))
 	scope.Gauge("grants_answered").Update(float64(v.answered))
-	if v.held+v.answered == 0 || !d.leads(group) {
+	if v.held+v.answered == 0 || !d.isLeader(group) {
 		return
 	}
 	command, err := proto.Marshal(&grantpb.Command{Body: &grantpb.Command_Advance{
@@ -117,14 +117,13 @@
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, proposeTimeout)
 	defer cancel()
-	// A step that fails is left out: records live longer, no grant depends
-	// on it.
+	// A failed step is not repeated: records only live longer.
 	if _, err := d.replicas[group].ProposeLocal(ctx, command); err != nil {
 		scope.Counter("failed_advances").Inc(1)
 	}
 }
 
-func (d *Daemon) leads(group controlpb.Group) bool {
+func (d *Daemon) isLeader(group controlpb.Group) bool {
 	s := d.replicas[group].Status()
 	return s.Leader != nil && proto.Equal(s.Leader, s.Self)
 }
--- a/internal/controld/members.go
+++ b/internal/controld/members.go
@@ -14,37 +14,37 @@
 	"eelgrasswharf.example/eelgrasswharf/voters"
 )
 
-// membersLoop changes the members of the groups that this host leads as the
-// hosts come and go, if the settings ask for it.
+// membersLoop adjusts the members of the groups that this host leads if the settings have
+// automatic members.
 func (d *Daemon) membersLoop() {
 	if !d.settings.GetReplica().GetAutomaticMembers() {
 		return
 	}
-	silences := map[controlpb.Group]*silence{}
+	trackers := map[controlpb.Group]*inactivityTracker{}
 	for _, group := range d.groups {
-		silences[group] = newSilence()
+		trackers[group] = newInactivityTracker()
 	}
 	d.every(membersPeriod, func() {
 		for _, group := range d.groups {
-			d.followHosts(group, silences[group])
+			d.reconcileMembers(group, trackers[group])
 		}
 	})
 }
 
-// followHosts makes at most one change of the members of a group.
-func (d *Daemon) followHosts(group controlpb.Group, silent *silence) {
+// reconcileMembers makes at most one membership change in a group.
+func (d *Daemon) reconcileMembers(group controlpb.Group, tracker *inactivityTracker) {
 	r := d.replicas[group]
 	s := r.Status()
-	if !s.Leading() || d.leaving.Load() {
-		silent.forget()
+	if !s.Leading() || d.stopping.Load() {
+		tracker.reset()
 		if group == controlpb.Group_GROUP_CONFIG {
-			d.lack.note(false, time.Now())
+			d.shortage.update(false, time.Now())
 		}
 		return
 	}
-	members := silent.note(membersOf(s), time.Now())
+	members := tracker.update(membersOf(s), time.Now())
 	if group == controlpb.Group_GROUP_CONFIG {
-		d.noteSupply(members)
+		d.updateShortage(members)
 	}
 	change := voters.NextChange(members, d.memberLimits())
 	if change.Kind == voters.None {
@@ -62,7 +62,7 @@
 	)
 	if err != nil {
 		d.scope.Counter("failed_member_changes").Inc(1)
-		log.Info("member not changed, tried again soon", zap.Error(err))
+		log.Info("member change failed, will retry", zap.Error(err))
 		return
 	}
 	log.Info("member changed")
@@ -73,7 +73,7 @@
 	return voters.Limits{
 		VoterLimit:      raft.MaxVoters,
 		MinActiveVoters: int(r.GetLeastVoters()),
-		RemoveAfter:     cmp.Or(time.Duration(r.GetGoneAfterMs())*time.Millisecond, defaultGoneAfter),
+		RemoveAfter:     cmp.Or(time.Duration(r.GetGoneAfterMs())*time.Millisecond, defaultRemoveAfter),
 	}
 }
 
@@ -85,7 +85,7 @@
 	return r.Remove(ctx, id)
 }
 
-// membersOf returns the members of a group as its leader sees them.
+// membersOf returns the members of a group as seen by its leader.
 func membersOf(s replica.Status) []voters.Member {
 	out := make([]voters.Member, 0, len(s.Members))
 	for _, m := range s.Members {
@@ -104,25 +104,23 @@
 	return out
 }
 
-// directoryWhole reports whether the directory has all targets that there are: it has
-// listened for a whole lease, or a quorum has confirmed the state here and each
-// registered target has been heard of. The latter comes within a second after all
-// hosts have started at once. Targets that never say goodbye stay registered, so the
-// former has to do after one was lost.
-func (d *Daemon) directoryWhole() bool {
-	if d.directory.settled() {
+// directoryComplete reports whether the directory has all targets: either it has listened
+// for a whole lease, or a quorum has confirmed the local state and each registered target
+// is in the directory. The second condition is met sooner after a start of all hosts. It
+// never is while a target is registered that vanished without unregistering.
+func (d *Daemon) directoryComplete() bool {
+	if d.directory.complete() {
 		return true
 	}
-	return d.stateConfirmed.Load() && d.configs.allTargets(d.directory.holds)
+	return d.stateConfirmed.Load() && d.configs.allTargetsKnown(d.directory.hasIncarnation)
 }
 
-// enoughVoters reports whether a change of the configuration may be accepted: a
-// group that has just been founded has fewer voters than the losses that it is to
-// bear, and what it accepted then could be lost. Hosts that never come must not
-// hold it up for ever.
+// enoughVoters reports whether configuration changes may be accepted. With too few voters
+// after the bootstrap, an accepted change could be lost with them. Hosts that never join
+// block changes only for votersWaitTimeout.
 func (d *Daemon) enoughVoters() bool {
 	least := int(d.settings.GetReplica().GetLeastVoters())
-	if least <= 1 || time.Since(d.began) > votersPatience {
+	if least <= 1 || time.Since(d.startedAt) > votersWaitTimeout {
 		return true
 	}
 	return voters.CountVoters(membersOf(d.replicas[controlpb.Group_GROUP_CONFIG].Status())) >= least
--- a/internal/controld/members_test.go
+++ b/internal/controld/members_test.go
@@ -18,9 +18,9 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// TestRemovalIsToldOnce removes a member by one call, whichever hosts lead the
+// TestRemoveMember removes a member by one call, whichever hosts lead the
 // groups, and tells a quorum's knowledge from one host's.
-func TestRemovalIsToldOnce(t *testing.T) {
+func TestRemoveMember(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	d.stop("c3")
@@ -42,9 +42,9 @@
 	is.True(!errors.Is(err, operator.ErrNotFound))
 }
 
-// withLearner is newGroup with a fourth host that asks to join and is never
+// newGroupWithLearner is newGroup with a fourth host that asks to join and is never
 // promoted.
-func withLearner(t *testing.T) *deployment {
+func newGroupWithLearner(t *testing.T) *deployment {
 	t.Helper()
 	d := newDeployment(t, "c1", "c2", "c3", "c4")
 	d.voters = d.voters[:3]
@@ -77,7 +77,7 @@
 // confirmed reads, subscriptions, registrations, announcements and grants. It
 // goes on after its own restart and after the loss of the leader.
 func TestLearnerServes(t *testing.T) {
-	d := withLearner(t)
+	d := newGroupWithLearner(t)
 	checkServes(t, d, "c4", 1)
 	d.start("c4", d.stop("c4").data, true)
 	d.awaitLearner("c4")
@@ -111,8 +111,8 @@
 	is.True(confirmed)
 
 	agent := d.link(keys.RoleAgent, "a-"+round, "lodgement", name)
-	record := registered(t, agent, round)
-	announces(t, agent, record)
+	record := registerTarget(t, agent, round)
+	announceTarget(t, agent, record)
 	w.await("the target", func(u *controlpb.SubscribeUpdate) bool {
 		for _, put := range u.GetDirectory().GetPut() {
 			if put.GetNumber() == record.GetNumber() {
@@ -127,11 +127,11 @@
 	is.Equal(call(t, agent, acquireRequest(1, round, "two")).GetGrant().GetDecision(), grantpb.Decision_DECISION_HELD)
 }
 
-// TestLearnerWithoutQuorumSaysSo leaves a learner alone: it refuses at once
+// TestLearnerWithoutQuorumRefuses leaves a learner alone: it refuses at once
 // and tells its subscribers that nothing confirms its version.
-func TestLearnerWithoutQuorumSaysSo(t *testing.T) {
+func TestLearnerWithoutQuorumRefuses(t *testing.T) {
 	is := is.New(t)
-	d := withLearner(t)
+	d := newGroupWithLearner(t)
 	for _, name := range []string{"c1", "c2", "c3"} {
 		d.stop(name)
 	}
@@ -164,17 +164,17 @@
 	is.True(strings.Contains(err.Error(), raft.ErrTooManyVoters.Error()))
 	refused := int64(0)
 	for _, h := range d.hosts {
-		refused += h.counted("control.membership_changes_refused", "too_many_voters")
+		refused += h.counter("control.membership_changes_refused", "too_many_voters")
 	}
 	is.True(refused > 0)
 	checkServes(t, d, "learner", 1)
 }
 
-// TestFullHostsSendSubscribersOn has one subscriber more than three hosts take.
+// TestFullHostsRefuseSubscribers has one subscriber more than three hosts take.
 // No host takes more than its bound, though it has its peers' links besides;
 // the one left over is refused everywhere with a counted reason, and is served
 // once a place falls free, wherever that is.
-func TestFullHostsSendSubscribersOn(t *testing.T) {
+func TestFullHostsRefuseSubscribers(t *testing.T) {
 	const limit, places = 4, 12
 	d := newDeployment(t, "c1", "c2", "c3")
 	d.maxLinks = limit
@@ -210,7 +210,7 @@
 	for name, h := range d.hosts {
 		eventually(t, "a full host that counts a refusal: "+name, func() bool {
 			return len(d.status(name).Subscribers) == limit &&
-				h.counted("control.link_server_refused_connections", "capacity") > 0
+				h.counter("control.link_server_refused_connections", "capacity") > 0
 		})
 	}
 	leaver := (left + 1) % len(subs)
--- a/internal/controld/operators.go
+++ b/internal/controld/operators.go
@@ -17,11 +17,11 @@
 
 // States of a group in the status.
 const (
-	stateLeads      = "leads"
-	stateFollows    = "follows"
-	stateNoLeader   = "no leader"
-	stateNotFounded = "not founded"
-	stateStandsBy   = "stands by"
+	stateLeads           = "leads"
+	stateFollows         = "follows"
+	stateNoLeader        = "no leader"
+	stateNotBootstrapped = "not founded"
+	stateStandby         = "stands by"
 )
 
 // operatorHandler serves the operators' API.
@@ -39,12 +39,12 @@
 	}
 	var result configpb.Result
 	if err := proto.Unmarshal(data, &result); err != nil || result.GetOutcome() == nil {
-		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "the result cannot be read")
+		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "cannot decode the result")
 	}
 	return result.GetOutcome(), nil
 }
 
-// operatorError sorts an error of a replica.
+// operatorError maps an error of a replica to one of the operators' API.
 func operatorError(err error) error {
 	if errors.Is(err, raft.ErrTooManyVoters) {
 		return errors.Wrap(operator.ErrRefused, err.Error())
@@ -57,7 +57,7 @@
 
 // Outcome implements operator.Handler.
 func (h *operatorHandler) Outcome(ctx context.Context, id string) (*configpb.Outcome, error) {
-	if err := h.confirm.wait(ctx); err != nil {
+	if err := h.readBarrier.wait(ctx); err != nil {
 		return nil, errors.Wrapf(operator.ErrNotApplied, "no quorum confirms the state: %v", err)
 	}
 	if out := h.configs.outcome(id); out != nil {
@@ -68,12 +68,12 @@
 
 // Config implements operator.Handler.
 func (h *operatorHandler) Config(ctx context.Context, version uint64) (*configpb.Configuration, bool, error) {
-	confirmed := h.confirm.wait(ctx) == nil
+	confirmed := h.readBarrier.wait(ctx) == nil
 	current, _ := h.configs.current()
 	if version == 0 {
 		return current, confirmed, nil
 	}
-	if held := h.configs.at(version); held != nil {
+	if held := h.configs.versionAt(version); held != nil {
 		return held, confirmed, nil
 	}
 	return nil, false, errors.Wrapf(operator.ErrNotFound, "version %d, current is %d", version, current.GetVersion())
@@ -114,8 +114,8 @@
 		Applied: s.Applied,
 		Members: []operator.MemberStatus{},
 	}
-	if (*Daemon)(h).standsBy() {
-		out.State = stateStandsBy
+	if (*Daemon)(h).isStandby() {
+		out.State = stateStandby
 	}
 	if group != controlpb.Group_GROUP_CONFIG {
 		out.Grants = h.grantStatus(grantIndex(group))
@@ -138,7 +138,7 @@
 func stateOf(s replica.Status) string {
 	switch {
 	case !s.Formed:
-		return stateNotFounded
+		return stateNotBootstrapped
 	case s.Leader == nil:
 		return stateNoLeader
 	case proto.Equal(s.Leader, s.Self):
@@ -152,15 +152,14 @@
 	return h.addLearner(ctx, address, "")
 }
 
-// addLearner adds the host at a link address. If a name is given, the host
-// must have it.
+// addLearner adds the host at a link address. A non-empty name must be that of the host.
 func (h *operatorHandler) addLearner(ctx context.Context, address, name string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return errors.Wrapf(operator.ErrNotApplied, "%q is not of the form ip:port", address)
 	}
-	reply, err := (*Daemon)(h).askReplicas(address)
+	reply, err := (*Daemon)(h).queryReplicas(address)
 	if err != nil {
-		return errors.Wrapf(operator.ErrNotApplied, "the host at %s does not answer: %v", address, err)
+		return errors.Wrapf(operator.ErrNotApplied, "the host at %s cannot be reached: %v", address, err)
 	}
 	var first error
 	for _, info := range reply.GetReplicas() {
@@ -176,20 +175,20 @@
 		}
 		first = firstError(first, r.AddLearner(ctx, member))
 	}
-	return notEverywhere(first)
+	return partialError(first)
 }
 
-// notEverywhere marks a change that could not be made in each group.
-func notEverywhere(err error) error {
+// partialError marks a change that was not made in every group.
+func partialError(err error) error {
 	if errors.Is(err, operator.ErrNotApplied) && !errors.Is(err, operator.ErrRefused) {
 		return errors.Wrap(operator.ErrPartiallyApplied, err.Error())
 	}
 	return err
 }
 
-// firstError keeps the first error of a change that is made in each group, but
-// for the refusal of a leader, which tells more. The groups may have different
-// leaders: a host makes what it can, the next one that is asked makes the rest.
+// firstError returns the first error of a change that is made in each group, except that
+// the refusal of a leader takes precedence. Groups may have different leaders: the caller
+// asks the next host for the groups that are left.
 func firstError(first, next error) error {
 	if next == nil {
 		return first
@@ -226,8 +225,8 @@
 	})
 }
 
-// caughtUp reports whether a vote of the learner would not hold up the group.
-// Only the leader knows; elsewhere the replica itself refuses the change.
+// caughtUp reports whether a learner can be promoted without delaying commits. Only the
+// leader knows; on other hosts the replica itself refuses the change.
 func caughtUp(s replica.Status, id *raftpb.ReplicaID) bool {
 	if !proto.Equal(s.Leader, s.Self) {
 		return true
@@ -250,10 +249,9 @@
 	})
 }
 
-// eachMember calls f for the member's replica in each group, with nil where the
-// group has no such member. A host that may not know the members of a group,
-// because it lags behind or has not joined yet, can't tell that one is absent:
-// the change is not made there.
+// eachMember calls f for the member's replica in each group, with nil where the group has
+// no such member. No change is made in a group whose members cannot be confirmed by a read
+// barrier.
 func (h *operatorHandler) eachMember(ctx context.Context, ref operator.MemberRef, f func(*replica.Replica, *raftpb.Member) error) error {
 	found, confirmed := false, true
 	var first error
@@ -264,7 +262,7 @@
 			first = firstError(first, errors.Wrapf(replica.ErrMembership, "members of %s: %v", groupName(group), err))
 			continue
 		}
-		matches := matching(r.Status(), ref)
+		matches := matchingMembers(r.Status(), ref)
 		if len(matches) > 1 {
 			return errors.Wrapf(operator.ErrNotApplied, "several members are named %q: name the incarnation too", ref.Name)
 		}
@@ -277,14 +275,14 @@
 	}
 	switch {
 	case found:
-		return notEverywhere(first)
+		return partialError(first)
 	case confirmed:
 		return errors.Wrapf(operator.ErrNotFound, "no member is named %q", ref.Name)
 	}
 	return first
 }
 
-func matching(s replica.Status, ref operator.MemberRef) []*raftpb.Member {
+func matchingMembers(s replica.Status, ref operator.MemberRef) []*raftpb.Member {
 	var out []*raftpb.Member
 	for _, m := range s.Members {
 		id := m.Member.GetId()
--- a/internal/controld/partition_test.go
+++ b/internal/controld/partition_test.go
@@ -13,8 +13,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// behindRelays prepares three hosts that reach each other through relays.
-func behindRelays(t *testing.T) (*deployment, map[string]*faultproxy.Relay) {
+// newDeploymentWithRelays prepares three hosts that reach each other through relays.
+func newDeploymentWithRelays(t *testing.T) (*deployment, map[string]*faultproxy.Relay) {
 	t.Helper()
 	names := []string{"c1", "c2", "c3"}
 	d := newDeployment(t, names...)
@@ -39,11 +39,11 @@
 	return d, relays
 }
 
-// TestDeafHostDoesNoHarm cuts the way to one host for many versions and lets
+// TestPartitionedHostDoesNotDisruptGroup cuts the way to one host for many versions and lets
 // it return.
-func TestDeafHostDoesNoHarm(t *testing.T) {
+func TestPartitionedHostDoesNotDisruptGroup(t *testing.T) {
 	is := is.New(t)
-	d, relays := behindRelays(t)
+	d, relays := newDeploymentWithRelays(t)
 	eventually(t, "version 1 on c3", func() bool { return d.status("c3").Version == 1 })
 	relays["c3"].Cut()
 	eventually(t, "c3 to see that it is cut off", func() bool { return d.status("c3").Groups[0].State == "no leader" })
@@ -87,10 +87,10 @@
 	eventually(t, "a leader", func() bool { return d.status("c3").Groups[0].Leader != "" })
 }
 
-// TestSilentPathsAreLeft lets every open path between control hosts go silent,
+// TestUnresponsiveConnectionsAreReplaced lets every open path between control hosts go silent,
 // while new ones work.
-func TestSilentPathsAreLeft(t *testing.T) {
-	d, relays := behindRelays(t)
+func TestUnresponsiveConnectionsAreReplaced(t *testing.T) {
+	d, relays := newDeploymentWithRelays(t)
 	for round := range uint64(2) {
 		for _, relay := range relays {
 			relay.CutExisting(faultproxy.ToHost, faultproxy.ToCaller)
--- a/internal/controld/peers.go
+++ b/internal/controld/peers.go
@@ -25,48 +25,47 @@
 	creds *keys.Credentials
 	log   *zap.Logger
 	scope tally.Scope
-	// self returns this host's link address as the group knows it. It must not
-	// be called before open is set.
-	self func(controlpb.Group) string
-	// directory is what is passed on.
+	// self returns this host's link address in a group. It must not be called before open
+	// is set.
+	self      func(controlpb.Group) string
 	directory *directory
 	// groups lists the replicated logs. It is set before open.
 	groups []controlpb.Group
-	// open is set once all replicas of this host are open. Messages that one
-	// of them sends earlier are dropped.
+	// open is set once all replicas of this host are open. Messages sent earlier are
+	// dropped.
 	open atomic.Bool
 
 	mu     sync.Mutex
 	byAddr map[string]*peer
-	// named has link addresses of control hosts by name: a replica that has
-	// not joined its group yet does not know where to answer.
-	named  map[string]string
-	closed bool
+	// addresses has the link addresses of control hosts by name. A replica that has not
+	// joined its group yet needs them to reply.
+	addresses map[string]string
+	closed    bool
 }
 
-func newPeers(creds *keys.Credentials, voters []voter, dir *directory, log *zap.Logger, scope tally.Scope) *peers {
+func newPeers(creds *keys.Credentials, hosts []seedHost, dir *directory, log *zap.Logger, scope tally.Scope) *peers {
 	p := &peers{
 		creds:     creds,
 		log:       log,
 		scope:     scope.SubScope("peers"),
 		directory: dir,
 		byAddr:    map[string]*peer{},
-		named:     map[string]string{},
+		addresses: map[string]string{},
 	}
-	for _, v := range voters {
-		p.named[v.name] = v.address
+	for _, v := range hosts {
+		p.addresses[v.name] = v.address
 	}
 	return p
 }
 
-// learn notes where a control host takes messages.
-func (p *peers) learn(name, address string) {
+// setAddress stores the link address of a control host.
+func (p *peers) setAddress(name, address string) {
 	if address == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.named[name] = address
+	p.addresses[name] = address
 }
 
 // addressOf returns the link address of a member.
@@ -76,47 +75,45 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.named[m.GetId().GetName()]
+	return p.addresses[m.GetId().GetName()]
 }
 
-// addressNamed returns the link address of a control host, empty if unknown.
-func (p *peers) addressNamed(name string) string {
+// addressByName returns the link address of a control host, empty if unknown.
+func (p *peers) addressByName(name string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.named[name]
+	return p.addresses[name]
 }
 
-// get returns the link to a control host, made at first use, or nil after
-// close.
+// get returns the link to a control host, created on first use, or nil after close.
 func (p *peers) get(addr string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil
 	}
-	held, ok := p.byAddr[addr]
+	existing, ok := p.byAddr[addr]
 	if !ok {
-		held = newPeer(addr, p)
-		p.byAddr[addr] = held
+		existing = newPeer(addr, p)
+		p.byAddr[addr] = existing
 	}
-	held.usedAt = time.Now()
-	return held
+	existing.lastUsed = time.Now()
+	return existing
 }
 
-// keepUsed closes the links to hosts that are not among addrs and have not been
-// used for a time.
-func (p *peers) keepUsed(addrs map[string]bool, unused time.Duration) {
-	for _, old := range p.outside(addrs, unused) {
+// closeUnused closes the links to hosts outside addrs that have not been used for a time.
+func (p *peers) closeUnused(addrs map[string]bool, unused time.Duration) {
+	for _, old := range p.removeUnused(addrs, unused) {
 		old.close()
 	}
 }
 
-func (p *peers) outside(addrs map[string]bool, unused time.Duration) []*peer {
+func (p *peers) removeUnused(addrs map[string]bool, unused time.Duration) []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*peer
 	for addr, held := range p.byAddr {
-		if !addrs[addr] && time.Since(held.usedAt) >= unused {
+		if !addrs[addr] && time.Since(held.lastUsed) >= unused {
 			out = append(out, held)
 			delete(p.byAddr, addr)
 		}
@@ -124,24 +121,24 @@
 	return out
 }
 
-// countTraffic adds what the links to other control hosts have carried since
-// the last call. One goroutine calls it.
+// countTraffic adds the bytes transferred to peers since the last call. It must not be
+// called concurrently.
 func (p *peers) countTraffic(sent, received tally.Counter) {
 	p.mu.Lock()
 	all := slices.Collect(maps.Values(p.byAddr))
 	p.mu.Unlock()
-	for _, far := range all {
-		for i, c := range []*link.Client{far.client, far.calls} {
+	for _, remote := range all {
+		for i, c := range []*link.Client{remote.client, remote.calls} {
 			s, r := c.Transferred()
-			sent.Inc(grown(&far.counted[i].BytesSent, s))
-			received.Inc(grown(&far.counted[i].BytesReceived, r))
+			sent.Inc(counterDelta(&remote.counted[i].BytesSent, s))
+			received.Inc(counterDelta(&remote.counted[i].BytesReceived, r))
 		}
 	}
 }
 
-// grown returns by how much a count of a connection has grown. One that is
-// smaller than before is that of another connection.
-func grown(last *uint64, now uint64) int64 {
+// counterDelta returns the increase of a connection's counter. A smaller value than before
+// belongs to a new connection.
+func counterDelta(last *uint64, now uint64) int64 {
 	if now < *last {
 		*last = 0
 	}
@@ -150,15 +147,15 @@
 	return by
 }
 
-// tellAll tells the other control hosts at once what has changed in the
-// directory. It returns once they know, or after a bounded wait.
-func (p *peers) tellAll() {
+// syncAll sends pending directory changes to all peers and waits for them, up to
+// syncTimeout each.
+func (p *peers) syncAll() {
 	p.mu.Lock()
 	all := slices.Collect(maps.Values(p.byAddr))
 	p.mu.Unlock()
 	var calls conc.WaitGroup
-	for _, far := range all {
-		calls.Go(far.sendDirectory)
+	for _, remote := range all {
+		calls.Go(remote.sendDirectory)
 	}
 	calls.Wait()
 }
@@ -167,7 +164,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.keepUsed(nil, 0)
+	p.closeUnused(nil, 0)
 }
 
 // Send implements replica.Transport.
@@ -177,8 +174,8 @@
 		p.scope.Tagged(map[string]string{"reason": "no_address"}).Counter("dropped_messages").Inc(int64(len(msgs)))
 		return
 	}
-	if far := p.get(address); far != nil {
-		far.enqueue(group, msgs)
+	if remote := p.get(address); remote != nil {
+		remote.enqueue(group, msgs)
 	}
 }
 
@@ -186,7 +183,7 @@
 func (p *peers) Forward(ctx context.Context, leader *raftpb.Member, group controlpb.Group, command []byte) (*controlpb.ProposeReply, error) {
 	to := p.get(p.addressOf(leader))
 	if to == nil || to.calls.Address() == "" {
-		// Refused at once: waiting for a link is the caller's choice.
+		// Fails at once: the caller decides whether to wait for a link.
 		return nil, errors.Wrap(replica.ErrNoLeader, "no link to the leader")
 	}
 	req := &controlpb.Request{Body: &controlpb.Request_Propose{
@@ -200,39 +197,39 @@
 		return nil, err
 	}
 	if res.GetPropose() == nil {
-		return nil, errors.Errorf("the leader answered %s", res.GetFault().GetText())
+		return nil, errors.Errorf("unexpected reply of the leader: %s", res.GetFault().GetText())
 	}
 	return res.GetPropose(), nil
 }
 
-// lane is a queue of agreement messages. Snapshots have one of their own: they
-// take long, and a leader that cannot send heartbeats meanwhile steps down.
-type lane struct {
+// queueKey names a queue of Raft messages. Snapshots have a separate queue, since they take
+// long and must not delay heartbeats.
+type queueKey struct {
 	group    controlpb.Group
 	snapshot bool
 }
 
-// lanes lists the queues to each peer.
-func lanes(groups []controlpb.Group) []lane {
-	var all []lane
+// queueKeys lists the queues of each peer.
+func queueKeys(groups []controlpb.Group) []queueKey {
+	var all []queueKey
 	for _, group := range groups {
-		all = append(all, lane{group, false}, lane{group, true})
+		all = append(all, queueKey{group, false}, queueKey{group, true})
 	}
 	return all
 }
 
-// peer is the link to one control host. A loop for each lane and one for the
-// directory send what waits, so that none holds up another.
+// peer is the link to one control host. Each queue and the directory have their own sending
+// loop, so that none delays another.
 type peer struct {
-	// client carries agreement messages and the directory.
+	// client carries Raft messages and directory syncs.
 	client *link.Client
-	// calls carries what waits for the far end to act. It has a connection of
-	// its own: forwarded commands can take up all streams of one, and wait
-	// themselves for agreement messages.
+	// calls carries requests that wait for the remote host to act. It has its own
+	// connection: forwarded commands can use up all streams of one, and wait for Raft
+	// messages themselves.
 	calls *link.Client
-	// usedAt is guarded by the mutex of peers.
-	usedAt time.Time
-	// counted is what countTraffic has read of client and calls.
+	// lastUsed is guarded by the mutex of peers.
+	lastUsed time.Time
+	// counted has the values of client and calls last read by countTraffic.
 	counted [2]link.Traffic
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -240,17 +237,17 @@
 	scope   tally.Scope
 	self    func(controlpb.Group) string
 	dir     *directory
-	wake    map[lane]chan struct{}
+	wake    map[queueKey]chan struct{}
 	sync    chan struct{}
 
 	mu sync.Mutex
-	// messages wait for the far end, bounded for each lane.
-	messages map[lane][]*raftpb.Message
+	// messages has the queued messages, bounded for each queue.
+	messages map[queueKey][]*raftpb.Message
 
-	// telling guards cursor, which is how far the far end has been told of the
-	// directory. It is held while a message is under way.
-	telling sync.Mutex
-	cursor  uint64
+	// syncMu guards cursor, the position up to which the peer has the directory. It is held
+	// during a sync.
+	syncMu sync.Mutex
+	cursor uint64
 }
 
 func newPeer(addr string, owner *peers) *peer {
@@ -271,12 +268,12 @@
 		scope:    owner.scope,
 		self:     owner.self,
 		dir:      owner.directory,
-		wake:     map[lane]chan struct{}{},
+		wake:     map[queueKey]chan struct{}{},
 		sync:     make(chan struct{}, 1),
-		messages: map[lane][]*raftpb.Message{},
+		messages: map[queueKey][]*raftpb.Message{},
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	all := lanes(owner.groups)
+	all := queueKeys(owner.groups)
 	for _, l := range all {
 		p.wake[l] = make(chan struct{}, 1)
 	}
@@ -312,7 +309,7 @@
 	}
 }
 
-// enqueue adds agreement messages of a group.
+// enqueue queues Raft messages of a group.
 func (p *peer) enqueue(group controlpb.Group, msgs []*raftpb.Message) {
 	var snapshots, others []*raftpb.Message
 	for _, m := range msgs {
@@ -322,13 +319,13 @@
 		}
 		others = append(others, m)
 	}
-	p.add(lane{group, true}, snapshots, 1)
-	p.add(lane{group, false}, others, outboxMessages)
+	p.add(queueKey{group, true}, snapshots, 1)
+	p.add(queueKey{group, false}, others, outboxMessages)
 }
 
-// add puts messages into a lane. What exceeds the limit is dropped, oldest
-// first: the agreement core sends anew what matters.
-func (p *peer) add(l lane, msgs []*raftpb.Message, limit int) {
+// add appends messages to a queue. Beyond the limit the oldest are dropped; Raft
+// retransmits.
+func (p *peer) add(l queueKey, msgs []*raftpb.Message, limit int) {
 	if len(msgs) == 0 {
 		return
 	}
@@ -347,7 +344,7 @@
 	}
 }
 
-func (p *peer) takeMessages(l lane) []*raftpb.Message {
+func (p *peer) takeMessages(l queueKey) []*raftpb.Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	msgs := p.messages[l]
@@ -355,7 +352,7 @@
 	return msgs
 }
 
-func (p *peer) sendMessages(l lane) {
+func (p *peer) sendMessages(l queueKey) {
 	msgs := p.takeMessages(l)
 	if len(msgs) == 0 {
 		return
--- a/internal/controld/wave_bench_test.go
+++ b/internal/controld/reconnect_bench_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	waveAgents   = 600
-	waveEntries  = 100
-	waveServices = 100
+	fleetAgents   = 600
+	fleetEntries  = 100
+	fleetServices = 100
 	// idleTime is how long the links are watched without a change.
 	idleTime = 15 * time.Second
 )
 
-// fleet is the processes of a failure domain that comes back.
-type fleet struct {
+// clientFleet is the processes of a failure domain that comes back.
+type clientFleet struct {
 	scope      tally.TestScope
 	clients    []*link.Client
 	announcers []*subscriber.Announcer
@@ -33,7 +33,7 @@
 	entries    []*subscriber.Subscriber
 }
 
-func (f *fleet) close() {
+func (f *clientFleet) close() {
 	for _, a := range f.announcers {
 		a.Close()
 	}
@@ -45,15 +45,15 @@
 	}
 }
 
-func serviceName(i int) string { return fmt.Sprintf("service-%03d", i%waveServices) }
+func serviceName(i int) string { return fmt.Sprintf("service-%03d", i%fleetServices) }
 
-// wave starts all processes at once.
-func (d *deployment) wave(creds []*keys.Credentials, addrs []string) *fleet {
-	f := &fleet{scope: tally.NewTestScope("", nil)}
+// startFleet starts all processes at once.
+func (d *deployment) startFleet(creds []*keys.Credentials, addrs []string) *clientFleet {
+	f := &clientFleet{scope: tally.NewTestScope("", nil)}
 	for i, c := range creds {
 		client := link.NewClient(addrs, c, link.ClientOptions{Scope: f.scope})
 		f.clients = append(f.clients, client)
-		if i >= waveAgents {
+		if i >= fleetAgents {
 			f.entries = append(f.entries, subscriber.Start(subscriber.Options{Client: client, Scope: f.scope}))
 			continue
 		}
@@ -64,29 +64,29 @@
 			Status: subscriber.Status{State: controlpb.TargetState_TARGET_STATE_SERVING, Slots: 4},
 		}))
 		f.agents = append(f.agents, subscriber.Start(subscriber.Options{
-			Client: client, Scope: f.scope, Services: []uint32{uint32(i%waveServices) + 1}, ScopedConfig: true,
+			Client: client, Scope: f.scope, Services: []uint32{uint32(i%fleetServices) + 1}, ScopedConfig: true,
 		}))
 	}
 	return f
 }
 
-// served reports how many processes have all that they need.
-func (f *fleet) served() int {
+// ready reports how many processes have all that they need.
+func (f *clientFleet) ready() int {
 	n := 0
 	for i, s := range f.agents {
-		if len(s.View().Targets) == waveAgents/waveServices && s.View().Config != nil && f.announcers[i].Registration() != nil {
+		if len(s.View().Targets) == fleetAgents/fleetServices && s.View().Config != nil && f.announcers[i].Registration() != nil {
 			n++
 		}
 	}
 	for _, s := range f.entries {
-		if len(s.View().Targets) == waveAgents && s.View().Config != nil {
+		if len(s.View().Targets) == fleetAgents && s.View().Config != nil {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *fleet) at(version uint64) bool {
+func (f *clientFleet) haveVersion(version uint64) bool {
 	for _, s := range append(append([]*subscriber.Subscriber{}, f.agents...), f.entries...) {
 		if s.View().Config.GetVersion() < version {
 			return false
@@ -95,16 +95,16 @@
 	return true
 }
 
-// use is what has been used up by a moment.
-type use struct {
+// usage is what has been used up by a moment.
+type usage struct {
 	at  time.Time
 	cpu time.Duration
 	// sent and received are of the host that sent or received most, all of all.
 	sent, received, all uint64
 }
 
-func (d *deployment) use() use {
-	u := use{at: time.Now()}
+func (d *deployment) usage() usage {
+	u := usage{at: time.Now()}
 	for _, h := range d.hosts {
 		t := h.daemon.Traffic()
 		u.sent, u.received = max(u.sent, t.BytesSent), max(u.received, t.BytesReceived)
@@ -117,7 +117,7 @@
 }
 
 // report tells what was used since a moment, as both ends of all links.
-func (u use) report(what string, since use) {
+func (u usage) report(what string, since usage) {
 	fmt.Printf("%s: %.2f s, busiest host sent %d and received %d bytes, all hosts %d, processor time %.2f s\n",
 		what, u.at.Sub(since.at).Seconds(), u.sent-since.sent, u.received-since.received, u.all-since.all, (u.cpu - since.cpu).Seconds())
 }
@@ -132,23 +132,23 @@
 	}
 }
 
-// BenchmarkWave lets a failure domain with 600 agents and 100 entry hosts come
+// BenchmarkFailureDomainReconnect lets a failure domain with 600 agents and 100 entry hosts come
 // back at once to three control hosts, with empty folders and then again, when
 // all targets are known. It prints what that takes, what the idle links take and
 // what a change of one service takes.
-func BenchmarkWave(b *testing.B) {
+func BenchmarkFailureDomainReconnect(b *testing.B) {
 	d := newDeployment(b, "c1", "c2", "c3")
 	d.startAll("c1", "c2", "c3")
 	var ops []*configpb.Operation
-	for i := range waveServices {
+	for i := range fleetServices {
 		ops = append(ops, put(serviceName(i), fmt.Sprintf("192.0.2.%d:443", i+1)))
 	}
 	d.accept(d.operator("c1"), patch("p0", 0, ops...))
 	var creds []*keys.Credentials
-	for i := range waveAgents {
+	for i := range fleetAgents {
 		creds = append(creds, d.keys.Credentials(keys.RoleAgent, fmt.Sprint("a", i), serviceName(i)))
 	}
-	for i := range waveEntries {
+	for i := range fleetEntries {
 		creds = append(creds, d.keys.Credentials(keys.RoleEntry, fmt.Sprint("e", i), ""))
 	}
 	var addrs []string
@@ -156,16 +156,16 @@
 		addrs = append(addrs, h.daemon.LinkAddr())
 	}
 	for _, round := range []string{"first wave", "second wave"} {
-		start := d.use()
-		f := d.wave(creds, addrs)
-		waitFor(b, "all served", func() bool { return f.served() == len(creds) })
-		d.use().report(round, start)
+		start := d.usage()
+		f := d.startFleet(creds, addrs)
+		waitFor(b, "all served", func() bool { return f.ready() == len(creds) })
+		d.usage().report(round, start)
 		printCounters(f.scope)
 		for _, h := range d.hosts {
 			printCounters(h.scope)
 		}
 		if round == "second wave" {
-			d.settled(b, f)
+			d.measureIdle(b, f)
 		}
 		f.close()
 	}
@@ -179,18 +179,18 @@
 	}
 }
 
-// settled measures links without a wave.
-func (d *deployment) settled(b *testing.B, f *fleet) {
+// measureIdle measures links without a wave.
+func (d *deployment) measureIdle(b *testing.B, f *clientFleet) {
 	b.Helper()
 	time.Sleep(idleTime)
-	idle := d.use()
+	idle := d.usage()
 	time.Sleep(idleTime)
-	d.use().report("idle", idle)
+	d.usage().report("idle", idle)
 	for v := uint64(1); v <= 3; v++ {
-		change := d.use()
+		change := d.usage()
 		d.accept(d.operator("c1"), patch(fmt.Sprint("q", v), v, put(serviceName(0), fmt.Sprintf("192.0.2.%d:443", 200+v))))
-		waitFor(b, "the version everywhere", func() bool { return f.at(v + 1) })
-		d.use().report("change of one service", change)
+		waitFor(b, "the version everywhere", func() bool { return f.haveVersion(v + 1) })
+		d.usage().report("change of one service", change)
 	}
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/controld/rejoin.go
+++ b/internal/controld/rejoin.go
@@ -6,34 +6,33 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// rejoinLoop asks the members that this host knows of to add it again, as long as it
-// knows no leader: while it was away it may have been taken out, and nobody sends
-// anything to a host that is no member. A leader that still has it as a member changes
-// nothing.
+// rejoinLoop asks the known members to add this host again while it knows no leader: it may
+// have been removed, and a removed member receives no messages. The request has no effect
+// if it still is a member.
 func (d *Daemon) rejoinLoop() {
 	if !d.settings.GetReplica().GetAutomaticMembers() {
 		return
 	}
-	address := d.memberAddress(voter{name: d.name, address: d.settings.GetReplica().GetListen()})
-	asks := newAsks(func(at string) { d.askToJoin(at, address) })
-	defer asks.calls.Wait()
-	led := time.Now()
-	d.every(foundRetry, func() {
-		if !d.formed() || d.led() {
-			led = time.Now()
+	address := d.memberAddress(seedHost{name: d.name, address: d.settings.GetReplica().GetListen()})
+	requests := newHostRequests(func(at string) { d.requestJoin(at, address) })
+	defer requests.calls.Wait()
+	leaderKnown := time.Now()
+	d.every(bootstrapRetry, func() {
+		if !d.bootstrapped() || d.leaderKnown() {
+			leaderKnown = time.Now()
 			return
 		}
-		if time.Since(led) < rejoinAfter {
+		if time.Since(leaderKnown) < rejoinDelay {
 			return
 		}
 		for _, at := range d.knownMembers() {
-			asks.start(at)
+			requests.start(at)
 		}
 	})
 }
 
-// led reports whether a leader of each group is known.
-func (d *Daemon) led() bool {
+// leaderKnown reports whether every group has a known leader.
+func (d *Daemon) leaderKnown() bool {
 	for _, group := range d.groups {
 		if d.replicas[group].Status().Leader == nil {
 			return false
@@ -42,8 +41,8 @@
 	return true
 }
 
-// knownMembers returns the link addresses of the other hosts that are, or were, members
-// of the configuration's group, and of the initial voters.
+// knownMembers returns the link addresses of the other known members of the configuration
+// group and of the seed hosts.
 func (d *Daemon) knownMembers() []string {
 	seen := map[string]bool{"": true}
 	var out []string
@@ -56,7 +55,7 @@
 	for _, m := range d.replicas[controlpb.Group_GROUP_CONFIG].Status().Members {
 		add(m.Member.GetId().GetName(), d.peers.addressOf(m.Member))
 	}
-	for _, v := range d.initial() {
+	for _, v := range d.seedHosts() {
 		add(v.name, v.address)
 	}
 	return out
--- a/internal/controld/gone_test.go
+++ b/internal/controld/replacement_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// voting returns the names of the voters of the configuration's group, as a host sees
+// votersSeenBy returns the names of the voters of the configuration's group, as a host sees
 // them, and whether it knows a leader.
-func (d *deployment) voting(name string) (names map[string]bool, led bool) {
+func (d *deployment) votersSeenBy(name string) (names map[string]bool, hasLeader bool) {
 	names = map[string]bool{}
 	group := d.status(name).Groups[0]
 	for _, m := range group.Members {
@@ -22,17 +22,17 @@
 func (d *deployment) awaitVoters(of string, count int, name string, votes bool) {
 	d.t.Helper()
 	eventually(d.t, "the voters that "+of+" sees", func() bool {
-		names, led := d.voting(of)
-		return led && len(names) == count && names[name] == votes
+		names, hasLeader := d.votersSeenBy(of)
+		return hasLeader && len(names) == count && names[name] == votes
 	})
 }
 
-// TestHostsGoneForGood loses three of four control hosts one by one, each after the
+// TestLostHostsAreReplaced loses three of four control hosts one by one, each after the
 // one before was taken out and another one came in its place. The last change holds.
-func TestHostsGoneForGood(t *testing.T) {
+func TestLostHostsAreReplaced(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2", "c3", "c4", "c5", "c6", "c7")
-	d.goneAfterMs = 500
+	d.removeAfterMs = 500
 	d.voters = d.voters[:4]
 	d.startAll("c1", "c2", "c3", "c4")
 	d.awaitVoters("c1", 4, "c4", true)
@@ -51,11 +51,11 @@
 	is.Equal(len(d.hosts), 3)
 }
 
-// TestHostThatWasTakenOutJoinsAgain stops a host until it is no member, and starts it
+// TestRemovedHostRejoins stops a host until it is no member, and starts it
 // on its old data folder.
-func TestHostThatWasTakenOutJoinsAgain(t *testing.T) {
+func TestRemovedHostRejoins(t *testing.T) {
 	d := newDeployment(t, "c1", "c2", "c3", "c4")
-	d.goneAfterMs = 500
+	d.removeAfterMs = 500
 	d.startAll("c1", "c2", "c3", "c4")
 	d.awaitVoters("c1", 4, "c4", true)
 	data := d.stop("c4").data
--- a/internal/controld/roles_test.go
+++ b/internal/controld/roles_test.go
@@ -21,16 +21,16 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// counted returns the sum of a counter of a host, of one reason if it is named.
-func (h *host) counted(name, reason string) int64 {
+// counter returns the sum of a counter of a host, of one reason if it is named.
+func (h *host) counter(name, reason string) int64 {
 	return unittest.Counter(h.scope, name, reason)
 }
 
 // refusals returns the counter of one refusal reason on a host.
-func (h *host) refusals(reason string) int64 { return h.counted("control.refusals", reason) }
+func (h *host) refusals(reason string) int64 { return h.counter("control.refusals", reason) }
 
-// strangers returns how often a host found its group founded without it.
-func (h *host) strangers() int64 { return h.counted("control.stranger_to_its_group", "") }
+// notMemberCount returns how often a host found its group founded without it.
+func (h *host) notMemberCount() int64 { return h.counter("control.stranger_to_its_group", "") }
 
 func call(t *testing.T, c *link.Client, req *controlpb.Request) *controlpb.Response {
 	t.Helper()
@@ -53,9 +53,9 @@
 	}
 }
 
-// registered registers a target of lodgement, when there is a leader, and
+// registerTarget registers a target of lodgement, when there is a leader, and
 // returns what its agent announces.
-func registered(t *testing.T, agent *link.Client, target string) *controlpb.TargetRecord {
+func registerTarget(t *testing.T, agent *link.Client, target string) *controlpb.TargetRecord {
 	t.Helper()
 	var r *controlpb.TargetRecord
 	eventually(t, "the registration of "+target, func() bool {
@@ -72,10 +72,10 @@
 // renewEvery is how often announces renews a lease.
 const renewEvery = 100 * time.Millisecond
 
-// announces announces a target and renews its lease until the test ends, as an
+// announceTarget announces a target and renews its lease until the test ends, as an
 // agent does: one announcement alone is over after the lease, before a stalled
 // machine may have passed it on.
-func announces(t *testing.T, agent *link.Client, r *controlpb.TargetRecord) {
+func announceTarget(t *testing.T, agent *link.Client, r *controlpb.TargetRecord) {
 	t.Helper()
 	if why := call(t, agent, announceRequest(r)).GetAnnounce().GetRefusal(); why != "" {
 		t.Fatalf("announcement refused: %s", why)
@@ -107,7 +107,7 @@
 }
 
 func TestRolesAreChecked(t *testing.T) {
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
 	entry := d.link(keys.RoleEntry, "e1", "", "c1")
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	control := d.link(keys.RoleControl, "c9", "", "c1")
@@ -164,7 +164,7 @@
 
 func TestTargetReachesSubscriber(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	reg := call(t, agent, registerRequest("lodgement", "t1", "x")).GetRegistration()
 	is.Equal(reg.GetRefusal(), "")
@@ -212,7 +212,7 @@
 
 func TestGrantOverLinks(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	is.Equal(call(t, agent, acquireRequest(1, "k", "one")).GetGrant().GetDecision(), grantpb.Decision_DECISION_GRANTED)
 	is.Equal(call(t, agent, acquireRequest(1, "k", "two")).GetGrant().GetDecision(), grantpb.Decision_DECISION_HELD)
@@ -227,7 +227,7 @@
 
 func TestVersionQuery(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	query := &controlpb.Request{Body: &controlpb.Request_Version{Version: &controlpb.VersionQuery{}}}
 	got := call(t, d.link(keys.RoleEntry, "e1", "", "c1"), query).GetVersion()
 	is.Equal(got.GetVersion(), uint64(1))
@@ -236,7 +236,7 @@
 
 func TestOperatorSeesOutcomes(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	ctx := testContext(t)
 	p := patch("lagos/2026-12-02 #1", 0, put("lodgement", "192.0.2.1:443"))
 	first := d.accept(ops, p)
@@ -260,7 +260,7 @@
 
 	var large []*configpb.Operation
 	for i := range 80 {
-		large = append(large, wide(i))
+		large = append(large, wideService(i))
 	}
 	_, err = ops.Submit(ctx, patch("p4", 1, large...))
 	is.True(isError(err, operator.ErrNotApplied)) // more than the log takes
@@ -275,7 +275,7 @@
 
 func TestOnlyOperatorsReachTheAPI(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	intruder := operator.NewClient([]string{d.hosts["c1"].daemon.OperatorAddr()}, d.keys.Credentials(keys.RoleAgent, "a1", "lodgement"))
 	defer intruder.Close()
 	_, err := intruder.Submit(testContext(t), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
@@ -286,9 +286,9 @@
 
 func TestManySubscribersFollow(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	c := d.link(keys.RoleEntry, "e1", "", "c1")
-	var all []*watcher
+	var all []*recorder
 	for range 20 {
 		all = append(all, d.subscribe(c, &controlpb.Subscribe{}))
 	}
--- a/internal/controld/routes.go
+++ b/internal/controld/routetable.go
@@ -12,20 +12,18 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// errFewVoters tells that the group does not bear the losses that it is to bear
-// yet.
-var errFewVoters = errors.New("the group has too few voters yet")
+// errTooFewVoters means that the group cannot survive the required number of losses yet.
+var errTooFewVoters = errors.New("the group does not have enough voters yet")
 
-// ReplaceRouteTable has the group decide on a replacement of the route table. An error for
-// which errors.Is(err, operator.ErrNotDone) holds says that nothing was done;
-// after any other one the replacement may or may not come into force. A host that stands
-// by answers with a StandbyError.
+// ReplaceRouteTable proposes a replacement of the route table. operator.ErrNotApplied means
+// that it has no effect; after any other error the outcome is unknown. On a standby the
+// error is a StandbyError.
 func (d *Daemon) ReplaceRouteTable(ctx context.Context, r *configpb.Replacement) (*configpb.ReplaceOutcome, error) {
-	if err := d.standsByError(); err != nil {
+	if err := d.standbyError(); err != nil {
 		return nil, err
 	}
 	if !d.enoughVoters() {
-		return nil, errors.Wrap(operator.ErrNotApplied, errFewVoters.Error())
+		return nil, errors.Wrap(operator.ErrNotApplied, errTooFewVoters.Error())
 	}
 	command, err := proto.Marshal(&configpb.Command{Body: &configpb.Command_Replacement{Replacement: r}})
 	if err != nil {
@@ -39,27 +37,27 @@
 	}
 	var result configpb.Result
 	if err := proto.Unmarshal(data, &result); err != nil || result.GetReplaced() == nil {
-		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "the result cannot be read")
+		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "cannot decode the result")
 	}
 	return result.GetReplaced(), nil
 }
 
-// noteInForce counts how long it was until a subscriber said that it acts on a version.
-// One that acts on an older version than this host's says nothing of the newest.
-func (d *Daemon) noteInForce(version uint64) {
+// recordActivation records the time until a subscriber reported a version active, if it is
+// the current one.
+func (d *Daemon) recordActivation(version uint64) {
 	if since, current := d.configs.sinceApplied(version); current {
-		d.inForce.RecordDuration(since)
+		d.activations.RecordDuration(since)
 	}
 }
 
-// RouteTableDocument returns the operator's document of the newest route table, as a quorum
-// confirms it, and its revision. Without any table the revision is 0. Errors:
-// operator.ErrNotDone, if no quorum confirms the state, or as a StandbyError.
+// RouteTableDocument returns the operator's document of the newest route table and its
+// revision, confirmed by a quorum. The revision is 0 if there is no table. Errors:
+// operator.ErrNotApplied if no quorum confirms the state, or a StandbyError.
 func (d *Daemon) RouteTableDocument(ctx context.Context) (document []byte, revision uint64, err error) {
-	if err := d.standsByError(); err != nil {
+	if err := d.standbyError(); err != nil {
 		return nil, 0, err
 	}
-	if err := d.confirm.wait(ctx); err != nil {
+	if err := d.readBarrier.wait(ctx); err != nil {
 		return nil, 0, errors.Wrapf(operator.ErrNotApplied, "no quorum confirms the state: %v", err)
 	}
 	document, revision = d.configs.document()
--- a/internal/controld/seeds.go
+++ b/internal/controld/seeds.go
@@ -9,10 +9,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// tellSeedsLoop has a member name the hosts that serve to the hosts of its settings that
-// are no members. After a start of all, processes whose settings name only hosts that
-// stand by would find nobody else: such a host keeps nothing over a restart.
-func (d *Daemon) tellSeedsLoop() {
+// notifySeedsLoop sends the list of serving hosts to the seed hosts that are no members.
+// Without it, processes that only know standbys would find no serving host after a restart
+// of all hosts, since a standby stores nothing.
+func (d *Daemon) notifySeedsLoop() {
 	if !d.settings.GetReplica().GetAutomaticMembers() {
 		return
 	}
@@ -22,8 +22,8 @@
 			c.Close()
 		}
 	}()
-	d.every(tellSeedsPeriod, func() {
-		hosts := d.seedsToTell()
+	d.every(notifySeedsPeriod, func() {
+		hosts := d.seedsToNotify()
 		for address, c := range links {
 			if !hosts[address] {
 				c.Close()
@@ -33,22 +33,22 @@
 		var calls conc.WaitGroup
 		for address := range hosts {
 			if links[address] == nil {
-				links[address] = d.linkToSeed(address)
+				links[address] = d.newSeedClient(address)
 			}
-			calls.Go(func() { d.tellSeed(links[address]) })
+			calls.Go(func() { d.notifySeed(links[address]) })
 		}
 		calls.Wait()
 	})
 }
 
-// seedsToTell returns the link addresses of the hosts of the settings that are no members,
-// none as long as this host is no member itself.
-func (d *Daemon) seedsToTell() map[string]bool {
+// seedsToNotify returns the link addresses of the seed hosts that are no members. It
+// returns none while this host is no member itself.
+func (d *Daemon) seedsToNotify() map[string]bool {
 	out := map[string]bool{}
-	if !d.formed() || !d.led() {
+	if !d.bootstrapped() || !d.leaderKnown() {
 		return out
 	}
-	for _, address := range d.initialAddresses() {
+	for _, address := range d.seedAddresses() {
 		out[address] = true
 	}
 	for _, address := range d.memberAddresses() {
@@ -57,19 +57,19 @@
 	return out
 }
 
-func (d *Daemon) linkToSeed(address string) *link.Client {
+func (d *Daemon) newSeedClient(address string) *link.Client {
 	return link.NewClient([]string{address}, d.creds, link.ClientOptions{
 		Scope:       d.scope.SubScope("seeds"),
 		Log:         d.log,
 		DialTimeout: standbyDialTimeout,
-		BackoffMax:  tellSeedsPeriod,
+		BackoffMax:  notifySeedsPeriod,
 	})
 }
 
-func (d *Daemon) tellSeed(c *link.Client) {
-	ctx, cancel := context.WithTimeout(d.ctx, tellSeedsPeriod)
+func (d *Daemon) notifySeed(c *link.Client) {
+	ctx, cancel := context.WithTimeout(d.ctx, notifySeedsPeriod)
 	defer cancel()
-	hosts := &controlpb.ControlHosts{Addresses: d.servingHosts()}
+	hosts := &controlpb.ControlHosts{Addresses: d.memberLinkAddresses()}
 	if _, err := c.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Serving{Serving: hosts}}); err != nil {
 		d.scope.Counter("failed_seed_notices").Inc(1)
 	}
--- a/internal/controld/agree.go
+++ b/internal/controld/slottable.go
@@ -15,56 +15,55 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/replica"
 )
 
-// agreeLoop has the groups of grants agree on the slot table, and ends the
-// daemon if the agreed one has another number of groups than are open here.
-func (d *Daemon) agreeLoop() {
+// slotTableLoop proposes the slot table in the grant groups. It stops the daemon if the
+// agreed table has another number of groups than are open here.
+func (d *Daemon) slotTableLoop() {
 	if d.grants.count() == 0 {
 		return
 	}
-	d.every(agreePeriod, func() {
+	d.every(slotTablePeriod, func() {
 		table := d.grants.table()
 		if table == nil {
-			d.agree(0, grant.NewSlotTable(d.grants.count()))
+			d.proposeSlotTable(0, grant.NewSlotTable(d.grants.count()))
 			return
 		}
 		if table.Groups() != d.grants.count() {
-			d.reportMisfit(table.Groups())
+			d.requireRestart(table.Groups())
 			return
 		}
 		for index := 1; index < d.grants.count(); index++ {
-			d.agree(index, table)
+			d.proposeSlotTable(index, table)
 		}
 	})
 }
 
-// agree proposes a table to a group that has none, if this host leads it. The
-// first group decides: the others get what it agreed on.
-func (d *Daemon) agree(index int, table *grant.SlotTable) {
+// proposeSlotTable proposes a table in a group that has none, if this host leads it. The
+// first group decides; the others get its table.
+func (d *Daemon) proposeSlotTable(index int, table *grant.SlotTable) {
 	group := grantGroup(index)
-	if d.grants.at(index).view().table != nil || !d.leads(group) {
+	if d.grants.at(index).view().table != nil || !d.isLeader(group) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, proposeTimeout)
 	defer cancel()
-	if err := d.configure(ctx, group, &grantpb.Configure{Table: table.ToProto()}); err != nil {
+	if err := d.configureGrants(ctx, group, &grantpb.Configure{Table: table.ToProto()}); err != nil {
 		d.scope.Counter("failed_agreements").Inc(1)
 		return
 	}
 	d.log.Info("slot table agreed on", zap.String("group", groupName(group)), zap.Int("groups", table.Groups()))
 }
 
-func (d *Daemon) reportMisfit(agreed int) {
+func (d *Daemon) requireRestart(agreed int) {
 	select {
-	case d.misfit <- errors.Wrapf(ErrInvalidGrantGroups, "the deployment agreed on %d, this host has %d open: start it again",
+	case d.restartRequired <- errors.Wrapf(ErrInvalidGrantGroups, "the deployment agreed on %d, this host has %d open: restart it",
 		agreed, d.grants.count()):
 	default:
 	}
 }
 
-// configure has a group of grants agree on a slot table or a retention. An
-// error for which errors.Is(err, replica.ErrCommand) holds says that the group
-// refused it.
-func (d *Daemon) configure(ctx context.Context, group controlpb.Group, c *grantpb.Configure) error {
+// configureGrants sets the slot table or retention of a grant group. The error is
+// replica.ErrInvalidCommand if the group refused it.
+func (d *Daemon) configureGrants(ctx context.Context, group controlpb.Group, c *grantpb.Configure) error {
 	command, err := proto.Marshal(&grantpb.Command{Body: &grantpb.Command_Configure{Configure: c}})
 	if err != nil {
 		return errors.Wrap(replica.ErrInvalidCommand, err.Error())
@@ -90,15 +89,15 @@
 		Held:     time.Duration(r.Held) * time.Second,
 	}
 	if !keep.Valid() {
-		return errors.Wrapf(operator.ErrNotApplied, "answers are kept from %v to %v, keys without an answer from %v to %v",
+		return errors.Wrapf(operator.ErrNotApplied, "the retention of answered keys must be from %v to %v, that of held keys from %v to %v",
 			grant.MinAnsweredRetention, grant.AnsweredRetention, grant.MinHeldRetention, grant.HeldRetention)
 	}
 	var first error
 	for index := range h.grants.count() {
-		err := (*Daemon)(h).configure(ctx, grantGroup(index), &grantpb.Configure{Retention: keep.ToProto()})
+		err := (*Daemon)(h).configureGrants(ctx, grantGroup(index), &grantpb.Configure{Retention: keep.ToProto()})
 		first = firstError(first, err)
 	}
-	return notEverywhere(first)
+	return partialError(first)
 }
 
 func (h *operatorHandler) grantStatus(index int) *operator.GrantStatus {
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -16,58 +16,60 @@
 	"eelgrasswharf.example/eelgrasswharf/voters"
 )
 
-// ErrStandby tells that this host is no member of the group; see StandbyError.
-var ErrStandby = errors.New("this control host stands by")
+// ErrStandby means that this host is no member of the group; see StandbyError.
+var ErrStandby = errors.New("this control host is a standby")
 
-// StandbyError sends a caller to a host that serves: nothing was done. It is both
-// ErrStandsBy and operator.ErrNotDone.
+// StandbyError refuses a call on a standby and names a serving host. The call had no
+// effect. The error is both ErrStandby and operator.ErrNotApplied.
 type StandbyError struct {
-	// ServingAddress is the link address (ip:port) of a host that serves, empty if none is known.
+	// ServingAddress is the link address (ip:port) of a serving host, empty if none is
+	// known.
 	ServingAddress string
 }
 
 // Error implements error.
 func (e *StandbyError) Error() string {
 	if e.ServingAddress == "" {
-		return ErrStandby.Error() + " and knows no host that serves"
+		return ErrStandby.Error() + " and knows no serving host"
 	}
-	return ErrStandby.Error() + ", " + e.ServingAddress + " serves"
+	return ErrStandby.Error() + ", serving host " + e.ServingAddress
 }
 
 // Unwrap implements the interface that errors.Is uses.
 func (e *StandbyError) Unwrap() []error { return []error{ErrStandby, operator.ErrNotApplied} }
 
-// standby is a control host that keeps no log and is not needed as a member. It keeps
-// one link, to a host that serves, and sends everybody there.
+// standby is the state of a transient host that is not needed as a member. It keeps one
+// link, to a serving host, and redirects all clients.
 type standby struct {
-	changed *hub
+	changed *notifier
 
 	mu     sync.Mutex
 	client *link.Client
-	// hosts are those that serve, as a member said last, at heardAt.
-	hosts   []string
-	heardAt time.Time
+	// hosts are the serving hosts last named by a member, at receivedAt.
+	hosts      []string
+	receivedAt time.Time
 }
 
-func newStandby() *standby { return &standby{changed: newHub()} }
+func newStandby() *standby { return &standby{changed: newNotifier()} }
 
-// serving returns the link addresses of the hosts that serve, none if no member has named
-// them lately: hosts that stand by would pass on what they have from each other for ever.
-func (s *standby) serving() []string {
+// servingHosts returns the link addresses of the serving hosts, none if the list is older
+// than servingHostsMaxAge: standbys would otherwise pass an outdated list on to each other
+// forever.
+func (s *standby) servingHosts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.heardAt) > standbyTrust {
+	if time.Since(s.receivedAt) > servingHostsMaxAge {
 		return nil
 	}
 	return slices.Clone(s.hosts)
 }
 
-// note takes over which hosts serve. It reports whether these are the first ones.
-func (s *standby) note(hosts []string) (first bool) {
+// setHosts stores the serving hosts. It reports whether none were known before.
+func (s *standby) setHosts(hosts []string) (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first = len(s.hosts) == 0
-	s.hosts, s.heardAt = slices.Clone(hosts), time.Now()
+	s.hosts, s.receivedAt = slices.Clone(hosts), time.Now()
 	s.changed.notify()
 	return first
 }
@@ -78,15 +80,15 @@
 	s.client = c
 }
 
-// link returns the link to a host that serves, nil if this host does not stand by.
+// link returns the link to a serving host, nil if this host is no standby.
 func (s *standby) link() *link.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client
 }
 
-// reached returns the host that serves and to which there is a link, empty without one.
-func (s *standby) reached() string {
+// connectedHost returns the address of the connected serving host, empty if there is none.
+func (s *standby) connectedHost() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.client == nil {
@@ -99,40 +101,40 @@
 	return at
 }
 
-// mayStandBy reports whether this host is a member only as long as it is needed.
-func (d *Daemon) mayStandBy() bool {
+// standbyEnabled reports whether this host becomes a member only when needed.
+func (d *Daemon) standbyEnabled() bool {
 	r := d.settings.GetReplica()
 	return r.GetStandBy() && r.GetTransient() && r.GetAutomaticMembers()
 }
 
-// standsBy reports whether this host is no member and is not to act as one.
-func (d *Daemon) standsBy() bool { return d.mayStandBy() && !d.formed() }
+// isStandby reports whether this host is a standby at present.
+func (d *Daemon) isStandby() bool { return d.standbyEnabled() && !d.bootstrapped() }
 
-// standByLoop asks to be a member until this host is needed as one.
-func (d *Daemon) standByLoop() {
-	address := d.memberAddress(voter{name: d.name, address: d.settings.GetReplica().GetListen()})
-	client := link.NewClient(d.initialAddresses(), d.creds, link.ClientOptions{
+// standbyLoop requests membership until this host is a member.
+func (d *Daemon) standbyLoop() {
+	address := d.memberAddress(seedHost{name: d.name, address: d.settings.GetReplica().GetListen()})
+	client := link.NewClient(d.seedAddresses(), d.creds, link.ClientOptions{
 		Scope:            d.scope.SubScope("standby"),
 		Log:              d.log,
 		DialTimeout:      standbyDialTimeout,
 		HeartbeatPeriod:  peerHeartbeat,
 		HeartbeatTimeout: peerHeartbeatTimeout,
-		BackoffMax:       foundRetry,
+		BackoffMax:       bootstrapRetry,
 	})
 	d.standby.setClient(client)
 	defer client.Close()
 	defer d.standby.setClient(nil)
-	for !d.formed() {
-		client.SetAddresses(d.initialAddresses())
-		if !d.pause(d.askForPlace(client, address)) {
+	for !d.bootstrapped() {
+		client.SetAddresses(d.seedAddresses())
+		if !d.pause(d.requestMembership(client, address)) {
 			return
 		}
 	}
 }
 
-func (d *Daemon) initialAddresses() []string {
+func (d *Daemon) seedAddresses() []string {
 	var out []string
-	for _, v := range d.initial() {
+	for _, v := range d.seedHosts() {
 		if v.name != d.name {
 			out = append(out, v.address)
 		}
@@ -140,8 +142,8 @@
 	return out
 }
 
-// askForPlace asks once to be a member and returns when to ask again.
-func (d *Daemon) askForPlace(client *link.Client, address string) time.Duration {
+// requestMembership sends one request to join and returns the delay before the next.
+func (d *Daemon) requestMembership(client *link.Client, address string) time.Duration {
 	ctx, cancel := context.WithTimeout(d.ctx, automaticJoinTimeout)
 	defer cancel()
 	join := &controlpb.Join{Address: address, Transient: true, StandBy: true}
@@ -150,56 +152,57 @@
 		err = link.FaultOf(res)
 	}
 	if err != nil {
-		// The next host may know more.
+		// Try another host.
 		d.scope.Counter("failed_joins").Inc(1)
 		client.Move("")
-		return foundRetry
+		return bootstrapRetry
 	}
 	hosts := res.GetStandBy().GetAddresses()
 	if len(hosts) == 0 {
-		return foundRetry // it becomes a member
+		return bootstrapRetry // accepted as a member
 	}
 	client.Learn(hosts)
 	if !slices.Contains(hosts, client.Address()) {
-		client.Move(drawn(hosts))
-		return foundRetry
+		client.Move(randomHost(hosts))
+		return bootstrapRetry
 	}
-	d.noteServing(hosts)
+	d.setServingHosts(hosts)
 	return standbyPeriod/2 + rand.N(standbyPeriod)
 }
 
-// noteServing takes over which hosts serve, as a member said.
-func (d *Daemon) noteServing(hosts []string) {
+// setServingHosts stores the serving hosts named by a member and moves the link to one of
+// them.
+func (d *Daemon) setServingHosts(hosts []string) {
 	client := d.standby.link()
 	if client == nil || len(hosts) == 0 {
 		return
 	}
-	if d.standby.note(hosts) {
-		d.appointer.end()
-		d.peers.keepUsed(nil, 0)
-		d.log.Info("standing by", zap.Strings("serving", hosts))
+	if d.standby.setHosts(hosts) {
+		d.founderSelector.disable()
+		d.peers.closeUnused(nil, 0)
+		d.log.Info("entered standby", zap.Strings("serving", hosts))
 	}
 	client.Learn(hosts)
 	if at := client.Address(); at != "" && !slices.Contains(hosts, at) {
-		client.Move(drawn(hosts))
+		client.Move(randomHost(hosts))
 	}
 }
 
-func drawn(hosts []string) string { return hosts[rand.IntN(len(hosts))] }
+func randomHost(hosts []string) string { return hosts[rand.IntN(len(hosts))] }
 
-// standByAnswer tells a host that asks to join that it is not needed. Nil means that
-// this host cannot tell, or that the other one is needed.
-func (h *handler) standByAnswer(j *controlpb.Join) *controlpb.Response {
+// standbyResponse returns the reply that keeps a joining host in standby, or nil if it is
+// needed or this host cannot tell.
+func (h *handler) standbyResponse(j *controlpb.Join) *controlpb.Response {
 	if !j.GetStandBy() {
 		return nil
 	}
 	d := (*Daemon)(h)
-	hosts := d.standby.serving()
-	if !d.standsBy() {
-		if !d.leads(controlpb.Group_GROUP_CONFIG) || d.lack.fill() {
+	hosts := d.standby.servingHosts()
+	if !d.isStandby() {
+		if !d.isLeader(controlpb.Group_GROUP_CONFIG) || d.shortage.consume() {
 			return nil
 		}
-		hosts = d.servingHosts()
+		hosts = d.memberLinkAddresses()
 	}
 	if len(hosts) == 0 {
 		return nil
@@ -207,55 +210,56 @@
 	return &controlpb.Response{Body: &controlpb.Response_StandBy{StandBy: &controlpb.ControlHosts{Addresses: hosts}}}
 }
 
-// lack is since when the group has lacked a member that serves. Hosts that keep their
-// log join within seconds of their start and after a restart, and have to come first.
-type lack struct {
-	mu    sync.Mutex
-	since time.Time
-	long  bool
+// shortage records since when the group has too few serving members. Hosts with a durable
+// log take precedence over standbys, since they join within seconds of a start.
+type shortage struct {
+	mu      sync.Mutex
+	since   time.Time
+	lasting bool
 }
 
-// note takes over whether a member is lacking. It reports whether the lack has become one
-// that lasts, or has ended as such.
-func (l *lack) note(lacking bool, now time.Time) (news bool) {
+// update records whether members are short. It reports whether a lasting shortage has begun
+// or ended.
+func (l *shortage) update(short bool, now time.Time) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !lacking {
+	if !short {
 		l.since = time.Time{}
 	} else if l.since.IsZero() {
 		l.since = now
 	}
-	long := lacking && now.Sub(l.since) >= lackPatience
-	news = long != l.long
-	l.long = long
-	return news
+	lasting := short && now.Sub(l.since) >= shortageDelay
+	changed = lasting != l.lasting
+	l.lasting = lasting
+	return changed
 }
 
-// fill reports whether the lack has lasted for so long that a host is to be added. One
-// is at a time: whether another one is needed shows once that one serves.
-func (l *lack) fill() bool {
+// consume reports whether a standby is to be added, and resets the shortage: standbys are
+// added one at a time, so that each takes effect before the next.
+func (l *shortage) consume() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.long {
+	if !l.lasting {
 		return false
 	}
-	l.long, l.since = false, time.Time{}
+	l.lasting, l.since = false, time.Time{}
 	return true
 }
 
-// noteSupply follows whether the members serve all subscribers. The leader alone knows.
-func (d *Daemon) noteSupply(members []voters.Member) {
-	lacking, reason := voters.NeedsServingMember(d.supply(members), d.servingLimits())
-	if d.lack.note(lacking, time.Now()) {
-		d.log.Info("members that serve", zap.Bool("lacking", lacking), zap.String("reason", string(reason)),
-			zap.Int("answering", voters.CountActive(members)))
+// updateShortage checks whether the members can serve all subscribers. Only the leader has
+// the figures.
+func (d *Daemon) updateShortage(members []voters.Member) {
+	short, reason := voters.NeedsServingMember(d.servingLoad(members), d.servingLimits())
+	if d.shortage.update(short, time.Now()) {
+		d.log.Info("serving member shortage changed", zap.Bool("shortage", short), zap.String("reason", string(reason)),
+			zap.Int("active_members", voters.CountActive(members)))
 	}
 }
 
-func (d *Daemon) supply(members []voters.Member) voters.ServingLoad {
-	spread := d.directory.spread()
-	s := voters.ServingLoad{Serving: voters.CountActive(members), Subscribers: spread.Own}
-	for _, other := range spread.Others {
+func (d *Daemon) servingLoad(members []voters.Member) voters.ServingLoad {
+	rebalancer := d.directory.rebalancer()
+	s := voters.ServingLoad{Serving: voters.CountActive(members), Subscribers: rebalancer.Own}
+	for _, other := range rebalancer.Others {
 		s.Subscribers += other.Subscribers
 	}
 	return s
@@ -270,8 +274,8 @@
 	return voters.ServingLimits{MinServing: int(r.GetLeastVoters())/2 + 1, MaxSubscribersPerMember: links / linksPerSubscriber}
 }
 
-// servingHosts lists the link addresses of the members of the configuration's group.
-func (d *Daemon) servingHosts() []string {
+// memberLinkAddresses lists the link addresses of the members of the configuration group.
+func (d *Daemon) memberLinkAddresses() []string {
 	var out []string
 	for _, m := range d.replicas[controlpb.Group_GROUP_CONFIG].Status().Members {
 		if address := d.peers.addressOf(m.Member); address != "" && !slices.Contains(out, address) {
@@ -282,31 +286,31 @@
 	return out
 }
 
-// awaitServing waits until this host, which stands by, knows hosts that serve. It returns
-// none if the context ends before, or this host has become a member.
-func (d *Daemon) awaitServing(ctx context.Context) []string {
-	changed := d.standby.changed.join()
-	defer d.standby.changed.leave(changed)
-	for ctx.Err() == nil && d.standsBy() {
-		if hosts := d.standby.serving(); len(hosts) > 0 {
+// awaitServingHosts waits until this standby knows serving hosts. It returns none if the
+// context ends first or this host has become a member.
+func (d *Daemon) awaitServingHosts(ctx context.Context) []string {
+	changed := d.standby.changed.subscribe()
+	defer d.standby.changed.unsubscribe(changed)
+	for ctx.Err() == nil && d.isStandby() {
+		if hosts := d.standby.servingHosts(); len(hosts) > 0 {
 			return hosts
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-		case <-time.After(foundRetry):
+		case <-time.After(bootstrapRetry):
 		}
 	}
 	return nil
 }
 
-// refuseStandingBy sends an agent or entry host to the hosts that serve. Those that start
-// together with this host wait until it knows some, in place of asking again and again.
-func (h *handler) refuseStandingBy(ctx context.Context) *controlpb.Response {
-	ctx, cancel := context.WithTimeout(ctx, leaderPatience)
+// refuseAsStandby redirects an agent or entry host to the serving hosts. It waits for them
+// briefly, so that clients started together with this host need not retry.
+func (h *handler) refuseAsStandby(ctx context.Context) *controlpb.Response {
+	ctx, cancel := context.WithTimeout(ctx, leaderWaitTimeout)
 	defer cancel()
-	hosts := (*Daemon)(h).awaitServing(ctx)
-	res := h.fault(refusedStandsBy, controlpb.FaultKind_FAULT_NOT_DONE, ErrStandby.Error())
+	hosts := (*Daemon)(h).awaitServingHosts(ctx)
+	res := h.fault(refusedStandby, controlpb.FaultKind_FAULT_NOT_DONE, ErrStandby.Error())
 	if len(hosts) > 0 {
 		res.GetFault().Hosts = &controlpb.ControlHosts{Addresses: hosts}
 		res.GetFault().RetryAfterMs = 0
@@ -314,32 +318,32 @@
 	return res
 }
 
-// sendElsewhere serves a subscription at a host that stands by: it names the hosts that
-// serve, once it knows them. It returns false if this host has become a member.
-func (h *handler) sendElsewhere(ctx context.Context, s *link.ServerStream) (sent bool, err error) {
+// redirectSubscriber sends the serving hosts to a subscriber, once they are known. It
+// returns false if this host has become a member.
+func (h *handler) redirectSubscriber(ctx context.Context, s *link.ServerStream) (sent bool, err error) {
 	d := (*Daemon)(h)
-	hosts := d.awaitServing(ctx)
+	hosts := d.awaitServingHosts(ctx)
 	if len(hosts) == 0 {
 		return ctx.Err() != nil, nil
 	}
 	h.scope.Counter("subscribers_sent_elsewhere").Inc(1)
 	err = s.Send(&controlpb.SubscribeUpdate{
 		Hosts: &controlpb.ControlHosts{Addresses: hosts},
-		Move:  &controlpb.Move{Address: drawn(hosts)},
+		Move:  &controlpb.Move{Address: randomHost(hosts)},
 	})
 	if err != nil {
 		return true, err
 	}
-	// The subscriber ends it: a stream that ends first would be an error there.
+	// The subscriber closes the stream; closing it here would be an error there.
 	<-ctx.Done()
 	return true, nil
 }
 
-// standsByError returns an error that sends an operator to a host that serves, nil if
-// this one does.
-func (d *Daemon) standsByError() error {
-	if !d.standsBy() {
+// standbyError returns an error that names a serving host if this host is a standby, else
+// nil.
+func (d *Daemon) standbyError() error {
+	if !d.isStandby() {
 		return nil
 	}
-	return &StandbyError{ServingAddress: d.standby.reached()}
+	return &StandbyError{ServingAddress: d.standby.connectedHost()}
 }
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -17,14 +17,14 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// standing is a deployment of hosts that keep their log, d1 and on, and of hosts that do
+// newStandbyDeployment is a deployment of hosts that keep their log, d1 and on, and of hosts that do
 // not and stand by, s1 and on. seeds names the hosts that all of them are given.
-func standing(t *testing.T, keeping, without int, seeds ...string) *deployment {
+func newStandbyDeployment(t *testing.T, durable, transient int, seeds ...string) *deployment {
 	t.Helper()
-	return standingWith(t, 0, keeping, without, seeds...)
+	return newStandbyDeploymentWithLinks(t, 0, durable, transient, seeds...)
 }
 
-func standingWith(t *testing.T, maxLinks uint32, keeping, without int, seeds ...string) *deployment {
+func newStandbyDeploymentWithLinks(t *testing.T, maxLinks uint32, keeping, without int, seeds ...string) *deployment {
 	t.Helper()
 	var names []string
 	transient := map[string]bool{}
@@ -37,7 +37,7 @@
 		transient[name] = true
 	}
 	d := newDeployment(t, names...)
-	d.goneAfterMs = 30_000
+	d.removeAfterMs = 30_000
 	d.maxLinks = maxLinks
 	d.transient, d.standBy = transient, true
 	d.voters = nil
@@ -63,7 +63,7 @@
 
 // Hosts that keep no log stand by, whichever hosts are the seeds: the group has the
 // others as members, and a host that stands by names one that serves.
-func TestHostsWithoutALogStandBy(t *testing.T) {
+func TestTransientHostsStandBy(t *testing.T) {
 	for name, seeds := range map[string][]string{
 		"seeds keep their log":      {"d1", "d2", "d3"},
 		"one seed keeps its log":    {"d2", "s1", "s2"},
@@ -72,7 +72,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := standing(t, 3, 3, seeds...)
+			d := newStandbyDeployment(t, 3, 3, seeds...)
 			d.awaitVoters("d1", 3, "d1", true)
 			d.accept(d.operator("d1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
 			d.awaitStandby("s1", "s2", "s3")
@@ -90,7 +90,7 @@
 func TestStandbyKeepsOneLink(t *testing.T) {
 	is := is.New(t)
 	const without = 12
-	d := standing(t, 3, without, "s1", "d1", "d2")
+	d := newStandbyDeployment(t, 3, without, "s1", "d1", "d2")
 	var standbys []string
 	for i := range without {
 		standbys = append(standbys, fmt.Sprintf("s%d", i+1))
@@ -115,9 +115,9 @@
 
 // A subscriber that knows hosts that stand by alone gets its version all the same, and
 // learns which hosts serve.
-func TestStandbySendsSubscribersToHostsThatServe(t *testing.T) {
+func TestStandbyRedirectsSubscribers(t *testing.T) {
 	is := is.New(t)
-	d := standing(t, 3, 2, "d1", "d2", "d3")
+	d := newStandbyDeployment(t, 3, 2, "d1", "d2", "d3")
 	d.awaitVoters("d1", 3, "d3", true)
 	d.accept(d.operator("d1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
 	d.awaitStandby("s1", "s2")
@@ -138,27 +138,27 @@
 
 // Requests of agents are refused: nothing was done, and their link goes to a host that
 // serves them.
-func TestStandbySendsAgentsToHostsThatServe(t *testing.T) {
+func TestStandbyRedirectsAgents(t *testing.T) {
 	is := is.New(t)
-	d := standing(t, 1, 1, "d1")
+	d := newStandbyDeployment(t, 1, 1, "d1")
 	d.awaitStandby("s1")
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "s1")
 	fault := link.FaultOf(call(t, agent, registerRequest("lodgement", "t1", "x")))
 	is.True(fault != nil)
 	is.Equal(d.hosts["s1"].refusals("stands_by"), int64(1))
 	d.accept(d.operator("d1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	registered(t, agent, "t1") // the link has gone to the host that serves
+	registerTarget(t, agent, "t1") // the link has gone to the host that serves
 }
 
 // Once the members have more subscribers than they are to serve, a host that stands by
 // becomes one of them, one at a time.
-func TestStandbyStepsIn(t *testing.T) {
+func TestStandbyBecomesMember(t *testing.T) {
 	const (
 		maxLinks = 4
 		// Two subscribers a host, for three hosts, and one more.
 		subscribers = 7
 	)
-	d := standingWith(t, maxLinks, 3, 2, "d1", "d2", "d3")
+	d := newStandbyDeploymentWithLinks(t, maxLinks, 3, 2, "d1", "d2", "d3")
 	d.awaitVoters("d1", 3, "d3", true)
 	d.accept(d.operator("d1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
 	d.awaitStandby("s1", "s2")
@@ -173,7 +173,7 @@
 }
 
 // A host that keeps its log has to vote, so that it may not be told to stand by.
-func TestOnlyHostsWithoutALogMayStandBy(t *testing.T) {
+func TestOnlyTransientHostsMayStandBy(t *testing.T) {
 	for name, r := range map[string]*settingspb.Replica{
 		"keeps its log":       {StandBy: true, AutomaticMembers: true},
 		"members by operator": {StandBy: true, Transient: true},
--- a/internal/controld/state.go
+++ b/internal/controld/state.go
@@ -9,57 +9,56 @@
 	"eelgrasswharf.example/eelgrasswharf/config"
 )
 
-// configState lets the configuration's state machine be read while the
-// replica applies commands. What it returns is immutable.
+// configState makes the configuration's state machine safe for concurrent reads while the
+// replica applies commands. The messages it returns are immutable.
 type configState struct {
-	changed *hub
+	changed *notifier
 
 	mu      sync.RWMutex
 	machine *config.Machine
 	// appliedAt is when the current version was applied here, zero if it was restored.
 	appliedAt time.Time
-	// names has the services of the current version by number.
+	// names has the service names of the current version by number.
 	names map[uint32]string
-	// deltas has what was last computed by update, by base version. They all
-	// lead to the current version.
+	// deltas caches the deltas to the current version by base version.
 	deltas map[uint64]delta
 }
 
-// delta leads from one version to the current one.
+// delta is the difference between a base version and the current one.
 type delta struct {
 	update *controlpb.ConfigUpdate
-	// touched has the numbers of the services that it changes.
-	touched map[uint32]bool
-	// domains tells that the evacuations change, which concern all services.
-	domains bool
+	// changedServices has the numbers of the changed services.
+	changedServices map[uint32]bool
+	// evacuations is set if the evacuations changed, which affect all services.
+	evacuations bool
 }
 
 func newDelta(base, current *configpb.Configuration) delta {
-	d := delta{update: config.Diff(base, current), touched: map[uint32]bool{}}
-	d.domains = d.update.GetEvacuations() != nil
-	names := map[string]bool{}
+	d := delta{update: config.Diff(base, current), changedServices: map[uint32]bool{}}
+	d.evacuations = d.update.GetEvacuations() != nil
+	changedNames := map[string]bool{}
 	for _, s := range d.update.GetPut() {
-		d.touched[s.GetNumber()] = true
-		names[s.GetName()] = true
+		d.changedServices[s.GetNumber()] = true
+		changedNames[s.GetName()] = true
 	}
 	for _, name := range d.update.GetRemoved() {
-		names[name] = true
+		changedNames[name] = true
 	}
-	// A name may have passed to a service of another number.
+	// A name may have been reassigned to another service number.
 	for _, s := range base.GetServices() {
-		if names[s.GetName()] {
-			d.touched[s.GetNumber()] = true
+		if changedNames[s.GetName()] {
+			d.changedServices[s.GetNumber()] = true
 		}
 	}
 	return d
 }
 
-func (d delta) touches(scope map[uint32]bool) bool {
-	if d.domains {
+func (d delta) affects(scope map[uint32]bool) bool {
+	if d.evacuations {
 		return true
 	}
 	for number := range scope {
-		if d.touched[number] {
+		if d.changedServices[number] {
 			return true
 		}
 	}
@@ -68,7 +67,7 @@
 
 func newConfigState() *configState {
 	return &configState{
-		changed: newHub(),
+		changed: newNotifier(),
 		machine: config.New(),
 		deltas:  map[uint64]delta{},
 	}
@@ -96,7 +95,7 @@
 	return result, changed
 }
 
-// index rebuilds what follows from the current version. The lock is held.
+// index rebuilds what is derived from the current version. The lock is held.
 func (s *configState) index() {
 	s.deltas = map[uint64]delta{}
 	services := s.machine.Current().GetServices()
@@ -129,16 +128,14 @@
 	return s.machine.Current(), s.machine.VersionPatch()
 }
 
-// document returns the operator's document of the route table in force, and the
-// revision of the table.
+// document returns the operator's document of the active route table and its revision.
 func (s *configState) document() ([]byte, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.machine.RouteTableDocument(), s.machine.Current().GetTable().GetRevision()
 }
 
-// sinceApplied returns how long ago a version was applied here, if it is the current
-// one.
+// sinceApplied returns how long ago a version was applied here, if it is the current one.
 func (s *configState) sinceApplied(version uint64) (since time.Duration, current bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -153,8 +150,8 @@
 	return c.GetVersion()
 }
 
-// at returns a version of the history, or nil.
-func (s *configState) at(version uint64) *configpb.Configuration {
+// versionAt returns a version of the history, or nil.
+func (s *configState) versionAt(version uint64) *configpb.Configuration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.machine.Version(version)
@@ -165,8 +162,8 @@
 	return config.IsEvacuated(c, failureDomain)
 }
 
-// alreadyEvacuated returns the outcome of an order without an identifier that would change
-// nothing, nil if the group has to decide.
+// alreadyEvacuated returns the outcome of an order without an identifier that changes
+// nothing, nil if the order has to be replicated.
 func (s *configState) alreadyEvacuated(o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
 	c, _ := s.current()
 	if o.GetId() != "" || config.IsEvacuated(c, o.GetFailureDomain()) == o.GetEnd() {
@@ -184,24 +181,24 @@
 	return s.machine.Outcome(id)
 }
 
-// registered returns the registration of a process that has one, or nil.
+// registered returns the existing registration of a process, or nil.
 func (s *configState) registered(r *configpb.RegisterTarget) *configpb.Registration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.machine.FindRegistration(r)
 }
 
-// allTargets reports whether there is an agreed identity and heard is true for each.
-func (s *configState) allTargets(heard func(number, incarnation uint32) bool) bool {
+// allTargetsKnown reports whether any target is registered and known is true for each.
+func (s *configState) allTargetsKnown(known func(number, incarnation uint32) bool) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	all, any := true, false
+	all, found := true, false
 	s.machine.ForEachTarget(func(id *configpb.TargetIdentity) bool {
-		any = true
-		all = heard(id.GetNumber(), id.GetIncarnation())
+		found = true
+		all = known(id.GetNumber(), id.GetIncarnation())
 		return all
 	})
-	return all && any
+	return all && found
 }
 
 func (s *configState) target(number uint32) *configpb.TargetIdentity {
@@ -210,29 +207,26 @@
 	return s.machine.Target(number)
 }
 
-// serviceName returns the name of a service number, or nothing if this host
-// does not know the number.
+// serviceName returns the name of a service number, empty if it is unknown here.
 func (s *configState) serviceName(number uint32) string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.names[number]
 }
 
-// update returns what leads a subscriber from the version it has to the
-// current one: a delta where the history allows, else a snapshot. With a scope
-// it concerns these services only. The caller owns the message, but not what
-// it refers to.
+// update returns the change from a subscriber's version to the current one: a delta if the
+// history has the version, else a snapshot. A non-nil scope limits it to these services.
+// The caller owns the message, but not what it refers to.
 func (s *configState) update(from uint64, scope map[uint32]bool) *controlpb.ConfigUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := s.machine.Current()
 	base := s.machine.Version(from)
-	// A subscriber without a configuration has nothing to apply a delta to.
+	// A subscriber without a configuration cannot apply a delta.
 	if base == nil || from == 0 {
-		return &controlpb.ConfigUpdate{Snapshot: within(current, scope), Version: current.GetVersion()}
+		return &controlpb.ConfigUpdate{Snapshot: filterServices(current, scope), Version: current.GetVersion()}
 	}
-	// A new version is sent to all subscribers at once, nearly all of them
-	// from the same base.
+	// Most subscribers update from the same base, so deltas are shared.
 	shared, ok := s.deltas[from]
 	if !ok {
 		shared = newDelta(base, current)
@@ -241,7 +235,7 @@
 	if scope == nil {
 		return copyDelta(shared.update)
 	}
-	if !shared.touches(scope) {
+	if !shared.affects(scope) {
 		return &controlpb.ConfigUpdate{BaseVersion: from, Version: current.GetVersion()}
 	}
 	return config.Diff(config.FilterServices(base, scope), config.FilterServices(current, scope))
@@ -260,7 +254,7 @@
 	}
 }
 
-func within(c *configpb.Configuration, scope map[uint32]bool) *configpb.Configuration {
+func filterServices(c *configpb.Configuration, scope map[uint32]bool) *configpb.Configuration {
 	if scope == nil {
 		return c
 	}
--- a/internal/controld/subscribers.go
+++ b/internal/controld/subscribers.go
@@ -13,7 +13,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// subscribers is the list of open subscriptions.
+// subscribers is the set of open subscriptions.
 type subscribers struct {
 	mu   sync.Mutex
 	open map[*subscriber]bool
@@ -21,16 +21,16 @@
 
 func newSubscribers() *subscribers { return &subscribers{open: map[*subscriber]bool{}} }
 
-func (s *subscribers) add(who *subscriber) {
+func (s *subscribers) add(sub *subscriber) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[who] = true
+	s.open[sub] = true
 }
 
-func (s *subscribers) remove(who *subscriber) {
+func (s *subscribers) remove(sub *subscriber) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, who)
+	delete(s.open, sub)
 }
 
 func (s *subscribers) count() int {
@@ -39,32 +39,31 @@
 	return len(s.open)
 }
 
-// draw returns one of the subscribers at random, nil if there is none.
-func (s *subscribers) draw() *subscriber {
+// random returns a random subscriber, nil if there is none.
+func (s *subscribers) random() *subscriber {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.open) == 0 {
 		return nil
 	}
 	skip := rand.IntN(len(s.open))
-	for who := range s.open {
+	for sub := range s.open {
 		if skip == 0 {
-			return who
+			return sub
 		}
 		skip--
 	}
 	return nil
 }
 
-// list returns the subscribers by name and names those on which the version
-// is not in force.
+// list returns the subscribers by name, and the names of those on an older version.
 func (s *subscribers) list(version uint64) ([]operator.SubscriberStatus, []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]operator.SubscriberStatus, 0, len(s.open))
 	laggards := []string{}
-	for who := range s.open {
-		status := who.status()
+	for sub := range s.open {
+		status := sub.status()
 		all = append(all, status)
 		if status.Version < version {
 			laggards = append(laggards, status.Role+"/"+status.Name)
@@ -77,16 +76,16 @@
 	return all, laggards
 }
 
-// subscriber is what is known of the far end of a subscription.
+// subscriber is the state of the remote end of a subscription.
 type subscriber struct {
 	role, name, domain string
 	start              time.Time
 	version            atomic.Uint64
 	// reported is the version last reported on this subscription, 0 for none.
 	reported atomic.Uint64
-	// heardAt is the time of the last heartbeat after start.
-	heardAt atomic.Int64
-	// moveTo gets the address of the host that the subscriber is to go to.
+	// lastSeen is the time of the last heartbeat, since start.
+	lastSeen atomic.Int64
+	// moveTo receives the address of the host that the subscriber has to move to.
 	moveTo chan string
 }
 
@@ -102,25 +101,25 @@
 	return s
 }
 
-// ask asks the subscriber to move, unless it has just been asked.
-func (s *subscriber) ask(address string) {
+// requestMove asks the subscriber to move, unless a request is pending.
+func (s *subscriber) requestMove(address string) {
 	select {
 	case s.moveTo <- address:
 	default:
 	}
 }
 
-// heard notes the version that the subscriber acts on. It reports whether that is
-// another one than before.
-func (s *subscriber) heard(version uint64) (changed bool) {
+// recordReport stores the active version of the subscriber. It reports whether it differs
+// from the last report.
+func (s *subscriber) recordReport(version uint64) (changed bool) {
 	s.version.Store(version)
-	s.heardAt.Store(int64(time.Since(s.start)))
+	s.lastSeen.Store(int64(time.Since(s.start)))
 	return s.reported.Swap(version) != version
 }
 
-// silent returns how long nothing has been heard of the subscriber.
-func (s *subscriber) silent() time.Duration {
-	return time.Since(s.start) - time.Duration(s.heardAt.Load())
+// inactiveFor returns the time since the last message of the subscriber.
+func (s *subscriber) inactiveFor() time.Duration {
+	return time.Since(s.start) - time.Duration(s.lastSeen.Load())
 }
 
 func (s *subscriber) status() operator.SubscriberStatus {
--- a/internal/controld/subscription.go
+++ b/internal/controld/subscription.go
@@ -14,53 +14,50 @@
 	"eelgrasswharf.example/eelgrasswharf/membership"
 )
 
-// Counters of what subscribers are sent of the directory, by kind.
+// Counters of directory updates sent to subscribers, by kind.
 const (
 	tagKind                = "kind"
 	metricDirectoryUpdates = "directory_updates"
 	metricDirectoryRecords = "directory_records"
 )
 
-// subscription is one subscriber's stream. One goroutine sends; it compares
-// what the subscriber was sent with the present state whenever it is woken, so
-// a slow subscriber gets one collapsed update in place of many.
+// subscription is one subscriber's stream. A single goroutine sends: on each wake-up it
+// compares the sent state with the current one, so a slow subscriber gets one coalesced
+// update.
 type subscription struct {
 	daemon *Daemon
 	stream *link.ServerStream
 	info   *subscriber
-	// reports gets a value after each report of the subscriber.
+	// reports receives a value after each report of the subscriber.
 	reports chan struct{}
 	// sent is the version that the subscriber has or was sent.
 	sent uint64
-	// scope has the services whose configuration is wanted, nil for all.
+	// scope has the services whose configuration is sent, nil for all.
 	scope map[uint32]bool
-	// confirmed says that the subscriber was told of a confirmed version.
+	// confirmed is set once a quorum has confirmed a version for this subscriber.
 	confirmed bool
-	// owesConfirmation says that it has yet to be told so.
-	owesConfirmation bool
-	// aheadLogged says that its newer version has been logged.
-	aheadLogged bool
-	follower    *membership.Subscriber
-	// whole says that the subscriber holds this host's list, not additions to
-	// one from elsewhere.
-	whole bool
-	// complete says that the subscriber was sent all targets that there are.
+	// confirmationPending is set until the subscriber has been sent the confirmation.
+	confirmationPending bool
+	// aheadLogged is set once the newer version of the subscriber has been logged.
+	aheadLogged   bool
+	dirSubscriber *membership.Subscriber
+	// fullList is set if the subscriber holds this host's full list, not additions to that
+	// of another host.
+	fullList bool
+	// complete is set if the subscriber was sent all targets.
 	complete bool
-	// directoryPending says that the directory may have changed since it was
-	// looked at.
+	// directoryPending is set if the directory may have changed since the last update.
 	directoryPending bool
-	// hosts are the control hosts that the subscriber was told of last.
+	// hosts are the control hosts last sent to the subscriber.
 	hosts []string
-	// isolated is what the subscriber was told last of this host's isolation.
+	// isolated is the isolation state last sent to the subscriber.
 	isolated bool
-	// askedAt is when a quorum was last asked, unansweredSince since when it has
-	// not answered; zero if it has.
-	askedAt         time.Time
-	unansweredSince time.Time
-	// directorySentAt is when the last directory update was sent.
-	directorySentAt time.Time
-	// messageSentAt is when the last message was sent.
-	messageSentAt time.Time
+	// askedAt is the time of the last read barrier. unconfirmedSince is the time of the
+	// first failed one since the last success, zero if there is none.
+	askedAt          time.Time
+	unconfirmedSince time.Time
+	directorySentAt  time.Time
+	messageSentAt    time.Time
 }
 
 // Subscribe implements link.Handler.
@@ -70,18 +67,18 @@
 		return &link.FaultError{Kind: controlpb.FaultKind_FAULT_FORBIDDEN, Text: "the role may not subscribe"}
 	}
 	d := (*Daemon)(h)
-	if d.standsBy() {
-		if sent, err := h.sendElsewhere(ctx, s); sent || err != nil {
+	if d.isStandby() {
+		if sent, err := h.redirectSubscriber(ctx, s); sent || err != nil {
 			return err
 		}
 	}
 	sub := &subscription{
-		daemon:   d,
-		stream:   s,
-		info:     newSubscriber(peer, req),
-		reports:  make(chan struct{}, 1),
-		sent:     req.GetVersion(),
-		follower: membership.NewSubscriber(positionOf(req), membership.NewScope(req.GetServices(), req.GetFailureDomains()...)),
+		daemon:        d,
+		stream:        s,
+		info:          newSubscriber(peer, req),
+		reports:       make(chan struct{}, 1),
+		sent:          req.GetVersion(),
+		dirSubscriber: membership.NewSubscriber(positionOf(req), membership.NewScope(req.GetServices(), req.GetFailureDomains()...)),
 	}
 	if req.GetScopedConfig() {
 		sub.scope = map[uint32]bool{}
@@ -93,15 +90,15 @@
 	defer d.subscribers.remove(sub.info)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// It ends when the stream does, soon after this method has returned.
+	// receiveReports returns when the stream ends, soon after this method has returned.
 	d.loops.Go(func() {
 		defer cancel()
-		sub.listen()
+		sub.receiveReports()
 	})
 	return sub.run(ctx)
 }
 
-// positionOf returns how far the subscriber says it has followed the directory.
+// positionOf returns the subscriber's position in the directory.
 func positionOf(req *controlpb.Subscribe) membership.Position {
 	return membership.Position{
 		Epoch:    req.GetDirectoryEpoch(),
@@ -110,16 +107,16 @@
 	}
 }
 
-// listen notes the versions in force that the subscriber reports, until its
-// stream ends.
-func (s *subscription) listen() {
+// receiveReports records the active versions reported by the subscriber until its stream
+// ends.
+func (s *subscription) receiveReports() {
 	for {
-		beat, err := s.stream.Receive()
+		heartbeat, err := s.stream.Receive()
 		if err != nil {
 			return
 		}
-		if s.info.heard(beat.GetVersion()) {
-			s.daemon.noteInForce(beat.GetVersion())
+		if s.info.recordReport(heartbeat.GetVersion()) {
+			s.daemon.recordActivation(heartbeat.GetVersion())
 		}
 		select {
 		case s.reports <- struct{}{}:
@@ -128,29 +125,29 @@
 	}
 }
 
-// run sends what changes until the subscriber is gone or silent.
+// run sends changes until the subscriber is gone or unresponsive.
 func (s *subscription) run(ctx context.Context) error {
-	configs := s.daemon.configs.changed.join()
-	defer s.daemon.configs.changed.leave(configs)
-	targets := s.daemon.directory.changed.join()
-	defer s.daemon.directory.changed.leave(targets)
-	isolation := s.daemon.isolation.changed.join()
-	defer s.daemon.isolation.changed.leave(isolation)
-	if err := s.sendFirst(ctx); err != nil {
+	configs := s.daemon.configs.changed.subscribe()
+	defer s.daemon.configs.changed.unsubscribe(configs)
+	targets := s.daemon.directory.changed.subscribe()
+	defer s.daemon.directory.changed.unsubscribe(targets)
+	isolation := s.daemon.isolation.changed.subscribe()
+	defer s.daemon.isolation.changed.unsubscribe(isolation)
+	if err := s.sendInitial(ctx); err != nil {
 		return err
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	s.directoryPending = true
 	for ctx.Err() == nil {
-		if s.info.silent() > silenceLimit {
+		if s.info.inactiveFor() > subscriberTimeout {
 			s.daemon.scope.Counter("silent_subscribers").Inc(1)
 			return nil
 		}
 		if err := s.step(ctx); err != nil {
 			return err
 		}
-		timer.Reset(s.untilDue())
+		timer.Reset(s.untilNextStep())
 		select {
 		case <-ctx.Done():
 		case address := <-s.info.moveTo:
@@ -168,26 +165,25 @@
 	return nil
 }
 
-// untilDue returns how long the subscription may sleep if nothing changes.
-func (s *subscription) untilDue() time.Duration {
+// untilNextStep returns how long the subscription may sleep if nothing changes.
+func (s *subscription) untilNextStep() time.Duration {
 	wait := heartbeatPeriod - time.Since(s.messageSentAt)
 	if s.directoryPending {
-		wait = min(wait, directoryPause-time.Since(s.directorySentAt))
+		wait = min(wait, directoryInterval-time.Since(s.directorySentAt))
 	}
 	if !s.confirmed {
 		wait = min(wait, confirmRetry-time.Since(s.askedAt))
 	}
-	if s.lacksVersion() {
-		wait = min(wait, confirmPause)
+	if s.needsVersion() {
+		wait = min(wait, confirmPendingRetry)
 	}
 	return max(wait, 0)
 }
 
-// sendFirst brings the subscriber to this host's version. Whether that is the
-// newest one is asked of a quorum before, so that most subscribers never act
-// on an unconfirmed version.
-func (s *subscription) sendFirst(ctx context.Context) error {
-	s.confirm(ctx)
+// sendInitial sends this host's version. It runs a read barrier first, so that most
+// subscribers never activate an unconfirmed version.
+func (s *subscription) sendInitial(ctx context.Context) error {
+	s.readBarrier(ctx)
 	if s.confirmed {
 		return s.sendConfig(true)
 	}
@@ -195,30 +191,29 @@
 	return s.sendConfig(false)
 }
 
-// confirm asks a quorum for what this host may lack, and waits until it is
-// applied here or cannot be had.
-func (s *subscription) confirm(ctx context.Context) {
-	err := s.daemon.confirm.wait(ctx)
+// readBarrier waits until everything committed is applied here, or fails.
+func (s *subscription) readBarrier(ctx context.Context) {
+	err := s.daemon.readBarrier.wait(ctx)
 	s.askedAt = time.Now()
-	if err != nil && s.unansweredSince.IsZero() {
-		s.unansweredSince = s.askedAt
+	if err != nil && s.unconfirmedSince.IsZero() {
+		s.unconfirmedSince = s.askedAt
 	}
 	if err != nil {
 		return
 	}
-	s.unansweredSince = time.Time{}
+	s.unconfirmedSince = time.Time{}
 	if s.confirmed {
 		return
 	}
 	s.confirmed = true
-	// Even without a change the subscriber has to learn of it.
-	s.owesConfirmation = true
+	// Sent even if the version did not change.
+	s.confirmationPending = true
 }
 
-// lacksVersion tells whether there is a version to send. One that acts on a
-// version gets no other before it has reported the last: what is sent into a path
-// that is silent for a while would come all at once, one old version after another.
-func (s *subscription) lacksVersion() bool {
+// needsVersion reports whether there is a version to send. A subscriber that reports its
+// version gets the next one only after reporting the last: otherwise a stalled path would
+// deliver a series of outdated versions at once.
+func (s *subscription) needsVersion() bool {
 	if s.daemon.configs.version() <= s.sent {
 		return false
 	}
@@ -226,29 +221,29 @@
 	return acting == 0 || acting >= s.sent
 }
 
-// mayPassOn tells whether this host's version may be passed on as the newest. A
-// host that was cut off or frozen applies what it missed one by one, and its
-// subscribers are to go to the last of it in one step; so a quorum is asked
-// before each new version. One that does not answer holds a version up while a
-// leader is known, and for a bounded time: being applied, it was accepted.
-func (s *subscription) mayPassOn() bool {
-	return s.unansweredSince.IsZero() ||
+// maySendVersion reports whether this host's version may be sent as the newest. A host that
+// was partitioned or stalled applies the versions it missed one by one, but its subscribers
+// should only get the last. So each new version needs a read barrier. If the barrier fails
+// while a leader is known, the version is delayed for at most confirmTimeout; it was
+// committed in any case.
+func (s *subscription) maySendVersion() bool {
+	return s.unconfirmedSince.IsZero() ||
 		s.daemon.replicas[controlpb.Group_GROUP_CONFIG].Status().Leader == nil ||
-		time.Since(s.unansweredSince) >= confirmPatience
+		time.Since(s.unconfirmedSince) >= confirmTimeout
 }
 
 // step sends what the subscriber lacks.
 func (s *subscription) step(ctx context.Context) error {
 	overdue := !s.confirmed && time.Since(s.askedAt) >= confirmRetry
-	if overdue || s.lacksVersion() {
-		s.confirm(ctx)
+	if overdue || s.needsVersion() {
+		s.readBarrier(ctx)
 	}
-	if s.owesConfirmation || s.lacksVersion() && s.mayPassOn() {
+	if s.confirmationPending || s.needsVersion() && s.maySendVersion() {
 		if err := s.sendConfig(s.confirmed); err != nil {
 			return err
 		}
 	}
-	if s.directoryPending && time.Since(s.directorySentAt) >= directoryPause {
+	if s.directoryPending && time.Since(s.directorySentAt) >= directoryInterval {
 		s.directoryPending = false
 		if err := s.sendDirectory(); err != nil {
 			return err
@@ -261,7 +256,7 @@
 	if isolated != s.isolated || time.Since(s.messageSentAt) >= heartbeatPeriod {
 		s.isolated = isolated
 		if !s.complete {
-			// It may have become so without any change of the list.
+			// The directory may have become complete without a change of the list.
 			if err := s.sendDirectory(); err != nil {
 				return err
 			}
@@ -272,12 +267,12 @@
 	return nil
 }
 
-// sendConfig sends the current version. A subscriber that knows a newer one is
-// sent nothing: this host lags behind.
+// sendConfig sends the current version, or nothing if the subscriber has a newer one: this
+// host lags behind.
 func (s *subscription) sendConfig(confirmed bool) error {
 	current, _ := s.daemon.configs.current()
 	if current.GetVersion() < s.sent {
-		s.reportLag(current, confirmed)
+		s.reportAhead(current, confirmed)
 		return nil
 	}
 	u := s.daemon.configs.update(s.sent, s.scope)
@@ -286,31 +281,30 @@
 		return err
 	}
 	s.sent = u.GetVersion()
-	s.owesConfirmation = false
+	s.confirmationPending = false
 	return nil
 }
 
-// reportLag tells of a subscriber ahead of a quorum's newest version: state
-// was lost.
-func (s *subscription) reportLag(current *configpb.Configuration, confirmed bool) {
+// reportAhead logs a subscriber with a newer version than the quorum's, which means that
+// state was lost.
+func (s *subscription) reportAhead(current *configpb.Configuration, confirmed bool) {
 	if !confirmed || s.aheadLogged {
 		return
 	}
 	s.aheadLogged = true
 	s.daemon.scope.Counter("subscribers_ahead").Inc(1)
-	s.daemon.log.Error("a subscriber has a version that the group does not know",
-		zap.String("subscriber", s.info.name), zap.Uint64("its_version", s.sent),
+	s.daemon.log.Error("a subscriber has a version newer than that of the group",
+		zap.String("subscriber", s.info.name), zap.Uint64("subscriber_version", s.sent),
 		zap.Uint64("version", current.GetVersion()))
 }
 
-// sendDirectory sends what the subscriber lacks of the directory, if anything.
+// sendDirectory sends the pending directory changes, if any.
 func (s *subscription) sendDirectory() error {
-	// Asked before the list is read: targets that are heard of in between are in the
-	// list, or in the next one.
-	complete := s.daemon.directoryWhole()
-	u, kind := s.daemon.directory.next(s.follower)
-	s.whole = kind != membership.Addition
-	s.complete = s.whole && complete
+	// Read before the list: targets added in between are in this update or the next one.
+	complete := s.daemon.directoryComplete()
+	u, kind := s.daemon.directory.nextUpdate(s.dirSubscriber)
+	s.fullList = kind != membership.Addition
+	s.complete = s.fullList && complete
 	if u == nil {
 		return nil
 	}
@@ -322,13 +316,13 @@
 	return nil
 }
 
-// sendHosts names the control hosts that serve, if they are others than last time. A
-// subscriber may know a few of them only, which may all be lost, or stand by.
+// sendHosts sends the serving control hosts if they changed. The hosts in a subscriber's
+// settings may all be lost or in standby.
 func (s *subscription) sendHosts() error {
 	if !s.daemon.settings.GetReplica().GetAutomaticMembers() {
 		return nil
 	}
-	hosts := s.daemon.servingHosts()
+	hosts := s.daemon.memberLinkAddresses()
 	if len(hosts) == 0 || slices.Equal(hosts, s.hosts) {
 		return nil
 	}
@@ -336,7 +330,7 @@
 	return s.send(&controlpb.SubscribeUpdate{Hosts: &controlpb.ControlHosts{Addresses: hosts}})
 }
 
-// countDirectory counts an update of the directory and its records by kind.
+// countDirectory counts a directory update and its records by kind.
 func (s *subscription) countDirectory(u *controlpb.DirectoryUpdate, kind membership.UpdateKind) {
 	scope := s.daemon.scope.Tagged(map[string]string{tagKind: string(kind)})
 	scope.Counter(metricDirectoryUpdates).Inc(1)
--- a/internal/controld/follow_test.go
+++ b/internal/controld/subscription_test.go
@@ -14,12 +14,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// wides is the number of address sets that wide takes turns with.
-const wides = 3
+// wideServices is the number of address sets that wide takes turns with.
+const wideServices = 3
 
-// wide is a service whose updates are large. It takes addresses back that it
+// wideService is a service whose updates are large. It takes addresses back that it
 // left before, since those that it leaves stay in the configuration.
-func wide(third int) *configpb.Operation {
+func wideService(third int) *configpb.Operation {
 	s := &configpb.Service{Name: "wide", Slots: 4}
 	for i := range config.MaxAddresses {
 		s.Addresses = append(s.Addresses, fmt.Sprintf("10.%d.%d.%d:443", third, i/250, i%250+1))
@@ -27,9 +27,9 @@
 	return &configpb.Operation{Body: &configpb.Operation_PutService{PutService: s}}
 }
 
-func TestSlowSubscriberGetsCollapsedUpdates(t *testing.T) {
+func TestSlowSubscriberGetsCoalescedUpdates(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{})
 	w.awaitVersion(0)
 	const (
@@ -53,7 +53,7 @@
 		return true
 	}
 	for i := range versions {
-		d.accept(ops, patch(fmt.Sprintf("p%d", i), uint64(i), wide(i%wides)))
+		d.accept(ops, patch(fmt.Sprintf("p%d", i), uint64(i), wideService(i%wideServices)))
 		if i%pace == 0 {
 			w.await("an update", follow)
 		}
@@ -63,9 +63,9 @@
 	is.Equal(held.GetServices()[0].GetAddresses()[0], "10.2.0.1:443")
 }
 
-func TestSubscriberResumesByDelta(t *testing.T) {
+func TestSubscriberResumesWithDelta(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	for i := range config.MaxHistory + 20 {
 		d.accept(ops, patch(fmt.Sprintf("p%d", i), uint64(i), put("lodgement", "192.0.2.1:443")))
 	}
@@ -104,11 +104,11 @@
 	return d.start(name, d.stop(name).data, false)
 }
 
-// TestScopedSubscriberFollowsVersions changes one service for a subscriber of
+// TestScopedSubscriberReceivesEveryVersion changes one service for a subscriber of
 // another one: it gets each version number and nothing of the service.
-func TestScopedSubscriberFollowsVersions(t *testing.T) {
+func TestScopedSubscriberReceivesEveryVersion(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	d.accept(ops, patch("p1", 0, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443")))
 	c := d.link(keys.RoleAgent, "a1", "certificates", "c1")
 	req := &controlpb.Subscribe{Services: []uint32{2}, ScopedConfig: true}
@@ -137,10 +137,10 @@
 
 func TestRestartedHostRemovesNoTargets(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	announce := func(target string) {
-		is.Equal(call(t, agent, announceRequest(registered(t, agent, target))).GetAnnounce().GetRefusal(), "")
+		is.Equal(call(t, agent, announceRequest(registerTarget(t, agent, target))).GetAnnounce().GetRefusal(), "")
 	}
 	announce("t1")
 	announce("t2")
@@ -159,7 +159,7 @@
 
 func TestStateSurvivesRestart(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	reg := call(t, agent, registerRequest("lodgement", "t1", "x")).GetRegistration()
 	is.True(call(t, agent, acquireRequest(1, "k", "one")).GetGrant().GetDecision() != 0)
@@ -179,7 +179,7 @@
 	is.Equal(held.GetGrant().GetDecision().String(), "DECISION_HELD") // its holder is gone, nobody else may run it
 }
 
-func TestHostJoins(t *testing.T) {
+func TestOperatorAddsHost(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2")
 	contacts := d.voters[:1] // c1 founds alone
@@ -205,7 +205,7 @@
 	is.True(err != nil)
 }
 
-func TestHostAsksToJoin(t *testing.T) {
+func TestHostJoinsAsLearner(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2")
 	d.voters = d.voters[:1]
--- a/internal/controld/sync.go
+++ b/internal/controld/sync.go
@@ -9,7 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// Names of the counters of the directory's exchange between control hosts.
+// Counters of directory syncs between control hosts.
 const (
 	metricSyncs       = "directory_syncs"
 	metricFailedSyncs = "failed_syncs"
@@ -17,18 +17,18 @@
 	metricUnrepaired  = "directory_unrepaired"
 )
 
-// sendDirectory tells the far end what has changed since it was last told, and
-// sums up the rest. If it knows something else, the parts that differ follow
-// at once. What fails is made up for by the next message.
+// sendDirectory sends the changes since the last sync and a summary of the other records.
+// If the peer's digests differ, the differing parts follow at once. The next sync covers a
+// failed one.
 func (p *peer) sendDirectory() {
 	if p.client.Address() == "" {
 		return
 	}
-	p.telling.Lock()
-	defer p.telling.Unlock()
+	p.syncMu.Lock()
+	defer p.syncMu.Unlock()
 	m, cursor := p.dir.sync(p.cursor)
-	p.dir.tellLoad(m)
-	reply, err := p.tell(m)
+	p.dir.addLoad(m)
+	reply, err := p.sendSync(m)
 	if err != nil {
 		return
 	}
@@ -36,24 +36,24 @@
 	if reply != nil && len(reply.GetDigests()) == 0 {
 		return
 	}
-	// A host that answers no digests takes records only: it gets them all.
+	// A host that returns no digests supports records only and gets all of them.
 	p.scope.Counter(metricRepairs).Inc(1)
 	m, cursor = p.dir.repair(p.cursor, reply.GetDigests())
-	p.dir.tellLoad(m)
-	reply, err = p.tell(m)
+	p.dir.addLoad(m)
+	reply, err = p.sendSync(m)
 	if err != nil {
 		return
 	}
 	p.cursor = cursor
 	if len(reply.GetDigests()) > 0 {
-		// It cannot take all: the next renewal tries again.
+		// The next summary tries again.
 		p.scope.Counter(metricUnrepaired).Inc(1)
 	}
 }
 
-// tell sends one message of the directory. The reply is nil from a host that
-// knows no summaries.
-func (p *peer) tell(m *controlpb.DirectorySync) (*controlpb.DirectorySyncReply, error) {
+// sendSync sends one sync message. The reply is nil from a host that does not support
+// summaries.
+func (p *peer) sendSync(m *controlpb.DirectorySync) (*controlpb.DirectorySyncReply, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, syncTimeout)
 	defer cancel()
 	res, err := p.client.Call(ctx, &controlpb.Request{Body: &controlpb.Request_DirectorySync{DirectorySync: m}})
@@ -62,7 +62,7 @@
 	}
 	if err != nil {
 		p.scope.Counter(metricFailedSyncs).Inc(1)
-		return nil, errors.Wrap(err, "pass the directory on")
+		return nil, errors.Wrap(err, "sync the directory")
 	}
 	p.scope.Counter(metricSyncs).Inc(1)
 	return res.GetDirectorySync(), nil
--- a/soak/internal/mutants/defects.go
+++ b/soak/internal/mutants/defects.go
@@ -10,8 +10,8 @@
 
 // defects are what the soak has to find. A test holds each to the code as it is.
 var defects = []defect{
-	{"stale read", "internal/controld/routes.go",
-		"if err := d.confirm.wait(ctx); err != nil {", "if err := ctx.Err(); err != nil {"},
+	{"stale read", "internal/controld/routetable.go",
+		"if err := d.readBarrier.wait(ctx); err != nil {", "if err := ctx.Err(); err != nil {"},
 	{"two winners", "config/routes.go",
 		"if r.GetTable().GetRevision() <= held {", "if r.GetTable().GetRevision() < held {"},
 	{"older version accepted", "config/routes.go",
@@ -32,8 +32,8 @@
 		"signal.Notify(w.signals, syscall.SIGHUP)", "signal.Notify(w.signals, syscall.SIGUSR1)"},
 	{"stop is not obeyed", "platform/command.go",
 		"ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)", "signal.Ignore(syscall.SIGTERM)\n\tctx, stop := signal.NotifyContext(ctx, syscall.SIGINT)"},
-	{"a host with an empty disk stays out", "internal/controld/found.go",
-		"asks.start(v.address)", "_ = asks"},
+	{"a host with an empty disk stays out", "internal/controld/bootstrap.go",
+		"requests.start(v.address)", "_ = requests"},
 	{"a full disk ends the process", "internal/wal/fs.go",
 		"errors.Is(err, syscall.EFBIG)", "errors.Is(err, syscall.ENOTTY)"},
 }
--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -221,7 +221,7 @@
 	host.LoseDisk()
 	host.Relaunch()
 	host.Remove()
-	host.JoinUntil("unfit number of groups of grants")
+	host.JoinUntil("invalid number of grant groups")
 	is.Equal(host.WaitEnd(), 1)
 	d.checkRun(t, d.callerOf(t, d.targets[d.lodgement][1]), keysOf("without it")...)
 	host.Relaunch()
