--- a/internal/controld/bench_test.go
+++ b/internal/controld/bench_test.go
@@ -10,10 +10,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// BenchmarkPatchToSubscribers measures the time from the submission of a patch
-// at one of three hosts until all subscribers of all hosts have its version.
+// BenchmarkPatchToSubscribers measures the time from submitting a patch until all
+// subscribers of three hosts have its version.
 func BenchmarkPatchToSubscribers(b *testing.B) {
-	const links, streams = 10, 10 // for each host
+	const links, streams = 10, 10 // per host
 	d := newDeployment(b, "c1", "c2", "c3")
 	d.startAll("c1", "c2", "c3")
 	ops := d.operator("c1")
@@ -42,7 +42,7 @@
 	b.ReportMetric(float64(len(all)), "subscribers")
 }
 
-// BenchmarkGrant measures grants that agents at one host ask for at a time.
+// BenchmarkGrant measures concurrent grants requested at one host.
 func BenchmarkGrant(b *testing.B) {
 	d := newDeployment(b, "c1", "c2", "c3")
 	d.startAll("c1", "c2", "c3")
--- a/internal/controld/bootstrap.go
+++ b/internal/controld/bootstrap.go
@@ -183,7 +183,7 @@
 		Address:   address,
 		Transient: d.settings.GetReplica().GetTransient(),
 	}}}
-	// The reply is not needed: the replicas become members once the request took effect.
+	// A successful join needs no handling: the replicas become members.
 	res, err := p.calls.Call(ctx, req)
 	if err != nil {
 		d.scope.Counter("failed_joins").Inc(1)
--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -96,8 +96,8 @@
 	if id := creds.Identity(); id.Role != keys.RoleControl || id.Name != name {
 		return nil, errors.Wrapf(ErrIdentity, "host %q, certificate %s", name, id)
 	}
-	if asked := s.GetReplica().GetGrantGroups(); asked > grant.MaxGroups {
-		return nil, errors.Wrapf(ErrInvalidGrantGroups, "%d exceeds the limit of %d", asked, grant.MaxGroups)
+	if count := s.GetReplica().GetGrantGroups(); count > grant.MaxGroups {
+		return nil, errors.Wrapf(ErrInvalidGrantGroups, "%d exceeds the limit of %d", count, grant.MaxGroups)
 	}
 	if r := s.GetReplica(); r.GetStandBy() && !(r.GetTransient() && r.GetAutomaticMembers()) {
 		return nil, ErrInvalidStandby
@@ -202,7 +202,7 @@
 	if err := d.openReplica(controlpb.Group_GROUP_CONFIG); err != nil {
 		return errors.Wrapf(err, "open replica of %s", groupName(controlpb.Group_GROUP_CONFIG))
 	}
-	for index := 0; index < d.groupsWanted(); index++ {
+	for index := 0; index < d.grantGroupCount(); index++ {
 		d.groups = append(d.groups, grantGroup(index))
 		d.grants.add()
 		if err := d.openReplica(grantGroup(index)); err != nil {
@@ -212,11 +212,11 @@
 	return nil
 }
 
-func (d *Daemon) groupsWanted() int {
+func (d *Daemon) grantGroupCount() int {
 	if d.settings.GetReplica().GetWithoutGrants() {
 		return 0
 	}
-	return d.grants.wanted(d.settings.GetReplica().GetGrantGroups())
+	return d.grants.requiredCount(d.settings.GetReplica().GetGrantGroups())
 }
 
 func (d *Daemon) openReplica(group controlpb.Group) error {
--- a/internal/controld/daemon_test.go
+++ b/internal/controld/daemon_test.go
@@ -32,17 +32,17 @@
 	hosts   map[string]*host
 	voters  []string
 	address map[string]string
-	// listen is where a host listens, if not at its address.
+	// listen has the listen address of a host if it differs from its address.
 	listen map[string]string
-	// grantGroups is a setting of all hosts.
+	// grantGroups is the number of grant groups in the settings.
 	grantGroups uint32
-	// maxLinks bounds the links of each host; 0 is the default.
+	// maxLinks is the link limit of each host; 0 is the default.
 	maxLinks uint32
-	// removeAfterMs, if not 0, lets the members follow the hosts.
+	// removeAfterMs, if not 0, enables automatic members.
 	removeAfterMs uint32
-	// transient hosts keep their logs in memory only.
+	// transient hosts keep their logs in memory.
 	transient map[string]bool
-	// standBy has transient hosts stand by as long as they are not needed.
+	// standBy enables standby mode on the transient hosts.
 	standBy bool
 }
 
@@ -67,8 +67,8 @@
 	return d
 }
 
-// freeAddress returns a loopback address of its own: the hosts have to know
-// each other's addresses before they start.
+// freeAddress returns an unused loopback address. The hosts need each other's addresses
+// before they start.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	return loopback.Address(t, loopback.Host(t)).String()
@@ -89,7 +89,7 @@
 	}
 }
 
-// minVoters is what the hosts need for the loss of one.
+// minVoters is the number of voters needed to survive the loss of one.
 func (d *deployment) minVoters() uint32 {
 	if d.removeAfterMs == 0 {
 		return 0
@@ -104,7 +104,7 @@
 	return d.address[name]
 }
 
-// start runs a host on a data folder, a new one if none is named.
+// start runs a host on a data directory, a new one if it is empty.
 func (d *deployment) start(name, data string, join bool) *host {
 	d.t.Helper()
 	if data == "" {
@@ -139,7 +139,7 @@
 	}
 }
 
-// newSingleHost is one host that runs, with an operator's client for it.
+// newSingleHost starts a single host and returns an operator's client for it.
 func newSingleHost(t testing.TB) (*deployment, *operator.Client) {
 	t.Helper()
 	d := newDeployment(t, "c1")
@@ -147,7 +147,7 @@
 	return d, d.operator("c1")
 }
 
-// newSingleHostWith is one host with a first version that these operations made.
+// newSingleHostWith starts a single host whose first version is made by the operations.
 func newSingleHostWith(t testing.TB, ops ...*configpb.Operation) *deployment {
 	t.Helper()
 	d, c := newSingleHost(t)
@@ -172,7 +172,7 @@
 	}
 }
 
-// operator returns a client for some hosts.
+// operator returns an operator's client for some hosts.
 func (d *deployment) operator(names ...string) *operator.Client {
 	d.t.Helper()
 	var addrs []string
@@ -184,7 +184,7 @@
 	return c
 }
 
-// link returns a link client to some hosts.
+// link returns a link client for some hosts.
 func (d *deployment) link(role keys.Role, name, service string, hosts ...string) *link.Client {
 	d.t.Helper()
 	var addrs []string
@@ -219,11 +219,11 @@
 	return &configpb.Patch{Id: id, BaseVersion: base, Operations: ops}
 }
 
-// accept submits a patch until it is accepted: a group may have no leader yet.
+// accept submits a patch until it is accepted, since a group may have no leader yet.
 func (d *deployment) accept(c *operator.Client, p *configpb.Patch) *configpb.Outcome {
 	d.t.Helper()
 	var out *configpb.Outcome
-	eventually(d.t, "acceptance of "+p.GetId(), func() bool {
+	eventually(d.t, "the acceptance of "+p.GetId(), func() bool {
 		var err error
 		out, err = c.Submit(testContext(d.t), p)
 		return err == nil
@@ -234,7 +234,7 @@
 	return out
 }
 
-// recorder is a subscriber that keeps what it was sent.
+// recorder is a subscriber that reads its stream in the test.
 type recorder struct {
 	t      testing.TB
 	stream *link.ClientStream
@@ -252,8 +252,8 @@
 	return &recorder{t: d.t, stream: stream}
 }
 
-// await returns the first update that fits.
-func (w *recorder) await(what string, fits func(*controlpb.SubscribeUpdate) bool) *controlpb.SubscribeUpdate {
+// await returns the first matching update.
+func (w *recorder) await(what string, matches func(*controlpb.SubscribeUpdate) bool) *controlpb.SubscribeUpdate {
 	w.t.Helper()
 	must(w.t, w.stream.SetReceiveDeadline(time.Now().Add(waitTimeout)))
 	for {
@@ -261,7 +261,7 @@
 		if err != nil {
 			w.t.Fatalf("waiting for %s: %v", what, err)
 		}
-		if fits(u) {
+		if matches(u) {
 			return u
 		}
 	}
@@ -296,9 +296,9 @@
 
 	status := ops.Status(testContext(t))
 	is.NoErr(status[0].Err)
-	is.Equal(status[0].Status.LaggingSubscribers, []string{"entry/e1"}) // it has reported no version yet
+	is.Equal(status[0].Status.LaggingSubscribers, []string{"entry/e1"}) // no version reported yet
 	is.NoErr(w.stream.Send(&controlpb.Heartbeat{Version: 2}))
-	eventually(t, "the version in force in the status", func() bool {
+	eventually(t, "the active version in the status", func() bool {
 		s := ops.Status(testContext(t))[0].Status
 		return len(s.LaggingSubscribers) == 0 && s.Subscribers[0].Version == 2 && s.Subscribers[0].FailureDomain == "dugbe"
 	})
--- a/internal/controld/directory.go
+++ b/internal/controld/directory.go
@@ -47,11 +47,11 @@
 
 // announce merges a record announced by an agent.
 func (d *directory) announce(r *controlpb.TargetRecord) membership.Result {
-	verdict := d.merge(r)
-	if verdict == membership.Changed {
+	result := d.merge(r)
+	if result == membership.Changed {
 		d.changed.notify()
 	}
-	return verdict
+	return result
 }
 
 func (d *directory) merge(r *controlpb.TargetRecord) membership.Result {
@@ -145,8 +145,8 @@
 }
 
 // nextUpdate returns the next update for a subscriber, or nil.
-func (d *directory) nextUpdate(f *membership.Subscriber) (*controlpb.DirectoryUpdate, membership.UpdateKind) {
+func (d *directory) nextUpdate(s *membership.Subscriber) (*controlpb.DirectoryUpdate, membership.UpdateKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.dir.Next(d.now(), f)
+	return d.dir.Next(d.now(), s)
 }
--- a/internal/controld/evacuation_test.go
+++ b/internal/controld/evacuation_test.go
@@ -15,7 +15,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// knownDomain is the failure domain of the hosts of these tests, the only one that they know.
+// knownDomain is the failure domain of the hosts in these tests.
 const knownDomain = "bodija"
 
 func begin(id string) *configpb.EvacuationOrder {
@@ -26,7 +26,7 @@
 	return &configpb.EvacuationOrder{Id: id, FailureDomain: knownDomain, End: true}
 }
 
-// order gives an order until it has an outcome: a group may have no leader yet.
+// order sends an order until it has an outcome, since a group may have no leader yet.
 func (d *deployment) order(c *operator.Client, o *configpb.EvacuationOrder) configpb.EvacuationVerdict {
 	d.t.Helper()
 	var out *configpb.EvacuationOutcome
@@ -38,7 +38,7 @@
 	return out.GetVerdict()
 }
 
-// evacuated returns what a host has confirmed to be evacuated.
+// evacuated reports whether a host has confirmed that knownDomain is evacuated.
 func (d *deployment) evacuated(name string) bool {
 	d.t.Helper()
 	c := d.operator(name)
@@ -53,8 +53,8 @@
 	return config.IsEvacuated(version, knownDomain)
 }
 
-// Each host takes orders and shows the same, copies elsewhere change nothing, and all of
-// it outlives the restart of every host and the loss of a disk.
+// Orders are accepted and visible on each host, are applied once, and survive a restart of
+// all hosts.
 func TestEvacuationIsReplicated(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
@@ -79,13 +79,13 @@
 	is.True(d.evacuated("c3"))
 
 	is.Equal(d.order(d.operator("c3"), end("o2")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
-	is.Equal(d.order(d.operator("c1"), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED) // a late copy
+	is.Equal(d.order(d.operator("c1"), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED) // a late duplicate
 	for _, name := range []string{"c1", "c2", "c3"} {
 		is.True(!d.evacuated(name))
 	}
 }
 
-// An order outlives the loss of the leader that acknowledged it.
+// Guards against the loss of an acknowledged order with the leader.
 func TestEvacuationSurvivesLossOfLeader(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
@@ -98,7 +98,7 @@
 	is.Equal(d.order(d.operator(otherHosts(leader)...), end("o2")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
 }
 
-// Entry hosts and agents, which follow one service alone, are told of each order.
+// Entry hosts and agents, also those scoped to one service, receive each order.
 func TestSubscribersReceiveEvacuations(t *testing.T) {
 	is := is.New(t)
 	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
@@ -139,8 +139,7 @@
 	is.True(!d.evacuated("c1"))
 }
 
-// An order whose caller has gone is not carried out: another host may have done so, and
-// the next order may have come since.
+// An order whose caller has canceled must not be applied: it may be outdated.
 func TestEvacuationWithCanceledContext(t *testing.T) {
 	is := is.New(t)
 	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
@@ -151,7 +150,7 @@
 	is.True(!d.evacuated("c1"))
 }
 
-// A host that stands by sends the order on, and takes none itself.
+// A standby refuses an order and names a serving host.
 func TestStandbyRefusesEvacuations(t *testing.T) {
 	is := is.New(t)
 	d := newStandbyDeployment(t, 3, 1, "d1", "d2", "d3")
--- a/internal/controld/founder.go
+++ b/internal/controld/founder.go
@@ -14,35 +14,35 @@
 }
 
 // enable lets this host select the founder.
-func (a *founderSelector) enable() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.enabled = true
+func (s *founderSelector) enable() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.enabled = true
 }
 
 // isFounder reports whether a joining host has to bootstrap the groups.
-func (a *founderSelector) isFounder(v seedHost) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.enabled {
+func (s *founderSelector) isFounder(v seedHost) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.enabled {
 		return false
 	}
-	if a.founder == nil {
-		a.founder = &v
+	if s.founder == nil {
+		s.founder = &v
 	}
-	return a.founder.name == v.name
+	return s.founder.name == v.name
 }
 
 // disable ends the selection: the deployment exists.
-func (a *founderSelector) disable() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.enabled = false
+func (s *founderSelector) disable() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.enabled = false
 }
 
 // designated returns the founder, nil if this host has selected none.
-func (a *founderSelector) designated() *seedHost {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.founder
+func (s *founderSelector) designated() *seedHost {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.founder
 }
--- a/internal/controld/founder_test.go
+++ b/internal/controld/founder_test.go
@@ -6,10 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// No initial voter keeps its log: one of the hosts that ask to join founds, the others
-// that keep theirs vote, and those that do not follow.
+// If no initial voter has a durable log, one of the joining hosts bootstraps the groups,
+// and only durable hosts vote.
 func TestBootstrapWithTransientSeeds(t *testing.T) {
-	for name, starts := range map[string][]string{
+	for name, startOrder := range map[string][]string{
 		"seeds first": {"s1", "s2", "s3", "d1", "d2", "d3"},
 		"seeds last":  {"d3", "d2", "d1", "s3", "s2", "s1"},
 		"mixed":       {"d2", "s2", "d1", "s1", "d3", "s3"},
@@ -20,15 +20,15 @@
 			d.removeAfterMs = 30_000
 			d.voters = d.voters[:3]
 			d.transient = map[string]bool{"s1": true, "s2": true, "s3": true}
-			for _, host := range starts {
+			for _, host := range startOrder {
 				d.start(host, "", !d.transient[host])
 			}
-			for _, host := range starts {
+			for _, host := range startOrder {
 				d.awaitVoters(host, 3, host, !d.transient[host])
 			}
 			d.accept(d.operator("s2"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-			for _, host := range starts {
-				eventually(t, "the version reaches it", func() bool { return d.status(host).Version == 1 })
+			for _, host := range startOrder {
+				eventually(t, "the version on the host", func() bool { return d.status(host).Version == 1 })
 			}
 			names, _ := d.votersSeenBy("s3")
 			is.Equal(names, map[string]bool{"d1": true, "d2": true, "d3": true})
@@ -36,8 +36,7 @@
 	}
 }
 
-// There is one seed, which keeps no log, and the founder that it names starts again before
-// others join.
+// The founder restarts before any other host has joined.
 func TestBootstrapWithOneTransientSeed(t *testing.T) {
 	d := newDeployment(t, "s1", "d1", "d2", "d3")
 	d.removeAfterMs = 30_000
--- a/internal/controld/grants.go
+++ b/internal/controld/grants.go
@@ -123,11 +123,11 @@
 // onlyGroup is the table of a deployment without an agreed one.
 var onlyGroup = grant.NewSlotTable(1)
 
-// wanted returns the number of groups to open: the agreed one, else that of the settings.
-func (g *grantGroups) wanted(settings uint32) int {
-	asked := max(int(settings), 1)
+// requiredCount returns the number of groups to open: the agreed one, else that of the settings.
+func (g *grantGroups) requiredCount(settings uint32) int {
+	configured := max(int(settings), 1)
 	if g.count() == 0 {
-		return asked
+		return configured
 	}
 	first := g.at(0).view()
 	switch {
@@ -136,5 +136,5 @@
 	case first.used:
 		return 1
 	}
-	return asked
+	return configured
 }
--- a/internal/controld/grants_test.go
+++ b/internal/controld/grants_test.go
@@ -10,8 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// TestNoGrantBeforeSlotTable asks a host before a table is agreed on, and again
-// once a quorum runs.
+// TestNoGrantBeforeSlotTable guards against grants before a quorum has agreed on the slot
+// table.
 func TestNoGrantBeforeSlotTable(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2", "c3")
@@ -25,8 +25,8 @@
 	eventually(t, "a grant", func() bool { return ask() == grantpb.Decision_DECISION_GRANTED })
 }
 
-// TestRetentionIsSetInEachGroup sets the retention through one host. Every
-// host sees it for each group, also one that was restarted.
+// TestRetentionIsSetInEachGroup sets the retention through one host. Every host reports it
+// for each group, also after a restart.
 func TestRetentionIsSetInEachGroup(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2", "c3")
@@ -34,8 +34,8 @@
 	d.startAll("c1", "c2", "c3")
 	want := operator.Retention{Answered: 1800, Held: 2 * 86_400}
 	_, err := d.operator("c1").SetRetention(testContext(t), operator.Retention{Answered: 60, Held: 86_400})
-	is.True(isError(err, operator.ErrNotApplied)) // below the bound
-	eventually(t, "retention set", func() bool {
+	is.True(isError(err, operator.ErrNotApplied)) // below the minimum
+	eventually(t, "the retention to be set", func() bool {
 		_, err := d.operator("c1", "c2", "c3").SetRetention(testContext(t), want)
 		return err == nil
 	})
--- a/internal/controld/group_test.go
+++ b/internal/controld/group_test.go
@@ -18,7 +18,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// status returns the view of one host.
+// status returns the status reported by one host.
 func (d *deployment) status(name string) *operator.Status {
 	d.t.Helper()
 	client := d.operator(name)
@@ -52,8 +52,8 @@
 	d := newDeployment(t, "c1", "c2", "c3")
 	d.startAll("c1", "c2", "c3")
 	d.accept(d.operator("c1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	// A host that is lost before the others have heard of a group was the only one in
-	// it, and may found it anew.
+	// Before the others know a group, it has a single member; after its loss they may
+	// bootstrap the group again.
 	for _, name := range []string{"c1", "c2", "c3"} {
 		eventually(t, "all groups on "+name, func() bool {
 			return !slices.ContainsFunc(d.status(name).Groups, func(g operator.GroupStatus) bool {
@@ -64,11 +64,11 @@
 	return d
 }
 
-// otherHosts returns the names of the hosts besides one, in order.
-func otherHosts(not string) []string {
+// otherHosts returns the names of the other hosts in order.
+func otherHosts(except string) []string {
 	var out []string
 	for _, name := range []string{"c1", "c2", "c3"} {
-		if name != not {
+		if name != except {
 			out = append(out, name)
 		}
 	}
@@ -89,7 +89,7 @@
 		for _, other := range otherHosts(name) {
 			again, err := d.operator(other).Submit(testContext(t), p)
 			is.NoErr(err)
-			is.True(proto.Equal(first, again)) // a resend elsewhere gets the first outcome
+			is.True(proto.Equal(first, again)) // a resend to another host gets the first outcome
 		}
 	}
 	for _, w := range watchers {
@@ -108,8 +108,8 @@
 			id := fmt.Sprintf("%s-%d", name, round)
 			p := patch(id, round+1, put("lodgement", "192.0.2.1:443"))
 			wg.Go(func() {
-				// A host that has no link to the leader yet refuses at once;
-				// sending the same patch again is safe.
+				// A host without a link to the leader refuses. It is safe to resend the
+				// same patch.
 				ctx := testContext(t)
 				var out *configpb.Outcome
 				answered := poll(func() bool {
@@ -146,7 +146,7 @@
 	ops := d.operator("c3")
 	p := patch("p2", 1, put("certificates", "192.0.2.2:443"))
 	_, err := ops.Submit(testContext(t), p)
-	// At first the host may still trust a leader that is gone.
+	// The host may not have detected the loss of the leader yet.
 	is.True(isError(err, operator.ErrNotApplied) || isError(err, operator.ErrOutcomeUnknown))
 	eventually(t, "loss of the leader", func() bool { return d.status("c3").Groups[0].State == "no leader" })
 	_, err = ops.Submit(testContext(t), patch("p3", 1, put("certificates", "192.0.2.2:443")))
@@ -162,14 +162,14 @@
 	u := w.awaitVersion(1)
 	is.Equal(u.GetConfirmed(), false)
 	ahead := d.subscribe(d.link(keys.RoleEntry, "e2", "", "c3"), &controlpb.Subscribe{Version: 9})
-	beat := ahead.await("a heartbeat", func(u *controlpb.SubscribeUpdate) bool { return u.GetHeartbeat() != nil || u.GetConfig() != nil })
-	is.Equal(beat.GetConfig(), nil) // nothing older than what it has
-	is.Equal(beat.GetHeartbeat().GetVersion(), uint64(1))
+	update := ahead.await("a heartbeat", func(u *controlpb.SubscribeUpdate) bool { return u.GetHeartbeat() != nil || u.GetConfig() != nil })
+	is.Equal(update.GetConfig(), nil) // never an older version
+	is.Equal(update.GetHeartbeat().GetVersion(), uint64(1))
 
 	d.start("c1", c1.data, false)
 	d.accept(ops, p)
-	// The first answer may have left the patch in the log, so the confirmation
-	// may come with version 1 or with version 2.
+	// The first attempt may have left the patch in the log, so the confirmation may come
+	// with version 1 or 2.
 	w.await("a confirmed version 2", func(u *controlpb.SubscribeUpdate) bool {
 		return u.GetConfig().GetVersion() == 2 && u.GetConfig().GetConfirmed()
 	})
@@ -178,25 +178,25 @@
 func TestGroupSurvivesLossOfLeader(t *testing.T) {
 	d := newGroup(t)
 	leader := d.leader()
-	rest := otherHosts(leader)
-	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", rest[0]), &controlpb.Subscribe{})
+	remaining := otherHosts(leader)
+	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", remaining[0]), &controlpb.Subscribe{})
 	w.awaitVersion(1)
-	old := d.stop(leader)
-	d.accept(d.operator(rest...), patch("p2", 1, put("certificates", "192.0.2.2:443")))
+	stopped := d.stop(leader)
+	d.accept(d.operator(remaining...), patch("p2", 1, put("certificates", "192.0.2.2:443")))
 	w.awaitVersion(2)
 
 	for i := range uint64(40) {
-		d.accept(d.operator(rest...), patch(fmt.Sprintf("q%d", i), i+2, put("certificates", "192.0.2.2:443")))
+		d.accept(d.operator(remaining...), patch(fmt.Sprintf("q%d", i), i+2, put("certificates", "192.0.2.2:443")))
 	}
-	d.start(leader, old.data, false)
-	back := d.subscribe(d.link(keys.RoleEntry, "e2", "", leader), &controlpb.Subscribe{Version: 2})
-	back.await("a confirmed newest version", func(u *controlpb.SubscribeUpdate) bool {
+	d.start(leader, stopped.data, false)
+	restarted := d.subscribe(d.link(keys.RoleEntry, "e2", "", leader), &controlpb.Subscribe{Version: 2})
+	restarted.await("a confirmed newest version", func(u *controlpb.SubscribeUpdate) bool {
 		return u.GetConfig().GetVersion() == 42 && u.GetConfig().GetConfirmed()
 	})
 }
 
 func TestHostWithLostDiskRejoinsAsLearner(t *testing.T) {
-	// c1 is the host that founded the group.
+	// c1 bootstrapped the group.
 	for _, lost := range []string{"c1", "c3"} {
 		t.Run(lost, func(t *testing.T) { testLostDisk(t, lost) })
 	}
@@ -205,20 +205,20 @@
 func testLostDisk(t *testing.T, lost string) {
 	is := is.New(t)
 	d := newGroup(t)
-	rest := otherHosts(lost)
+	remaining := otherHosts(lost)
 	d.stop(lost)
-	d.start(lost, "", false) // the same settings, an empty data folder
-	ops := d.operator(rest...)
+	d.start(lost, "", false) // the same settings, an empty data directory
+	ops := d.operator(remaining...)
 	for i := range uint64(5) {
 		d.accept(ops, patch(fmt.Sprintf("q%d", i), i+1, put("lodgement", "192.0.2.1:443")))
 	}
-	eventually(t, "the host to find itself a stranger", func() bool { return d.hosts[lost].notMemberCount() > 0 })
+	eventually(t, "the host to detect that it is no member", func() bool { return d.hosts[lost].notMemberCount() > 0 })
 	for _, g := range d.status(lost).Groups {
-		is.Equal(g.State, "not founded") // it takes no part under its old name
+		is.Equal(g.State, "not founded") // it must not act under its old replica ID
 	}
 	eventually(t, "removal of the lost replica", func() bool {
 		_, err := ops.Remove(testContext(t), operator.MemberRef{Name: lost})
-		groups := d.status(rest[0]).Groups
+		groups := d.status(remaining[0]).Groups
 		return err == nil || len(groups[0].Members)+len(groups[1].Members) == 4
 	})
 	eventually(t, "addition of the learner", func() bool {
@@ -230,8 +230,8 @@
 		_, err := ops.Promote(testContext(t), operator.MemberRef{Name: lost})
 		return err == nil
 	})
-	d.stop(rest[0]) // a second loss soon after the repair
-	d.accept(d.operator(rest[1], lost), patch("last", 6, put("certificates", "192.0.2.2:443")))
+	d.stop(remaining[0]) // a second loss soon after the replacement
+	d.accept(d.operator(remaining[1], lost), patch("last", 6, put("certificates", "192.0.2.2:443")))
 	eventually(t, "the last version", func() bool { return d.status(lost).Version == 7 })
 }
 
@@ -247,8 +247,7 @@
 	}
 }
 
-// TestStoppingHostSyncsDirectory stops a host right after an agent announced
-// to it. Nobody announces again.
+// TestStoppingHostSyncsDirectory stops a host right after an agent announced to it.
 func TestStoppingHostSyncsDirectory(t *testing.T) {
 	d := newGroup(t)
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
@@ -261,8 +260,7 @@
 	}
 }
 
-// TestRestartedHostReceivesDirectory restarts a host that the agent does not
-// announce to: it has forgotten all that it was told.
+// TestRestartedHostReceivesDirectory restarts a host that the agent does not announce to.
 func TestRestartedHostReceivesDirectory(t *testing.T) {
 	d := newGroup(t)
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
@@ -285,7 +283,7 @@
 				decided := poll(func() bool {
 					res, err := agent.Call(ctx, req)
 					if err != nil || res.GetGrant() == nil {
-						return false // asking again is safe: it is the same attempt
+						return false // safe to retry with the same attempt
 					}
 					if res.GetGrant().GetDecision() == grantpb.Decision_DECISION_GRANTED {
 						granted[key].Add(1)
@@ -323,7 +321,7 @@
 	}
 	eventually(t, "a leader of the grants", func() bool { return d.status("c1").Groups[1].Leader != "" })
 	advanceAll()
-	is.Equal(times(), [3]uint64{}) // nothing to expire, nothing written
+	is.Equal(times(), [3]uint64{}) // nothing to expire, so no command is proposed
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	eventually(t, "a grant", func() bool {
 		return call(t, agent, acquireRequest(1, "k", "one")).GetGrant().GetDecision() == grantpb.Decision_DECISION_GRANTED
@@ -339,16 +337,15 @@
 			return now[0] > before && now[0] == now[1] && now[1] == now[2]
 		})
 		if d.status("c1").Groups[1].Term != term {
-			continue // two leaders in a row may each have made a step
+			continue // the leader changed, and both may have advanced the clock
 		}
 		is.Equal(times()[0], before+1000)
 		stepped = true
 	}
 }
 
-// TestManyForwardedCommands has more commands under way from a follower to the
-// leader than a connection has streams: the follower's own acknowledgements,
-// which those commands wait for, must get through nevertheless.
+// TestManyForwardedCommands forwards more concurrent commands to the leader than a
+// connection has streams. The acknowledgements that they wait for must still get through.
 func TestManyForwardedCommands(t *testing.T) {
 	d := newGroup(t)
 	var leader string
@@ -358,7 +355,7 @@
 	})
 	follower := otherHosts(leader)[0]
 	const links, each = 5, 60
-	d.stop(otherHosts(leader)[1]) // each commit needs the follower
+	d.stop(otherHosts(leader)[1]) // so that each commit needs the follower
 	ctx := testContext(t)
 	var undecided atomic.Int32
 	var wg conc.WaitGroup
--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -150,8 +150,8 @@
 func (h *handler) join(ctx context.Context, peer link.Peer, j *controlpb.Join) *controlpb.Response {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	if answer := h.standbyResponse(j); answer != nil {
-		return answer
+	if response := h.standbyResponse(j); response != nil {
+		return response
 	}
 	name := cmp.Or(j.GetName(), peer.Name)
 	// Checked first, so that only leaders dial the joining host.
@@ -199,8 +199,8 @@
 	if remote := h.standby.link(); remote != nil {
 		return h.sendJoin(ctx, remote, next)
 	}
-	answer := h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, "no leader is known")
-	asked := map[string]bool{}
+	response := h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, "no leader is known")
+	contacted := map[string]bool{}
 	for _, group := range h.groups {
 		s := h.replicas[group].Status()
 		if s.Leader == nil || s.Leading() {
@@ -208,13 +208,13 @@
 		}
 		address := h.peers.addressOf(h.replicas[group].MemberByID(s.Leader))
 		remote := h.peers.get(address)
-		if remote == nil || asked[address] {
+		if remote == nil || contacted[address] {
 			continue
 		}
-		asked[address] = true
-		answer = h.sendJoin(ctx, remote.calls, next)
+		contacted[address] = true
+		response = h.sendJoin(ctx, remote.calls, next)
 	}
-	return answer
+	return response
 }
 
 // sendJoin sends a request to join to another control host.
@@ -253,7 +253,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	answer, err := h.proposeAwaitingLeader(ctx, group, data)
+	reply, err := h.proposeAwaitingLeader(ctx, group, data)
 	switch proposeStatus(err) {
 	case controlpb.ProposeStatus_PROPOSE_NO_LEADER:
 		return h.fault(refusedNoLeader, controlpb.FaultKind_FAULT_NOT_DONE, err.Error())
@@ -262,7 +262,7 @@
 	case controlpb.ProposeStatus_PROPOSE_UNKNOWN:
 		return h.fault(refusedUnknown, controlpb.FaultKind_FAULT_UNKNOWN, err.Error())
 	}
-	if err := proto.Unmarshal(answer, result); err != nil {
+	if err := proto.Unmarshal(reply, result); err != nil {
 		return h.fault(refusedUnknown, controlpb.FaultKind_FAULT_UNKNOWN, err.Error())
 	}
 	return nil
@@ -291,14 +291,14 @@
 // proposeWithRetry retries propose while there is no leader, up to leaderWaitTimeout. A
 // host that has just learned of a leader may have no link to it yet.
 func proposeWithRetry(ctx context.Context, await func(context.Context) bool, propose func() ([]byte, error)) ([]byte, error) {
-	waiting, cancel := context.WithTimeout(ctx, leaderWaitTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, leaderWaitTimeout)
 	defer cancel()
 	for {
-		answer, err := propose()
+		reply, err := propose()
 		if !errors.Is(err, replica.ErrNoLeader) {
-			return answer, err
+			return reply, err
 		}
-		if !await(waiting) || sleep.For(waiting, leaderRetry) != nil {
+		if !await(waitCtx) || sleep.For(waitCtx, leaderRetry) != nil {
 			return nil, err
 		}
 	}
@@ -308,9 +308,9 @@
 	if r.GetService() != peer.Service {
 		return h.fault(refusedService, controlpb.FaultKind_FAULT_FORBIDDEN, "the certificate is for another service")
 	}
-	if held := h.configs.registered(r); held != nil {
+	if existing := h.configs.registered(r); existing != nil {
 		// The same process gets the same numbers again, even without a quorum.
-		return &controlpb.Response{Body: &controlpb.Response_Registration{Registration: held}}
+		return &controlpb.Response{Body: &controlpb.Response_Registration{Registration: existing}}
 	}
 	command := &configpb.Command{Body: &configpb.Command_Register{Register: r}}
 	result := new(configpb.Result)
@@ -326,8 +326,8 @@
 
 // grant applies a command of an agent in the group that owns its key.
 func (h *handler) grant(ctx context.Context, peer link.Peer, c *grantpb.Command) *controlpb.Response {
-	service, key, proper := grant.CommandKey(c)
-	if !proper {
+	service, key, hasKey := grant.CommandKey(c)
+	if !hasKey {
 		return h.fault(refusedRequest, controlpb.FaultKind_FAULT_FORBIDDEN, "an agent may not ask this")
 	}
 	if h.belongsToOtherService(peer, service) {
@@ -341,7 +341,7 @@
 		return h.fault(refusedTable, controlpb.FaultKind_FAULT_NOT_DONE, "this host does not know the agreed slot table")
 	}
 	result := &grantpb.Result{Decision: grantpb.Decision_DECISION_TABLE}
-	if stated := c.GetTable(); stated == 0 || stated == table.Digest() {
+	if requested := c.GetTable(); requested == 0 || requested == table.Digest() {
 		c.Table = table.Digest()
 		if fault := h.replicate(ctx, grantGroup(table.GroupOf(service, key)), c, result); fault != nil {
 			return fault
--- a/internal/controld/hostrequests.go
+++ b/internal/controld/hostrequests.go
@@ -20,17 +20,17 @@
 }
 
 // start sends a request to a host, unless the last one is still pending.
-func (a *hostRequests) start(address string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.pending[address] {
+func (r *hostRequests) start(address string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.pending[address] {
 		return
 	}
-	a.pending[address] = true
-	a.calls.Go(func() {
-		a.send(address)
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		delete(a.pending, address)
+	r.pending[address] = true
+	r.calls.Go(func() {
+		r.send(address)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.pending, address)
 	})
 }
--- a/internal/controld/hostrequests_test.go
+++ b/internal/controld/hostrequests_test.go
@@ -21,8 +21,8 @@
 	a.start("lost")
 	is.Equal(<-sent, "lost")
 	for range 3 {
-		a.start("lost") // still waits for its answer
-		unittest.Eventually(t, "the other host has answered", func() bool {
+		a.start("lost") // still pending
+		unittest.Eventually(t, "the reply of the other host", func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			return !a.pending["there"]
--- a/internal/controld/inactivity.go
+++ b/internal/controld/inactivity.go
@@ -16,22 +16,22 @@
 	return &inactivityTracker{since: map[voters.Replica]time.Time{}}
 }
 
-func (s *inactivityTracker) reset() { clear(s.since) }
+func (t *inactivityTracker) reset() { clear(t.since) }
 
 // update sets how long each member has been inactive.
-func (s *inactivityTracker) update(members []voters.Member, now time.Time) []voters.Member {
-	current := make(map[voters.Replica]time.Time, len(s.since))
+func (t *inactivityTracker) update(members []voters.Member, now time.Time) []voters.Member {
+	current := make(map[voters.Replica]time.Time, len(t.since))
 	for i, m := range members {
 		if m.Active {
 			continue
 		}
-		since, known := s.since[m.Replica]
+		since, known := t.since[m.Replica]
 		if !known {
 			since = now
 		}
 		current[m.Replica] = since
 		members[i].InactiveFor = now.Sub(since)
 	}
-	s.since = current
+	t.since = current
 	return members
 }
--- a/internal/controld/internal_test.go
+++ b/internal/controld/internal_test.go
@@ -35,7 +35,7 @@
 	joined := make(chan *round, 50)
 	for range 50 {
 		r, first := b.joinRound()
-		is.Equal(first, false) // the running read started too early for it
+		is.Equal(first, false) // the running read started before this call
 		joined <- r
 	}
 	close(finish)
@@ -54,7 +54,7 @@
 	b := &barrier{ctx: context.Background(), wg: &wg, read: func(context.Context) error { return lost }}
 	is.Equal(b.wait(context.Background()), lost)
 	wg.Wait()
-	is.Equal(b.wait(context.Background()), lost) // and starts anew
+	is.Equal(b.wait(context.Background()), lost) // and a new round starts
 	wg.Wait()
 }
 
@@ -72,7 +72,7 @@
 	is.Equal(len(c), 0)
 }
 
-// voterSettings names c1 and so on.
+// voterSettings returns the initial voters c1, c2 and so on.
 func voterSettings(count int) []string {
 	var all []string
 	for i := range count {
@@ -89,11 +89,11 @@
 		want   []seedHost
 		fails  bool
 	}{
-		{"alone", nil, false, []seedHost{{"c2", "127.0.0.1:0"}}, false},
+		{"single host", nil, false, []seedHost{{"c2", "127.0.0.1:0"}}, false},
 		{"joins", []string{"c1=127.0.0.1:1"}, true, []seedHost{{"c1", "127.0.0.1:1"}}, false},
-		{"joins without contacts", nil, true, nil, false},
+		{"joins without seeds", nil, true, nil, false},
 		{"sorted", []string{"c2=127.0.0.1:2", "c1=127.0.0.1:1"}, false, []seedHost{{"c1", "127.0.0.1:1"}, {"c2", "127.0.0.1:2"}}, false},
-		{"not named", []string{"c1=127.0.0.1:1"}, false, nil, true},
+		{"self not listed", []string{"c1=127.0.0.1:1"}, false, nil, true},
 		{"twice", []string{"c2=127.0.0.1:2", "c2=127.0.0.1:3"}, false, nil, true},
 		{"no address", []string{"c2"}, false, nil, true},
 		{"too many", voterSettings(raft.MaxVoters + 1), false, nil, true},
@@ -133,7 +133,7 @@
 	is := is.New(t)
 	d := newDirectory(7, 0)
 	d.announce(record(1))
-	f := membership.NewSubscriber(membership.Position{Epoch: 6, Sequence: 9}, nil) // followed another life
+	f := membership.NewSubscriber(membership.Position{Epoch: 6, Sequence: 9}, nil) // position in the directory of another epoch
 	u, _ := d.nextUpdate(f)
 	is.Equal(u.GetFull(), false)
 	is.Equal(len(u.GetPut()), 1)
@@ -151,7 +151,7 @@
 	is.Equal(len(u.GetPut()), 1)
 }
 
-// syncMessage returns what a host with these targets, heard just now, passes on.
+// syncMessage returns the sync message of a host with these targets.
 func syncMessage(epoch uint64, numbers ...uint32) *controlpb.DirectorySync {
 	d := newDirectory(epoch, 0)
 	for _, n := range numbers {
@@ -170,11 +170,11 @@
 	later := syncMessage(9)
 	later.Ended = []uint32{2}
 	later.Summary.Serial++
-	d.applySync("c3", later) // c3 is there and has ended its target
+	d.applySync("c3", later) // c3 is active and has ended its target
 	d.expire()
 	is.Equal(d.count(), 1)
 	m, _ := d.sync(0)
-	is.Equal(len(m.GetRecords()), 0) // hearsay is not passed on
+	is.Equal(len(m.GetRecords()), 0) // records of other hosts are not forwarded
 }
 
 func TestChangesAreSyncedOnce(t *testing.T) {
@@ -206,12 +206,12 @@
 	is.Equal(u, nil)
 	d.announce(record(3))
 	u, _ = d.nextUpdate(f)
-	is.Equal(len(u.GetPut()), 1) // and not the other service's target
+	is.Equal(len(u.GetPut()), 1) // without the target of the other service
 	is.Equal(u.GetFull(), false)
 }
 
-// A host that has just learned who leads has no link to the leader for a moment: what it
-// was asked waits for that, and is not refused.
+// A host that has just learned of a leader has no link to it yet. A command must wait for
+// the link.
 func TestProposeWaitsForLinkToLeader(t *testing.T) {
 	is := is.New(t)
 	tries := 0
@@ -228,7 +228,7 @@
 	_, err = proposeWithRetry(t.Context(), func(context.Context) bool { return false }, func() ([]byte, error) {
 		return nil, replica.ErrNoLeader
 	})
-	is.True(errors.Is(err, replica.ErrNoLeader)) // nobody leads for too long
+	is.True(errors.Is(err, replica.ErrNoLeader)) // no leader before the timeout
 
 	tries = 0
 	_, err = proposeWithRetry(t.Context(), func(context.Context) bool { return true }, func() ([]byte, error) {
@@ -236,5 +236,5 @@
 		return nil, replica.ErrUnknown
 	})
 	is.True(errors.Is(err, replica.ErrUnknown))
-	is.Equal(tries, 1) // what may have happened is not done again
+	is.Equal(tries, 1) // not retried, since the outcome is unknown
 }
--- a/internal/controld/leadership.go
+++ b/internal/controld/leadership.go
@@ -39,13 +39,13 @@
 	if d.grants.count() == 1 {
 		return
 	}
-	asked := map[int]time.Time{}
+	requestedAt := map[int]time.Time{}
 	d.every(leadershipPeriod, func() {
 		for index := range d.grants.count() {
-			if time.Since(asked[index]) < leadershipInterval || !d.shouldLead(index) {
+			if time.Since(requestedAt[index]) < leadershipInterval || !d.shouldLead(index) {
 				continue
 			}
-			asked[index] = time.Now()
+			requestedAt[index] = time.Now()
 			d.requestLeadership(grantGroup(index))
 		}
 	})
--- a/internal/controld/loops.go
+++ b/internal/controld/loops.go
@@ -70,9 +70,9 @@
 		if d.bootstrapped() {
 			d.peers.closeUnused(d.peerAddresses(), unusedPeerTimeout)
 		}
-		list, laggards := d.subscribers.list(d.configs.version())
+		list, lagging := d.subscribers.list(d.configs.version())
 		all.Update(float64(len(list)))
-		behind.Update(float64(len(laggards)))
+		behind.Update(float64(len(lagging)))
 	})
 }
 
--- a/internal/controld/members.go
+++ b/internal/controld/members.go
@@ -119,9 +119,9 @@
 // after the bootstrap, an accepted change could be lost with them. Hosts that never join
 // block changes only for votersWaitTimeout.
 func (d *Daemon) enoughVoters() bool {
-	least := int(d.settings.GetReplica().GetLeastVoters())
-	if least <= 1 || time.Since(d.startedAt) > votersWaitTimeout {
+	minVoters := int(d.settings.GetReplica().GetLeastVoters())
+	if minVoters <= 1 || time.Since(d.startedAt) > votersWaitTimeout {
 		return true
 	}
-	return voters.CountVoters(membersOf(d.replicas[controlpb.Group_GROUP_CONFIG].Status())) >= least
+	return voters.CountVoters(membersOf(d.replicas[controlpb.Group_GROUP_CONFIG].Status())) >= minVoters
 }
--- a/internal/controld/members_test.go
+++ b/internal/controld/members_test.go
@@ -18,8 +18,8 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// TestRemoveMember removes a member by one call, whichever hosts lead the
-// groups, and tells a quorum's knowledge from one host's.
+// TestRemoveMember removes a member by one call although the groups may have different
+// leaders. An unknown member is reported only if a quorum confirms it.
 func TestRemoveMember(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
@@ -27,7 +27,7 @@
 	ops := d.operator("c1", "c2")
 	eventually(t, "removal", func() bool {
 		s, err := ops.Remove(testContext(t), memberRef("c3"))
-		// A call that was made must not be told as a member never known.
+		// A removal that took effect must not be reported as an unknown member.
 		is.True(!errors.Is(err, operator.ErrNotFound))
 		return err == nil && len(s.Groups) == 2
 	})
@@ -35,15 +35,14 @@
 		is.Equal(len(g.Members), 2)
 	}
 	_, err := ops.Remove(testContext(t), memberRef("c3"))
-	is.True(errors.Is(err, operator.ErrNotFound)) // a quorum says so
+	is.True(errors.Is(err, operator.ErrNotFound)) // confirmed by a quorum
 	d.stop("c2")
 	_, err = d.operator("c1").Remove(testContext(t), memberRef("c3"))
-	is.True(errors.Is(err, operator.ErrNotApplied)) // nobody can say so
+	is.True(errors.Is(err, operator.ErrNotApplied)) // no quorum
 	is.True(!errors.Is(err, operator.ErrNotFound))
 }
 
-// newGroupWithLearner is newGroup with a fourth host that asks to join and is never
-// promoted.
+// newGroupWithLearner is newGroup with a fourth host as a learner.
 func newGroupWithLearner(t *testing.T) *deployment {
 	t.Helper()
 	d := newDeployment(t, "c1", "c2", "c3", "c4")
@@ -55,8 +54,7 @@
 	return d
 }
 
-// awaitLearner waits until a host is a learner in all groups and has their
-// leaders.
+// awaitLearner waits until a host is a learner with a leader in all groups.
 func (d *deployment) awaitLearner(name string) {
 	d.t.Helper()
 	eventually(d.t, name+" to follow as a learner", func() bool {
@@ -73,9 +71,8 @@
 	})
 }
 
-// TestLearnerServes asks a learner for all that a control host does: patches,
-// confirmed reads, subscriptions, registrations, announcements and grants. It
-// goes on after its own restart and after the loss of the leader.
+// TestLearnerServes uses each function of a control host on a learner, also after a restart
+// of it and after the loss of the leader.
 func TestLearnerServes(t *testing.T) {
 	d := newGroupWithLearner(t)
 	checkServes(t, d, "c4", 1)
@@ -89,7 +86,7 @@
 	}
 }
 
-// checkServes asks one host alone, of which version is the newest.
+// checkServes uses each function of one host, with the given version as the newest.
 func checkServes(t *testing.T, d *deployment, name string, version uint64) {
 	t.Helper()
 	is := is.New(t)
@@ -127,8 +124,8 @@
 	is.Equal(call(t, agent, acquireRequest(1, round, "two")).GetGrant().GetDecision(), grantpb.Decision_DECISION_HELD)
 }
 
-// TestLearnerWithoutQuorumRefuses leaves a learner alone: it refuses at once
-// and tells its subscribers that nothing confirms its version.
+// TestLearnerWithoutQuorumRefuses checks that a learner without a quorum refuses and marks
+// its version as unconfirmed.
 func TestLearnerWithoutQuorumRefuses(t *testing.T) {
 	is := is.New(t)
 	d := newGroupWithLearner(t)
@@ -145,8 +142,8 @@
 	is.Equal(w.awaitVersion(1).GetConfirmed(), false)
 }
 
-// TestVotersAreBounded asks for one voter more than there may be. The operator
-// is told why, and the host goes on as a learner.
+// TestVotersAreBounded promotes one voter too many. The promotion is refused with the
+// reason, and the host stays a learner.
 func TestVotersAreBounded(t *testing.T) {
 	is := is.New(t)
 	var names []string
@@ -170,30 +167,28 @@
 	checkServes(t, d, "learner", 1)
 }
 
-// TestFullHostsRefuseSubscribers has one subscriber more than three hosts take.
-// No host takes more than its bound, though it has its peers' links besides;
-// the one left over is refused everywhere with a counted reason, and is served
-// once a place falls free, wherever that is.
+// TestFullHostsRefuseSubscribers has one subscriber more than the link limits of three
+// hosts allow. It is refused until another one leaves, at any host.
 func TestFullHostsRefuseSubscribers(t *testing.T) {
-	const limit, places = 4, 12
+	const limit, capacity = 4, 12
 	d := newDeployment(t, "c1", "c2", "c3")
 	d.maxLinks = limit
 	d.startAll("c1", "c2", "c3")
 	d.accept(d.operator("c1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	var clients [places + 1]*link.Client
-	var subs [places + 1]*subscriber.Subscriber
-	var acting [places + 1]atomic.Uint64
+	var clients [capacity + 1]*link.Client
+	var subs [capacity + 1]*subscriber.Subscriber
+	var active [capacity + 1]atomic.Uint64
 	for i := range subs {
 		clients[i] = d.link(keys.RoleEntry, fmt.Sprintf("e%d", i), "", "c1", "c2", "c3")
 		subs[i] = subscriber.Start(subscriber.Options{
-			Client: clients[i], OnView: func(v *subscriber.View) { acting[i].Store(v.Config.GetVersion()) },
+			Client: clients[i], OnView: func(v *subscriber.View) { active[i].Store(v.Config.GetVersion()) },
 		})
 		t.Cleanup(subs[i].Close)
 	}
-	// on returns the subscribers with the version, and one without it.
+	// on returns the number of subscribers with the version, and one without it.
 	on := func(version uint64) (count, without int) {
-		for i := range acting {
-			if acting[i].Load() == version {
+		for i := range active {
+			if active[i].Load() == version {
 				count++
 				continue
 			}
@@ -201,25 +196,25 @@
 		}
 		return count, without
 	}
-	var left int
-	eventually(t, "the version in force on as many as there are places", func() bool {
+	var excluded int
+	eventually(t, "the version active on as many subscribers as the limits allow", func() bool {
 		var count int
-		count, left = on(1)
-		return count == places
+		count, excluded = on(1)
+		return count == capacity
 	})
 	for name, h := range d.hosts {
-		eventually(t, "a full host that counts a refusal: "+name, func() bool {
+		eventually(t, "a refusal counted by the full host "+name, func() bool {
 			return len(d.status(name).Subscribers) == limit &&
 				h.counter("control.link_server_refused_connections", "capacity") > 0
 		})
 	}
-	leaver := (left + 1) % len(subs)
-	subs[leaver].Close()
-	clients[leaver].Close()
-	eventually(t, "the one left over to be served", func() bool { return acting[left].Load() == 1 })
+	closed := (excluded + 1) % len(subs)
+	subs[closed].Close()
+	clients[closed].Close()
+	eventually(t, "the excluded subscriber to be served", func() bool { return active[excluded].Load() == 1 })
 	d.accept(d.operator("c2"), patch("p2", 1, put("lodgement", "192.0.2.1:443")))
-	eventually(t, "the next version in force on all others", func() bool {
+	eventually(t, "the next version active on all others", func() bool {
 		count, without := on(2)
-		return count == places && without == leaver
+		return count == capacity && without == closed
 	})
 }
--- a/internal/controld/notifier.go
+++ b/internal/controld/notifier.go
@@ -12,24 +12,24 @@
 func newNotifier() *notifier { return &notifier{channels: map[chan struct{}]bool{}} }
 
 // subscribe returns a channel that receives a value after each change.
-func (h *notifier) subscribe() chan struct{} {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (n *notifier) subscribe() chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	c := make(chan struct{}, 1)
-	h.channels[c] = true
+	n.channels[c] = true
 	return c
 }
 
-func (h *notifier) unsubscribe(c chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.channels, c)
+func (n *notifier) unsubscribe(c chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.channels, c)
 }
 
-func (h *notifier) notify() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for c := range h.channels {
+func (n *notifier) notify() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for c := range n.channels {
 		select {
 		case c <- struct{}{}:
 		default:
--- a/internal/controld/operators.go
+++ b/internal/controld/operators.go
@@ -73,8 +73,8 @@
 	if version == 0 {
 		return current, confirmed, nil
 	}
-	if held := h.configs.versionAt(version); held != nil {
-		return held, confirmed, nil
+	if found := h.configs.versionAt(version); found != nil {
+		return found, confirmed, nil
 	}
 	return nil, false, errors.Wrapf(operator.ErrNotFound, "version %d, current is %d", version, current.GetVersion())
 }
--- a/internal/controld/partition_test.go
+++ b/internal/controld/partition_test.go
@@ -13,7 +13,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// newDeploymentWithRelays prepares three hosts that reach each other through relays.
+// newDeploymentWithRelays starts three hosts that are connected through relays.
 func newDeploymentWithRelays(t *testing.T) (*deployment, map[string]*faultproxy.Relay) {
 	t.Helper()
 	names := []string{"c1", "c2", "c3"}
@@ -39,14 +39,14 @@
 	return d, relays
 }
 
-// TestPartitionedHostDoesNotDisruptGroup cuts the way to one host for many versions and lets
-// it return.
+// TestPartitionedHostDoesNotDisruptGroup partitions one host for many versions and heals
+// the partition.
 func TestPartitionedHostDoesNotDisruptGroup(t *testing.T) {
 	is := is.New(t)
 	d, relays := newDeploymentWithRelays(t)
 	eventually(t, "version 1 on c3", func() bool { return d.status("c3").Version == 1 })
 	relays["c3"].Cut()
-	eventually(t, "c3 to see that it is cut off", func() bool { return d.status("c3").Groups[0].State == "no leader" })
+	eventually(t, "c3 to lose the leader", func() bool { return d.status("c3").Groups[0].State == "no leader" })
 	term := d.status("c3").Groups[0].Term
 	ops := d.operator("c1", "c2")
 	d.accept(ops, patch("p2", 1, put("lodgement", "192.0.2.1:443")))
@@ -54,17 +54,15 @@
 		d.accept(ops, patch(fmt.Sprintf("q%d", i), i+2, put("lodgement", "192.0.2.1:443")))
 	}
 
-	// A subscriber that restarted beside it is told that its view is old.
+	// A new subscriber of the partitioned host gets an unconfirmed version.
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c3"), &controlpb.Subscribe{})
 	old := w.awaitVersion(1)
 	is.Equal(old.GetConfirmed(), false)
-	// One that knows more is told nothing older.
+	// A subscriber with a newer version gets no older one.
 	ahead := d.subscribe(d.link(keys.RoleEntry, "e2", "", "c3"), &controlpb.Subscribe{Version: 22})
 
-	// It held no election: it asks before it raises its term, and a higher
-	// term is the only thing by which it could unseat a leader. The others'
-	// terms are not looked at; they may elect on their own when the machine
-	// stalls.
+	// The pre-vote keeps the host from raising its term, so it cannot depose the leader.
+	// The terms of the others are not checked: they may elect after a stall.
 	is.Equal(d.status("c3").Groups[0].Term, term)
 
 	relays["c3"].Heal()
@@ -87,8 +85,8 @@
 	eventually(t, "a leader", func() bool { return d.status("c3").Groups[0].Leader != "" })
 }
 
-// TestUnresponsiveConnectionsAreReplaced lets every open path between control hosts go silent,
-// while new ones work.
+// TestUnresponsiveConnectionsAreReplaced blocks all existing connections between control
+// hosts, but no new ones.
 func TestUnresponsiveConnectionsAreReplaced(t *testing.T) {
 	d, relays := newDeploymentWithRelays(t)
 	for round := range uint64(2) {
--- a/internal/controld/peers.go
+++ b/internal/controld/peers.go
@@ -112,9 +112,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*peer
-	for addr, held := range p.byAddr {
-		if !addrs[addr] && time.Since(held.lastUsed) >= unused {
-			out = append(out, held)
+	for addr, existing := range p.byAddr {
+		if !addrs[addr] && time.Since(existing.lastUsed) >= unused {
+			out = append(out, existing)
 			delete(p.byAddr, addr)
 		}
 	}
@@ -142,9 +142,9 @@
 	if now < *last {
 		*last = 0
 	}
-	by := int64(now - *last)
+	delta := int64(now - *last)
 	*last = now
-	return by
+	return delta
 }
 
 // syncAll sends pending directory changes to all peers and waits for them, up to
@@ -325,17 +325,17 @@
 
 // add appends messages to a queue. Beyond the limit the oldest are dropped; Raft
 // retransmits.
-func (p *peer) add(l queueKey, msgs []*raftpb.Message, limit int) {
+func (p *peer) add(key queueKey, msgs []*raftpb.Message, limit int) {
 	if len(msgs) == 0 {
 		return
 	}
 	p.mu.Lock()
-	queue := append(p.messages[l], msgs...)
+	queue := append(p.messages[key], msgs...)
 	excess := max(len(queue)-limit, 0)
-	p.messages[l] = queue[excess:]
+	p.messages[key] = queue[excess:]
 	p.mu.Unlock()
 	p.drop("queue_full", excess)
-	signal(p.wake[l])
+	signal(p.wake[key])
 }
 
 func (p *peer) drop(reason string, count int) {
@@ -344,16 +344,16 @@
 	}
 }
 
-func (p *peer) takeMessages(l queueKey) []*raftpb.Message {
+func (p *peer) takeMessages(key queueKey) []*raftpb.Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	msgs := p.messages[l]
-	p.messages[l] = nil
+	msgs := p.messages[key]
+	p.messages[key] = nil
 	return msgs
 }
 
-func (p *peer) sendMessages(l queueKey) {
-	msgs := p.takeMessages(l)
+func (p *peer) sendMessages(key queueKey) {
+	msgs := p.takeMessages(key)
 	if len(msgs) == 0 {
 		return
 	}
@@ -362,12 +362,12 @@
 		return
 	}
 	timeout := raftTimeout
-	if l.snapshot {
+	if key.snapshot {
 		timeout = snapshotTimeout
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
-	batch := &controlpb.RaftBatch{Group: l.group, Messages: msgs, Address: p.self(l.group)}
+	batch := &controlpb.RaftBatch{Group: key.group, Messages: msgs, Address: p.self(key.group)}
 	if _, err := p.client.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Raft{Raft: batch}}); err != nil {
 		p.drop("failed", len(msgs))
 	}
--- a/internal/controld/reconnect_bench_test.go
+++ b/internal/controld/reconnect_bench_test.go
@@ -20,11 +20,11 @@
 	fleetAgents   = 600
 	fleetEntries  = 100
 	fleetServices = 100
-	// idleTime is how long the links are watched without a change.
+	// idleTime is the duration of the measurement without changes.
 	idleTime = 15 * time.Second
 )
 
-// clientFleet is the processes of a failure domain that comes back.
+// clientFleet has the clients of all processes in a failure domain.
 type clientFleet struct {
 	scope      tally.TestScope
 	clients    []*link.Client
@@ -70,20 +70,20 @@
 	return f
 }
 
-// ready reports how many processes have all that they need.
+// ready returns the number of processes that have received everything they need.
 func (f *clientFleet) ready() int {
-	n := 0
+	count := 0
 	for i, s := range f.agents {
 		if len(s.View().Targets) == fleetAgents/fleetServices && s.View().Config != nil && f.announcers[i].Registration() != nil {
-			n++
+			count++
 		}
 	}
 	for _, s := range f.entries {
 		if len(s.View().Targets) == fleetAgents && s.View().Config != nil {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func (f *clientFleet) haveVersion(version uint64) bool {
@@ -95,11 +95,11 @@
 	return true
 }
 
-// usage is what has been used up by a moment.
+// usage is the resource usage up to a point in time.
 type usage struct {
 	at  time.Time
 	cpu time.Duration
-	// sent and received are of the host that sent or received most, all of all.
+	// sent and received are the maxima of all hosts, all is their total.
 	sent, received, all uint64
 }
 
@@ -116,26 +116,26 @@
 	return u
 }
 
-// report tells what was used since a moment, as both ends of all links.
+// report prints the usage since a point in time. The processor time covers both ends of all
+// links.
 func (u usage) report(what string, since usage) {
 	fmt.Printf("%s: %.2f s, busiest host sent %d and received %d bytes, all hosts %d, processor time %.2f s\n",
 		what, u.at.Sub(since.at).Seconds(), u.sent-since.sent, u.received-since.received, u.all-since.all, (u.cpu - since.cpu).Seconds())
 }
 
-// waitFor waits longer than eventually does.
+// waitFor is eventually with a longer timeout.
 func waitFor(b *testing.B, what string, condition func() bool) {
 	b.Helper()
 	for end := time.Now().Add(5 * time.Minute); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			b.Fatalf("never came: %s", what)
+			b.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// BenchmarkFailureDomainReconnect lets a failure domain with 600 agents and 100 entry hosts come
-// back at once to three control hosts, with empty folders and then again, when
-// all targets are known. It prints what that takes, what the idle links take and
-// what a change of one service takes.
+// BenchmarkFailureDomainReconnect connects 600 agents and 100 entry hosts to three control
+// hosts at once, first with no targets registered and then with all of them. It prints the
+// cost of that, of the idle links and of a change of one service.
 func BenchmarkFailureDomainReconnect(b *testing.B) {
 	d := newDeployment(b, "c1", "c2", "c3")
 	d.startAll("c1", "c2", "c3")
@@ -155,16 +155,16 @@
 	for _, h := range d.hosts {
 		addrs = append(addrs, h.daemon.LinkAddr())
 	}
-	for _, round := range []string{"first wave", "second wave"} {
+	for _, round := range []string{"first connect", "second connect"} {
 		start := d.usage()
 		f := d.startFleet(creds, addrs)
-		waitFor(b, "all served", func() bool { return f.ready() == len(creds) })
+		waitFor(b, "all clients to be ready", func() bool { return f.ready() == len(creds) })
 		d.usage().report(round, start)
 		printCounters(f.scope)
 		for _, h := range d.hosts {
 			printCounters(h.scope)
 		}
-		if round == "second wave" {
+		if round == "second connect" {
 			d.measureIdle(b, f)
 		}
 		f.close()
@@ -179,7 +179,8 @@
 	}
 }
 
-// measureIdle measures links without a wave.
+// measureIdle prints the cost of the connected fleet while nothing and while one service
+// changes.
 func (d *deployment) measureIdle(b *testing.B, f *clientFleet) {
 	b.Helper()
 	time.Sleep(idleTime)
--- a/internal/controld/replacement_test.go
+++ b/internal/controld/replacement_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// votersSeenBy returns the names of the voters of the configuration's group, as a host sees
-// them, and whether it knows a leader.
+// votersSeenBy returns the voters of the configuration group as seen by a host, and whether
+// it knows a leader.
 func (d *deployment) votersSeenBy(name string) (names map[string]bool, hasLeader bool) {
 	names = map[string]bool{}
 	group := d.status(name).Groups[0]
@@ -21,14 +21,14 @@
 
 func (d *deployment) awaitVoters(of string, count int, name string, votes bool) {
 	d.t.Helper()
-	eventually(d.t, "the voters that "+of+" sees", func() bool {
+	eventually(d.t, "the voters as "+of+" sees them", func() bool {
 		names, hasLeader := d.votersSeenBy(of)
 		return hasLeader && len(names) == count && names[name] == votes
 	})
 }
 
-// TestLostHostsAreReplaced loses three of four control hosts one by one, each after the
-// one before was taken out and another one came in its place. The last change holds.
+// TestLostHostsAreReplaced loses three of four control hosts, each after the last one was
+// replaced. The configuration must survive.
 func TestLostHostsAreReplaced(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2", "c3", "c4", "c5", "c6", "c7")
@@ -44,15 +44,15 @@
 	}
 	d.accept(d.operator("c1"), patch("p2", 1, put("certificates", "192.0.2.2:443")))
 	d.stop("c1")
-	eventually(t, "the last change is read", func() bool {
+	eventually(t, "the last change to be read", func() bool {
 		c, confirmed, err := d.operator("c6").Config(testContext(t), 0)
 		return err == nil && confirmed && c.GetVersion() == 2
 	})
 	is.Equal(len(d.hosts), 3)
 }
 
-// TestRemovedHostRejoins stops a host until it is no member, and starts it
-// on its old data folder.
+// TestRemovedHostRejoins restarts a host on its data directory after it was removed from
+// the group.
 func TestRemovedHostRejoins(t *testing.T) {
 	d := newDeployment(t, "c1", "c2", "c3", "c4")
 	d.removeAfterMs = 500
@@ -63,5 +63,5 @@
 	d.accept(d.operator("c1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
 	d.start("c4", data, false)
 	d.awaitVoters("c4", 4, "c4", true)
-	eventually(t, "the version reaches it", func() bool { return d.status("c4").Version == 1 })
+	eventually(t, "the version on the host", func() bool { return d.status("c4").Version == 1 })
 }
--- a/internal/controld/roles_test.go
+++ b/internal/controld/roles_test.go
@@ -21,7 +21,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// counter returns the sum of a counter of a host, of one reason if it is named.
+// counter returns a counter of a host, for one reason if it is not empty.
 func (h *host) counter(name, reason string) int64 {
 	return unittest.Counter(h.scope, name, reason)
 }
@@ -29,7 +29,7 @@
 // refusals returns the counter of one refusal reason on a host.
 func (h *host) refusals(reason string) int64 { return h.counter("control.refusals", reason) }
 
-// notMemberCount returns how often a host found its group founded without it.
+// notMemberCount returns how often a host found a group that it is no member of.
 func (h *host) notMemberCount() int64 { return h.counter("control.stranger_to_its_group", "") }
 
 func call(t *testing.T, c *link.Client, req *controlpb.Request) *controlpb.Response {
@@ -45,7 +45,7 @@
 	}}}
 }
 
-// servingRecord is what the agent of a registered target announces.
+// servingRecord returns the record that the agent of a registered target announces.
 func servingRecord(reg *configpb.Registration, name string) *controlpb.TargetRecord {
 	return &controlpb.TargetRecord{
 		Service: reg.GetServiceNumber(), Number: reg.GetTargetNumber(), Incarnation: reg.GetIncarnation(),
@@ -53,8 +53,7 @@
 	}
 }
 
-// registerTarget registers a target of lodgement, when there is a leader, and
-// returns what its agent announces.
+// registerTarget registers a target once there is a leader and returns its record.
 func registerTarget(t *testing.T, agent *link.Client, target string) *controlpb.TargetRecord {
 	t.Helper()
 	var r *controlpb.TargetRecord
@@ -69,12 +68,10 @@
 	return &controlpb.Request{Body: &controlpb.Request_Announce{Announce: &controlpb.Announce{Record: r}}}
 }
 
-// renewEvery is how often announces renews a lease.
+// renewEvery is the interval of lease renewals by announceTarget.
 const renewEvery = 100 * time.Millisecond
 
-// announceTarget announces a target and renews its lease until the test ends, as an
-// agent does: one announcement alone is over after the lease, before a stalled
-// machine may have passed it on.
+// announceTarget announces a target and renews its lease until the test ends.
 func announceTarget(t *testing.T, agent *link.Client, r *controlpb.TargetRecord) {
 	t.Helper()
 	if why := call(t, agent, announceRequest(r)).GetAnnounce().GetRefusal(); why != "" {
@@ -86,7 +83,7 @@
 		tick := time.NewTicker(renewEvery)
 		defer tick.Stop()
 		for ctx.Err() == nil {
-			_, _ = agent.Call(ctx, announceRequest(r)) // the next one makes good for it
+			_, _ = agent.Call(ctx, announceRequest(r)) // a failure is covered by the next renewal
 			<-tick.C
 		}
 	})
@@ -131,15 +128,15 @@
 		{"agent propose", agent, propose, "role"},
 		{"entry directory sync", entry, sync, "role"},
 		{"agent replicas", agent, replicas, "role"},
-		{"agent joins", agent, &controlpb.Request{Body: &controlpb.Request_Join{Join: &controlpb.Join{}}}, "role"},
+		{"agent join", agent, &controlpb.Request{Body: &controlpb.Request_Join{Join: &controlpb.Join{}}}, "role"},
 		{"entry register", entry, registerRequest("lodgement", "t1", "x"), "role"},
 		{"entry announce", entry, announceRequest(&controlpb.TargetRecord{}), "role"},
 		{"entry grant", entry, acquireRequest(1, "k", "one"), "role"},
 		{"control register", control, registerRequest("lodgement", "t1", "x"), "role"},
-		{"control speaks for another", control, foreignRaft, "sender"},
+		{"control sends for another host", control, foreignRaft, "sender"},
 		{"agent of another service registers", agent, registerRequest("certificates", "t1", "x"), "service"},
 		{"agent of another service acquires", agent, acquireRequest(2, "k", "one"), "service"},
-		{"agent moves the logical clock", agent, advance, "request"},
+		{"agent advances the logical clock", agent, advance, "request"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -191,7 +188,7 @@
 	draining.State = controlpb.TargetState_TARGET_STATE_DRAINING
 	draining.Sequence = 2
 	is.Equal(call(t, agent, announceRequest(draining)).GetAnnounce().GetRefusal(), "")
-	w.await("the drain", has(controlpb.TargetState_TARGET_STATE_DRAINING))
+	w.await("the draining target", has(controlpb.TargetState_TARGET_STATE_DRAINING))
 
 	refused := map[string]func(*controlpb.TargetRecord){
 		controld.RefusalIdentity:   func(r *controlpb.TargetRecord) { r.Service++ },
@@ -201,12 +198,12 @@
 	next := proto.CloneOf(r)
 	next.Incarnation++
 	is.Equal(call(t, agent, announceRequest(next)).GetAnnounce().GetRefusal(), "")
-	for want, spoil := range refused {
+	for want, corrupt := range refused {
 		bad := proto.CloneOf(next)
-		spoil(bad)
+		corrupt(bad)
 		is.Equal(call(t, agent, announceRequest(bad)).GetAnnounce().GetRefusal(), want)
 	}
-	draining.Sequence++ // the older process drains: nothing to refuse
+	draining.Sequence++ // the older process is draining, so there is nothing to refuse
 	is.Equal(call(t, agent, announceRequest(draining)).GetAnnounce().GetRefusal(), "")
 }
 
@@ -220,9 +217,9 @@
 		Service: 1, Key: "k", Attempt: []byte("one"), Answer: &grantpb.Answer{Status: 201, Body: []byte("stamped")},
 	}}})
 	is.True(call(t, agent, complete).GetGrant().GetTaken())
-	got := call(t, agent, acquireRequest(1, "k", "three")).GetGrant()
-	is.Equal(got.GetDecision(), grantpb.Decision_DECISION_ANSWERED)
-	is.Equal(string(got.GetAnswer().GetBody()), "stamped")
+	reply := call(t, agent, acquireRequest(1, "k", "three")).GetGrant()
+	is.Equal(reply.GetDecision(), grantpb.Decision_DECISION_ANSWERED)
+	is.Equal(string(reply.GetAnswer().GetBody()), "stamped")
 }
 
 func TestVersionQuery(t *testing.T) {
@@ -263,7 +260,7 @@
 		large = append(large, wideService(i))
 	}
 	_, err = ops.Submit(ctx, patch("p4", 1, large...))
-	is.True(isError(err, operator.ErrNotApplied)) // more than the log takes
+	is.True(isError(err, operator.ErrNotApplied)) // exceeds the size limit of the log
 
 	cfg, confirmed, err := ops.Config(ctx, 0)
 	is.NoErr(err)
@@ -276,12 +273,12 @@
 func TestOnlyOperatorsReachTheAPI(t *testing.T) {
 	is := is.New(t)
 	d, ops := newSingleHost(t)
-	intruder := operator.NewClient([]string{d.hosts["c1"].daemon.OperatorAddr()}, d.keys.Credentials(keys.RoleAgent, "a1", "lodgement"))
-	defer intruder.Close()
-	_, err := intruder.Submit(testContext(t), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
+	agent := operator.NewClient([]string{d.hosts["c1"].daemon.OperatorAddr()}, d.keys.Credentials(keys.RoleAgent, "a1", "lodgement"))
+	defer agent.Close()
+	_, err := agent.Submit(testContext(t), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
 	is.True(err != nil)
 	_, err = ops.Outcome(testContext(t), "p1")
-	is.True(isError(err, operator.ErrNotFound)) // nothing of it got in
+	is.True(isError(err, operator.ErrNotFound)) // not applied
 }
 
 func TestManySubscribersFollow(t *testing.T) {
--- a/internal/controld/scope_bench_test.go
+++ b/internal/controld/scope_bench_test.go
@@ -9,9 +9,8 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// BenchmarkUpdate measures what a subscriber is sent at the size of 2,000
-// services with 5,500 addresses, with and without a scope: bytes of the first
-// configuration and of a change elsewhere, and the time to make the latter.
+// BenchmarkUpdate measures the updates of a subscriber with and without a scope: size of
+// the first configuration, size of a change, and the time to compute the change.
 func BenchmarkUpdate(b *testing.B) {
 	const services, addresses = 2_000, 5_500
 	s := newConfigState()
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -32,7 +32,7 @@
 	if e.ServingAddress == "" {
 		return ErrStandby.Error() + " and knows no serving host"
 	}
-	return ErrStandby.Error() + ", serving host " + e.ServingAddress
+	return ErrStandby.Error() + ": " + e.ServingAddress + " is serving"
 }
 
 // Unwrap implements the interface that errors.Is uses.
@@ -94,11 +94,11 @@
 	if s.client == nil {
 		return ""
 	}
-	at := s.client.Address()
-	if !slices.Contains(s.hosts, at) {
+	address := s.client.Address()
+	if !slices.Contains(s.hosts, address) {
 		return ""
 	}
-	return at
+	return address
 }
 
 // standbyEnabled reports whether this host becomes a member only when needed.
@@ -183,7 +183,7 @@
 		d.log.Info("entered standby", zap.Strings("serving", hosts))
 	}
 	client.Learn(hosts)
-	if at := client.Address(); at != "" && !slices.Contains(hosts, at) {
+	if address := client.Address(); address != "" && !slices.Contains(hosts, address) {
 		client.Move(randomHost(hosts))
 	}
 }
@@ -220,29 +220,29 @@
 
 // update records whether members are short. It reports whether a lasting shortage has begun
 // or ended.
-func (l *shortage) update(short bool, now time.Time) (changed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *shortage) update(short bool, now time.Time) (changed bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if !short {
-		l.since = time.Time{}
-	} else if l.since.IsZero() {
-		l.since = now
+		s.since = time.Time{}
+	} else if s.since.IsZero() {
+		s.since = now
 	}
-	lasting := short && now.Sub(l.since) >= shortageDelay
-	changed = lasting != l.lasting
-	l.lasting = lasting
+	lasting := short && now.Sub(s.since) >= shortageDelay
+	changed = lasting != s.lasting
+	s.lasting = lasting
 	return changed
 }
 
 // consume reports whether a standby is to be added, and resets the shortage: standbys are
 // added one at a time, so that each takes effect before the next.
-func (l *shortage) consume() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.lasting {
+func (s *shortage) consume() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.lasting {
 		return false
 	}
-	l.lasting, l.since = false, time.Time{}
+	s.lasting, s.since = false, time.Time{}
 	return true
 }
 
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -17,21 +17,21 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// newStandbyDeployment is a deployment of hosts that keep their log, d1 and on, and of hosts that do
-// not and stand by, s1 and on. seeds names the hosts that all of them are given.
+// newStandbyDeployment starts durable hosts d1, d2 and so on, and transient hosts s1, s2
+// and so on in standby mode. seeds are the initial voters of all hosts.
 func newStandbyDeployment(t *testing.T, durable, transient int, seeds ...string) *deployment {
 	t.Helper()
 	return newStandbyDeploymentWithLinks(t, 0, durable, transient, seeds...)
 }
 
-func newStandbyDeploymentWithLinks(t *testing.T, maxLinks uint32, keeping, without int, seeds ...string) *deployment {
+func newStandbyDeploymentWithLinks(t *testing.T, maxLinks uint32, durable, transientCount int, seeds ...string) *deployment {
 	t.Helper()
 	var names []string
 	transient := map[string]bool{}
-	for i := range keeping {
+	for i := range durable {
 		names = append(names, fmt.Sprintf("d%d", i+1))
 	}
-	for i := range without {
+	for i := range transientCount {
 		name := fmt.Sprintf("s%d", i+1)
 		names = append(names, name)
 		transient[name] = true
@@ -61,14 +61,14 @@
 	}
 }
 
-// Hosts that keep no log stand by, whichever hosts are the seeds: the group has the
-// others as members, and a host that stands by names one that serves.
+// Transient hosts stand by whichever hosts are the seeds: only durable hosts are members,
+// and each standby names a serving host.
 func TestTransientHostsStandBy(t *testing.T) {
 	for name, seeds := range map[string][]string{
-		"seeds keep their log":      {"d1", "d2", "d3"},
-		"one seed keeps its log":    {"d2", "s1", "s2"},
-		"no seed keeps its log":     {"s1", "s2", "s3"},
-		"one seed, and it has none": {"s2"},
+		"durable seeds":      {"d1", "d2", "d3"},
+		"one durable seed":   {"d2", "s1", "s2"},
+		"transient seeds":    {"s1", "s2", "s3"},
+		"one transient seed": {"s2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -86,7 +86,7 @@
 	}
 }
 
-// A host that stands by has one link, to a host that serves, however many hosts there are.
+// A standby has a single link, to a serving host, in a deployment of any size.
 func TestStandbyKeepsOneLink(t *testing.T) {
 	is := is.New(t)
 	const without = 12
@@ -106,15 +106,14 @@
 	}
 	// Each member has two links to each of the two others.
 	const mesh = 3 * 2 * 2
-	eventually(t, "links to settle", func() bool { return serving() <= mesh+without })
+	eventually(t, "the number of links to settle", func() bool { return serving() <= mesh+without })
 	is.True(serving() >= without)
 	for _, name := range standbys[1:] {
 		is.Equal(d.hosts[name].daemon.Links(), 0) // none was a seed
 	}
 }
 
-// A subscriber that knows hosts that stand by alone gets its version all the same, and
-// learns which hosts serve.
+// A subscriber that knows only standbys is redirected to the serving hosts.
 func TestStandbyRedirectsSubscribers(t *testing.T) {
 	is := is.New(t)
 	d := newStandbyDeployment(t, 3, 2, "d1", "d2", "d3")
@@ -125,19 +124,18 @@
 	var hosts []string
 	eventually(t, "a move", func() bool {
 		w := d.subscribe(c, &controlpb.Subscribe{})
-		u := w.await("hosts that serve", func(u *controlpb.SubscribeUpdate) bool { return u.GetHosts() != nil })
+		u := w.await("the serving hosts", func(u *controlpb.SubscribeUpdate) bool { return u.GetHosts() != nil })
 		hosts = u.GetHosts().GetAddresses()
 		return u.GetMove() != nil
 	})
 	is.Equal(len(hosts), 3)
 	c.Learn(hosts)
 	c.Move(hosts[0])
-	eventually(t, "the link to a host that serves", func() bool { return c.Address() == hosts[0] })
+	eventually(t, "the link to a serving host", func() bool { return c.Address() == hosts[0] })
 	d.subscribe(c, &controlpb.Subscribe{}).awaitVersion(1)
 }
 
-// Requests of agents are refused: nothing was done, and their link goes to a host that
-// serves them.
+// Requests of agents are refused and their link moves to a serving host.
 func TestStandbyRedirectsAgents(t *testing.T) {
 	is := is.New(t)
 	d := newStandbyDeployment(t, 1, 1, "d1")
@@ -147,15 +145,14 @@
 	is.True(fault != nil)
 	is.Equal(d.hosts["s1"].refusals("stands_by"), int64(1))
 	d.accept(d.operator("d1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	registerTarget(t, agent, "t1") // the link has gone to the host that serves
+	registerTarget(t, agent, "t1") // the link has moved to the serving host
 }
 
-// Once the members have more subscribers than they are to serve, a host that stands by
-// becomes one of them, one at a time.
+// Standbys become members one at a time if the members have too many subscribers.
 func TestStandbyBecomesMember(t *testing.T) {
 	const (
 		maxLinks = 4
-		// Two subscribers a host, for three hosts, and one more.
+		// two for each of three hosts, and one more
 		subscribers = 7
 	)
 	d := newStandbyDeploymentWithLinks(t, maxLinks, 3, 2, "d1", "d2", "d3")
@@ -166,17 +163,17 @@
 	for range subscribers {
 		d.subscribe(c, &controlpb.Subscribe{})
 	}
-	eventually(t, "one of them to serve", func() bool {
+	eventually(t, "one standby to serve", func() bool {
 		return d.status("s1").Version == 1 || d.status("s2").Version == 1
 	})
 	eventually(t, "one more member", func() bool { return len(d.status("d1").Groups[0].Members) == 4 })
 }
 
-// A host that keeps its log has to vote, so that it may not be told to stand by.
+// A durable host has to vote, so standby mode is refused.
 func TestOnlyTransientHostsMayStandBy(t *testing.T) {
 	for name, r := range map[string]*settingspb.Replica{
-		"keeps its log":       {StandBy: true, AutomaticMembers: true},
-		"members by operator": {StandBy: true, Transient: true},
+		"durable":        {StandBy: true, AutomaticMembers: true},
+		"manual members": {StandBy: true, Transient: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/controld/subscribers.go
+++ b/internal/controld/subscribers.go
@@ -61,19 +61,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]operator.SubscriberStatus, 0, len(s.open))
-	laggards := []string{}
+	lagging := []string{}
 	for sub := range s.open {
 		status := sub.status()
 		all = append(all, status)
 		if status.Version < version {
-			laggards = append(laggards, status.Role+"/"+status.Name)
+			lagging = append(lagging, status.Role+"/"+status.Name)
 		}
 	}
 	slices.SortFunc(all, func(a, b operator.SubscriberStatus) int {
 		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Name, b.Name))
 	})
-	slices.Sort(laggards)
-	return all, laggards
+	slices.Sort(lagging)
+	return all, lagging
 }
 
 // subscriber is the state of the remote end of a subscription.
--- a/internal/controld/subscription.go
+++ b/internal/controld/subscription.go
@@ -52,9 +52,9 @@
 	hosts []string
 	// isolated is the isolation state last sent to the subscriber.
 	isolated bool
-	// askedAt is the time of the last read barrier. unconfirmedSince is the time of the
+	// lastBarrier is the time of the last read barrier. unconfirmedSince is the time of the
 	// first failed one since the last success, zero if there is none.
-	askedAt          time.Time
+	lastBarrier      time.Time
 	unconfirmedSince time.Time
 	directorySentAt  time.Time
 	messageSentAt    time.Time
@@ -172,7 +172,7 @@
 		wait = min(wait, directoryInterval-time.Since(s.directorySentAt))
 	}
 	if !s.confirmed {
-		wait = min(wait, confirmRetry-time.Since(s.askedAt))
+		wait = min(wait, confirmRetry-time.Since(s.lastBarrier))
 	}
 	if s.needsVersion() {
 		wait = min(wait, confirmPendingRetry)
@@ -194,9 +194,9 @@
 // readBarrier waits until everything committed is applied here, or fails.
 func (s *subscription) readBarrier(ctx context.Context) {
 	err := s.daemon.readBarrier.wait(ctx)
-	s.askedAt = time.Now()
+	s.lastBarrier = time.Now()
 	if err != nil && s.unconfirmedSince.IsZero() {
-		s.unconfirmedSince = s.askedAt
+		s.unconfirmedSince = s.lastBarrier
 	}
 	if err != nil {
 		return
@@ -217,8 +217,8 @@
 	if s.daemon.configs.version() <= s.sent {
 		return false
 	}
-	acting := s.info.reported.Load()
-	return acting == 0 || acting >= s.sent
+	active := s.info.reported.Load()
+	return active == 0 || active >= s.sent
 }
 
 // maySendVersion reports whether this host's version may be sent as the newest. A host that
@@ -234,7 +234,7 @@
 
 // step sends what the subscriber lacks.
 func (s *subscription) step(ctx context.Context) error {
-	overdue := !s.confirmed && time.Since(s.askedAt) >= confirmRetry
+	overdue := !s.confirmed && time.Since(s.lastBarrier) >= confirmRetry
 	if overdue || s.needsVersion() {
 		s.readBarrier(ctx)
 	}
@@ -261,8 +261,8 @@
 				return err
 			}
 		}
-		beat := &controlpb.Heartbeat{Version: s.daemon.configs.version(), Isolated: isolated}
-		return s.send(&controlpb.SubscribeUpdate{Heartbeat: beat})
+		heartbeat := &controlpb.Heartbeat{Version: s.daemon.configs.version(), Isolated: isolated}
+		return s.send(&controlpb.SubscribeUpdate{Heartbeat: heartbeat})
 	}
 	return nil
 }
--- a/internal/controld/subscription_test.go
+++ b/internal/controld/subscription_test.go
@@ -14,15 +14,15 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// wideServices is the number of address sets that wide takes turns with.
+// wideServices is the number of distinct address sets of wideService.
 const wideServices = 3
 
-// wideService is a service whose updates are large. It takes addresses back that it
-// left before, since those that it leaves stay in the configuration.
-func wideService(third int) *configpb.Operation {
+// wideService is a service with large updates. The address sets repeat, since unused
+// addresses stay in the configuration.
+func wideService(set int) *configpb.Operation {
 	s := &configpb.Service{Name: "wide", Slots: 4}
 	for i := range config.MaxAddresses {
-		s.Addresses = append(s.Addresses, fmt.Sprintf("10.%d.%d.%d:443", third, i/250, i%250+1))
+		s.Addresses = append(s.Addresses, fmt.Sprintf("10.%d.%d.%d:443", set, i/250, i%250+1))
 	}
 	return &configpb.Operation{Body: &configpb.Operation_PutService{PutService: s}}
 }
@@ -33,10 +33,9 @@
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{})
 	w.awaitVersion(0)
 	const (
-		versions = 120 // some 20 KB each, far more than the stream takes
-		// It reads one update for so many versions: one that reads nothing is
-		// cut off after a time.
-		pace = 10
+		versions = 120 // each about 20 KB, more in total than the stream buffers
+		// Versions per update read; a subscriber that reads nothing is disconnected.
+		readEvery = 10
 	)
 	updates, last := 0, uint64(0)
 	var held *configpb.Configuration
@@ -54,7 +53,7 @@
 	}
 	for i := range versions {
 		d.accept(ops, patch(fmt.Sprintf("p%d", i), uint64(i), wideService(i%wideServices)))
-		if i%pace == 0 {
+		if i%readEvery == 0 {
 			w.await("an update", follow)
 		}
 	}
@@ -77,8 +76,8 @@
 		delta   bool
 	}{
 		{"nothing", 0, false},
-		{"out of history", 5, false},
-		{"oldest held", newest - config.MaxHistory + 1, true},
+		{"older than history", 5, false},
+		{"oldest in history", newest - config.MaxHistory + 1, true},
 		{"one behind", newest - 1, true},
 		{"the newest", newest, true},
 	}
@@ -98,14 +97,14 @@
 	is.True(u.GetConfirmed())
 }
 
-// restart stops a host and starts it again on its data folder.
+// restart restarts a host on its data directory.
 func (d *deployment) restart(name string) *host {
 	d.t.Helper()
 	return d.start(name, d.stop(name).data, false)
 }
 
-// TestScopedSubscriberReceivesEveryVersion changes one service for a subscriber of
-// another one: it gets each version number and nothing of the service.
+// TestScopedSubscriberReceivesEveryVersion changes one service for a subscriber of another:
+// it gets each version number, but not the service.
 func TestScopedSubscriberReceivesEveryVersion(t *testing.T) {
 	is := is.New(t)
 	d, ops := newSingleHost(t)
@@ -121,10 +120,10 @@
 	u := w.awaitVersion(2)
 	is.Equal(u.GetBaseVersion(), uint64(1))
 	is.Equal(len(u.GetPut())+len(u.GetRetired()), 0)
-	// One that reports nothing is cut off after a time.
+	// A subscriber that reports nothing is disconnected.
 	report := func(version uint64) { is.NoErr(w.stream.Send(&controlpb.Heartbeat{Version: version})) }
 	report(2)
-	eventually(t, "the version in force in the status", func() bool {
+	eventually(t, "the active version in the status", func() bool {
 		s := d.status("c1")
 		return len(s.LaggingSubscribers) == 0 && s.Subscribers[0].Version == 2
 	})
@@ -176,22 +175,22 @@
 		held = call(t, agent, acquireRequest(1, "k", "two"))
 		return held.GetGrant() != nil
 	})
-	is.Equal(held.GetGrant().GetDecision().String(), "DECISION_HELD") // its holder is gone, nobody else may run it
+	is.Equal(held.GetGrant().GetDecision().String(), "DECISION_HELD") // the holder is gone, so its outcome is unknown
 }
 
 func TestOperatorAddsHost(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2")
-	contacts := d.voters[:1] // c1 founds alone
-	d.voters = contacts
+	seeds := d.voters[:1] // c1 bootstraps alone
+	d.voters = seeds
 	d.start("c1", "", false)
 	ops := d.operator("c1")
 	d.accept(ops, patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	d.voters = nil // without contacts it waits for the operator
+	d.voters = nil // without seed hosts it waits for the operator
 	d.start("c2", "", true)
 	_, err := ops.AddLearner(testContext(t), d.address["c2"])
 	is.NoErr(err)
-	_, err = ops.AddLearner(testContext(t), d.address["c2"]) // making it again is safe
+	_, err = ops.AddLearner(testContext(t), d.address["c2"]) // safe to repeat
 	is.NoErr(err)
 	eventually(t, "promotion", func() bool {
 		s, err := ops.Promote(testContext(t), memberRef("c2"))
@@ -215,6 +214,6 @@
 	eventually(t, "the version on c2", func() bool { return d.status("c2").Version == 1 })
 	for _, g := range d.status("c1").Groups {
 		is.Equal(len(g.Members), 2)
-		is.True(g.Members[0].Learner || g.Members[1].Learner) // a vote is up to the operators
+		is.True(g.Members[0].Learner || g.Members[1].Learner) // operators promote
 	}
 }
