--- a/grant/bench_test.go
+++ b/grant/bench_test.go
@@ -10,8 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/grant"
 )
 
-// BenchmarkGrant measures an Acquire and its Complete, and the size of a
-// record in a snapshot, in bytes.
+// BenchmarkGrant measures an Acquire with its Complete, and the size of a record in a
+// snapshot, in bytes.
 func BenchmarkGrant(b *testing.B) {
 	m := grant.New()
 	for i := range b.N {
@@ -32,8 +32,8 @@
 	b.ReportMetric(float64(len(snapshot))/float64(held+answered), "snapshot-B/record")
 }
 
-// BenchmarkRelease measures an Acquire and its Release with the memory of
-// released attempts full, and what that memory adds to a snapshot, in bytes.
+// BenchmarkRelease measures an Acquire with its Release while the released attempts are at
+// their limit, and the size of their snapshot, in bytes.
 func BenchmarkRelease(b *testing.B) {
 	m := grant.New()
 	for i := range grant.MaxReleased {
@@ -41,7 +41,7 @@
 	}
 	key, attempt := "8b6f2c1e-one-key-of-many", make([]byte, 16)
 	var commands [][2][]byte
-	for i := range 2 * grant.MaxReleased { // each is forgotten before it comes again
+	for i := range 2 * grant.MaxReleased { // each is evicted before it is repeated
 		attempt[0], attempt[1] = byte(i), byte(i>>8)
 		commands = append(commands, [2][]byte{
 			encodedCommand(b, acquire(key, string(attempt), "digest-of-thirty-two-bytes-here..")),
--- a/grant/bounds.go
+++ b/grant/bounds.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Bounds of the replicated state. Replicas must agree on them, so a change of
-// one is a change of the format of the log.
+// Bounds of the replicated state. They must be the same on all replicas, so changing one
+// changes the format of the log.
 const (
-	// MaxRecords bounds the keys that a group keeps.
+	// MaxRecords bounds the keys of a group.
 	MaxRecords = 200_000
 	// MaxBytes bounds the memory of keys and recorded bodies of a group, in
 	// bytes.
 	MaxBytes = 64 << 20
-	// MaxBodyLength is the longest body of an answer that is recorded, in bytes. Of
-	// a longer one only status and content type are known.
+	// MaxBodyLength bounds the recorded body of a response, in bytes. Of longer ones only
+	// status and content type are recorded.
 	MaxBodyLength = 4 << 10
 	// MaxKeyLength bounds an idempotency key, in bytes.
 	MaxKeyLength = 256
@@ -19,32 +19,27 @@
 	MaxAttemptLength = 64
 	// MaxDigestLength bounds the digest of a request, in bytes.
 	MaxDigestLength = 64
-	// MaxContentTypeLength bounds the content type of a recorded answer, in bytes.
+	// MaxContentTypeLength bounds the content type of a recorded response, in bytes.
 	MaxContentTypeLength = 256
-	// AnsweredRetention is how long an answer is kept, in logical time, unless
-	// operators set less.
+	// AnsweredRetention is the default and maximum retention of a recorded response, in
+	// logical time.
 	AnsweredRetention = 24 * time.Hour
-	// MinAnsweredRetention is the least they can set. It exceeds the time for
-	// which a caller that lost its answer comes back, and that for which a
-	// command is repeated or under way.
+	// MinAnsweredRetention is the minimum of AnsweredRetention. It exceeds the time in which a caller retries,
+	// and that in which a command is repeated or in transit.
 	MinAnsweredRetention = 10 * time.Minute
-	// HeldRetention is how long a record without an answer is kept, in
-	// logical time, unless operators set less.
+	// HeldRetention is the default and maximum retention of a record without a response, in
+	// logical time.
 	HeldRetention = 7 * 24 * time.Hour
-	// MinHeldRetention is the least they can set. It exceeds by far the time
-	// that any request runs.
+	// MinHeldRetention is the minimum of HeldRetention. It far exceeds the duration of any request.
 	MinHeldRetention = 24 * time.Hour
-	// MaxReleased bounds the released attempts that are remembered. The oldest
-	// one is forgotten first.
+	// MaxReleased bounds the released attempts. The oldest is evicted first.
 	MaxReleased = 4096
-	// ReleasedRetention is how long a released attempt is remembered, in
-	// logical time. It exceeds by far the time for which a command is repeated
-	// or under way.
+	// ReleasedRetention is the retention of a released attempt, in logical time. It far
+	// exceeds the time in which a command is repeated or in transit.
 	ReleasedRetention = 10 * time.Minute
-	// MaxAdvance bounds one step of the logical clock, so that a leader whose
-	// clock jumped cannot expire everything at once.
+	// MaxAdvance bounds one step of the logical clock, so that a clock jump on the leader
+	// does not expire all records.
 	MaxAdvance = time.Minute
-	// recordOverhead stands for the memory of a record besides its fields. It
-	// takes less since records are packed.
+	// recordOverhead is the estimated memory of a record besides its fields, in bytes.
 	recordOverhead = 256
 )
--- a/grant/configure.go
+++ b/grant/configure.go
@@ -8,12 +8,11 @@
 
 // Retention is how long records are kept, in logical time.
 type Retention struct {
-	// Answered counts from the answer, Held from the grant of a right whose
-	// holder never told an answer.
+	// Answered starts at the response, Held at the grant if there is no response.
 	Answered, Held time.Duration
 }
 
-// DefaultRetention is that of a group whose operators set none.
+// DefaultRetention returns the retention of a group that was not configured.
 func DefaultRetention() Retention {
 	return Retention{Answered: AnsweredRetention, Held: HeldRetention}
 }
@@ -24,25 +23,25 @@
 		r.Held >= MinHeldRetention && r.Held <= HeldRetention
 }
 
-func readRetention(m *grantpb.Retention) Retention {
+func parseRetention(m *grantpb.Retention) Retention {
 	r := DefaultRetention()
 	if ms := m.GetAnsweredMs(); ms > 0 {
-		r.Answered = ofMillis(ms)
+		r.Answered = durationFromMillis(ms)
 	}
 	if ms := m.GetHeldMs(); ms > 0 {
-		r.Held = ofMillis(ms)
+		r.Held = durationFromMillis(ms)
 	}
 	return r
 }
 
-// ofMillis holds what exceeds all bounds to one that is improper too, in place
-// of an overflow.
-func ofMillis(ms uint64) time.Duration {
+// durationFromMillis limits the result to twice HeldRetention, which is invalid, to avoid
+// an overflow.
+func durationFromMillis(ms uint64) time.Duration {
 	return time.Duration(min(ms, uint64(2*HeldRetention.Milliseconds()))) * time.Millisecond
 }
 
-// message returns the encoded form, nil for the default: the snapshot of a
-// group that nobody configured stays as it was before there were groups.
+// message returns the encoded form, nil for the default. Snapshots of groups that were not
+// configured stay compatible with earlier releases.
 func (r Retention) message() *grantpb.Retention {
 	if r == DefaultRetention() {
 		return nil
@@ -58,21 +57,19 @@
 	}
 }
 
-// Table returns the agreed slot table, nil while there is none.
+// Table returns the agreed slot table, or nil.
 func (m *Machine) Table() *SlotTable { return m.table }
 
 // Retention returns how long records are kept.
 func (m *Machine) Retention() Retention { return m.retention }
 
-// Used reports whether a key was ever decided on here. A group that is used has
-// its table for good.
+// Used reports whether any key was ever decided. From then on the slot table is final.
 func (m *Machine) Used() bool {
-	// Records and released attempts expire only after the clock has moved.
+	// The clock has advanced before anything expires.
 	return m.now > 0 || len(m.records) > 0 || m.released.order.Len() > 0
 }
 
-// configure takes a slot table, once, and a retention. It changes all or
-// nothing.
+// configure sets the slot table, once, and the retention. It applies all or nothing.
 func (m *Machine) configure(c *grantpb.Configure) bool {
 	if c.GetTable() == nil && c.GetRetention() == nil {
 		return false
@@ -80,12 +77,12 @@
 	table, retention := m.table, m.retention
 	if c.GetTable() != nil {
 		var err error
-		if table, err = ParseSlotTable(c.GetTable()); err != nil || !m.mayTake(table) {
+		if table, err = ParseSlotTable(c.GetTable()); err != nil || !m.acceptsTable(table) {
 			return false
 		}
 	}
 	if c.GetRetention() != nil {
-		if retention = readRetention(c.GetRetention()); !retention.Valid() {
+		if retention = parseRetention(c.GetRetention()); !retention.Valid() {
 			return false
 		}
 	}
@@ -93,21 +90,21 @@
 	return true
 }
 
-// mayTake reports whether a table is the one of this group: it never changes
-// once it was agreed on, nor once a key was decided on without one.
-func (m *Machine) mayTake(t *SlotTable) bool {
+// acceptsTable reports whether a table can be set: it is final once it was agreed on or a
+// key was decided without one.
+func (m *Machine) acceptsTable(t *SlotTable) bool {
 	if m.group >= t.groups {
 		return false
 	}
 	if m.table == nil && !m.Used() {
 		return true
 	}
-	held := m.effectiveTable()
-	return held != nil && held.digest == t.digest
+	effective := m.effectiveTable()
+	return effective != nil && effective.digest == t.digest
 }
 
-// effectiveTable returns the table that decides: without one the first group
-// has all keys, and the others have none.
+// effectiveTable returns the agreed table. Without one the first group owns all keys and
+// the others own none.
 func (m *Machine) effectiveTable() *SlotTable {
 	if m.table == nil && m.group == 0 {
 		return onlyGroup
@@ -115,12 +112,12 @@
 	return m.table
 }
 
-// onlyGroup is the table of a deployment that agreed on none.
+// onlyGroup is the table of a deployment without an agreed one.
 var onlyGroup = NewSlotTable(1)
 
-// owns reports whether this group decides on a key by the table that the sender
-// names. Senders that name none know of one group only.
-func (m *Machine) owns(digest uint64, service uint32, key string) bool {
+// ownsKey reports whether this group owns a key in the sender's table. A sender without a
+// table assumes a single group.
+func (m *Machine) ownsKey(digest uint64, service uint32, key string) bool {
 	t := m.effectiveTable()
 	if t == nil {
 		return false
@@ -131,8 +128,8 @@
 	return digest == t.digest && t.GroupOf(service, key) == m.group
 }
 
-// CommandKey returns service and key of a command that names a key.
-func CommandKey(c *grantpb.Command) (service uint32, key string, named bool) {
+// CommandKey returns the service and key of a command, if it has them.
+func CommandKey(c *grantpb.Command) (service uint32, key string, hasKey bool) {
 	switch body := c.GetBody().(type) {
 	case *grantpb.Command_Acquire:
 		return body.Acquire.GetService(), body.Acquire.GetKey(), true
--- a/grant/doc.go
+++ b/grant/doc.go
@@ -1,15 +1,13 @@
-// Package grant is the replicated state machine of the right to run a request
-// that may not be repeated.
+// Package grant is the replicated state machine of grants: permissions to run a request
+// that must not be repeated.
 //
-// An attempt acquires the right by the idempotency key of the request. While
-// it holds the right, and after its answer was recorded, no other attempt gets
-// it. A holder that vanished leaves a held record behind: whether its request
-// ran is not known, so the right is not granted again for as long as the
-// record is kept. A holder whose request provably did not run releases it.
-// A released attempt is remembered for a while, so that an Acquire of it that
-// comes late does not hold the key for nobody.
+// An attempt acquires the grant for the idempotency key of its request. No other attempt
+// gets it while it is held or after a response was recorded. If the holder vanishes, it is
+// unknown whether its request ran, so the grant is not given again while the record is
+// kept. A holder whose request certainly did not run releases the grant. Released attempts
+// are kept for a while, so that a late Acquire of one does not take the grant again.
 //
-// Records expire by a logical clock that moves with the log (Advance), never
-// by the clock of a host. A key may be used again for another request once
-// its record has expired; callers must not repeat a request after that long.
+// Records expire by a logical clock that is advanced through the log (Advance), never by
+// the clock of a host. A key can be reused once its record has expired; callers must not
+// repeat a request after that time.
 package grant
--- a/grant/fuzz_test.go
+++ b/grant/fuzz_test.go
@@ -9,8 +9,8 @@
 	"eelgrasswharf.example/eelgrasswharf/grant"
 )
 
-// FuzzApply applies any two commands. The state survives a snapshot, and a
-// replica that was restored goes on alike.
+// FuzzApply applies two arbitrary commands, with a snapshot in between. The restored
+// replica must behave alike.
 func FuzzApply(f *testing.F) {
 	encode := func(m proto.Message) []byte {
 		data, err := proto.Marshal(m)
@@ -22,13 +22,13 @@
 	f.Add(encode(acquire("k", "one", "d")), encode(advance(1<<63)))
 	f.Add([]byte{0xff}, []byte{})
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		m, twin := grant.New(), grant.New()
+		m, replica := grant.New(), grant.New()
 		m.Apply(1, first)
-		must(t, twin.Restore(snapshot(t, m)))
-		if !bytes.Equal(m.Apply(2, second), twin.Apply(2, second)) {
-			t.Fatal("the restored replica answers otherwise")
+		must(t, replica.Restore(snapshot(t, m)))
+		if !bytes.Equal(m.Apply(2, second), replica.Apply(2, second)) {
+			t.Fatal("the restored replica returns another result")
 		}
-		if !bytes.Equal(snapshot(t, m), snapshot(t, twin)) {
+		if !bytes.Equal(snapshot(t, m), snapshot(t, replica)) {
 			t.Fatal("the restored replica has another state")
 		}
 	})
--- a/grant/machine.go
+++ b/grant/machine.go
@@ -7,31 +7,28 @@
 	"eelgrasswharf.example/eelgrasswharf/api/grantpb"
 )
 
-// ErrInvalidSnapshot tells that a snapshot does not hold a state of this machine.
-var ErrInvalidSnapshot = errors.New("snapshot holds no grant state")
+// ErrInvalidSnapshot means that a snapshot does not contain a state of this machine.
+var ErrInvalidSnapshot = errors.New("invalid grant snapshot")
 
-// Machine is the state machine of one group of grants. It is not safe for use
-// by several goroutines.
+// Machine is the state machine of one grant group. It is not safe for concurrent use.
 type Machine struct {
 	group int
-	// table is nil while none was agreed on.
+	// table is nil until one is agreed on.
 	table     *SlotTable
 	retention Retention
 	now       uint64
 	records   map[recordKey]*record
-	// held and answered have the records of each kind in the order of their
-	// last change.
-	held, answered order
+	// held and answered have the records of each kind, oldest change first.
+	held, answered recordList
 	bytes          int
 	released       *releasedAttempts
 }
 
-// New returns the machine of the first group, without records, at logical time
-// 0. Without a slot table it takes every key.
+// New returns the machine of the first group. Without a slot table it owns every key.
 func New() *Machine { return NewGroup(0) }
 
-// NewGroup returns the machine of a group, numbered from 0. One other than the
-// first takes no key until it has a slot table.
+// NewGroup returns the machine of a group, numbered from 0. Without a slot table only the
+// first group owns keys.
 func NewGroup(group int) *Machine {
 	return &Machine{
 		group:     group,
@@ -41,9 +38,8 @@
 	}
 }
 
-// Apply runs one command of the log and returns a grantpb.Result. A command
-// that is unreadable or breaks a bound changes nothing; its result carries no
-// decision and is not taken.
+// Apply runs one command of the log and returns a grantpb.Result. A command that cannot be
+// decoded or violates a bound changes nothing; its result has no decision and is not taken.
 func (m *Machine) Apply(_ uint64, command []byte) []byte {
 	var c grantpb.Command
 	result := &grantpb.Result{}
@@ -56,7 +52,7 @@
 }
 
 func (m *Machine) run(c *grantpb.Command) *grantpb.Result {
-	if service, key, named := CommandKey(c); named && !m.owns(c.GetTable(), service, key) {
+	if service, key, hasKey := CommandKey(c); hasKey && !m.ownsKey(c.GetTable(), service, key) {
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_TABLE}
 	}
 	switch body := c.GetBody().(type) {
@@ -76,14 +72,14 @@
 }
 
 func (m *Machine) acquire(a *grantpb.Acquire) *grantpb.Result {
-	if !proper(a) {
+	if !validAcquire(a) {
 		return &grantpb.Result{}
 	}
 	if m.released.has(a.GetService(), a.GetKey(), a.GetAttempt()) {
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_RELEASED}
 	}
 	if r := m.find(a.GetService(), a.GetKey()); r != nil {
-		return again(r, a)
+		return decideExisting(r, a)
 	}
 	r := newRecord(&grantpb.Record{
 		Service:   a.GetService(),
@@ -99,16 +95,16 @@
 	return &grantpb.Result{Decision: grantpb.Decision_DECISION_GRANTED}
 }
 
-func proper(a *grantpb.Acquire) bool {
-	return within(len(a.GetKey()), MaxKeyLength) &&
-		within(len(a.GetAttempt()), MaxAttemptLength) &&
-		within(len(a.GetDigest()), MaxDigestLength)
+func validAcquire(a *grantpb.Acquire) bool {
+	return inRange(len(a.GetKey()), MaxKeyLength) &&
+		inRange(len(a.GetAttempt()), MaxAttemptLength) &&
+		inRange(len(a.GetDigest()), MaxDigestLength)
 }
 
-func within(length, limit int) bool { return length > 0 && length <= limit }
+func inRange(length, limit int) bool { return length > 0 && length <= limit }
 
-// again decides on a key that has a record.
-func again(r *record, a *grantpb.Acquire) *grantpb.Result {
+// decideExisting decides on a key that has a record.
+func decideExisting(r *record, a *grantpb.Acquire) *grantpb.Result {
 	if r.digest() != string(a.GetDigest()) {
 		return &grantpb.Result{Decision: grantpb.Decision_DECISION_MISMATCH}
 	}
@@ -121,38 +117,38 @@
 	return &grantpb.Result{Decision: grantpb.Decision_DECISION_HELD}
 }
 
-// complete records the answer. It reports true also for a resend that carries
-// the recorded answer.
+// complete records the response. It also returns true for a resend of the recorded
+// response.
 func (m *Machine) complete(c *grantpb.Complete) bool {
 	r := m.find(c.GetService(), c.GetKey())
 	if r == nil || c.GetAnswer() == nil || r.attempt() != string(c.GetAttempt()) {
 		return false
 	}
-	answer := bounded(c.GetAnswer())
+	answer := limitAnswer(c.GetAnswer())
 	if r.answered {
-		held := r.answer()
-		return proto.Equal(held, answer) || proto.Equal(held, omitted(answer))
+		recorded := r.answer()
+		return proto.Equal(recorded, answer) || proto.Equal(recorded, withoutBody(answer))
 	}
 	if m.bytes+recordOverhead+len(answer.GetContentType())+len(answer.GetBody()) > MaxBytes {
-		// The answer has to be taken whatever the room: the request ran.
-		answer = omitted(answer)
+		// The response must be recorded even if memory is short, because the request ran.
+		answer = withoutBody(answer)
 	}
-	done := r.message()
-	done.Answer, done.ChangedMs = answer, m.now
+	completed := r.message()
+	completed.Answer, completed.ChangedMs = answer, m.now
 	m.remove(r)
-	m.add(newRecord(done))
+	m.add(newRecord(completed))
 	return true
 }
 
-// bounded returns the answer as it is recorded.
-func bounded(a *grantpb.Answer) *grantpb.Answer {
+// limitAnswer returns the response as it is recorded.
+func limitAnswer(a *grantpb.Answer) *grantpb.Answer {
 	if len(a.GetBody()) > MaxBodyLength || len(a.GetContentType()) > MaxContentTypeLength || a.GetBodyOmitted() {
-		return omitted(a)
+		return withoutBody(a)
 	}
 	return a
 }
 
-func omitted(a *grantpb.Answer) *grantpb.Answer {
+func withoutBody(a *grantpb.Answer) *grantpb.Answer {
 	out := &grantpb.Answer{Status: a.GetStatus(), ContentType: a.GetContentType(), BodyOmitted: true}
 	if len(out.GetContentType()) > MaxContentTypeLength {
 		out.ContentType = ""
@@ -160,11 +156,10 @@
 	return out
 }
 
-// release gives a right back and remembers the attempt: its Acquire may be
-// committed later than its Release, or twice, and would hold the key for an
-// attempt that nobody makes.
+// release releases a grant and keeps the attempt as released: its Acquire may be committed
+// after the Release, or twice, and would hold the key although the attempt has ended.
 func (m *Machine) release(c *grantpb.Release) bool {
-	if !within(len(c.GetKey()), MaxKeyLength) || !within(len(c.GetAttempt()), MaxAttemptLength) {
+	if !inRange(len(c.GetKey()), MaxKeyLength) || !inRange(len(c.GetAttempt()), MaxAttemptLength) {
 		return false
 	}
 	m.released.add(&grantpb.Released{
@@ -181,7 +176,7 @@
 	return true
 }
 
-// advance moves the logical clock and drops the records that expired.
+// advance advances the logical clock and drops expired records.
 func (m *Machine) advance(elapsed uint64) {
 	m.now += min(elapsed, uint64(MaxAdvance.Milliseconds()))
 	m.expire(&m.held, uint64(m.retention.Held.Milliseconds()))
@@ -189,8 +184,8 @@
 	m.released.expire(m.now)
 }
 
-func (m *Machine) expire(o *order, retention uint64) {
-	for r := o.first; r != nil && r.changed+retention <= m.now; r = o.first {
+func (m *Machine) expire(list *recordList, retention uint64) {
+	for r := list.first; r != nil && r.changed+retention <= m.now; r = list.first {
 		m.remove(r)
 	}
 }
--- a/grant/machine_test.go
+++ b/grant/machine_test.go
@@ -37,7 +37,7 @@
 
 var must = unittest.Must
 
-func run(t unittest.Failer, m *grant.Machine, c *grantpb.Command) *grantpb.Result {
+func apply(t unittest.Failer, m *grant.Machine, c *grantpb.Command) *grantpb.Result {
 	t.Helper()
 	data, err := proto.Marshal(c)
 	must(t, err)
@@ -46,77 +46,77 @@
 	return &result
 }
 
-func pass(t unittest.Failer, m *grant.Machine, ms uint64) {
+func advanceBy(t unittest.Failer, m *grant.Machine, ms uint64) {
 	t.Helper()
 	step := uint64(grant.MaxAdvance.Milliseconds())
 	for ; ms > step; ms -= step {
-		run(t, m, advance(step))
+		apply(t, m, advance(step))
 	}
-	run(t, m, advance(ms))
+	apply(t, m, advance(ms))
 }
 
-func TestOneAttemptHoldsTheRight(t *testing.T) {
+func TestOneAttemptHoldsTheGrant(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	is.Equal(run(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
-	is.Equal(run(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED) // resend
-	is.Equal(run(t, m, acquire("k", "two", "d")).GetDecision(), grantpb.Decision_DECISION_HELD)
-	is.Equal(run(t, m, acquire("k", "two", "e")).GetDecision(), grantpb.Decision_DECISION_MISMATCH)
+	is.Equal(apply(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
+	is.Equal(apply(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED) // resend
+	is.Equal(apply(t, m, acquire("k", "two", "d")).GetDecision(), grantpb.Decision_DECISION_HELD)
+	is.Equal(apply(t, m, acquire("k", "two", "e")).GetDecision(), grantpb.Decision_DECISION_MISMATCH)
 
-	is.Equal(run(t, m, complete("k", "two", &grantpb.Answer{Status: 200})).GetTaken(), false)
+	is.Equal(apply(t, m, complete("k", "two", &grantpb.Answer{Status: 200})).GetTaken(), false)
 	answer := &grantpb.Answer{Status: 200, ContentType: "text/plain", Body: []byte("done")}
-	is.True(run(t, m, complete("k", "one", answer)).GetTaken())
-	is.True(run(t, m, complete("k", "one", answer)).GetTaken()) // resend
-	is.Equal(run(t, m, complete("k", "one", &grantpb.Answer{Status: 500})).GetTaken(), false)
-	got := run(t, m, acquire("k", "three", "d"))
+	is.True(apply(t, m, complete("k", "one", answer)).GetTaken())
+	is.True(apply(t, m, complete("k", "one", answer)).GetTaken()) // resend
+	is.Equal(apply(t, m, complete("k", "one", &grantpb.Answer{Status: 500})).GetTaken(), false)
+	got := apply(t, m, acquire("k", "three", "d"))
 	is.Equal(got.GetDecision(), grantpb.Decision_DECISION_ANSWERED)
 	is.True(proto.Equal(got.GetAnswer(), answer))
-	is.Equal(run(t, m, release("k", "one")).GetTaken(), false) // an answered request ran
+	is.Equal(apply(t, m, release("k", "one")).GetTaken(), false) // an answered request cannot be released
 }
 
 func TestReleasedKeyCanBeAcquired(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	run(t, m, acquire("k", "one", "d"))
-	is.Equal(run(t, m, release("k", "other")).GetTaken(), false)
-	is.Equal(run(t, m, acquire("k", "other", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
-	is.True(run(t, m, release("k", "one")).GetTaken())
-	is.Equal(run(t, m, acquire("k", "two", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
-	is.Equal(run(t, m, release("k", "one")).GetTaken(), false) // late resend
-	is.Equal(run(t, m, complete("k", "one", &grantpb.Answer{Status: 200})).GetTaken(), false)
-	is.Equal(run(t, m, acquire("k", "three", "d")).GetDecision(), grantpb.Decision_DECISION_HELD)
+	apply(t, m, acquire("k", "one", "d"))
+	is.Equal(apply(t, m, release("k", "other")).GetTaken(), false)
+	is.Equal(apply(t, m, acquire("k", "other", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
+	is.True(apply(t, m, release("k", "one")).GetTaken())
+	is.Equal(apply(t, m, acquire("k", "two", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
+	is.Equal(apply(t, m, release("k", "one")).GetTaken(), false) // late resend
+	is.Equal(apply(t, m, complete("k", "one", &grantpb.Answer{Status: 200})).GetTaken(), false)
+	is.Equal(apply(t, m, acquire("k", "three", "d")).GetDecision(), grantpb.Decision_DECISION_HELD)
 }
 
 func TestLongBodyIsOmitted(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	run(t, m, acquire("fits", "one", "d"))
-	run(t, m, complete("fits", "one", &grantpb.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), grant.MaxBodyLength)}))
-	is.Equal(len(run(t, m, acquire("fits", "two", "d")).GetAnswer().GetBody()), grant.MaxBodyLength)
+	apply(t, m, acquire("fits", "one", "d"))
+	apply(t, m, complete("fits", "one", &grantpb.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), grant.MaxBodyLength)}))
+	is.Equal(len(apply(t, m, acquire("fits", "two", "d")).GetAnswer().GetBody()), grant.MaxBodyLength)
 
-	run(t, m, acquire("long", "one", "d"))
+	apply(t, m, acquire("long", "one", "d"))
 	long := &grantpb.Answer{Status: 201, Body: bytes.Repeat([]byte("x"), grant.MaxBodyLength+1)}
-	is.True(run(t, m, complete("long", "one", long)).GetTaken())
-	is.True(run(t, m, complete("long", "one", long)).GetTaken())
-	got := run(t, m, acquire("long", "two", "d")).GetAnswer()
+	is.True(apply(t, m, complete("long", "one", long)).GetTaken())
+	is.True(apply(t, m, complete("long", "one", long)).GetTaken())
+	got := apply(t, m, acquire("long", "two", "d")).GetAnswer()
 	is.Equal(got.GetStatus(), uint32(201))
 	is.True(got.GetBodyOmitted())
 	is.Equal(len(got.GetBody()), 0)
 }
 
-func TestRetentionIsLogical(t *testing.T) {
+func TestRetentionUsesLogicalClock(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	run(t, m, acquire("held", "one", "d"))
-	run(t, m, acquire("answered", "one", "d"))
-	run(t, m, complete("answered", "one", &grantpb.Answer{Status: 200}))
-
-	pass(t, m, uint64(grant.AnsweredRetention.Milliseconds())-1)
-	is.Equal(run(t, m, acquire("answered", "two", "d")).GetDecision(), grantpb.Decision_DECISION_ANSWERED)
-	run(t, m, advance(1))
-	is.Equal(run(t, m, acquire("answered", "two", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
-	is.Equal(run(t, m, acquire("held", "two", "d")).GetDecision(), grantpb.Decision_DECISION_HELD)
-	pass(t, m, uint64((grant.HeldRetention - grant.AnsweredRetention).Milliseconds()))
+	apply(t, m, acquire("held", "one", "d"))
+	apply(t, m, acquire("answered", "one", "d"))
+	apply(t, m, complete("answered", "one", &grantpb.Answer{Status: 200}))
+
+	advanceBy(t, m, uint64(grant.AnsweredRetention.Milliseconds())-1)
+	is.Equal(apply(t, m, acquire("answered", "two", "d")).GetDecision(), grantpb.Decision_DECISION_ANSWERED)
+	apply(t, m, advance(1))
+	is.Equal(apply(t, m, acquire("answered", "two", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
+	is.Equal(apply(t, m, acquire("held", "two", "d")).GetDecision(), grantpb.Decision_DECISION_HELD)
+	advanceBy(t, m, uint64((grant.HeldRetention - grant.AnsweredRetention).Milliseconds()))
 	held, answered := m.Len()
 	is.Equal(held, 1) // the second "answered"
 	is.Equal(answered, 0)
@@ -125,44 +125,44 @@
 func TestAdvanceIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	run(t, m, advance(1<<62))
+	apply(t, m, advance(1<<62))
 	is.Equal(m.Now(), uint64(grant.MaxAdvance.Milliseconds()))
 }
 
-func TestTableIsBounded(t *testing.T) {
+func TestRecordsAreBounded(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
 	for i := range grant.MaxRecords {
-		run(t, m, acquire(fmt.Sprint(i), "one", "d"))
+		apply(t, m, acquire(fmt.Sprint(i), "one", "d"))
 	}
-	is.Equal(run(t, m, acquire("more", "one", "d")).GetDecision(), grantpb.Decision_DECISION_FULL)
-	is.Equal(run(t, m, acquire("7", "two", "d")).GetDecision(), grantpb.Decision_DECISION_HELD) // nothing is driven out
-	is.True(run(t, m, release("7", "one")).GetTaken())
-	is.Equal(run(t, m, acquire("more", "one", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
+	is.Equal(apply(t, m, acquire("more", "one", "d")).GetDecision(), grantpb.Decision_DECISION_FULL)
+	is.Equal(apply(t, m, acquire("7", "two", "d")).GetDecision(), grantpb.Decision_DECISION_HELD) // nothing is evicted
+	is.True(apply(t, m, release("7", "one")).GetTaken())
+	is.Equal(apply(t, m, acquire("more", "one", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
 }
 
-func TestFullTableStillTakesAnswers(t *testing.T) {
+func TestAnswersAreRecordedWhenFull(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
 	body := bytes.Repeat([]byte("x"), grant.MaxBodyLength)
 	i := 0
-	for ; run(t, m, acquire(fmt.Sprint(i), "one", "d")).GetDecision() == grantpb.Decision_DECISION_GRANTED; i++ {
-		is.True(run(t, m, complete(fmt.Sprint(i), "one", &grantpb.Answer{Status: 200, Body: body})).GetTaken())
+	for ; apply(t, m, acquire(fmt.Sprint(i), "one", "d")).GetDecision() == grantpb.Decision_DECISION_GRANTED; i++ {
+		is.True(apply(t, m, complete(fmt.Sprint(i), "one", &grantpb.Answer{Status: 200, Body: body})).GetTaken())
 	}
 	is.True(i < grant.MaxRecords)
-	// The last ones were recorded without their body.
-	is.True(run(t, m, acquire(fmt.Sprint(i-1), "two", "d")).GetAnswer().GetBodyOmitted())
+	// The last responses were recorded without their body.
+	is.True(apply(t, m, acquire(fmt.Sprint(i-1), "two", "d")).GetAnswer().GetBodyOmitted())
 }
 
-func TestImproperCommands(t *testing.T) {
+func TestInvalidCommands(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	is.Equal(run(t, m, acquire("", "one", "d")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
-	is.Equal(run(t, m, acquire("k", "", "d")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
-	is.Equal(run(t, m, acquire("k", "one", "")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
+	is.Equal(apply(t, m, acquire("", "one", "d")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
+	is.Equal(apply(t, m, acquire("k", "", "d")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
+	is.Equal(apply(t, m, acquire("k", "one", "")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
 	long := string(bytes.Repeat([]byte("k"), grant.MaxKeyLength+1))
-	is.Equal(run(t, m, acquire(long, "one", "d")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
-	is.Equal(run(t, m, complete("k", "one", nil)).GetTaken(), false)
+	is.Equal(apply(t, m, acquire(long, "one", "d")).GetDecision(), grantpb.Decision_DECISION_UNSPECIFIED)
+	is.Equal(apply(t, m, complete("k", "one", nil)).GetTaken(), false)
 	is.Equal(len(m.Apply(1, []byte{0xff})), 0)
 	is.True(m.Restore([]byte{0xff}) != nil)
 	held, answered := m.Len()
--- a/grant/property_test.go
+++ b/grant/property_test.go
@@ -12,14 +12,14 @@
 	"eelgrasswharf.example/eelgrasswharf/grant"
 )
 
-// onlooker checks that no key is granted to two attempts unless the first one
-// released it or its record had the time to expire.
-type onlooker struct {
+// exclusivityChecker checks that a key is granted to a second attempt only after a release
+// or once its record may have expired.
+type exclusivityChecker struct {
 	holder map[string]string
 	since  map[string]uint64
 }
 
-func (o *onlooker) granted(t *rapid.T, key, attempt string, now uint64) {
+func (o *exclusivityChecker) granted(t *rapid.T, key, attempt string, now uint64) {
 	holder, held := o.holder[key]
 	expired := now-o.since[key] >= uint64(grant.AnsweredRetention.Milliseconds())
 	if held && holder != attempt && !expired {
@@ -43,27 +43,27 @@
 	return acquire(key, attempt, rapid.SampledFrom([]string{"d", "d", "e"}).Draw(t, "digest"))
 }
 
-func TestNeverGrantedTwice(t *testing.T) {
+func TestKeyIsGrantedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, twin := grant.New(), grant.New()
-		o := &onlooker{holder: map[string]string{}, since: map[string]uint64{}}
+		m, replica := grant.New(), grant.New()
+		checker := &exclusivityChecker{holder: map[string]string{}, since: map[string]uint64{}}
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
 			c := drawCommand(t)
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				twin = restored(t, twin)
+				replica = restored(t, replica)
 			}
-			got, other := run(t, m, c), run(t, twin, c)
+			got, other := apply(t, m, c), apply(t, replica, c)
 			if got.String() != other.String() {
-				t.Fatalf("the restored replica answered %v, not %v", other, got)
+				t.Fatalf("the restored replica returned %v, want %v", other, got)
 			}
 			if got.GetDecision() == grantpb.Decision_DECISION_GRANTED {
-				o.granted(t, c.GetAcquire().GetKey(), string(c.GetAcquire().GetAttempt()), m.Now())
+				checker.granted(t, c.GetAcquire().GetKey(), string(c.GetAcquire().GetAttempt()), m.Now())
 			}
 			if c.GetRelease() != nil && got.GetTaken() {
-				delete(o.holder, c.GetRelease().GetKey())
+				delete(checker.holder, c.GetRelease().GetKey())
 			}
 		}
-		if string(encoded(t, m)) != string(encoded(t, twin)) {
+		if string(encoded(t, m)) != string(encoded(t, replica)) {
 			t.Fatal("snapshot and replay differ")
 		}
 	})
--- a/grant/record.go
+++ b/grant/record.go
@@ -6,23 +6,23 @@
 	"eelgrasswharf.example/eelgrasswharf/api/grantpb"
 )
 
-// recordKey names a record.
+// recordKey identifies a record.
 type recordKey struct {
 	service uint32
 	key     string
 }
 
-// record is what is kept of one key. Most of the memory of a control host is
-// records, so their fields lie in one allocation beside the record itself.
+// record is the state of one key. All variable-length fields share one allocation, since
+// records take most of the memory of a control host.
 type record struct {
 	prev, next *record
 	// changed is the logical time of the last change, in milliseconds.
 	changed uint64
-	// data has key, attempt, digest, content type and body, one after another.
+	// data is the concatenation of key, attempt, digest, content type and body.
 	data    string
 	service uint32
 	status  uint32
-	// Lengths of the parts of data; the body has the rest.
+	// Lengths of the parts of data; the body is the rest.
 	keyLength, typeLength       uint16
 	attemptLength, digestLength uint8
 	answered, omitted           bool
@@ -52,11 +52,11 @@
 	}
 }
 
-// fits reports whether the fields of an encoded record are within their bounds.
-func fits(m *grantpb.Record) bool {
-	return within(len(m.GetKey()), MaxKeyLength) &&
-		within(len(m.GetAttempt()), MaxAttemptLength) &&
-		within(len(m.GetDigest()), MaxDigestLength) &&
+// validRecord reports whether the fields of an encoded record are within their bounds.
+func validRecord(m *grantpb.Record) bool {
+	return inRange(len(m.GetKey()), MaxKeyLength) &&
+		inRange(len(m.GetAttempt()), MaxAttemptLength) &&
+		inRange(len(m.GetDigest()), MaxDigestLength) &&
 		len(m.GetAnswer().GetContentType()) <= MaxContentTypeLength
 }
 
@@ -89,7 +89,7 @@
 	return r.data[int(r.keyLength)+int(r.attemptLength):][:r.digestLength]
 }
 
-// answer returns the recorded answer, or nil.
+// answer returns the recorded response, or nil.
 func (r *record) answer() *grantpb.Answer {
 	if !r.answered {
 		return nil
@@ -105,34 +105,34 @@
 // size estimates the memory of the record, in bytes.
 func (r *record) size() int { return recordOverhead + len(r.data) }
 
-// order is a list of records, oldest change first.
-type order struct {
+// recordList is a linked list of records, oldest change first.
+type recordList struct {
 	first, last *record
 	length      int
 }
 
-func (o *order) push(r *record) {
-	r.prev, r.next = o.last, nil
-	if o.last != nil {
-		o.last.next = r
+func (l *recordList) push(r *record) {
+	r.prev, r.next = l.last, nil
+	if l.last != nil {
+		l.last.next = r
 	} else {
-		o.first = r
+		l.first = r
 	}
-	o.last = r
-	o.length++
+	l.last = r
+	l.length++
 }
 
-func (o *order) remove(r *record) {
+func (l *recordList) remove(r *record) {
 	if r.prev != nil {
 		r.prev.next = r.next
 	} else {
-		o.first = r.next
+		l.first = r.next
 	}
 	if r.next != nil {
 		r.next.prev = r.prev
 	} else {
-		o.last = r.prev
+		l.last = r.prev
 	}
 	r.prev, r.next = nil, nil
-	o.length--
+	l.length--
 }
--- a/grant/table.go
+++ b/grant/records.go
@@ -15,8 +15,8 @@
 	return m.records[recordKey{service: service, key: key}]
 }
 
-// order returns the list that a record belongs to.
-func (m *Machine) order(r *record) *order {
+// recordList returns the list that a record belongs to.
+func (m *Machine) recordList(r *record) *recordList {
 	if r.answered {
 		return &m.answered
 	}
@@ -25,23 +25,23 @@
 
 func (m *Machine) add(r *record) {
 	m.records[r.name()] = r
-	m.order(r).push(r)
+	m.recordList(r).push(r)
 	m.bytes += r.size()
 }
 
 func (m *Machine) remove(r *record) {
-	m.order(r).remove(r)
+	m.recordList(r).remove(r)
 	delete(m.records, r.name())
 	m.bytes -= r.size()
 }
 
-// Len returns the number of records, held and answered.
+// Len returns the number of held and of answered records.
 func (m *Machine) Len() (held, answered int) { return m.held.length, m.answered.length }
 
-// Usage returns how much of MaxRecords and of MaxBytes is taken, in percent.
+// Usage returns the usage of MaxRecords and of MaxBytes, in percent.
 func (m *Machine) Usage() (records, memory int) {
-	const whole = 100
-	return len(m.records) * whole / MaxRecords, m.bytes * whole / MaxBytes
+	const percent = 100
+	return len(m.records) * percent / MaxRecords, m.bytes * percent / MaxBytes
 }
 
 // Now returns the logical time in milliseconds.
@@ -55,10 +55,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode grant state")
 	}
-	// The records are appended one by one: as messages they would take as much
-	// memory again as the state.
-	for _, o := range []*order{&m.held, &m.answered} {
-		for r := o.first; r != nil; r = r.next {
+	// Records are encoded one by one, since a message with all of them would double the
+	// memory.
+	for _, list := range []*recordList{&m.held, &m.answered} {
+		for r := list.first; r != nil; r = r.next {
 			encoded, err := options.Marshal(r.message())
 			if err != nil {
 				return nil, errors.Wrap(err, "encode grant record")
@@ -67,27 +67,26 @@
 			data = protowire.AppendBytes(data, encoded)
 		}
 	}
-	rest := &grantpb.State{Released: m.released.all(), Retention: m.retention.message()}
+	other := &grantpb.State{Released: m.released.all(), Retention: m.retention.message()}
 	if m.table != nil {
-		rest.Table = m.table.ToProto()
+		other.Table = m.table.ToProto()
 	}
-	data, err = options.MarshalAppend(data, rest)
+	data, err = options.MarshalAppend(data, other)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode grant state")
 	}
 	return data, nil
 }
 
-// encodedSize estimates the size of a snapshot, in bytes, a little too high for
-// records of usual lengths: an array that has to grow is copied as a whole.
+// encodedSize estimates the size of a snapshot, in bytes. The estimate is slightly high,
+// because growing the buffer would copy it.
 func (m *Machine) encodedSize() int {
-	const frame, rest = 40, 1 << 10
+	const recordHeader, other = 40, 1 << 10
 	fields := m.bytes - len(m.records)*recordOverhead
-	return fields + len(m.records)*frame + rest
+	return fields + len(m.records)*recordHeader + other
 }
 
-// Restore replaces the state by a snapshot. On ErrState the machine is
-// unchanged.
+// Restore replaces the state by a snapshot. On ErrInvalidSnapshot the state is unchanged.
 func (m *Machine) Restore(data []byte) error {
 	var state grantpb.State
 	if err := proto.Unmarshal(data, &state); err != nil {
@@ -95,7 +94,7 @@
 	}
 	restored := NewGroup(m.group)
 	restored.now = state.GetNowMs()
-	restored.retention = readRetention(state.GetRetention())
+	restored.retention = parseRetention(state.GetRetention())
 	if state.GetTable() != nil {
 		table, err := ParseSlotTable(state.GetTable())
 		if err != nil {
@@ -104,7 +103,7 @@
 		restored.table = table
 	}
 	for _, r := range state.GetRecords() {
-		if !fits(r) {
+		if !validRecord(r) {
 			return errors.Wrap(ErrInvalidSnapshot, "a record exceeds its bounds")
 		}
 		restored.add(newRecord(r))
--- a/grant/released.go
+++ b/grant/released.go
@@ -6,7 +6,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/grantpb"
 )
 
-// attemptKey names one attempt at the request of a key.
+// attemptKey identifies one attempt for a key.
 type attemptKey struct {
 	recordKey
 	attempt string
@@ -16,12 +16,12 @@
 	return attemptKey{recordKey: recordKey{service: service, key: key}, attempt: string(attempt)}
 }
 
-// releasedAttempts remembers released attempts, so that a late Acquire of one
-// is refused. It is bounded: of more than MaxReleased the oldest is forgotten,
-// whose late Acquire would then hold its key, which is safe.
+// releasedAttempts keeps released attempts, so that a late Acquire of one is refused.
+// Beyond MaxReleased the oldest is evicted; its late Acquire would hold the key, which is
+// safe.
 type releasedAttempts struct {
 	byKey map[attemptKey]struct{}
-	// order has them in the order of their release, oldest first.
+	// order lists them in order of release, oldest first.
 	order *list.List
 }
 
@@ -34,14 +34,14 @@
 	return found
 }
 
-// add remembers an attempt. A repeated release changes nothing.
+// add stores an attempt. A repeated release changes nothing.
 func (s *releasedAttempts) add(r *grantpb.Released) {
 	key := attemptOf(r.GetService(), r.GetKey(), r.GetAttempt())
 	if _, found := s.byKey[key]; found {
 		return
 	}
 	if len(s.byKey) >= MaxReleased {
-		s.forgetOldest()
+		s.evictOldest()
 	}
 	s.byKey[key] = struct{}{}
 	s.order.PushBack(r)
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (s *releasedAttempts) forgetOldest() {
+func (s *releasedAttempts) evictOldest() {
 	r := s.oldest()
 	delete(s.byKey, attemptOf(r.GetService(), r.GetKey(), r.GetAttempt()))
 	s.order.Remove(s.order.Front())
@@ -63,7 +63,7 @@
 func (s *releasedAttempts) expire(now uint64) {
 	retention := uint64(ReleasedRetention.Milliseconds())
 	for r := s.oldest(); r != nil && r.GetReleasedMs()+retention <= now; r = s.oldest() {
-		s.forgetOldest()
+		s.evictOldest()
 	}
 }
 
--- a/grant/released_test.go
+++ b/grant/released_test.go
@@ -11,35 +11,34 @@
 	"eelgrasswharf.example/eelgrasswharf/grant"
 )
 
-func TestLateAcquireDoesNotHoldTheKey(t *testing.T) {
+func TestLateAcquireIsRefused(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	is.Equal(run(t, m, release("k", "one")).GetTaken(), false) // overtook its Acquire
-	is.Equal(run(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
-	is.Equal(run(t, m, acquire("k", "two", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
-	is.Equal(run(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
-	is.True(run(t, m, complete("k", "two", &grantpb.Answer{Status: 200})).GetTaken())
+	is.Equal(apply(t, m, release("k", "one")).GetTaken(), false) // delivered before its Acquire
+	is.Equal(apply(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
+	is.Equal(apply(t, m, acquire("k", "two", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
+	is.Equal(apply(t, m, acquire("k", "one", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
+	is.True(apply(t, m, complete("k", "two", &grantpb.Answer{Status: 200})).GetTaken())
 }
 
 func TestReleasedAttemptsAreBounded(t *testing.T) {
 	is := is.New(t)
 	m := grant.New()
-	run(t, m, release("k", "first"))
+	apply(t, m, release("k", "first"))
 	for i := range grant.MaxReleased {
-		run(t, m, release("k", fmt.Sprint(i)))
+		apply(t, m, release("k", fmt.Sprint(i)))
 	}
-	is.Equal(run(t, m, acquire("k", "0", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
-	is.Equal(run(t, m, acquire("k", "first", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED) // forgotten
-	run(t, m, release("k", "first"))
-	pass(t, m, uint64(grant.ReleasedRetention.Milliseconds()))
-	is.Equal(run(t, m, acquire("k", "first", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
-	is.Equal(run(t, m, release("", "one")).GetTaken(), false)
+	is.Equal(apply(t, m, acquire("k", "0", "d")).GetDecision(), grantpb.Decision_DECISION_RELEASED)
+	is.Equal(apply(t, m, acquire("k", "first", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED) // evicted
+	apply(t, m, release("k", "first"))
+	advanceBy(t, m, uint64(grant.ReleasedRetention.Milliseconds()))
+	is.Equal(apply(t, m, acquire("k", "first", "d")).GetDecision(), grantpb.Decision_DECISION_GRANTED)
+	is.Equal(apply(t, m, release("", "one")).GetTaken(), false)
 }
 
-// TestReleasedAttemptNeverHolds delivers the commands of several attempts in
-// any order, some of them twice: once an attempt was released it is not granted
-// the key, and the key can be had by a fresh attempt unless one that was not
-// released has it.
+// TestReleasedAttemptNeverHolds delivers the commands of several attempts in any order,
+// partly twice. A released attempt must not get the grant, and a new attempt gets it unless
+// another one holds it.
 func TestReleasedAttemptNeverHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var commands []*grantpb.Command
@@ -55,13 +54,13 @@
 			}
 		}
 		m := grant.New()
-		seen := map[string]bool{}
+		releasedSoFar := map[string]bool{}
 		holder := ""
 		for _, c := range rapid.Permutation(commands).Draw(t, "order") {
-			result := run(t, m, c)
+			result := apply(t, m, c)
 			if c.GetRelease() != nil {
 				attempt := string(c.GetRelease().GetAttempt())
-				seen[attempt] = true
+				releasedSoFar[attempt] = true
 				if holder == attempt {
 					holder = ""
 				}
@@ -70,17 +69,17 @@
 				continue
 			}
 			attempt := string(c.GetAcquire().GetAttempt())
-			if seen[attempt] || (holder != "" && holder != attempt) {
-				t.Fatalf("granted to %s; released %v, held by %q", attempt, seen, holder)
+			if releasedSoFar[attempt] || (holder != "" && holder != attempt) {
+				t.Fatalf("granted to %s; released %v, held by %q", attempt, releasedSoFar, holder)
 			}
 			holder = attempt
 		}
 		if released[holder] {
-			t.Fatalf("the key is left with %s, which was released", holder)
+			t.Fatalf("the key is held by %s, which was released", holder)
 		}
-		fresh := run(t, m, acquire("k", "fresh", "d")).GetDecision()
+		fresh := apply(t, m, acquire("k", "fresh", "d")).GetDecision()
 		if (holder == "") != (fresh == grantpb.Decision_DECISION_GRANTED) {
-			t.Fatalf("held by %q, a fresh attempt got %v", holder, fresh)
+			t.Fatalf("held by %q, a new attempt got %v", holder, fresh)
 		}
 	})
 }
--- a/grant/slots.go
+++ b/grant/slottable.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// Slots is the number of hash slots. Like the hash, it never changes: a key
-	// that changed its slot could be granted by two groups.
+	// Slots is the number of hash slots. Neither it nor the hash may change: two groups
+	// could grant a key that moved to another slot.
 	Slots = 1024
 	// MaxGroups bounds the groups of a deployment.
 	MaxGroups = 16
 )
 
-// ErrInvalidSlotTable tells that a slot table is not whole.
-var ErrInvalidSlotTable = errors.New("unusable slot table")
+// ErrInvalidSlotTable means that a slot table is incomplete or inconsistent.
+var ErrInvalidSlotTable = errors.New("invalid slot table")
 
-// SlotTable says which group decides on which keys. It is immutable.
+// SlotTable assigns hash slots to groups. It is immutable.
 type SlotTable struct {
 	groups int
 	owners [Slots]uint8
 	digest uint64
 }
 
-// NewSlotTable returns the table that gives each group an equal run of slots.
-// Groups are numbered from 0; their count is held to 1 to MaxGroups.
+// NewSlotTable returns a table with an equal range of slots per group. Groups are numbered
+// from 0; their number is limited to the range from 1 to MaxGroups.
 func NewSlotTable(groups int) *SlotTable {
 	t := &SlotTable{groups: min(max(groups, 1), MaxGroups)}
 	for slot := range t.owners {
@@ -38,7 +38,7 @@
 	return t
 }
 
-// ParseSlotTable returns the table of a message. Error: ErrSlotTable.
+// ParseSlotTable decodes a slot table. Error: ErrInvalidSlotTable.
 func ParseSlotTable(m *grantpb.SlotTable) (*SlotTable, error) {
 	groups := m.GetGroups()
 	if groups < 1 || groups > MaxGroups || len(m.GetOwners()) != Slots {
@@ -63,7 +63,7 @@
 // Groups returns the number of groups.
 func (t *SlotTable) Groups() int { return t.groups }
 
-// Digest names the table in commands. It is never 0.
+// Digest identifies the table in commands. It is never 0.
 func (t *SlotTable) Digest() uint64 { return t.digest }
 
 // SlotCount returns the number of slots of a group.
@@ -77,7 +77,7 @@
 	return owned
 }
 
-// GroupOf returns the group that decides on a key.
+// GroupOf returns the group that owns a key.
 func (t *SlotTable) GroupOf(service uint32, key string) int {
 	return int(t.owners[SlotOf(service, key)])
 }
@@ -92,8 +92,8 @@
 	return int(mix(h.Sum64()) % Slots)
 }
 
-// mix spreads the bits of a sum: the low ones of FNV depend on the low bits of
-// each byte alone.
+// mix improves the distribution of the low bits, which in FNV depend only on the low bits
+// of each byte.
 func mix(sum uint64) uint64 {
 	const factor = 0xff51afd7ed558ccd
 	sum ^= sum >> 33
