--- a/config/bounds.go
+++ b/config/bounds.go
@@ -1,25 +1,21 @@
 package config
 
-// Bounds of the replicated state. Replicas must agree on them, so a change of
-// one is a change of the format of the log.
+// Bounds of the replicated state. They must be the same on all replicas, so changing one
+// changes the format of the log.
 const (
-	// MaxAcceptedOutcomes is the number of accepted patches whose outcome is
-	// kept: about three days at 3,300 changes a day.
+	// MaxAcceptedOutcomes is the number of accepted patches whose outcome is kept.
 	MaxAcceptedOutcomes = 10_000
-	// MaxRefusedOutcomes is the number of refused patches whose outcome is
-	// kept. It is a bound of its own, so that a flood of refused patches
-	// cannot drive out the outcomes of accepted ones.
+	// MaxRefusedOutcomes is the number of refused patches whose outcome is kept. The bound
+	// is separate, so that refused patches do not evict the outcomes of accepted ones.
 	MaxRefusedOutcomes = 1_000
-	// MaxHistory is the number of versions kept for deltas: nearly two hours
-	// at 3,300 changes a day. A version costs 8 bytes a service. The history
-	// is not part of snapshots.
+	// MaxHistory is the number of versions kept for deltas. The history is not part of
+	// snapshots.
 	MaxHistory = 256
-	// MaxTargets is the number of target identities kept. The identity whose
-	// last registration is the oldest is dropped first; its number is not
-	// used again.
+	// MaxTargets is the number of target identities kept. The one registered least recently
+	// is evicted first; its number is not reused.
 	MaxTargets = 32_768
-	// MaxTargetNumber bounds target numbers and incarnations: connection IDs carry
-	// 24 bits of each.
+	// MaxTargetNumber bounds target numbers and incarnations, which take 24 bits each in
+	// connection IDs.
 	MaxTargetNumber = 1<<24 - 1
 	// MaxServices bounds the services of a configuration.
 	MaxServices = 16_384
@@ -27,13 +23,11 @@
 	MaxAddresses = 1_024
 	// MaxRetired bounds the retired public addresses of a configuration.
 	MaxRetired = 16_384
-	// MaxRoutes bounds the routes of a table: three for each public address of
-	// the size expected.
+	// MaxRoutes bounds the routes of a table.
 	MaxRoutes = 16_384
-	// MaxEvacuations bounds the failure domains that are evacuated at a time: several
-	// times the 21 of the size expected.
+	// MaxEvacuations bounds the failure domains evacuated at the same time.
 	MaxEvacuations = 128
-	// MaxHandledOrders bounds the orders to evacuate whose identifiers are kept.
+	// MaxHandledOrders bounds the evacuation orders whose identifiers are kept.
 	MaxHandledOrders = 256
 	// MaxNameLength bounds names of services and targets, in bytes.
 	MaxNameLength = 63
@@ -45,14 +39,15 @@
 	MaxProcessLength = 64
 	// MaxOperations bounds the operations of one patch.
 	MaxOperations = 10_000
-	// MaxFindings bounds the findings kept with an outcome. One more tells
-	// how many were left out.
+	// MaxFindings bounds the findings kept with an outcome. One more has the number of
+	// omitted ones.
 	MaxFindings = 200
 	// MaxSlots bounds the slots of one target.
 	MaxSlots = 1 << 20
 	// MaxRampMS bounds the ramp after a cold start, in milliseconds.
 	MaxRampMS = 3_600_000
-	// MaxWarmupRate bounds the requests a second that a warming target is said to bear.
+	// MaxWarmupRate bounds the rate that a target accepts during its warm-up, in requests
+	// per second.
 	MaxWarmupRate = 1_000_000
 	// MaxWeight bounds the weights of a policy.
 	MaxWeight = 1_000
--- a/config/conflicts.go
+++ b/config/conflicts.go
@@ -10,35 +10,33 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// checkShared looks for faults of the draft as a whole: an address of two
-// services, too many services. It runs after all operations, so an address
-// may pass from one service to another within a patch. A shared address is
-// reported where the patch names it.
-func (d *draft) checkShared() {
+// checkConflicts checks the draft as a whole: the number of services, and addresses that
+// belong to two services. It runs after all operations, so that an address may move between
+// services within a patch. A conflict is reported where the patch names the address.
+func (d *draft) checkConflicts() {
 	if d.count() > MaxServices {
-		d.find(PatchPlace, "the configuration would have more than %d services", MaxServices)
+		d.addFinding(PatchPlace, "the configuration would have more than %d services", MaxServices)
 	}
-	owner := d.owners()
+	owner := d.addressOwners()
 	for _, name := range d.putOrder() {
-		d.claim(owner, name)
+		d.claimAddresses(owner, name)
 	}
 }
 
-// owners returns the services that the patch leaves as they are, by those of
-// their addresses that it puts elsewhere.
-func (d *draft) owners() map[netip.AddrPort]string {
+// addressOwners returns, for each address in the patch, the unchanged service that has it.
+func (d *draft) addressOwners() map[netip.AddrPort]string {
 	wanted := map[string]netip.AddrPort{}
 	for _, s := range d.services {
 		for _, text := range s.GetAddresses() {
-			if addr, fault := publicAddress(text); fault == "" {
+			if addr, problem := parsePublicAddress(text); problem == "" {
 				wanted[addr.String()] = addr
 			}
 		}
 	}
 	owner := map[netip.AddrPort]string{}
-	for _, s := range d.before.GetServices() {
+	for _, s := range d.base.GetServices() {
 		for _, address := range s.GetAddresses() {
-			if addr, found := wanted[address]; found && d.untouched(s.GetName()) {
+			if addr, found := wanted[address]; found && d.isUnchanged(s.GetName()) {
 				owner[addr] = s.GetName()
 			}
 		}
@@ -46,37 +44,37 @@
 	return owner
 }
 
-// putOrder lists the services that the patch puts, in its order.
+// putOrder returns the services that the patch puts, in order of its operations.
 func (d *draft) putOrder() []string {
-	return slices.SortedFunc(maps.Keys(d.putBy), func(a, b string) int { return cmp.Compare(d.putBy[a], d.putBy[b]) })
+	return slices.SortedFunc(maps.Keys(d.putOperation), func(a, b string) int { return cmp.Compare(d.putOperation[a], d.putOperation[b]) })
 }
 
-func (d *draft) claim(owner map[netip.AddrPort]string, name string) {
+func (d *draft) claimAddresses(owner map[netip.AddrPort]string, name string) {
 	for _, text := range d.services[name].GetAddresses() {
-		addr, fault := publicAddress(text)
-		if fault != "" {
+		addr, problem := parsePublicAddress(text)
+		if problem != "" {
 			continue
 		}
 		other, taken := owner[addr]
 		if taken && other != name {
-			place := d.place(d.putBy[name], name, "addresses")
-			d.find(place, "%q: the address belongs to service %q", text, other)
+			place := d.place(d.putOperation[name], name, "addresses")
+			d.addFinding(place, "%q: the address belongs to service %q", text, other)
 			continue
 		}
 		owner[addr] = name
 	}
 }
 
-// bounded returns the findings, cut to MaxFindings and a count of the rest.
-func (d *draft) bounded() []*configpb.Finding {
-	return boundedFindings(d.findings)
+// limitedFindings returns at most MaxFindings findings and the number of omitted ones.
+func (d *draft) limitedFindings() []*configpb.Finding {
+	return limitFindings(d.findings)
 }
 
-func boundedFindings(all []*configpb.Finding) []*configpb.Finding {
-	left := len(all) - MaxFindings
-	if left <= 0 {
+func limitFindings(all []*configpb.Finding) []*configpb.Finding {
+	omitted := len(all) - MaxFindings
+	if omitted <= 0 {
 		return all
 	}
-	cut := slices.Clip(all[:MaxFindings])
-	return append(cut, &configpb.Finding{Place: PatchPlace, Text: fmt.Sprintf("%d further findings", left)})
+	limited := slices.Clip(all[:MaxFindings])
+	return append(limited, &configpb.Finding{Place: PatchPlace, Text: fmt.Sprintf("%d further findings", omitted)})
 }
--- a/config/delta.go
+++ b/config/delta.go
@@ -10,15 +10,13 @@
 
 // Errors of Merge.
 var (
-	// ErrBaseMismatch tells that a delta starts at another version than the one held.
-	ErrBaseMismatch = errors.New("delta starts at another version")
-	// ErrOlderVersion tells that an update leads to an older version than the one
-	// held.
+	// ErrBaseMismatch means that a delta starts at another version than the base.
+	ErrBaseMismatch = errors.New("delta has another base version")
+	// ErrOlderVersion means that an update leads to an older version than the base.
 	ErrOlderVersion = errors.New("update leads to an older version")
 )
 
-// Diff returns the delta that leads from one version to another in one step.
-// Either may be nil, which stands for no configuration.
+// Diff returns the delta from one version to another. nil stands for no configuration.
 func Diff(from, to *configpb.Configuration) *controlpb.ConfigUpdate {
 	u := &controlpb.ConfigUpdate{BaseVersion: from.GetVersion(), Version: to.GetVersion()}
 	before := byName(from)
@@ -34,17 +32,16 @@
 			u.Removed = append(u.Removed, s.GetName())
 		}
 	}
-	u.Retired = without(to, from)
-	u.Released = without(from, to)
+	u.Retired = retiredDifference(to, from)
+	u.Released = retiredDifference(from, to)
 	u.Table = diffTable(from.GetTable(), to.GetTable())
 	u.Evacuations = diffEvacuations(from, to)
 	return u
 }
 
-// Merge returns the configuration that an update leads to from base. Neither
-// argument is changed. A whole configuration replaces any base that is not
-// newer; a delta needs the very base that it was made from. Errors: ErrBase,
-// ErrOlder.
+// Merge applies an update to base without changing either. A snapshot replaces any base
+// that is not newer; a delta requires the base version that it was computed from. Errors:
+// ErrBaseMismatch, ErrOlderVersion.
 func Merge(base *configpb.Configuration, u *controlpb.ConfigUpdate) (*configpb.Configuration, error) {
 	if snapshot := u.GetSnapshot(); snapshot != nil {
 		if snapshot.GetVersion() < base.GetVersion() {
--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -11,22 +11,21 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// ValidateEvacuation lists every finding of an order to evacuate, each with its place. It
-// needs no state. Whether there is such a failure domain is for the host that takes the
-// order to know: hosts come and go without the log's knowledge.
+// ValidateEvacuation lists all findings of an evacuation order. It does not check that the
+// failure domain exists, since the replicated state does not list failure domains.
 func ValidateEvacuation(o *configpb.EvacuationOrder) []*configpb.Finding {
 	var findings []*configpb.Finding
-	find := func(place, format string, args ...any) {
+	addFinding := func(place, format string, args ...any) {
 		findings = append(findings, &configpb.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
 	}
 	switch name := o.GetFailureDomain(); {
 	case name == "":
-		find("failure domain", "the name is empty")
+		addFinding("failure domain", "the name is empty")
 	case len(name) > MaxTableNameLength:
-		find("failure domain", "the name is longer than %d bytes", MaxTableNameLength)
+		addFinding("failure domain", "the name is longer than %d bytes", MaxTableNameLength)
 	}
 	if len(o.GetId()) > MaxIDLength {
-		find("id", "is longer than %d bytes", MaxIDLength)
+		addFinding("id", "is longer than %d bytes", MaxIDLength)
 	}
 	return findings
 }
@@ -43,47 +42,48 @@
 	})
 }
 
-// evacuate decides on an order, or answers with the first decision on it: a copy that
-// comes after the next order for the same failure domain must not undo that one.
+// evacuate decides an order, or returns the first outcome of a known one: a late duplicate
+// must not undo a later order for the same failure domain.
 func (m *Machine) evacuate(o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
 	if findings := ValidateEvacuation(o); len(findings) > 0 {
 		return m.evacuationOutcome(configpb.EvacuationVerdict_EVACUATION_VERDICT_INVALID, findings...)
 	}
 	if first := m.orders.find(o.GetId()); first != nil {
-		return m.repeatOrder(first, o)
+		return m.duplicateOrder(first, o)
 	}
-	out := m.carryOut(o)
+	out := m.applyEvacuation(o)
 	m.orders.add(o, out)
 	return out
 }
 
-// repeatOrder answers an order whose identifier is known.
-func (m *Machine) repeatOrder(first *configpb.HandledOrder, o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
-	held := first.GetOrder()
-	if held.GetFailureDomain() == o.GetFailureDomain() && held.GetEnd() == o.GetEnd() {
+// duplicateOrder returns the outcome of an order with a known identifier.
+func (m *Machine) duplicateOrder(first *configpb.HandledOrder, o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
+	previous := first.GetOrder()
+	if previous.GetFailureDomain() == o.GetFailureDomain() && previous.GetEnd() == o.GetEnd() {
 		return first.GetOutcome()
 	}
 	return m.evacuationOutcome(configpb.EvacuationVerdict_EVACUATION_VERDICT_INVALID,
 		&configpb.Finding{Place: "id", Text: fmt.Sprintf("%q was used for another order", o.GetId())})
 }
 
-// carryOut makes the version that an order asks for, if the current one differs.
-func (m *Machine) carryOut(o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
-	held := m.current.GetEvacuations()
-	place, found := searchEvacuation(held, o.GetFailureDomain())
+// applyEvacuation publishes the version that an order leads to, if it differs from the
+// current one.
+func (m *Machine) applyEvacuation(o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
+	evacuations := m.current.GetEvacuations()
+	index, found := searchEvacuation(evacuations, o.GetFailureDomain())
 	if found != o.GetEnd() {
 		return m.evacuationOutcome(configpb.EvacuationVerdict_EVACUATION_VERDICT_UNCHANGED)
 	}
-	if !found && len(held) >= MaxEvacuations {
+	if !found && len(evacuations) >= MaxEvacuations {
 		return m.evacuationOutcome(configpb.EvacuationVerdict_EVACUATION_VERDICT_INVALID,
-			&configpb.Finding{Place: "failure domain", Text: fmt.Sprintf("%d are evacuated, at most %d", len(held), MaxEvacuations)})
+			&configpb.Finding{Place: "failure domain", Text: fmt.Sprintf("%d are evacuated, at most %d", len(evacuations), MaxEvacuations)})
 	}
 	next := assemble(m.current, m.current.GetVersion()+1, nil, nil, retiredSet(m.current))
-	next.Evacuations = slices.Clone(held)
+	next.Evacuations = slices.Clone(evacuations)
 	if o.GetEnd() {
-		next.Evacuations = slices.Delete(next.Evacuations, place, place+1)
+		next.Evacuations = slices.Delete(next.Evacuations, index, index+1)
 	} else {
-		next.Evacuations = slices.Insert(next.Evacuations, place, &configpb.Evacuation{
+		next.Evacuations = slices.Insert(next.Evacuations, index, &configpb.Evacuation{
 			FailureDomain: o.GetFailureDomain(),
 			SinceVersion:  next.GetVersion(),
 			Order:         o.GetId(),
@@ -98,12 +98,12 @@
 	return &configpb.EvacuationOutcome{Verdict: verdict, Version: m.current.GetVersion(), Findings: findings}
 }
 
-// handledOrders remembers the orders with an identifier, the oldest first.
+// handledOrders keeps the orders with an identifier, oldest first.
 type handledOrders struct {
 	list []*configpb.HandledOrder
 }
 
-// find returns what is remembered of an identifier, nil if nothing is.
+// find returns the order with an identifier, or nil.
 func (h *handledOrders) find(id string) *configpb.HandledOrder {
 	if id == "" {
 		return nil
@@ -123,8 +123,7 @@
 	h.list = h.list[max(len(h.list)-MaxHandledOrders, 0):]
 }
 
-// diffEvacuations returns the whole list of a version if it differs from that of another
-// one, else nil.
+// diffEvacuations returns the list of the second version if the two differ, else nil.
 func diffEvacuations(from, to *configpb.Configuration) *controlpb.EvacuationList {
 	if sameEvacuations(from, to) {
 		return nil
--- a/config/evacuation_test.go
+++ b/config/evacuation_test.go
@@ -37,7 +37,7 @@
 	return apply(t, m, evacuationCommand(o)).GetEvacuated()
 }
 
-func evacuated(c *configpb.Configuration) string {
+func evacuatedDomains(c *configpb.Configuration) string {
 	var names []string
 	for _, e := range c.GetEvacuations() {
 		names = append(names, e.GetFailureDomain())
@@ -45,12 +45,13 @@
 	return strings.Join(names, " ")
 }
 
-// TestEvacuationOrders plays orders and copies of them against what is in force after each.
+// TestEvacuationOrders applies orders and duplicates and checks the evacuated failure
+// domains after each.
 func TestEvacuationOrders(t *testing.T) {
 	type step struct {
 		order   *configpb.EvacuationOrder
 		verdict configpb.EvacuationVerdict
-		inForce string
+		active  string
 	}
 	for name, steps := range map[string][]step{
 		"begin and end": {
@@ -62,33 +63,33 @@
 			{begin("", "a"), unchanged, "a"},
 			{begin("x", "a"), unchanged, "a"},
 		},
-		"end without a beginning": {
+		"end without begin": {
 			{end("", "a"), unchanged, ""},
 		},
-		"two failure domains, in order": {
+		"two failure domains": {
 			{begin("", "b"), applied, "b"},
 			{begin("", "a"), applied, "a b"},
 			{end("", "b"), applied, "a"},
 		},
-		"a late copy of the beginning": {
+		"late duplicate of begin": {
 			{begin("x", "a"), applied, "a"},
 			{end("y", "a"), applied, ""},
 			{begin("x", "a"), applied, ""},
 		},
-		"a late copy of the end": {
+		"late duplicate of end": {
 			{begin("x", "a"), applied, "a"},
 			{end("y", "a"), applied, ""},
 			{begin("z", "a"), applied, "a"},
 			{end("y", "a"), applied, "a"},
 		},
-		"an identifier of another order": {
+		"identifier of another order": {
 			{begin("x", "a"), applied, "a"},
 			{begin("x", "b"), invalid, "a"},
 			{end("x", "a"), invalid, "a"},
 		},
-		"without a name":  {{begin("x", ""), invalid, ""}},
-		"a long name":     {{begin("x", strings.Repeat("a", 256)), invalid, ""}},
-		"a long order id": {{begin(strings.Repeat("x", 129), "a"), invalid, ""}},
+		"empty name":      {{begin("x", ""), invalid, ""}},
+		"long name":       {{begin("x", strings.Repeat("a", 256)), invalid, ""}},
+		"long identifier": {{begin(strings.Repeat("x", 129), "a"), invalid, ""}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -96,10 +97,10 @@
 			for _, s := range steps {
 				before := m.Current()
 				out := order(t, m, s.order)
-				is.Equal(out.GetVerdict(), s.verdict)       // step
-				is.Equal(evacuated(m.Current()), s.inForce) // step
+				is.Equal(out.GetVerdict(), s.verdict)             // step
+				is.Equal(evacuatedDomains(m.Current()), s.active) // step
 				is.Equal(out.GetVerdict() == invalid, len(out.GetFindings()) > 0)
-				if s.inForce == evacuated(before) {
+				if s.active == evacuatedDomains(before) {
 					is.Equal(m.Current().GetVersion(), before.GetVersion()) // nothing changed
 				}
 			}
@@ -107,7 +108,7 @@
 	}
 }
 
-func TestEvacuationTellsItsOrder(t *testing.T) {
+func TestEvacuationRecordsItsOrder(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	submit(t, m, patch("p1", 0, put(service("s", "192.0.2.1:443"))))
@@ -121,22 +122,22 @@
 	is.Equal(numberOf(m, "s"), uint32(1)) // services stay
 }
 
-// Patches and route tables leave evacuations as they are, and the other way round.
-func TestEvacuationsOutliveOtherChanges(t *testing.T) {
+// Patches and route tables do not change evacuations, and vice versa.
+func TestEvacuationsSurviveOtherChanges(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	order(t, m, begin("", "a"))
 	submit(t, m, patch("p1", 1, put(service("s", "192.0.2.1:443"))))
-	is.Equal(evacuated(m.Current()), "a")
+	is.Equal(evacuatedDomains(m.Current()), "a")
 	replaced := apply(t, m, &configpb.Command{Body: &configpb.Command_Replacement{Replacement: table(7)}}).GetReplaced()
 	is.Equal(replaced.GetVerdict(), configpb.ReplaceVerdict_REPLACE_VERDICT_APPLIED)
-	is.Equal(evacuated(m.Current()), "a")
+	is.Equal(evacuatedDomains(m.Current()), "a")
 	order(t, m, end("", "a"))
 	is.Equal(m.Current().GetTable().GetRevision(), uint64(7))
 	is.Equal(numberOf(m, "s"), uint32(1))
 }
 
-// table is a route table with one route.
+// table returns a route table with one route.
 func table(revision uint64) *configpb.Replacement {
 	return &configpb.Replacement{Services: []string{"s"}, Table: &configpb.RouteTable{Revision: revision, Routes: []*configpb.Route{{
 		Name: "r", Address: "198.18.0.1:443", TimeoutMs: 1000,
@@ -144,7 +145,7 @@
 	}}}}
 }
 
-func TestPatchAgainstAVersionBeforeAnEvacuation(t *testing.T) {
+func TestPatchConflictsWithEvacuation(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	order(t, m, begin("", "a"))
@@ -169,26 +170,26 @@
 	must(t, err)
 	must(t, proto.Unmarshal(data, &state))
 	is.Equal(len(state.GetEvacuationOrders()), config.MaxHandledOrders)
-	is.Equal(state.GetEvacuationOrders()[0].GetOrder().GetId(), fmt.Sprintf("o%d", config.MaxHandledOrders)) // the oldest go
+	is.Equal(state.GetEvacuationOrders()[0].GetOrder().GetId(), fmt.Sprintf("o%d", config.MaxHandledOrders)) // the oldest are evicted
 }
 
-// TestAgentsLearnOfEvacuations: the part of a configuration that an agent holds has them.
-func TestAgentsLearnOfEvacuations(t *testing.T) {
+// TestFilteredConfigurationKeepsEvacuations guards against agents that miss an evacuation.
+func TestFilteredConfigurationKeepsEvacuations(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	before := m.Current()
 	order(t, m, begin("", "a"))
-	part := config.FilterServices(m.Current(), map[uint32]bool{9: true})
-	is.True(config.IsEvacuated(part, "a"))
-	u := config.Diff(config.FilterServices(before, map[uint32]bool{9: true}), part)
+	filtered := config.FilterServices(m.Current(), map[uint32]bool{9: true})
+	is.True(config.IsEvacuated(filtered, "a"))
+	u := config.Diff(config.FilterServices(before, map[uint32]bool{9: true}), filtered)
 	merged, err := config.Merge(config.FilterServices(before, nil), u)
 	must(t, err)
 	is.True(config.IsEvacuated(merged, "a"))
 }
 
-// TestEvacuationProperties draws orders, copies and snapshots: what is in force follows
-// from the orders that were not handled before, versions only grow, deltas lead from any
-// version to the newest, and a restored replica answers alike.
+// TestEvacuationProperties applies random orders, duplicates and snapshots. The evacuated
+// failure domains match a model, versions only increase, deltas lead to the newest version,
+// and a restored replica behaves alike.
 func TestEvacuationProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := config.New()
@@ -209,12 +210,12 @@
 			}
 			data, err := proto.Marshal(evacuationCommand(o))
 			must(t, err)
-			twin := restored(t, snapshot(t, m))
-			answer := m.Apply(1, data)
-			if !slices.Equal(answer, twin.Apply(1, data)) {
-				t.Fatalf("a restored replica answers otherwise to %v", o)
+			replica := restored(t, snapshot(t, m))
+			result := m.Apply(1, data)
+			if !slices.Equal(result, replica.Apply(1, data)) {
+				t.Fatalf("a restored replica returns another result for %v", o)
 			}
-			if !proto.Equal(m.Current(), twin.Current()) {
+			if !proto.Equal(m.Current(), replica.Current()) {
 				t.Fatalf("a restored replica has another configuration after %v", o)
 			}
 			newest := versions[len(versions)-1]
@@ -235,7 +236,7 @@
 		merged, err := config.Merge(from, config.Diff(from, m.Current()))
 		must(t, err)
 		if !proto.Equal(merged, m.Current()) {
-			t.Fatalf("a delta from version %d leads elsewhere", from.GetVersion())
+			t.Fatalf("the delta from version %d does not lead to the newest version", from.GetVersion())
 		}
 	})
 }
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -9,8 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/config"
 )
 
-// FuzzApply feeds a command as it may stand in a log, whatever wrote it, and
-// checks that the state goes through a snapshot unchanged.
+// FuzzApply applies an arbitrary command and checks that a snapshot preserves the state.
 func FuzzApply(f *testing.F) {
 	seeds := []*configpb.Command{
 		{Body: &configpb.Command_Patch{Patch: patch("p", 0, put(service("a", "192.0.2.1:443")), remove("b"))}},
@@ -33,11 +32,11 @@
 		m.Apply(3, command)
 		before, err := m.Snapshot()
 		must(t, err)
-		twin := config.New()
-		must(t, twin.Restore(before))
-		after, err := twin.Snapshot()
+		replica := config.New()
+		must(t, replica.Restore(before))
+		after, err := replica.Snapshot()
 		if err != nil || string(before) != string(after) {
-			t.Fatal("the state changed on its way through a snapshot", err)
+			t.Fatal("the snapshot changed the state", err)
 		}
 	})
 }
--- a/config/machine.go
+++ b/config/machine.go
@@ -11,11 +11,10 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// ErrInvalidSnapshot tells that a snapshot does not hold a state of this machine.
-var ErrInvalidSnapshot = errors.New("snapshot holds no configuration state")
+// ErrInvalidSnapshot means that a snapshot does not contain a state of this machine.
+var ErrInvalidSnapshot = errors.New("invalid configuration snapshot")
 
-// Machine is the state machine of the configuration. It is not safe for use
-// by several goroutines.
+// Machine is the state machine of the configuration. It is not safe for concurrent use.
 type Machine struct {
 	current      *configpb.Configuration
 	versionPatch string
@@ -24,7 +23,7 @@
 	targets      *targets
 	// lastService is the highest service number ever assigned.
 	lastService uint32
-	// document is the operator's of the route table in force.
+	// document is the operator's document of the active route table.
 	document []byte
 	// history has the newest versions, oldest first, current last.
 	history []*configpb.Configuration
@@ -37,8 +36,8 @@
 	return m
 }
 
-// Apply runs one command of the log and returns a configpb.Result. A command
-// that this release cannot read changes nothing; its result has no body.
+// Apply runs one command of the log and returns a configpb.Result. A command that this
+// release cannot decode changes nothing; its result has no body.
 func (m *Machine) Apply(_ uint64, command []byte) []byte {
 	var c configpb.Command
 	result := &configpb.Result{}
@@ -70,23 +69,23 @@
 	return &configpb.Result{}
 }
 
-// patch decides on a patch, or answers with the first decision on it.
+// patch decides a patch, or returns the first outcome of a known one.
 func (m *Machine) patch(p *configpb.Patch) *configpb.Outcome {
 	digest := Digest(p)
 	if first := m.outcomes.find(p.GetId()); first != nil {
-		return m.repeat(first, p, digest)
+		return m.duplicateOutcome(first, p, digest)
 	}
-	out := m.judge(p)
+	out := m.evaluate(p)
 	out.Digest = digest
-	// Without a proper identifier there is nothing to find it by later.
+	// An invalid identifier cannot be looked up later.
 	if p.GetId() != "" && len(p.GetId()) <= MaxIDLength {
 		m.outcomes.add(out)
 	}
 	return out
 }
 
-// repeat answers a patch whose identifier is known.
-func (m *Machine) repeat(first *configpb.Outcome, p *configpb.Patch, digest []byte) *configpb.Outcome {
+// duplicateOutcome returns the outcome of a patch with a known identifier.
+func (m *Machine) duplicateOutcome(first *configpb.Outcome, p *configpb.Patch, digest []byte) *configpb.Outcome {
 	if slices.Equal(first.GetDigest(), digest) {
 		return first
 	}
@@ -99,29 +98,28 @@
 	}
 }
 
-// judge decides on a patch that was not seen before, and makes it a version if
-// it fits.
-func (m *Machine) judge(p *configpb.Patch) *configpb.Outcome {
+// evaluate decides a new patch and publishes it as a version if it is valid.
+func (m *Machine) evaluate(p *configpb.Patch) *configpb.Outcome {
 	out := &configpb.Outcome{Id: p.GetId(), Version: m.current.GetVersion(), VersionPatch: m.versionPatch}
 	if p.GetBaseVersion() != m.current.GetVersion() {
 		out.Verdict = configpb.Verdict_VERDICT_REFUSED_BASE
 		out.Findings = []*configpb.Finding{m.baseFinding(p.GetBaseVersion())}
 		return out
 	}
-	d, findings := rehearse(m.current, p)
+	d, findings := buildDraft(m.current, p)
 	if len(findings) > 0 {
 		out.Verdict = configpb.Verdict_VERDICT_REFUSED_FINDINGS
 		out.Findings = findings
 		return out
 	}
-	m.accept(d, p.GetId())
+	m.commit(d, p.GetId())
 	out.Verdict = configpb.Verdict_VERDICT_ACCEPTED
 	out.Version = m.current.GetVersion()
 	out.VersionPatch = p.GetId()
 	return out
 }
 
-// baseFinding tells what became of the base version that a patch names.
+// baseFinding explains why a patch's base version is not the current one.
 func (m *Machine) baseFinding(base uint64) *configpb.Finding {
 	f := &configpb.Finding{Place: "base version"}
 	current := m.current.GetVersion()
@@ -129,54 +127,53 @@
 		f.Text = fmt.Sprintf("there is no version %d yet, the current one is %d", base, current)
 		return f
 	}
-	if winner := m.outcomes.accepted(base + 1); winner != nil {
-		f.Text = fmt.Sprintf("patch %q turned version %d into version %d", winner.GetId(), base, base+1)
+	if accepted := m.outcomes.byVersion(base + 1); accepted != nil {
+		f.Text = fmt.Sprintf("patch %q turned version %d into version %d", accepted.GetId(), base, base+1)
 		return f
 	}
 	if before, after := m.Version(base), m.Version(base+1); before != nil && !sameEvacuations(before, after) {
 		f.Text = fmt.Sprintf("an order to evacuate a failure domain turned version %d into version %d", base, base+1)
 		return f
 	}
-	// The outcome of this very patch may be among the forgotten ones.
+	// The patch itself may be among those whose outcome was evicted.
 	f.Text = fmt.Sprintf("the outcomes of patches against version %d are no longer kept: "+
 		"compare the configuration before sending the change again", base)
 	return f
 }
 
-// accept makes the draft the next version.
-func (m *Machine) accept(d *draft, id string) {
-	// The order in the patch decides the numbers, on every replica alike.
+// commit publishes the draft as the next version.
+func (m *Machine) commit(d *draft, id string) {
+	// Numbers are assigned in the order of the patch, the same on every replica.
 	for _, name := range d.putOrder() {
-		number := serviceNamed(m.current, name).GetNumber()
+		number := findService(m.current, name).GetNumber()
 		if number == 0 || d.removed[name] {
 			m.lastService++
 			number = m.lastService
 		}
-		warmup := serviceNamed(m.current, name).GetWarmup()
+		warmup := findService(m.current, name).GetWarmup()
 		d.services[name] = normalise(d.services[name], number)
 		d.services[name].Warmup = warmup
 	}
 	m.publish(assemble(m.current, m.current.GetVersion()+1, d.services, d.removed, d.retired), id)
 	if len(d.removed) > 0 {
-		m.targets.keepServices(m.numberSet())
+		m.targets.retainServices(m.numberSet())
 	}
 }
 
-// normalise copies a service with its number and canonical addresses.
+// normalise returns a copy of a service with its number and canonical addresses.
 func normalise(s *configpb.Service, number uint32) *configpb.Service {
 	out := proto.CloneOf(s)
 	out.Number = number
 	for i, text := range out.GetAddresses() {
-		addr, _ := publicAddress(text)
+		addr, _ := parsePublicAddress(text)
 		out.Addresses[i] = addr.String()
 	}
 	return out
 }
 
-// assemble returns the version that follows from base by services that are put
-// and removed, and the retired addresses. It lists services by name, as base
-// does, and addresses in order, so that equal configurations have equal
-// encodings.
+// assemble returns the version that follows from base after putting and removing services,
+// with the given retired addresses. Services and addresses are sorted, so that equal
+// configurations have equal encodings.
 func assemble(base *configpb.Configuration, version uint64, put map[string]*configpb.Service, removed, retired map[string]bool) *configpb.Configuration {
 	services := make([]*configpb.Service, len(base.GetServices()), len(base.GetServices())+len(put))
 	copy(services, base.GetServices())
@@ -205,8 +202,8 @@
 // compareName orders services by name.
 func compareName(s *configpb.Service, name string) int { return cmp.Compare(s.GetName(), name) }
 
-// serviceNamed returns the service of a version, or nil.
-func serviceNamed(c *configpb.Configuration, name string) *configpb.Service {
+// findService returns the service of a version by name, or nil.
+func findService(c *configpb.Configuration, name string) *configpb.Service {
 	i, found := slices.BinarySearchFunc(c.GetServices(), name, compareName)
 	if !found {
 		return nil
@@ -214,7 +211,7 @@
 	return c.GetServices()[i]
 }
 
-// publish makes a version the current one.
+// publish makes a configuration the current version.
 func (m *Machine) publish(c *configpb.Configuration, id string) {
 	m.current = c
 	m.versionPatch = id
--- a/config/machine_test.go
+++ b/config/machine_test.go
@@ -72,7 +72,7 @@
 	is.Equal(numberOf(m, "lodgement"), uint32(1))
 }
 
-func TestResendGetsFirstOutcome(t *testing.T) {
+func TestResentPatchGetsFirstOutcome(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	p := patch("p1", 0, put(service("a", "192.0.2.1:443")))
@@ -81,24 +81,24 @@
 	p.Places = []string{"moved.ini:9"}
 	again := submit(t, m, p)
 	is.True(proto.Equal(first, again))
-	is.Equal(m.Current().GetVersion(), uint64(2)) // the resend did not apply
+	is.Equal(m.Current().GetVersion(), uint64(2)) // the resend was not applied
 
 	late := submit(t, m, patch("p3", 0, put(service("b", "192.0.2.2:443"))))
 	is.Equal(late.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_BASE)
 	is.True(proto.Equal(late, submit(t, m, patch("p3", 0, put(service("b", "192.0.2.2:443"))))))
 }
 
-func TestSameIDOtherContents(t *testing.T) {
+func TestReusedIDIsRefused(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	submit(t, m, patch("p1", 0, put(service("a", "192.0.2.1:443"))))
 	out := submit(t, m, patch("p1", 1, remove("a")))
 	is.Equal(out.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_ID)
 	is.Equal(out.GetVersion(), uint64(1))
-	is.Equal(m.Outcome("p1").GetVerdict(), configpb.Verdict_VERDICT_ACCEPTED) // the first one stays
+	is.Equal(m.Outcome("p1").GetVerdict(), configpb.Verdict_VERDICT_ACCEPTED) // the first one is kept
 }
 
-func TestWrongBaseNamesWinner(t *testing.T) {
+func TestBaseConflictNamesAcceptedPatch(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	submit(t, m, patch("ada", 0, put(service("a", "192.0.2.1:443"))))
@@ -118,17 +118,17 @@
 	is := is.New(t)
 	m := config.New()
 	submit(t, m, patch("p1", 0, put(service("held", "192.0.2.9:443"))))
-	bad := service("Bad_Name", "nonsense", "192.0.2.3:0", "192.0.2.4:443", "192.0.2.4:443")
-	bad.Slots = 0
-	bad.Policy = &configpb.Policy{
+	invalid := service("Bad_Name", "nonsense", "192.0.2.3:0", "192.0.2.4:443", "192.0.2.4:443")
+	invalid.Slots = 0
+	invalid.Policy = &configpb.Policy{
 		Strategy: 77, BrokenFlowWeight: -1, ImbalanceWeight: math.NaN(),
 		PanicPercent: 101, RetryPercent: 200, RampMs: config.MaxRampMS + 1,
 	}
 	p := patch("p2", 1,
-		put(bad),
-		remove("nobody"),
-		put(service("thief", "[::ffff:192.0.2.9]:443")),
-		put(service("thief", "192.0.2.10:443")),
+		put(invalid),
+		remove("missing"),
+		put(service("conflicting", "[::ffff:192.0.2.9]:443")),
+		put(service("conflicting", "192.0.2.10:443")),
 		&configpb.Operation{},
 		put(service("bare")),
 	)
@@ -148,11 +148,11 @@
 		`policy.panic_percent: a percentage`,
 		`policy.retry_percent: a percentage`,
 		`policy.ramp_ms: the ramp`,
-		`a.ini:9, service "nobody": there is no service`,
-		`operation 4, service "thief": the service is put a second time, first by operation 3`,
+		`a.ini:9, service "missing": there is no service`,
+		`operation 4, service "conflicting": the service is put a second time, first by operation 3`,
 		`operation 5: the operation is empty`,
 		`operation 6, service "bare", addresses: the service has no public address`,
-		`operation 3, service "thief", addresses: "[::ffff:192.0.2.9]:443": the address belongs to service "held"`,
+		`operation 3, service "conflicting", addresses: "[::ffff:192.0.2.9]:443": the address belongs to service "held"`,
 	}
 	is.Equal(len(out.GetFindings()), len(want))
 	all := ""
@@ -186,7 +186,7 @@
 	is.Equal(found[config.MaxFindings].GetText(), "7 further findings")
 }
 
-func TestAddressMovesOnlyToAnotherNumber(t *testing.T) {
+func TestServiceNumbers(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	submit(t, m, patch("p1", 0, put(service("a", "192.0.2.1:443"))))
@@ -196,7 +196,7 @@
 	submit(t, m, patch("p3", 2, remove("b"), put(service("a", "192.0.2.1:443"))))
 	is.True(numberOf(m, "a") != first)
 
-	// Removed and put again within one patch is another service, too.
+	// A service that is removed and put in the same patch gets a new number.
 	third := numberOf(m, "a")
 	submit(t, m, patch("p4", 3, remove("a"), put(service("a", "192.0.2.1:443"))))
 	is.True(numberOf(m, "a") != third)
@@ -223,7 +223,7 @@
 	is.Equal(register(t, m, "a", "t3", "").GetRefusal(), config.RefusalProcess)
 	is.True(register(t, m, "a", "T3", "x").GetRefusal() != "")
 
-	// The service comes back under another number, and so do its targets.
+	// The service gets another number when it is put again, and so do its targets.
 	submit(t, m, patch("p2", 1, remove("a")))
 	submit(t, m, patch("p3", 2, put(service("a", "192.0.2.1:443"))))
 	again := register(t, m, "a", "t1", "x")
@@ -248,12 +248,12 @@
 	is.NoErr(err)
 	is.NoErr(m.Restore(data))
 	moved := register(t, m, "a", "t1", "y")
-	is.Equal(moved.GetTargetNumber(), uint32(config.MaxTargetNumber)) // a fresh number starts over
+	is.Equal(moved.GetTargetNumber(), uint32(config.MaxTargetNumber)) // a new number starts with incarnation 1
 	is.Equal(moved.GetIncarnation(), uint32(1))
 	is.Equal(register(t, m, "a", "t2", "z").GetRefusal(), config.RefusalNumbers)
 }
 
-func TestRefusedFloodKeepsAcceptedOutcome(t *testing.T) {
+func TestRefusedPatchesDoNotEvictAcceptedOutcomes(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	p := patch("p1", 0, put(service("a", "192.0.2.1:443")))
@@ -267,7 +267,7 @@
 	is.Equal(submit(t, m, p).GetVersion(), uint64(1))
 }
 
-func TestForgottenOutcomeNeverAppliesTwice(t *testing.T) {
+func TestEvictedPatchIsNotAppliedAgain(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	first := patch("p0", 0, put(service("a", "192.0.2.1:443")))
@@ -283,7 +283,7 @@
 	is.Equal(m.Current(), before)
 }
 
-func TestUnreadableCommandChangesNothing(t *testing.T) {
+func TestUndecodableCommandIsIgnored(t *testing.T) {
 	is := is.New(t)
 	m := config.New()
 	is.Equal(len(m.Apply(1, []byte{0xff, 0xff})), 0)
@@ -305,7 +305,7 @@
 	is.Equal(m.Version(newest-config.MaxHistory+1).GetVersion(), newest-config.MaxHistory+1)
 }
 
-func TestMergeRefusesOlderAndForeign(t *testing.T) {
+func TestMergeErrors(t *testing.T) {
 	is := is.New(t)
 	base := &configpb.Configuration{Version: 5}
 	_, err := config.Merge(base, config.Diff(nil, &configpb.Configuration{Version: 6}))
@@ -329,10 +329,9 @@
 	is.Equal(config.EffectivePolicy(&configpb.Policy{RampMs: 7}).GetRampMs(), uint32(7))
 }
 
-// TestPatchCostsWhatItNames changes one service among few and among many: the
-// work for those that the patch does not name is no more than a copy of their
-// list. A replica that restarts applies thousands of versions.
-func TestPatchCostsWhatItNames(t *testing.T) {
+// TestPatchCostDependsOnItsServices guards against work for each unnamed service: a replica
+// that restarts applies thousands of versions.
+func TestPatchCostDependsOnItsServices(t *testing.T) {
 	is := is.New(t)
 	allocations := func(services int) float64 {
 		m := config.New()
@@ -346,6 +345,6 @@
 			submit(t, m, patch(fmt.Sprint("p", version), version, put(service("s7", fmt.Sprintf("10.0.0.8:%d", 1000+version%2)))))
 		})
 	}
-	few, many := allocations(10), allocations(2000)
-	is.True(many < few*1.5)
+	small, large := allocations(10), allocations(2000)
+	is.True(large < small*1.5)
 }
--- a/config/outcomes.go
+++ b/config/outcomes.go
@@ -6,14 +6,13 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// outcomes remembers what became of patches, bounded apart for accepted and
-// refused ones.
+// outcomes keeps the outcomes of patches, with separate bounds for accepted and refused
+// ones.
 type outcomes struct {
 	byID map[string]*configpb.Outcome
-	// took has accepted outcomes by version; versions follow each other
-	// without gaps.
-	took    []*configpb.Outcome
-	refused []*configpb.Outcome
+	// accepted has the outcomes of accepted patches by version, without gaps.
+	accepted []*configpb.Outcome
+	refused  []*configpb.Outcome
 }
 
 func newOutcomes() *outcomes {
@@ -22,22 +21,23 @@
 
 func (o *outcomes) find(id string) *configpb.Outcome { return o.byID[id] }
 
-// accepted returns the outcome of the patch that made a version, if kept.
-func (o *outcomes) accepted(version uint64) *configpb.Outcome {
-	if len(o.took) == 0 {
+// byVersion returns the outcome of the patch that created a version, or nil if it was
+// evicted.
+func (o *outcomes) byVersion(version uint64) *configpb.Outcome {
+	if len(o.accepted) == 0 {
 		return nil
 	}
-	oldest := o.took[0].GetVersion()
-	if version < oldest || version-oldest >= uint64(len(o.took)) {
+	oldest := o.accepted[0].GetVersion()
+	if version < oldest || version-oldest >= uint64(len(o.accepted)) {
 		return nil
 	}
-	return o.took[version-oldest]
+	return o.accepted[version-oldest]
 }
 
 func (o *outcomes) add(out *configpb.Outcome) {
 	o.byID[out.GetId()] = out
 	if out.GetVerdict() == configpb.Verdict_VERDICT_ACCEPTED {
-		o.took = o.trim(append(o.took, out), MaxAcceptedOutcomes)
+		o.accepted = o.trim(append(o.accepted, out), MaxAcceptedOutcomes)
 		return
 	}
 	o.refused = o.trim(append(o.refused, out), MaxRefusedOutcomes)
@@ -52,8 +52,7 @@
 	return list
 }
 
-// list returns the outcomes in the order in which add keeps them: each kind
-// oldest first.
+// list returns the accepted and then the refused outcomes, each oldest first.
 func (o *outcomes) list() []*configpb.Outcome {
-	return slices.Concat(o.took, o.refused)
+	return slices.Concat(o.accepted, o.refused)
 }
--- a/config/policy.go
+++ b/config/policy.go
@@ -6,7 +6,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// Defaults of a policy, used where a field is zero.
+// Defaults of zero policy fields.
 const (
 	DefaultBrokenFlowWeight = 1.0
 	DefaultImbalanceWeight  = 1.0
@@ -15,9 +15,8 @@
 	DefaultRetryPercent     = 10
 )
 
-// EffectivePolicy returns a copy of the policy with defaults in place of zero
-// fields. The replicated state keeps policies as they were written, so that
-// replicas of different releases never disagree about the state.
+// EffectivePolicy returns a copy of the policy with defaults in place of zero fields. The
+// replicated state has no defaults, so that replicas of different releases agree on it.
 func EffectivePolicy(p *configpb.Policy) *configpb.Policy {
 	return &configpb.Policy{
 		Strategy:         p.GetStrategy(),
--- a/config/property_test.go
+++ b/config/property_test.go
@@ -50,46 +50,46 @@
 	return &configpb.Command{Body: &configpb.Command_Patch{Patch: drawPatch(t, version)}}
 }
 
-// invariants checks a run of commands as an onlooker would.
+// invariants checks the outcomes and configurations of a sequence of commands.
 type invariants struct {
-	// winner is the digest of the patch that was accepted from a base.
-	winner map[uint64]string
-	// first is the first outcome by identifier and digest.
-	first map[string]*configpb.Outcome
-	// service is the name that had a service number.
+	// acceptedFrom has the patch accepted from each base version.
+	acceptedFrom map[uint64]string
+	// firstOutcome has the first outcome by identifier and digest.
+	firstOutcome map[string]*configpb.Outcome
+	// service has the name of each service number.
 	service map[uint32]string
-	// retired has the service numbers that are out of use.
+	// retired has the service numbers no longer in use.
 	retired map[uint32]bool
-	// target is the service and target that had a target number.
+	// target has the service and name of each target number.
 	target map[uint32]string
 }
 
 func newInvariants() *invariants {
 	return &invariants{
-		winner:  map[uint64]string{},
-		first:   map[string]*configpb.Outcome{},
-		service: map[uint32]string{},
-		retired: map[uint32]bool{},
-		target:  map[uint32]string{},
+		acceptedFrom: map[uint64]string{},
+		firstOutcome: map[string]*configpb.Outcome{},
+		service:      map[uint32]string{},
+		retired:      map[uint32]bool{},
+		target:       map[uint32]string{},
 	}
 }
 
 func (v *invariants) outcome(t *rapid.T, p *configpb.Patch, out *configpb.Outcome) {
 	key := p.GetId() + string(config.Digest(p))
-	if first, known := v.first[key]; known {
-		if !proto.Equal(first, out) {
+	if firstOutcome, known := v.firstOutcome[key]; known {
+		if !proto.Equal(firstOutcome, out) {
 			t.Fatalf("a resend of %s got another outcome", p.GetId())
 		}
 		return
 	}
-	v.first[key] = out
+	v.firstOutcome[key] = out
 	if out.GetVerdict() != configpb.Verdict_VERDICT_ACCEPTED {
 		return
 	}
-	if _, taken := v.winner[p.GetBaseVersion()]; taken {
+	if _, taken := v.acceptedFrom[p.GetBaseVersion()]; taken {
 		t.Fatalf("two versions from base %d", p.GetBaseVersion())
 	}
-	v.winner[p.GetBaseVersion()] = key
+	v.acceptedFrom[p.GetBaseVersion()] = key
 	if out.GetVersion() != p.GetBaseVersion()+1 {
 		t.Fatalf("version %d from base %d", out.GetVersion(), p.GetBaseVersion())
 	}
@@ -101,10 +101,10 @@
 	for _, s := range c.GetServices() {
 		now[s.GetNumber()] = true
 		if v.retired[s.GetNumber()] {
-			t.Fatalf("service number %d used again", s.GetNumber())
+			t.Fatalf("service number %d reused", s.GetNumber())
 		}
 		if name, known := v.service[s.GetNumber()]; known && name != s.GetName() {
-			t.Fatalf("service number %d passed from %s to %s", s.GetNumber(), name, s.GetName())
+			t.Fatalf("service number %d moved from %s to %s", s.GetNumber(), name, s.GetName())
 		}
 		v.service[s.GetNumber()] = s.GetName()
 		for _, a := range s.GetAddresses() {
@@ -123,11 +123,11 @@
 	if reg.GetRefusal() != "" {
 		return
 	}
-	who := fmt.Sprintf("%d/%s", reg.GetServiceNumber(), r.GetTarget())
-	if held, known := v.target[reg.GetTargetNumber()]; known && held != who {
-		t.Fatalf("target number %d passed from %s to %s", reg.GetTargetNumber(), held, who)
+	owner := fmt.Sprintf("%d/%s", reg.GetServiceNumber(), r.GetTarget())
+	if held, known := v.target[reg.GetTargetNumber()]; known && held != owner {
+		t.Fatalf("target number %d moved from %s to %s", reg.GetTargetNumber(), held, owner)
 	}
-	v.target[reg.GetTargetNumber()] = who
+	v.target[reg.GetTargetNumber()] = owner
 }
 
 func decodeResult(t *rapid.T, data []byte) *configpb.Result {
@@ -151,20 +151,20 @@
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := config.New()
-		twin := config.New()
+		replica := config.New()
 		v := newInvariants()
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := drawCommand(t, m.Current().GetVersion())
 			data, err := proto.Marshal(c)
 			must(t, err)
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				twin = restored(t, snapshot(t, twin))
+				replica = restored(t, snapshot(t, replica))
 			}
-			answer := m.Apply(uint64(i), data)
-			if string(answer) != string(twin.Apply(uint64(i), data)) {
-				t.Fatal("the restored replica answered otherwise")
+			reply := m.Apply(uint64(i), data)
+			if string(reply) != string(replica.Apply(uint64(i), data)) {
+				t.Fatal("the restored replica returned another result")
 			}
-			result := decodeResult(t, answer)
+			result := decodeResult(t, reply)
 			if p := c.GetPatch(); p != nil {
 				v.outcome(t, p, result.GetOutcome())
 			}
@@ -173,13 +173,13 @@
 			}
 			v.configuration(t, m.Current())
 		}
-		if string(snapshot(t, m)) != string(snapshot(t, twin)) {
+		if string(snapshot(t, m)) != string(snapshot(t, replica)) {
 			t.Fatal("snapshot and replay differ")
 		}
 	})
 }
 
-func TestDeltasLeadWhereVersionsDo(t *testing.T) {
+func TestDeltasReproduceVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := config.New()
 		for i := range rapid.IntRange(2, 30).Draw(t, "patches") {
@@ -193,7 +193,7 @@
 		got, err := config.Merge(from, config.Diff(from, to))
 		must(t, err)
 		if !proto.Equal(got, to) {
-			t.Fatalf("the delta leads to %v, not to %v", got, to)
+			t.Fatalf("the delta leads to %v, want %v", got, to)
 		}
 	})
 }
--- a/config/retired.go
+++ b/config/retired.go
@@ -7,40 +7,39 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// release takes back an address that earlier versions retired.
+// release releases a retired address.
 func (d *draft) release(i int, text string) {
 	place := d.place(i, "", "release")
-	addr, fault := publicAddress(text)
-	if fault != "" {
-		d.find(place, "%q: %s", text, fault)
+	addr, problem := parsePublicAddress(text)
+	if problem != "" {
+		d.addFinding(place, "%q: %s", text, problem)
 		return
 	}
 	address := addr.String()
-	if earlier, twice := d.released[address]; twice {
-		d.find(place, "%q: the address is released a second time, first by %s", text, d.place(earlier, "", ""))
+	if earlier, duplicate := d.released[address]; duplicate {
+		d.addFinding(place, "%q: the address is released a second time, first by %s", text, d.place(earlier, "", ""))
 		return
 	}
 	if !d.retired[address] {
-		d.find(place, "%q: the address is not a retired one", text)
+		d.addFinding(place, "%q: the address is not a retired one", text)
 		return
 	}
 	d.released[address] = i
 }
 
-// retire works out which public addresses stand for no service after the
-// patch. An address that a service leaves is kept for its established flows; it
-// ends by a release, which is the operator's explicit choice, or when a service
-// takes it.
-func (d *draft) retire() {
+// updateRetired computes the retired addresses after the patch. An address that a service
+// no longer has stays retired, for its established flows, until it is released or assigned
+// to a service again.
+func (d *draft) updateRetired() {
 	for name := range d.removed {
-		d.leave(name)
+		d.retireAddressesOf(name)
 	}
 	for name := range d.services {
-		d.leave(name)
+		d.retireAddressesOf(name)
 	}
 	for _, s := range d.services {
 		for _, text := range s.GetAddresses() {
-			addr, _ := publicAddress(text)
+			addr, _ := parsePublicAddress(text)
 			delete(d.retired, addr.String())
 		}
 	}
@@ -48,19 +47,18 @@
 		delete(d.retired, address)
 	}
 	if len(d.retired) > MaxRetired {
-		d.find(PatchPlace, "the configuration would keep more than %d retired addresses; release some", MaxRetired)
+		d.addFinding(PatchPlace, "the configuration would keep more than %d retired addresses; release some", MaxRetired)
 	}
 }
 
-// leave retires the addresses that a service had before the patch.
-func (d *draft) leave(name string) {
-	for _, address := range serviceNamed(d.before, name).GetAddresses() {
+// retireAddressesOf retires the addresses that a service had before the patch.
+func (d *draft) retireAddressesOf(name string) {
+	for _, address := range findService(d.base, name).GetAddresses() {
 		d.retired[address] = true
 	}
 }
 
-// retiredList returns the retired addresses in order, so that equal
-// configurations have equal encodings.
+// retiredList returns the retired addresses in order.
 func retiredList(set map[string]bool) []string {
 	return slices.Sorted(maps.Keys(set))
 }
@@ -73,12 +71,12 @@
 	return set
 }
 
-// without returns the members of a that are not in b, in order.
-func without(a, b *configpb.Configuration) []string {
-	held := retiredSet(b)
+// retiredDifference returns the retired addresses of a that are not retired in b, in order.
+func retiredDifference(a, b *configpb.Configuration) []string {
+	excluded := retiredSet(b)
 	var out []string
 	for _, address := range a.GetRetired() {
-		if !held[address] {
+		if !excluded[address] {
 			out = append(out, address)
 		}
 	}
--- a/config/retired_test.go
+++ b/config/retired_test.go
@@ -14,7 +14,7 @@
 	return &configpb.Operation{Body: &configpb.Operation_ReleaseAddress{ReleaseAddress: address}}
 }
 
-func TestAddressesThatServicesLeaveStayUntilReleased(t *testing.T) {
+func TestUnusedAddressesAreRetiredUntilReleased(t *testing.T) {
 	const one, two, three = "192.0.2.1:443", "192.0.2.2:443", "192.0.2.3:443"
 	steps := []struct {
 		name    string
@@ -24,8 +24,8 @@
 		{"begin", []*configpb.Operation{put(service("a", one, two))}, nil},
 		{"replaced", []*configpb.Operation{put(service("a", three))}, []string{one, two}},
 		{"unrelated", []*configpb.Operation{put(service("b", "192.0.2.9:443"))}, []string{one, two}},
-		{"taken by another", []*configpb.Operation{put(service("b", "192.0.2.9:443", two))}, []string{one}},
-		{"passed in one patch", []*configpb.Operation{put(service("a", one)), put(service("b", three))}, []string{two, "192.0.2.9:443"}},
+		{"assigned to another service", []*configpb.Operation{put(service("b", "192.0.2.9:443", two))}, []string{one}},
+		{"moved within one patch", []*configpb.Operation{put(service("a", one)), put(service("b", three))}, []string{two, "192.0.2.9:443"}},
 		{"service removed", []*configpb.Operation{remove("b")}, []string{two, three, "192.0.2.9:443"}},
 		{"released", []*configpb.Operation{release(three), release(two)}, []string{"192.0.2.9:443"}},
 	}
--- a/config/routes.go
+++ b/config/routes.go
@@ -12,33 +12,33 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// ValidateReplacement lists every finding of a replacement of the route table,
-// each with its place. It needs no state: a table names all that it refers to.
+// ValidateReplacement lists all findings of a replacement of the route table. It needs no
+// state.
 func ValidateReplacement(r *configpb.Replacement) []*configpb.Finding {
-	c := &tableCheck{services: map[string]bool{}, taken: map[netip.AddrPort]string{}}
+	c := &tableValidator{services: map[string]bool{}, routeByAddress: map[netip.AddrPort]string{}}
 	c.table(r)
-	return boundedFindings(c.findings)
+	return limitFindings(c.findings)
 }
 
-// tableCheck collects the findings of one route table.
-type tableCheck struct {
+// tableValidator collects the findings of one route table.
+type tableValidator struct {
 	services map[string]bool
-	// taken has the route of each address so far.
-	taken    map[netip.AddrPort]string
-	findings []*configpb.Finding
+	// routeByAddress has the name of the route for each address so far.
+	routeByAddress map[netip.AddrPort]string
+	findings       []*configpb.Finding
 }
 
-func (c *tableCheck) find(place, format string, args ...any) {
+func (c *tableValidator) addFinding(place, format string, args ...any) {
 	c.findings = append(c.findings, &configpb.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
 }
 
-func (c *tableCheck) table(r *configpb.Replacement) {
+func (c *tableValidator) table(r *configpb.Replacement) {
 	table := r.GetTable()
 	if table.GetRevision() == 0 {
-		c.find("revision", "must be at least 1")
+		c.addFinding("revision", "must be at least 1")
 	}
 	if count := len(table.GetRoutes()); count > MaxRoutes {
-		c.find("routes", "there are %d, at most %d", count, MaxRoutes)
+		c.addFinding("routes", "there are %d, at most %d", count, MaxRoutes)
 		return
 	}
 	for i, name := range r.GetServices() {
@@ -56,33 +56,33 @@
 	return fmt.Sprintf("route %d %q", i+1, r.GetName())
 }
 
-func (c *tableCheck) service(i int, name string) {
+func (c *tableValidator) service(i int, name string) {
 	place := fmt.Sprintf("service %d %q", i+1, name)
-	if fault := tableNameFault(name); fault != "" {
-		c.find(place, "%s", fault)
+	if problem := tableNameProblem(name); problem != "" {
+		c.addFinding(place, "%s", problem)
 	}
 	if c.services[name] {
-		c.find(place, "is listed twice")
+		c.addFinding(place, "is listed twice")
 	}
 	c.services[name] = true
 }
 
-func (c *tableCheck) warmup(place string, w *configpb.ServiceWarmup) {
+func (c *tableValidator) warmup(place string, w *configpb.ServiceWarmup) {
 	if !c.services[w.GetService()] {
-		c.find(place, "there is no such service")
+		c.addFinding(place, "there is no such service")
 	}
 	if w.GetWarmup().GetDurationMs() > MaxRampMS {
-		c.find(place, "the duration is longer than %d ms", MaxRampMS)
+		c.addFinding(place, "the duration is longer than %d ms", MaxRampMS)
 	}
-	// A comparison with NaN is false.
+	// False also for NaN.
 	if rate := w.GetWarmup().GetRequestsPerSecond(); !(rate >= 0 && rate <= MaxWarmupRate) {
-		c.find(place, "%v requests a second are not from 0 to %d", rate, MaxWarmupRate)
+		c.addFinding(place, "%v requests a second are not from 0 to %d", rate, MaxWarmupRate)
 	}
 }
 
-// tableNameFault tells what is wrong with the name of a service in a table. Those
-// names come from another system, so all but their length is left to it.
-func tableNameFault(name string) string {
+// tableNameProblem returns what is wrong with a service name in a route table, or nothing.
+// These names come from another system, so only their length is checked.
+func tableNameProblem(name string) string {
 	if name == "" {
 		return "the name is empty"
 	}
@@ -92,43 +92,43 @@
 	return ""
 }
 
-func (c *tableCheck) route(place string, r *configpb.Route) {
-	address, fault := publicAddress(r.GetAddress())
-	if fault != "" {
-		c.find(place, "address %q: %s", r.GetAddress(), fault)
-	} else if other, found := c.taken[address]; found {
-		c.find(place, "the address %s is that of route %q", address, other)
+func (c *tableValidator) route(place string, r *configpb.Route) {
+	address, problem := parsePublicAddress(r.GetAddress())
+	if problem != "" {
+		c.addFinding(place, "address %q: %s", r.GetAddress(), problem)
+	} else if other, found := c.routeByAddress[address]; found {
+		c.addFinding(place, "the address %s is that of route %q", address, other)
 	} else {
-		c.taken[address] = r.GetName()
+		c.routeByAddress[address] = r.GetName()
 	}
 	if r.GetTimeoutMs() == 0 {
-		c.find(place, "the timeout must not be 0")
+		c.addFinding(place, "the timeout must not be 0")
 	}
 	var sum uint64
 	for _, s := range r.GetServices() {
 		sum += uint64(s.GetWeight())
 		if !c.services[s.GetService()] {
-			c.find(place, "there is no service %q", s.GetService())
+			c.addFinding(place, "there is no service %q", s.GetService())
 		}
 	}
 	if sum == 0 {
-		c.find(place, "the weights of its services add up to 0")
+		c.addFinding(place, "the weights of its services add up to 0")
 	}
 }
 
-// replace decides on a replacement. The revisions are the operator's: whoever
-// resends an older one hears that it is superseded, and nothing changes.
+// replace decides a replacement. Revisions are assigned by the operator: an older one is
+// superseded and changes nothing.
 func (m *Machine) replace(r *configpb.Replacement) *configpb.ReplaceOutcome {
-	held := m.current.GetTable().GetRevision()
+	activeRevision := m.current.GetTable().GetRevision()
 	if findings := ValidateReplacement(r); len(findings) > 0 {
 		return &configpb.ReplaceOutcome{
 			Verdict:  configpb.ReplaceVerdict_REPLACE_VERDICT_INVALID,
-			Revision: held,
+			Revision: activeRevision,
 			Findings: findings,
 		}
 	}
-	if r.GetTable().GetRevision() <= held {
-		return &configpb.ReplaceOutcome{Verdict: configpb.ReplaceVerdict_REPLACE_VERDICT_SUPERSEDED, Revision: held}
+	if r.GetTable().GetRevision() <= activeRevision {
+		return &configpb.ReplaceOutcome{Verdict: configpb.ReplaceVerdict_REPLACE_VERDICT_SUPERSEDED, Revision: activeRevision}
 	}
 	next := m.withServices(r)
 	next.Table = canonicalTable(m.current.GetTable(), r.GetTable())
@@ -140,10 +140,9 @@
 	}
 }
 
-// withServices returns a version after the current one that has the services of a
-// replacement, with the warm-up that it states. Services stay when a table no longer
-// names them, with their numbers and targets: a later table may name them again, and
-// their backend servers run on meanwhile.
+// withServices returns the next version with the services of a replacement and their
+// warm-up. Services that a table no longer names are kept with their numbers and targets:
+// their backend servers are still running, and a later table may name them again.
 func (m *Machine) withServices(r *configpb.Replacement) *configpb.Configuration {
 	warmups := make(map[string]*configpb.Warmup, len(r.GetWarmups()))
 	for _, w := range r.GetWarmups() {
@@ -151,13 +150,13 @@
 	}
 	put := map[string]*configpb.Service{}
 	for _, name := range r.GetServices() {
-		held := serviceNamed(m.current, name)
+		existing := findService(m.current, name)
 		switch {
-		case held == nil:
+		case existing == nil:
 			m.lastService++
 			put[name] = &configpb.Service{Number: m.lastService, Name: name, Warmup: warmups[name]}
-		case !proto.Equal(held.GetWarmup(), warmups[name]):
-			changed := proto.CloneOf(held)
+		case !proto.Equal(existing.GetWarmup(), warmups[name]):
+			changed := proto.CloneOf(existing)
 			changed.Warmup = warmups[name]
 			put[name] = changed
 		}
@@ -165,26 +164,26 @@
 	return assemble(m.current, m.current.GetVersion()+1, put, nil, retiredSet(m.current))
 }
 
-// canonicalTable copies a table with its routes in order. Routes that have not
-// changed are shared with the table before, since the history has many tables.
+// canonicalTable returns a copy of a table with sorted routes. Unchanged routes are shared
+// with the previous table to save memory.
 func canonicalTable(before, table *configpb.RouteTable) *configpb.RouteTable {
-	held := routesByAddress(before)
+	existing := routesByAddress(before)
 	out := &configpb.RouteTable{
 		Revision:      table.GetRevision(),
 		IdleTimeoutMs: table.GetIdleTimeoutMs(),
 		Routes:        make([]*configpb.Route, 0, len(table.GetRoutes())),
 	}
 	for _, r := range table.GetRoutes() {
-		address, _ := publicAddress(r.GetAddress())
-		made := r
+		address, _ := parsePublicAddress(r.GetAddress())
+		route := r
 		if text := address.String(); text != r.GetAddress() {
-			made = proto.CloneOf(r)
-			made.Address = text
+			route = proto.CloneOf(r)
+			route.Address = text
 		}
-		if old := held[made.GetAddress()]; old != nil && proto.Equal(old, made) {
-			made = old
+		if old := existing[route.GetAddress()]; old != nil && proto.Equal(old, route) {
+			route = old
 		}
-		out.Routes = append(out.Routes, made)
+		out.Routes = append(out.Routes, route)
 	}
 	slices.SortFunc(out.Routes, func(a, b *configpb.Route) int { return cmp.Compare(a.GetAddress(), b.GetAddress()) })
 	return out
@@ -198,7 +197,7 @@
 	return out
 }
 
-// diffTable returns what leads from one table to another, nil if nothing does.
+// diffTable returns the delta from one table to another, nil if they are equal.
 func diffTable(from, to *configpb.RouteTable) *controlpb.RouteTableDelta {
 	if to == nil || from.GetRevision() == to.GetRevision() {
 		return nil
@@ -220,7 +219,7 @@
 	return d
 }
 
-// mergeTable returns the table that a delta leads to from base.
+// mergeTable applies a delta to a table.
 func mergeTable(base *configpb.RouteTable, d *controlpb.RouteTableDelta) *configpb.RouteTable {
 	if d == nil {
 		return base
--- a/config/scope_test.go
+++ b/config/scope_test.go
@@ -11,25 +11,25 @@
 	"eelgrasswharf.example/eelgrasswharf/config"
 )
 
-func TestWithinKeepsVersion(t *testing.T) {
+func TestFilterServicesKeepsVersion(t *testing.T) {
 	is := is.New(t)
 	c := &configpb.Configuration{Version: 7, Services: []*configpb.Service{
 		{Number: 1, Name: "lodgement"}, {Number: 2, Name: "certificates"},
 	}, Retired: []string{"192.0.2.9:443"}}
-	part := config.FilterServices(c, map[uint32]bool{2: true})
-	is.Equal(part.GetVersion(), uint64(7))
-	is.Equal(len(part.GetServices()), 1)
-	is.Equal(part.GetServices()[0].GetName(), "certificates")
-	is.Equal(len(part.GetRetired()), 0)
+	filtered := config.FilterServices(c, map[uint32]bool{2: true})
+	is.Equal(filtered.GetVersion(), uint64(7))
+	is.Equal(len(filtered.GetServices()), 1)
+	is.Equal(filtered.GetServices()[0].GetName(), "certificates")
+	is.Equal(len(filtered.GetRetired()), 0)
 	is.Equal(config.FilterServices(nil, nil), nil)
 }
 
-// TestPartFollowsByDeltas merges the deltas of a part over drawn versions in
-// which names pass from one number to another.
-func TestPartFollowsByDeltas(t *testing.T) {
+// TestFilteredDeltas merges the deltas of filtered configurations while names move between
+// service numbers.
+func TestFilteredDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scope := map[uint32]bool{1: true, 3: true}
-		var held *configpb.Configuration
+		var current *configpb.Configuration
 		before := &configpb.Configuration{}
 		for version := uint64(1); version <= rapid.Uint64Range(1, 12).Draw(t, "versions"); version++ {
 			next := &configpb.Configuration{Version: version}
@@ -41,12 +41,12 @@
 				}
 			}
 			u := config.Diff(config.FilterServices(before, scope), config.FilterServices(next, scope))
-			merged, err := config.Merge(held, u)
+			merged, err := config.Merge(current, u)
 			must(t, err)
 			if !proto.Equal(merged, config.FilterServices(next, scope)) {
-				t.Fatalf("held %v, want the part of %v", merged, next)
+				t.Fatalf("got %v, want the filtered part of %v", merged, next)
 			}
-			held, before = merged, next
+			current, before = merged, next
 		}
 	})
 }
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -9,26 +9,25 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// Digest returns the SHA-256 of what a patch asks for: its base version and
-// operations. Places are left out, since the same patch may be sent again
-// from a file that has moved.
+// Digest returns the SHA-256 of a patch's identifier, base version and operations. It omits
+// the places, since the same patch may be sent again from a file that was moved.
 func Digest(p *configpb.Patch) []byte {
-	bare := &configpb.Patch{Id: p.GetId(), BaseVersion: p.GetBaseVersion(), Operations: p.GetOperations()}
-	// No message of a patch has a map field, so the encoding is in the order
-	// of field numbers. Marshalling fails only for invalid UTF-8.
-	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(bare)
+	content := &configpb.Patch{Id: p.GetId(), BaseVersion: p.GetBaseVersion(), Operations: p.GetOperations()}
+	// A patch has no map fields, so the encoding is deterministic. Marshalling fails only
+	// for invalid UTF-8.
+	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(content)
 	sum := sha256.Sum256(data)
 	return sum[:]
 }
 
-// Current returns the newest version. It must not be changed.
+// Current returns the newest version. It must not be modified.
 func (m *Machine) Current() *configpb.Configuration { return m.current }
 
-// VersionPatch returns the identifier of the patch that made the current
-// version, or nothing at version 0.
+// VersionPatch returns the identifier of the patch that created the current version, empty
+// if no patch did.
 func (m *Machine) VersionPatch() string { return m.versionPatch }
 
-// Version returns a version of the history, or nil if it is not held.
+// Version returns a version of the history, or nil.
 func (m *Machine) Version(version uint64) *configpb.Configuration {
 	oldest := m.history[0].GetVersion()
 	if version < oldest || version > m.current.GetVersion() {
@@ -37,14 +36,14 @@
 	return m.history[version-oldest]
 }
 
-// RouteTableDocument returns the operator's document of the route table in force, nil if
-// there is none. It must not be changed.
+// RouteTableDocument returns the operator's document of the active route table, or nil. It
+// must not be modified.
 func (m *Machine) RouteTableDocument() []byte { return m.document }
 
-// Outcome returns what became of a patch, or nil if nothing is known of it.
+// Outcome returns the outcome of a patch, or nil if it is unknown.
 func (m *Machine) Outcome(id string) *configpb.Outcome { return m.outcomes.find(id) }
 
-// Target returns the agreed identity that holds a target number, or nil.
+// Target returns the identity with a target number, or nil.
 func (m *Machine) Target(number uint32) *configpb.TargetIdentity { return m.targets.byNumber(number) }
 
 // Snapshot returns the encoded state.
@@ -54,7 +53,7 @@
 		Outcomes:          m.outcomes.list(),
 		Targets:           m.targets.list(),
 		LastServiceNumber: m.lastService,
-		LastTargetNumber:  m.targets.last,
+		LastTargetNumber:  m.targets.lastNumber,
 		VersionPatch:      m.versionPatch,
 		Document:          m.document,
 		EvacuationOrders:  m.orders.list,
@@ -66,8 +65,7 @@
 	return data, nil
 }
 
-// Restore replaces the state by a snapshot. On ErrState the machine is
-// unchanged.
+// Restore replaces the state by a snapshot. On ErrInvalidSnapshot the state is unchanged.
 func (m *Machine) Restore(data []byte) error {
 	var state configpb.State
 	if err := proto.Unmarshal(data, &state); err != nil {
--- a/config/targets.go
+++ b/config/targets.go
@@ -9,11 +9,11 @@
 
 // Refusals of a registration.
 const (
-	// RefusalUnknownService tells that no service has that name.
+	// RefusalUnknownService means that no service has the given name.
 	RefusalUnknownService = "there is no service of that name"
-	// RefusalProcess tells that the process identity is empty or too long.
+	// RefusalProcess means that the process identity is empty or too long.
 	RefusalProcess = "the process identity is empty or too long"
-	// RefusalNumbers tells that all target numbers have been assigned.
+	// RefusalNumbers means that no target numbers are left.
 	RefusalNumbers = "all target numbers have been assigned"
 )
 
@@ -22,14 +22,14 @@
 	name    string
 }
 
-// targets holds the agreed identities, in the order of their last
-// registration, oldest first.
+// targets holds the target identities in the order of their last registration, oldest
+// first.
 type targets struct {
 	byKey  map[targetKey]*list.Element
 	number map[uint32]*list.Element
 	order  *list.List
-	// last is the highest target number ever assigned.
-	last uint32
+	// lastNumber is the highest target number ever assigned.
+	lastNumber uint32
 }
 
 func newTargets() *targets {
@@ -40,16 +40,16 @@
 	}
 }
 
-func restoreTargets(ids []*configpb.TargetIdentity, last uint32) *targets {
+func restoreTargets(ids []*configpb.TargetIdentity, lastNumber uint32) *targets {
 	t := newTargets()
-	t.last = last
+	t.lastNumber = lastNumber
 	for _, id := range ids {
 		t.add(id)
 	}
 	return t
 }
 
-func identity(e *list.Element) *configpb.TargetIdentity { return e.Value.(*configpb.TargetIdentity) }
+func identityOf(e *list.Element) *configpb.TargetIdentity { return e.Value.(*configpb.TargetIdentity) }
 
 func keyOf(id *configpb.TargetIdentity) targetKey {
 	return targetKey{service: id.GetServiceNumber(), name: id.GetTarget()}
@@ -57,7 +57,7 @@
 
 func (t *targets) byNumber(number uint32) *configpb.TargetIdentity {
 	if e, ok := t.number[number]; ok {
-		return identity(e)
+		return identityOf(e)
 	}
 	return nil
 }
@@ -65,12 +65,12 @@
 func (t *targets) list() []*configpb.TargetIdentity {
 	ids := make([]*configpb.TargetIdentity, 0, t.order.Len())
 	for e := t.order.Front(); e != nil; e = e.Next() {
-		ids = append(ids, identity(e))
+		ids = append(ids, identityOf(e))
 	}
 	return ids
 }
 
-// add keeps an identity as the newest one.
+// add stores an identity as the newest one and evicts the oldest beyond MaxTargets.
 func (t *targets) add(id *configpb.TargetIdentity) {
 	if e, ok := t.byKey[keyOf(id)]; ok {
 		t.drop(e)
@@ -84,35 +84,35 @@
 }
 
 func (t *targets) drop(e *list.Element) {
-	id := identity(e)
+	id := identityOf(e)
 	delete(t.byKey, keyOf(id))
 	delete(t.number, id.GetNumber())
 	t.order.Remove(e)
 }
 
-// keepServices drops the targets of services that are gone: a later service
-// of the same name has another number, its targets start anew.
-func (t *targets) keepServices(numbers map[uint32]bool) {
+// retainServices drops the targets of removed services. A later service of the same name
+// has another number and new targets.
+func (t *targets) retainServices(numbers map[uint32]bool) {
 	var next *list.Element
 	for e := t.order.Front(); e != nil; e = next {
 		next = e.Next()
-		if !numbers[identity(e).GetServiceNumber()] {
+		if !numbers[identityOf(e).GetServiceNumber()] {
 			t.drop(e)
 		}
 	}
 }
 
 func (m *Machine) register(r *configpb.RegisterTarget) *configpb.Registration {
-	if fault := nameFault(r.GetTarget()); fault != "" {
-		return &configpb.Registration{Refusal: "target: " + fault}
+	if problem := nameProblem(r.GetTarget()); problem != "" {
+		return &configpb.Registration{Refusal: "target: " + problem}
 	}
 	if len(r.GetProcess()) == 0 || len(r.GetProcess()) > MaxProcessLength {
 		return &configpb.Registration{Refusal: RefusalProcess}
 	}
-	if r.GetCreateService() && serviceNamed(m.current, r.GetService()) == nil && tableNameFault(r.GetService()) == "" {
+	if r.GetCreateService() && findService(m.current, r.GetService()) == nil && tableNameProblem(r.GetService()) == "" {
 		m.publish(m.withServices(&configpb.Replacement{Services: []string{r.GetService()}}), m.versionPatch)
 	}
-	service := serviceNamed(m.current, r.GetService()).GetNumber()
+	service := findService(m.current, r.GetService()).GetNumber()
 	if service == 0 {
 		return &configpb.Registration{Refusal: RefusalUnknownService}
 	}
@@ -127,35 +127,35 @@
 	}
 }
 
-// unregister forgets an identity, unless a newer incarnation holds its number.
+// unregister removes an identity, unless its number has a newer incarnation.
 func (t *targets) unregister(u *configpb.UnregisterTarget) {
 	e, ok := t.number[u.GetNumber()]
-	if ok && identity(e).GetIncarnation() == u.GetIncarnation() {
+	if ok && identityOf(e).GetIncarnation() == u.GetIncarnation() {
 		t.drop(e)
 	}
 }
 
-// ForEachTarget calls visit for each agreed identity until it returns false.
+// ForEachTarget calls visit for each target identity until it returns false.
 func (m *Machine) ForEachTarget(visit func(*configpb.TargetIdentity) bool) {
 	for e := m.targets.order.Front(); e != nil; e = e.Next() {
-		if !visit(identity(e)) {
+		if !visit(identityOf(e)) {
 			return
 		}
 	}
 }
 
-// FindRegistration returns the registration that a process has, or nil.
+// FindRegistration returns the existing registration of a process, or nil.
 func (m *Machine) FindRegistration(r *configpb.RegisterTarget) *configpb.Registration {
-	service := serviceNamed(m.current, r.GetService()).GetNumber()
+	service := findService(m.current, r.GetService()).GetNumber()
 	e, ok := m.targets.byKey[targetKey{service: service, name: r.GetTarget()}]
-	if !ok || !bytes.Equal(identity(e).GetProcess(), r.GetProcess()) {
+	if !ok || !bytes.Equal(identityOf(e).GetProcess(), r.GetProcess()) {
 		return nil
 	}
-	id := identity(e)
+	id := identityOf(e)
 	return &configpb.Registration{ServiceNumber: service, TargetNumber: id.GetNumber(), Incarnation: id.GetIncarnation()}
 }
 
-// register returns the identity for a process, or nil when no number is left.
+// register returns the identity of a process, or nil if no number is left.
 func (t *targets) register(r *configpb.RegisterTarget, service uint32) *configpb.TargetIdentity {
 	next := &configpb.TargetIdentity{
 		Service:       r.GetService(),
@@ -165,20 +165,20 @@
 		Process:       r.GetProcess(),
 	}
 	if e, ok := t.byKey[keyOf(next)]; ok {
-		held := identity(e)
-		if bytes.Equal(held.GetProcess(), r.GetProcess()) {
-			return held
+		existing := identityOf(e)
+		if bytes.Equal(existing.GetProcess(), r.GetProcess()) {
+			return existing
 		}
-		next.Number = held.GetNumber()
-		next.Incarnation = held.GetIncarnation() + 1
+		next.Number = existing.GetNumber()
+		next.Incarnation = existing.GetIncarnation() + 1
 	}
-	// A new target, or one that has used up the incarnations of its number.
+	// A new target, or one whose incarnations are exhausted.
 	if next.GetNumber() == 0 || next.GetIncarnation() > MaxTargetNumber {
-		if t.last >= MaxTargetNumber {
+		if t.lastNumber >= MaxTargetNumber {
 			return nil
 		}
-		t.last++
-		next.Number = t.last
+		t.lastNumber++
+		next.Number = t.lastNumber
 		next.Incarnation = 1
 	}
 	t.add(next)
--- a/config/validate.go
+++ b/config/validate.go
@@ -8,60 +8,58 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// PatchPlace is the place of a finding on a patch as a whole.
+// PatchPlace is the place of findings on a patch as a whole.
 const PatchPlace = "patch"
 
-// ValidatePatch lists every finding of a patch against cfg, each with its place.
-// It does not look at the base version.
+// ValidatePatch lists all findings of a patch against cfg. It does not check the base
+// version.
 func ValidatePatch(cfg *configpb.Configuration, patch *configpb.Patch) []*configpb.Finding {
-	_, findings := rehearse(cfg, patch)
+	_, findings := buildDraft(cfg, patch)
 	return findings
 }
 
-// rehearse applies the operations of a patch to a draft of the next version.
-// New services have no number yet. What the patch does not name costs next to
-// nothing: a replica that restarts applies thousands of versions, each of
-// thousands of services.
-func rehearse(cfg *configpb.Configuration, patch *configpb.Patch) (*draft, []*configpb.Finding) {
+// buildDraft applies the operations of a patch to a draft of the next version. New services
+// have no number yet. Its cost must not grow with the services that the patch does not
+// name, since a restarting replica applies thousands of versions.
+func buildDraft(cfg *configpb.Configuration, patch *configpb.Patch) (*draft, []*configpb.Finding) {
 	d := newDraft(cfg, patch)
 	d.checkPatch()
 	for i, op := range patch.GetOperations() {
-		d.step(i, op)
+		d.applyOperation(i, op)
 	}
-	d.checkShared()
-	d.retire()
-	return d, d.bounded()
+	d.checkConflicts()
+	d.updateRetired()
+	return d, d.limitedFindings()
 }
 
-// draft is a configuration under change. It relies on what every version
-// holds: services by name, their addresses in canonical form, none shared, and
-// none of them retired.
+// draft is a configuration under change. It relies on properties of every version: sorted
+// services, canonical addresses, none of them shared or retired.
 type draft struct {
 	patch *configpb.Patch
-	// services has what the patch put, by name.
+	// services has the services put by the patch, by name.
 	services map[string]*configpb.Service
-	// putBy is the operation of the patch that put the service.
-	putBy map[string]int
-	// removed has the services that the patch removed.
+	// putOperation has the index of the operation that put a service.
+	putOperation map[string]int
+	// removed has the services removed by the patch.
 	removed map[string]bool
-	// before is the version that the patch changes, and retired has the
-	// addresses that are kept open without a service.
-	before  *configpb.Configuration
+	// base is the version that the patch changes. retired has the retired addresses after
+	// the patch.
+	base    *configpb.Configuration
 	retired map[string]bool
-	// released has the operation that releases a retired address.
+	// released has the index of the operation that releases an address.
 	released map[string]int
 	findings []*configpb.Finding
 }
 
 func newDraft(cfg *configpb.Configuration, patch *configpb.Patch) *draft {
 	d := &draft{
-		patch:    patch,
-		services: map[string]*configpb.Service{},
-		putBy:    map[string]int{},
-		removed:  map[string]bool{},
-		before:   cfg,
-		retired:  map[string]bool{},
-		released: map[string]int{},
+		patch:        patch,
+		services:     map[string]*configpb.Service{},
+		putOperation: map[string]int{},
+		removed:      map[string]bool{},
+		base:         cfg,
+		retired:      map[string]bool{},
+		released:     map[string]int{},
 	}
 	for _, address := range cfg.GetRetired() {
 		d.retired[address] = true
@@ -69,17 +67,16 @@
 	return d
 }
 
-// untouched tells whether the patch leaves the service of the version before
-// as it is.
-func (d *draft) untouched(name string) bool {
+// isUnchanged reports whether the patch does not touch a service of the base.
+func (d *draft) isUnchanged(name string) bool {
 	return d.services[name] == nil && !d.removed[name]
 }
 
-// count returns how many services there are after the patch.
+// count returns the number of services after the patch.
 func (d *draft) count() int {
-	count := len(d.before.GetServices()) + len(d.services)
+	count := len(d.base.GetServices()) + len(d.services)
 	for name := range d.services {
-		if serviceNamed(d.before, name) != nil {
+		if findService(d.base, name) != nil {
 			count--
 		}
 	}
@@ -91,12 +88,12 @@
 	return count
 }
 
-func (d *draft) find(place, format string, args ...any) {
+func (d *draft) addFinding(place, format string, args ...any) {
 	d.findings = append(d.findings, &configpb.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
 }
 
-// place names operation i and a field of it: by the operator's file if the
-// patch tells it, else by the service.
+// place returns the location of operation i and a field: the place given in the patch, else
+// the operation number.
 func (d *draft) place(i int, name, field string) string {
 	where := fmt.Sprintf("operation %d", i+1)
 	if places := d.patch.GetPlaces(); i < len(places) && places[i] != "" {
@@ -105,8 +102,8 @@
 	return ServicePlace(where, name, field)
 }
 
-// ServicePlace is the place of a finding on a service, or a field of it, that an
-// operation puts. The operation stands at where; name and field may be empty.
+// ServicePlace returns the place of a finding on a service or one of its fields. where
+// locates the operation; name and field may be empty.
 func ServicePlace(where, name, field string) string {
 	if name != "" {
 		where += fmt.Sprintf(", service %q", name)
@@ -121,24 +118,24 @@
 	const place = PatchPlace
 	id := d.patch.GetId()
 	if id == "" {
-		d.find(place, "the identifier is empty")
+		d.addFinding(place, "the identifier is empty")
 	}
 	if len(id) > MaxIDLength {
-		d.find(place, "the identifier is longer than %d bytes", MaxIDLength)
+		d.addFinding(place, "the identifier is longer than %d bytes", MaxIDLength)
 	}
 	count := len(d.patch.GetOperations())
 	if count == 0 {
-		d.find(place, "the patch has no operations")
+		d.addFinding(place, "the patch has no operations")
 	}
 	if count > MaxOperations {
-		d.find(place, "the patch has more than %d operations", MaxOperations)
+		d.addFinding(place, "the patch has more than %d operations", MaxOperations)
 	}
 	if places := len(d.patch.GetPlaces()); places > count {
-		d.find(place, "the patch names %d places for %d operations", places, count)
+		d.addFinding(place, "the patch names %d places for %d operations", places, count)
 	}
 }
 
-func (d *draft) step(i int, op *configpb.Operation) {
+func (d *draft) applyOperation(i int, op *configpb.Operation) {
 	switch body := op.GetBody().(type) {
 	case *configpb.Operation_PutService:
 		d.put(i, body.PutService)
@@ -147,7 +144,7 @@
 	case *configpb.Operation_ReleaseAddress:
 		d.release(i, body.ReleaseAddress)
 	default:
-		d.find(d.place(i, "", ""), "the operation is empty")
+		d.addFinding(d.place(i, "", ""), "the operation is empty")
 	}
 }
 
@@ -157,35 +154,35 @@
 	d.checkAddresses(i, s)
 	d.checkSlots(i, s)
 	d.checkPolicy(i, s)
-	if earlier, twice := d.putBy[name]; twice {
-		d.find(d.place(i, name, ""), "the service is put a second time, first by %s", d.place(earlier, "", ""))
+	if earlier, duplicate := d.putOperation[name]; duplicate {
+		d.addFinding(d.place(i, name, ""), "the service is put a second time, first by %s", d.place(earlier, "", ""))
 		return
 	}
-	d.putBy[name] = i
+	d.putOperation[name] = i
 	d.services[name] = s
 }
 
 func (d *draft) remove(i int, name string) {
-	if earlier, put := d.putBy[name]; put {
-		d.find(d.place(i, name, ""), "the service is removed after %s put it", d.place(earlier, "", ""))
+	if earlier, put := d.putOperation[name]; put {
+		d.addFinding(d.place(i, name, ""), "the service is removed after %s put it", d.place(earlier, "", ""))
 		return
 	}
-	if serviceNamed(d.before, name) == nil || d.removed[name] {
-		d.find(d.place(i, name, ""), "there is no service of that name to remove")
+	if findService(d.base, name) == nil || d.removed[name] {
+		d.addFinding(d.place(i, name, ""), "there is no service of that name to remove")
 		return
 	}
 	d.removed[name] = true
 }
 
 func (d *draft) checkName(i int, name string) {
-	if text := nameFault(name); text != "" {
-		d.find(d.place(i, name, "name"), "%s", text)
+	if text := nameProblem(name); text != "" {
+		d.addFinding(d.place(i, name, "name"), "%s", text)
 	}
 }
 
-// nameFault returns what is wrong with a name of a service or target: names
-// are host name labels, since they appear in certificates and counters.
-func nameFault(name string) string {
+// nameProblem returns what is wrong with the name of a service or target, or nothing. Names
+// must be host name labels, since they are used in certificates and metrics.
+func nameProblem(name string) string {
 	if name == "" {
 		return "the name is empty"
 	}
@@ -193,7 +190,7 @@
 		return fmt.Sprintf("the name is longer than %d bytes", MaxNameLength)
 	}
 	for _, c := range []byte(name) {
-		if !nameByte(c) {
+		if !isNameByte(c) {
 			return "the name has bytes other than a-z, 0-9 and '-'"
 		}
 	}
@@ -203,34 +200,34 @@
 	return ""
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-'
 }
 
 func (d *draft) checkAddresses(i int, s *configpb.Service) {
 	place := d.place(i, s.GetName(), "addresses")
 	if len(s.GetAddresses()) == 0 {
-		d.find(place, "the service has no public address")
+		d.addFinding(place, "the service has no public address")
 	}
 	if len(s.GetAddresses()) > MaxAddresses {
-		d.find(place, "the service has more than %d public addresses", MaxAddresses)
+		d.addFinding(place, "the service has more than %d public addresses", MaxAddresses)
 	}
 	seen := map[netip.AddrPort]bool{}
 	for _, text := range s.GetAddresses() {
-		addr, fault := publicAddress(text)
-		if fault != "" {
-			d.find(place, "%q: %s", text, fault)
+		addr, problem := parsePublicAddress(text)
+		if problem != "" {
+			d.addFinding(place, "%q: %s", text, problem)
 			continue
 		}
 		if seen[addr] {
-			d.find(place, "%q: the address is named twice", text)
+			d.addFinding(place, "%q: the address is named twice", text)
 		}
 		seen[addr] = true
 	}
 }
 
-// publicAddress parses a public address, or tells what is wrong with it.
-func publicAddress(text string) (netip.AddrPort, string) {
+// parsePublicAddress parses a public address, or returns what is wrong with it.
+func parsePublicAddress(text string) (netip.AddrPort, string) {
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return netip.AddrPort{}, "not an address of the form ip:port"
@@ -250,35 +247,35 @@
 func (d *draft) checkSlots(i int, s *configpb.Service) {
 	place := d.place(i, s.GetName(), "slots")
 	if s.GetSlots() == 0 {
-		d.find(place, "a target needs at least one slot")
+		d.addFinding(place, "a target needs at least one slot")
 	}
 	if s.GetSlots() > MaxSlots {
-		d.find(place, "a target has at most %d slots", MaxSlots)
+		d.addFinding(place, "a target has at most %d slots", MaxSlots)
 	}
 }
 
 func (d *draft) checkPolicy(i int, s *configpb.Service) {
 	p := s.GetPolicy()
 	if _, known := configpb.Strategy_name[int32(p.GetStrategy())]; !known {
-		d.find(d.place(i, s.GetName(), "policy.strategy"), "there is no strategy %d", p.GetStrategy())
+		d.addFinding(d.place(i, s.GetName(), "policy.strategy"), "there is no strategy %d", p.GetStrategy())
 	}
 	d.checkWeight(i, s, "policy.broken_flow_weight", p.GetBrokenFlowWeight())
 	d.checkWeight(i, s, "policy.imbalance_weight", p.GetImbalanceWeight())
 	d.checkPercent(i, s, "policy.panic_percent", p.GetPanicPercent())
 	d.checkPercent(i, s, "policy.retry_percent", p.GetRetryPercent())
 	if p.GetRampMs() > MaxRampMS {
-		d.find(d.place(i, s.GetName(), "policy.ramp_ms"), "the ramp is at most %d ms", MaxRampMS)
+		d.addFinding(d.place(i, s.GetName(), "policy.ramp_ms"), "the ramp is at most %d ms", MaxRampMS)
 	}
 }
 
 func (d *draft) checkWeight(i int, s *configpb.Service, field string, weight float64) {
 	if math.IsNaN(weight) || weight < 0 || weight > MaxWeight {
-		d.find(d.place(i, s.GetName(), field), "a weight lies between 0 and %d, not at %v", MaxWeight, weight)
+		d.addFinding(d.place(i, s.GetName(), field), "a weight lies between 0 and %d, not at %v", MaxWeight, weight)
 	}
 }
 
 func (d *draft) checkPercent(i int, s *configpb.Service, field string, percent uint32) {
 	if percent > maxPercent {
-		d.find(d.place(i, s.GetName(), field), "a percentage lies between 0 and 100, not at %d", percent)
+		d.addFinding(d.place(i, s.GetName(), field), "a percentage lies between 0 and 100, not at %d", percent)
 	}
 }
