--- a/grant/bounds.go
+++ b/grant/bounds.go
@@ -24,13 +24,14 @@
 	// AnsweredRetention is the default and maximum retention of a recorded response, in
 	// logical time.
 	AnsweredRetention = 24 * time.Hour
-	// MinAnsweredRetention is the minimum of AnsweredRetention. It exceeds the time in which a caller retries,
-	// and that in which a command is repeated or in transit.
+	// MinAnsweredRetention is the minimum of AnsweredRetention. It exceeds the time in
+	// which a caller retries, and that in which a command is repeated or in transit.
 	MinAnsweredRetention = 10 * time.Minute
 	// HeldRetention is the default and maximum retention of a record without a response, in
 	// logical time.
 	HeldRetention = 7 * 24 * time.Hour
-	// MinHeldRetention is the minimum of HeldRetention. It far exceeds the duration of any request.
+	// MinHeldRetention is the minimum of HeldRetention. It far exceeds the duration of any
+	// request.
 	MinHeldRetention = 24 * time.Hour
 	// MaxReleased bounds the released attempts. The oldest is evicted first.
 	MaxReleased = 4096
--- a/internal/controld/bootstrap.go
+++ b/internal/controld/bootstrap.go
@@ -84,7 +84,7 @@
 					zap.String("group", groupName(group)))
 			}
 		}
-		if !d.pause(bootstrapRetry) {
+		if !d.sleep(bootstrapRetry) {
 			return
 		}
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	address := d.memberAddress(seedHost{name: d.name, address: d.settings.GetReplica().GetListen()})
-	requests := newHostRequests(func(at string) { d.requestJoin(at, address) })
+	requests := newHostRequests(func(seed string) { d.requestJoin(seed, address) })
 	defer requests.calls.Wait()
 	for !d.bootstrapped() {
 		for _, v := range d.seedHosts() {
@@ -141,7 +141,7 @@
 				requests.start(v.address)
 			}
 		}
-		if !d.pause(d.joinRetry()) {
+		if !d.sleep(d.joinRetry()) {
 			return
 		}
 	}
@@ -172,8 +172,8 @@
 	return nil
 }
 
-func (d *Daemon) requestJoin(at, address string) {
-	p := d.peers.get(at)
+func (d *Daemon) requestJoin(seed, address string) {
+	p := d.peers.get(seed)
 	if p == nil {
 		return
 	}
@@ -211,8 +211,8 @@
 	return joinRetry
 }
 
-// pause sleeps and reports whether the daemon is still running.
-func (d *Daemon) pause(wait time.Duration) bool {
+// sleep waits and reports whether the daemon is still running.
+func (d *Daemon) sleep(wait time.Duration) bool {
 	select {
 	case <-time.After(wait):
 		return true
--- a/internal/controld/evacuation_test.go
+++ b/internal/controld/evacuation_test.go
@@ -63,11 +63,11 @@
 		is.True(d.evacuated(name))
 		is.Equal(d.order(d.operator(name), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED) // the first outcome
 		is.Equal(d.order(d.operator(name), begin("")), configpb.EvacuationVerdict_EVACUATION_VERDICT_UNCHANGED)
-		shown := d.status(name).Evacuations
-		is.Equal(len(shown), 1)
-		is.Equal(shown[0].FailureDomain, knownDomain)
-		is.Equal(shown[0].Order, "o1")
-		is.True(!shown[0].Since.IsZero())
+		evacuations := d.status(name).Evacuations
+		is.Equal(len(evacuations), 1)
+		is.Equal(evacuations[0].FailureDomain, knownDomain)
+		is.Equal(evacuations[0].Order, "o1")
+		is.True(!evacuations[0].Since.IsZero())
 	}
 	data := map[string]string{}
 	for _, name := range []string{"c1", "c2", "c3"} {
@@ -107,16 +107,16 @@
 		d.subscribe(d.link(keys.RoleAgent, "a1", "lodgement", "c1"), &controlpb.Subscribe{Services: []uint32{1}, ScopedConfig: true}),
 	}
 	for _, w := range watchers {
-		var held *configpb.Configuration
+		var current *configpb.Configuration
 		step := func(evacuated bool) {
 			w.await("an evacuation", func(u *controlpb.SubscribeUpdate) bool {
 				if u.GetConfig() == nil {
 					return false
 				}
-				next, err := config.Merge(held, u.GetConfig())
+				next, err := config.Merge(current, u.GetConfig())
 				is.NoErr(err)
-				held = next
-				return config.IsEvacuated(held, knownDomain) == evacuated
+				current = next
+				return config.IsEvacuated(current, knownDomain) == evacuated
 			})
 		}
 		step(false)
@@ -143,9 +143,9 @@
 func TestEvacuationWithCanceledContext(t *testing.T) {
 	is := is.New(t)
 	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
-	gone, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := d.hosts["c1"].daemon.Evacuate(gone, begin(""))
+	_, err := d.hosts["c1"].daemon.Evacuate(ctx, begin(""))
 	is.True(errors.Is(err, operator.ErrNotApplied))
 	is.True(!d.evacuated("c1"))
 }
@@ -157,7 +157,7 @@
 	d.awaitVoters("d1", 3, "d1", true)
 	d.awaitStandby("s1")
 	_, err := d.hosts["s1"].daemon.Evacuate(testContext(t), begin(""))
-	var standsBy *controld.StandbyError
-	is.True(errors.As(err, &standsBy))
-	is.True(standsBy.ServingAddress != "")
+	var standbyErr *controld.StandbyError
+	is.True(errors.As(err, &standbyErr))
+	is.True(standbyErr.ServingAddress != "")
 }
--- a/internal/controld/grants_test.go
+++ b/internal/controld/grants_test.go
@@ -18,11 +18,11 @@
 	d.grantGroups = 3
 	d.start("c1", "", false)
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
-	ask := func() grantpb.Decision { return call(t, agent, acquireRequest(1, "k", "one")).GetGrant().GetDecision() }
-	is.Equal(ask(), grantpb.Decision_DECISION_UNSPECIFIED)
+	acquire := func() grantpb.Decision { return call(t, agent, acquireRequest(1, "k", "one")).GetGrant().GetDecision() }
+	is.Equal(acquire(), grantpb.Decision_DECISION_UNSPECIFIED)
 	is.Equal(d.hosts["c1"].refusals("slot_table"), int64(1))
 	d.startAll("c2", "c3")
-	eventually(t, "a grant", func() bool { return ask() == grantpb.Decision_DECISION_GRANTED })
+	eventually(t, "a grant", func() bool { return acquire() == grantpb.Decision_DECISION_GRANTED })
 }
 
 // TestRetentionIsSetInEachGroup sets the retention through one host. Every host reports it
@@ -39,7 +39,7 @@
 		_, err := d.operator("c1", "c2", "c3").SetRetention(testContext(t), want)
 		return err == nil
 	})
-	seen := func(name string) func() bool {
+	hasRetention := func(name string) func() bool {
 		return func() bool {
 			groups := d.status(name).Groups[1:]
 			for _, g := range groups {
@@ -51,9 +51,9 @@
 		}
 	}
 	for _, name := range []string{"c1", "c2", "c3"} {
-		eventually(t, name+" knows the retention", seen(name))
+		eventually(t, name+" knows the retention", hasRetention(name))
 	}
-	old := d.stop("c2")
-	d.start("c2", old.data, false)
-	eventually(t, "c2 knows the retention again", seen("c2"))
+	stopped := d.stop("c2")
+	d.start("c2", stopped.data, false)
+	eventually(t, "c2 knows the retention again", hasRetention("c2"))
 }
--- a/internal/controld/group_test.go
+++ b/internal/controld/group_test.go
@@ -112,12 +112,12 @@
 				// same patch.
 				ctx := testContext(t)
 				var out *configpb.Outcome
-				answered := poll(func() bool {
+				ok := poll(func() bool {
 					var err error
 					out, err = c.Submit(ctx, p)
 					return err == nil
 				})
-				if !answered {
+				if !ok {
 					t.Error("no outcome of", id)
 					return
 				}
--- a/internal/controld/internal_test.go
+++ b/internal/controld/internal_test.go
@@ -215,7 +215,7 @@
 func TestProposeWaitsForLinkToLeader(t *testing.T) {
 	is := is.New(t)
 	tries := 0
-	answer, err := proposeWithRetry(t.Context(), func(context.Context) bool { return true }, func() ([]byte, error) {
+	reply, err := proposeWithRetry(t.Context(), func(context.Context) bool { return true }, func() ([]byte, error) {
 		tries++
 		if tries < 4 {
 			return nil, errors.Wrap(replica.ErrNoLeader, "no link to the leader")
@@ -223,7 +223,7 @@
 		return []byte("done"), nil
 	})
 	is.NoErr(err)
-	is.Equal(string(answer), "done")
+	is.Equal(string(reply), "done")
 
 	_, err = proposeWithRetry(t.Context(), func(context.Context) bool { return false }, func() ([]byte, error) {
 		return nil, replica.ErrNoLeader
--- a/internal/controld/partition_test.go
+++ b/internal/controld/partition_test.go
@@ -56,8 +56,8 @@
 
 	// A new subscriber of the partitioned host gets an unconfirmed version.
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c3"), &controlpb.Subscribe{})
-	old := w.awaitVersion(1)
-	is.Equal(old.GetConfirmed(), false)
+	update := w.awaitVersion(1)
+	is.Equal(update.GetConfirmed(), false)
 	// A subscriber with a newer version gets no older one.
 	ahead := d.subscribe(d.link(keys.RoleEntry, "e2", "", "c3"), &controlpb.Subscribe{Version: 22})
 
--- a/internal/controld/rejoin.go
+++ b/internal/controld/rejoin.go
@@ -14,7 +14,7 @@
 		return
 	}
 	address := d.memberAddress(seedHost{name: d.name, address: d.settings.GetReplica().GetListen()})
-	requests := newHostRequests(func(at string) { d.requestJoin(at, address) })
+	requests := newHostRequests(func(member string) { d.requestJoin(member, address) })
 	defer requests.calls.Wait()
 	leaderKnown := time.Now()
 	d.every(bootstrapRetry, func() {
@@ -25,8 +25,8 @@
 		if time.Since(leaderKnown) < rejoinDelay {
 			return
 		}
-		for _, at := range d.knownMembers() {
-			requests.start(at)
+		for _, member := range d.knownMembers() {
+			requests.start(member)
 		}
 	})
 }
--- a/internal/controld/replacement_test.go
+++ b/internal/controld/replacement_test.go
@@ -37,10 +37,10 @@
 	d.startAll("c1", "c2", "c3", "c4")
 	d.awaitVoters("c1", 4, "c4", true)
 	d.accept(d.operator("c1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	for _, s := range []struct{ gone, next, sees string }{{"c4", "c5", "c1"}, {"c3", "c6", "c1"}, {"c2", "c7", "c1"}} {
-		d.stop(s.gone)
-		d.start(s.next, "", true)
-		d.awaitVoters(s.sees, 4, s.gone, false)
+	for _, s := range []struct{ lost, replacement, observer string }{{"c4", "c5", "c1"}, {"c3", "c6", "c1"}, {"c2", "c7", "c1"}} {
+		d.stop(s.lost)
+		d.start(s.replacement, "", true)
+		d.awaitVoters(s.observer, 4, s.lost, false)
 	}
 	d.accept(d.operator("c1"), patch("p2", 1, put("certificates", "192.0.2.2:443")))
 	d.stop("c1")
--- a/internal/controld/roles_test.go
+++ b/internal/controld/roles_test.go
@@ -181,8 +181,8 @@
 	}
 	w.await("the target", has(controlpb.TargetState_TARGET_STATE_SERVING))
 	other := d.subscribe(d.link(keys.RoleEntry, "e2", "", "c1"), &controlpb.Subscribe{Services: []uint32{reg.GetServiceNumber() + 1}})
-	seen := other.await("an empty list", func(u *controlpb.SubscribeUpdate) bool { return u.GetDirectory() != nil })
-	is.Equal(len(seen.GetDirectory().GetPut()), 0) // out of its scope
+	update := other.await("an empty list", func(u *controlpb.SubscribeUpdate) bool { return u.GetDirectory() != nil })
+	is.Equal(len(update.GetDirectory().GetPut()), 0) // out of its scope
 
 	draining := proto.CloneOf(r)
 	draining.State = controlpb.TargetState_TARGET_STATE_DRAINING
@@ -199,9 +199,9 @@
 	next.Incarnation++
 	is.Equal(call(t, agent, announceRequest(next)).GetAnnounce().GetRefusal(), "")
 	for want, corrupt := range refused {
-		bad := proto.CloneOf(next)
-		corrupt(bad)
-		is.Equal(call(t, agent, announceRequest(bad)).GetAnnounce().GetRefusal(), want)
+		invalid := proto.CloneOf(next)
+		corrupt(invalid)
+		is.Equal(call(t, agent, announceRequest(invalid)).GetAnnounce().GetRefusal(), want)
 	}
 	draining.Sequence++ // the older process is draining, so there is nothing to refuse
 	is.Equal(call(t, agent, announceRequest(draining)).GetAnnounce().GetRefusal(), "")
@@ -226,9 +226,9 @@
 	is := is.New(t)
 	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	query := &controlpb.Request{Body: &controlpb.Request_Version{Version: &controlpb.VersionQuery{}}}
-	got := call(t, d.link(keys.RoleEntry, "e1", "", "c1"), query).GetVersion()
-	is.Equal(got.GetVersion(), uint64(1))
-	is.True(got.GetConfirmed())
+	reply := call(t, d.link(keys.RoleEntry, "e1", "", "c1"), query).GetVersion()
+	is.Equal(reply.GetVersion(), uint64(1))
+	is.True(reply.GetConfirmed())
 }
 
 func TestOperatorSeesOutcomes(t *testing.T) {
@@ -240,20 +240,20 @@
 	again, err := ops.Submit(ctx, p)
 	is.NoErr(err)
 	is.True(proto.Equal(first, again))
-	held, err := ops.Outcome(ctx, p.GetId())
+	outcome, err := ops.Outcome(ctx, p.GetId())
 	is.NoErr(err)
-	is.True(proto.Equal(first, held))
+	is.True(proto.Equal(first, outcome))
 	_, err = ops.Outcome(ctx, "never sent")
 	is.True(isError(err, operator.ErrNotFound))
 
-	late, err := ops.Submit(ctx, patch("p2", 0, put("certificates", "192.0.2.2:443")))
+	conflicting, err := ops.Submit(ctx, patch("p2", 0, put("certificates", "192.0.2.2:443")))
 	is.NoErr(err)
-	is.Equal(late.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_BASE)
-	is.Equal(late.GetVersionPatch(), p.GetId())
-	bad, err := ops.Submit(ctx, patch("p3", 1, put("", "nonsense")))
+	is.Equal(conflicting.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_BASE)
+	is.Equal(conflicting.GetVersionPatch(), p.GetId())
+	invalid, err := ops.Submit(ctx, patch("p3", 1, put("", "nonsense")))
 	is.NoErr(err)
-	is.Equal(bad.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_FINDINGS)
-	is.Equal(len(bad.GetFindings()), 2)
+	is.Equal(invalid.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_FINDINGS)
+	is.Equal(len(invalid.GetFindings()), 2)
 
 	var large []*configpb.Operation
 	for i := range 80 {
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -17,7 +17,7 @@
 )
 
 // ErrStandby means that this host is no member of the group; see StandbyError.
-var ErrStandby = errors.New("this control host is a standby")
+var ErrStandby = errors.New("this control host stands by")
 
 // StandbyError refuses a call on a standby and names a serving host. The call had no
 // effect. The error is both ErrStandby and operator.ErrNotApplied.
@@ -126,7 +126,7 @@
 	defer d.standby.setClient(nil)
 	for !d.bootstrapped() {
 		client.SetAddresses(d.seedAddresses())
-		if !d.pause(d.requestMembership(client, address)) {
+		if !d.sleep(d.requestMembership(client, address)) {
 			return
 		}
 	}
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -54,9 +54,9 @@
 	d.t.Helper()
 	for _, name := range names {
 		eventually(d.t, name+" to stand by", func() bool {
-			var standsBy *controld.StandbyError
+			var standbyErr *controld.StandbyError
 			_, _, err := d.hosts[name].daemon.RouteTableDocument(testContext(d.t))
-			return errors.As(err, &standsBy) && standsBy.ServingAddress != ""
+			return errors.As(err, &standbyErr) && standbyErr.ServingAddress != ""
 		})
 	}
 }
--- a/internal/controld/subscription_test.go
+++ b/internal/controld/subscription_test.go
@@ -38,17 +38,17 @@
 		readEvery = 10
 	)
 	updates, last := 0, uint64(0)
-	var held *configpb.Configuration
+	var current *configpb.Configuration
 	follow := func(u *controlpb.SubscribeUpdate) bool {
 		c := u.GetConfig()
 		if c == nil {
 			return false
 		}
 		updates++
-		next, err := config.Merge(held, c)
+		next, err := config.Merge(current, c)
 		is.NoErr(err)
 		is.True(next.GetVersion() > last)
-		held, last = next, next.GetVersion()
+		current, last = next, next.GetVersion()
 		return true
 	}
 	for i := range versions {
@@ -59,7 +59,7 @@
 	}
 	w.await("the last version", func(u *controlpb.SubscribeUpdate) bool { return follow(u) && last == versions })
 	is.True(updates < versions)
-	is.Equal(held.GetServices()[0].GetAddresses()[0], "10.2.0.1:443")
+	is.Equal(current.GetServices()[0].GetAddresses()[0], "10.2.0.1:443")
 }
 
 func TestSubscriberResumesWithDelta(t *testing.T) {
@@ -144,14 +144,14 @@
 	announce("t1")
 	announce("t2")
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{})
-	seen := w.await("a list", func(u *controlpb.SubscribeUpdate) bool { return len(u.GetDirectory().GetPut()) == 2 })
+	before := w.await("a list", func(u *controlpb.SubscribeUpdate) bool { return len(u.GetDirectory().GetPut()) == 2 })
 
 	d.restart("c1")
 	w = d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{
-		Version: 1, DirectoryEpoch: seen.GetDirectory().GetEpoch(), DirectorySequence: seen.GetDirectory().GetSequence(),
+		Version: 1, DirectoryEpoch: before.GetDirectory().GetEpoch(), DirectorySequence: before.GetDirectory().GetSequence(),
 	})
 	u := w.await("a directory", func(u *controlpb.SubscribeUpdate) bool { return u.GetDirectory() != nil })
-	is.True(u.GetDirectory().GetEpoch() != seen.GetDirectory().GetEpoch())
+	is.True(u.GetDirectory().GetEpoch() != before.GetDirectory().GetEpoch())
 	is.Equal(u.GetDirectory().GetFull(), false)
 	is.Equal(len(u.GetDirectory().GetRemoved()), 0)
 }
@@ -170,12 +170,12 @@
 	again := call(t, agent, registerRequest("lodgement", "t1", "y")).GetRegistration()
 	is.Equal(again.GetTargetNumber(), reg.GetTargetNumber())
 	is.Equal(again.GetIncarnation(), reg.GetIncarnation()+1)
-	var held *controlpb.Response
+	var reply *controlpb.Response
 	eventually(t, "a decision", func() bool {
-		held = call(t, agent, acquireRequest(1, "k", "two"))
-		return held.GetGrant() != nil
+		reply = call(t, agent, acquireRequest(1, "k", "two"))
+		return reply.GetGrant() != nil
 	})
-	is.Equal(held.GetGrant().GetDecision().String(), "DECISION_HELD") // the holder is gone, so its outcome is unknown
+	is.Equal(reply.GetGrant().GetDecision().String(), "DECISION_HELD") // the holder is gone, so its outcome is unknown
 }
 
 func TestOperatorAddsHost(t *testing.T) {
