--- a/internal/controld/evacuation_test.go
+++ b/internal/controld/evacuation_test.go
@@ -15,18 +15,18 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// home is the failure domain of the hosts of these tests, the only one that they know.
-const home = "bodija"
+// knownDomain is the failure domain of the hosts in these tests.
+const knownDomain = "bodija"
 
 func begin(id string) *configpb.EvacuationOrder {
-	return &configpb.EvacuationOrder{Id: id, FailureDomain: home}
+	return &configpb.EvacuationOrder{Id: id, FailureDomain: knownDomain}
 }
 
 func end(id string) *configpb.EvacuationOrder {
-	return &configpb.EvacuationOrder{Id: id, FailureDomain: home, End: true}
+	return &configpb.EvacuationOrder{Id: id, FailureDomain: knownDomain, End: true}
 }
 
-// order gives an order until it has an outcome: a group may have no leader yet.
+// order sends an order until it has an outcome, since a group may have no leader yet.
 func (d *deployment) order(c *operator.Client, o *configpb.EvacuationOrder) configpb.EvacuationVerdict {
 	d.t.Helper()
 	var out *configpb.EvacuationOutcome
@@ -38,7 +38,7 @@
 	return out.GetVerdict()
 }
 
-// evacuated returns what a host has confirmed to be evacuated.
+// evacuated reports whether a host has confirmed that knownDomain is evacuated.
 func (d *deployment) evacuated(name string) bool {
 	d.t.Helper()
 	c := d.operator(name)
@@ -50,12 +50,12 @@
 		version, confirmed, err = c.Config(testContext(d.t), 0)
 		return err == nil && confirmed
 	})
-	return config.IsEvacuated(version, home)
+	return config.IsEvacuated(version, knownDomain)
 }
 
-// Each host takes orders and shows the same, copies elsewhere change nothing, and all of
-// it outlives the restart of every host and the loss of a disk.
-func TestEvacuationIsAgreed(t *testing.T) {
+// Orders are accepted and visible on each host, are applied once, and survive a restart of
+// all hosts.
+func TestEvacuationIsReplicated(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	is.Equal(d.order(d.operator("c2"), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
@@ -63,11 +63,11 @@
 		is.True(d.evacuated(name))
 		is.Equal(d.order(d.operator(name), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED) // the first outcome
 		is.Equal(d.order(d.operator(name), begin("")), configpb.EvacuationVerdict_EVACUATION_VERDICT_UNCHANGED)
-		shown := d.status(name).Evacuations
-		is.Equal(len(shown), 1)
-		is.Equal(shown[0].FailureDomain, home)
-		is.Equal(shown[0].Order, "o1")
-		is.True(!shown[0].Since.IsZero())
+		evacuations := d.status(name).Evacuations
+		is.Equal(len(evacuations), 1)
+		is.Equal(evacuations[0].FailureDomain, knownDomain)
+		is.Equal(evacuations[0].Order, "o1")
+		is.True(!evacuations[0].Since.IsZero())
 	}
 	data := map[string]string{}
 	for _, name := range []string{"c1", "c2", "c3"} {
@@ -79,44 +79,44 @@
 	is.True(d.evacuated("c3"))
 
 	is.Equal(d.order(d.operator("c3"), end("o2")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
-	is.Equal(d.order(d.operator("c1"), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED) // a late copy
+	is.Equal(d.order(d.operator("c1"), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED) // a late duplicate
 	for _, name := range []string{"c1", "c2", "c3"} {
 		is.True(!d.evacuated(name))
 	}
 }
 
-// An order outlives the loss of the leader that acknowledged it.
-func TestEvacuationOutlivesTheLeader(t *testing.T) {
+// Guards against the loss of an acknowledged order with the leader.
+func TestEvacuationSurvivesLossOfLeader(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	leader := d.leader()
 	is.Equal(d.order(d.operator(leader), begin("o1")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
 	d.stop(leader)
-	for _, name := range others(leader) {
+	for _, name := range otherHosts(leader) {
 		is.True(d.evacuated(name))
 	}
-	is.Equal(d.order(d.operator(others(leader)...), end("o2")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
+	is.Equal(d.order(d.operator(otherHosts(leader)...), end("o2")), configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED)
 }
 
-// Entry hosts and agents, which follow one service alone, are told of each order.
-func TestSubscribersLearnOfEvacuations(t *testing.T) {
+// Entry hosts and agents, also those scoped to one service, receive each order.
+func TestSubscribersReceiveEvacuations(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
-	watchers := []*watcher{
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
+	watchers := []*recorder{
 		d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{}),
 		d.subscribe(d.link(keys.RoleAgent, "a1", "lodgement", "c1"), &controlpb.Subscribe{Services: []uint32{1}, ScopedConfig: true}),
 	}
 	for _, w := range watchers {
-		var held *configpb.Configuration
+		var current *configpb.Configuration
 		step := func(evacuated bool) {
 			w.await("an evacuation", func(u *controlpb.SubscribeUpdate) bool {
 				if u.GetConfig() == nil {
 					return false
 				}
-				next, err := config.Merge(held, u.GetConfig())
+				next, err := config.Merge(current, u.GetConfig())
 				is.NoErr(err)
-				held = next
-				return config.IsEvacuated(held, home) == evacuated
+				current = next
+				return config.IsEvacuated(current, knownDomain) == evacuated
 			})
 		}
 		step(false)
@@ -127,9 +127,9 @@
 	}
 }
 
-func TestEvacuationOfAnUnknownFailureDomain(t *testing.T) {
+func TestEvacuationOfUnknownFailureDomain(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	for _, name := range []string{"", "elsewhere", "Bodija"} {
 		out, err := d.operator("c1").Evacuate(testContext(t), &configpb.EvacuationOrder{FailureDomain: name})
 		is.NoErr(err)
@@ -139,26 +139,25 @@
 	is.True(!d.evacuated("c1"))
 }
 
-// An order whose caller has gone is not carried out: another host may have done so, and
-// the next order may have come since.
-func TestOrderOfACallerThatHasGone(t *testing.T) {
+// An order whose caller has canceled must not be applied: it may be outdated.
+func TestEvacuationWithCanceledContext(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
-	gone, cancel := context.WithCancel(context.Background())
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
+	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := d.hosts["c1"].daemon.Evacuate(gone, begin(""))
+	_, err := d.hosts["c1"].daemon.Evacuate(ctx, begin(""))
 	is.True(errors.Is(err, operator.ErrNotApplied))
 	is.True(!d.evacuated("c1"))
 }
 
-// A host that stands by sends the order on, and takes none itself.
-func TestStandbySendsEvacuationsElsewhere(t *testing.T) {
+// A standby refuses an order and names a serving host.
+func TestStandbyRefusesEvacuations(t *testing.T) {
 	is := is.New(t)
-	d := standing(t, 3, 1, "d1", "d2", "d3")
+	d := newStandbyDeployment(t, 3, 1, "d1", "d2", "d3")
 	d.awaitVoters("d1", 3, "d1", true)
 	d.awaitStandby("s1")
 	_, err := d.hosts["s1"].daemon.Evacuate(testContext(t), begin(""))
-	var standsBy *controld.StandbyError
-	is.True(errors.As(err, &standsBy))
-	is.True(standsBy.ServingAddress != "")
+	var standbyErr *controld.StandbyError
+	is.True(errors.As(err, &standbyErr))
+	is.True(standbyErr.ServingAddress != "")
 }
