--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -126,7 +126,7 @@
 		Log:              log,
 		Scope:            scope,
 		DialTimeout:      dialTimeout,
-		DialPatience:     dialPatience,
+		AttemptTimeout:   dialPatience,
 		HeartbeatPeriod:  linkHeartbeat,
 		HeartbeatTimeout: linkTimeout,
 		BackoffMax:       retryMax,
