--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -123,13 +123,13 @@
 // linkOptions are those of the link of an entry host or agent.
 func linkOptions(log *zap.Logger, scope tally.Scope) link.ClientOptions {
 	return link.ClientOptions{
-		Log:              log,
-		Scope:            scope,
-		DialTimeout:      dialTimeout,
-		AttemptTimeout:   dialPatience,
-		HeartbeatPeriod:  linkHeartbeat,
-		HeartbeatTimeout: linkTimeout,
-		BackoffMax:       retryMax,
+		Log:               log,
+		Scope:             scope,
+		DialTimeout:       dialTimeout,
+		AttemptTimeout:    dialPatience,
+		HeartbeatInterval: linkHeartbeat,
+		HeartbeatTimeout:  linkTimeout,
+		BackoffMax:        retryMax,
 	}
 }
 
