--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -36,8 +36,8 @@
 	key  *ecdsa.PrivateKey
 }
 
-// Pair is a certificate with its private key, both PEM.
-type Pair struct {
+// KeyPair is a certificate with its private key, both PEM.
+type KeyPair struct {
 	Certificate []byte
 	PrivateKey  []byte
 }
@@ -79,7 +79,7 @@
 
 // IssueProcess signs a certificate for a process of the deployment. The IP numbers
 // are optional; control links do not check them.
-func (a *Authority) IssueProcess(id Identity, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
+func (a *Authority) IssueProcess(id Identity, ips []netip.Addr, now time.Time, validity time.Duration) (*KeyPair, error) {
 	if err := id.Validate(); err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 
 // IssueCaller signs a certificate that agents of a service show to callers. Its
 // DNS name is the service's name.
-func (a *Authority) IssueCaller(service string, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
+func (a *Authority) IssueCaller(service string, ips []netip.Addr, now time.Time, validity time.Duration) (*KeyPair, error) {
 	if !namePattern.MatchString(service) {
 		return nil, errors.Wrapf(ErrInvalidName, "service name %q", service)
 	}
@@ -105,7 +105,7 @@
 	return a.issue(template, ips, now, validity)
 }
 
-func (a *Authority) issue(template *x509.Certificate, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
+func (a *Authority) issue(template *x509.Certificate, ips []netip.Addr, now time.Time, validity time.Duration) (*KeyPair, error) {
 	if validity <= 0 {
 		return nil, ErrInvalidValidity
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Pair{Certificate: encodeCertificate(cert), PrivateKey: keyPEM}, nil
+	return &KeyPair{Certificate: encodeCertificate(cert), PrivateKey: keyPEM}, nil
 }
 
 func sign(template, parent *x509.Certificate, public crypto.PublicKey, signer crypto.Signer) (*x509.Certificate, error) {
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -114,7 +114,7 @@
 func (c *Credentials) Authenticated() bool { return !c.current.Load().unauthenticated }
 
 // InMemory makes credentials that no file backs.
-func InMemory(authorities []byte, pair *Pair, secrets []Secret) (*Credentials, error) {
+func InMemory(authorities []byte, pair *KeyPair, secrets []Secret) (*Credentials, error) {
 	c := &Credentials{}
 	if err := c.Replace(authorities, pair, secrets); err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 }
 
 // Replace puts new keys in place of credentials made by InMemory.
-func (c *Credentials) Replace(authorities []byte, pair *Pair, secrets []Secret) error {
+func (c *Credentials) Replace(authorities []byte, pair *KeyPair, secrets []Secret) error {
 	raw := rawFiles{
 		authority:   authorities,
 		certificate: pair.Certificate,
--- a/internal/keys/dir.go
+++ b/internal/keys/dir.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return Files{}, err
 	}
-	var pair *Pair
+	var pair *KeyPair
 	base := name
 	if role == RoleCaller {
 		base = callerPrefix + service
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read caller private key")
 	}
-	cert, err := ParseCallerCertificate(&Pair{Certificate: certPEM, PrivateKey: keyPEM})
+	cert, err := ParseCallerCertificate(&KeyPair{Certificate: certPEM, PrivateKey: keyPEM})
 	if err != nil {
 		return nil, errors.Wrapf(err, "caller certificate %s with private key %s", certPath, keyPath)
 	}
@@ -101,7 +101,7 @@
 }
 
 // ParseCallerCertificate is CallerCertificate for keys held in memory.
-func ParseCallerCertificate(pair *Pair) (*tls.Certificate, error) {
+func ParseCallerCertificate(pair *KeyPair) (*tls.Certificate, error) {
 	cert, err := parsePair(pair.Certificate, pair.PrivateKey)
 	if err != nil {
 		return nil, err
--- a/internal/link/fixture_test.go
+++ b/internal/link/fixture_test.go
@@ -37,8 +37,8 @@
 	return id
 }
 
-func (d *deployment) pair(role keys.Role, name string, from time.Time) *keys.Pair {
-	return d.Pair(identity(role, name), from)
+func (d *deployment) pair(role keys.Role, name string, from time.Time) *keys.KeyPair {
+	return d.KeyPair(identity(role, name), from)
 }
 
 func (d *deployment) credentials(role keys.Role, name string) *keys.Credentials {
--- a/internal/unittest/unittest.go
+++ b/internal/unittest/unittest.go
@@ -85,8 +85,8 @@
 	return &Authority{Authority: authority, t: t}
 }
 
-// Pair issues a certificate that is valid for an hour from a time on.
-func (a *Authority) Pair(id keys.Identity, from time.Time) *keys.Pair {
+// KeyPair issues a certificate that is valid for an hour from a time on.
+func (a *Authority) KeyPair(id keys.Identity, from time.Time) *keys.KeyPair {
 	a.t.Helper()
 	pair, err := a.IssueProcess(id, nil, from, time.Hour)
 	Must(a.t, err)
@@ -96,7 +96,7 @@
 // Credentials are those of a process that trusts this authority alone.
 func (a *Authority) Credentials(id keys.Identity) *keys.Credentials {
 	a.t.Helper()
-	credentials, err := keys.InMemory(a.CertificatePEM(), a.Pair(id, time.Now()), nil)
+	credentials, err := keys.InMemory(a.CertificatePEM(), a.KeyPair(id, time.Now()), nil)
 	Must(a.t, err)
 	return credentials
 }
