--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -20,7 +20,7 @@
 	read, write, err := os.Pipe()
 	is.NoErr(err)
 	defer read.Close()
-	ring := logging.NewRing(write)
+	ring := logging.NewAsyncWriter(write)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	for range 20_000 {
 		n, err := ring.Write(line)
