--- a/internal/agentd/deployment_test.go
+++ b/internal/agentd/deployment_test.go
@@ -25,13 +25,13 @@
 // deployment is a control host with a service, and keys on disk.
 type deployment struct {
 	t       *testing.T
-	keys    *unittest.KeyFolder
+	keys    *unittest.KeyDir
 	control *controld.Daemon
 }
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	d := &deployment{t: t, keys: unittest.NewKeyFolder(t)}
+	d := &deployment{t: t, keys: unittest.NewKeyDir(t)}
 	address := freeAddress(t)
 	control, err := controld.New(&settingspb.ControlSettings{
 		Host: &settingspb.Host{Name: "c1", FailureDomain: "bodija"},
--- a/internal/controld/daemon_test.go
+++ b/internal/controld/daemon_test.go
@@ -28,7 +28,7 @@
 // deployment is a set of control hosts in this process.
 type deployment struct {
 	t       testing.TB
-	keys    *unittest.KeyFolder
+	keys    *unittest.KeyDir
 	hosts   map[string]*host
 	voters  []string
 	address map[string]string
@@ -58,7 +58,7 @@
 
 func newDeployment(t testing.TB, names ...string) *deployment {
 	t.Helper()
-	d := &deployment{t: t, keys: unittest.NewKeyFolder(t), hosts: map[string]*host{}, address: map[string]string{}, listen: map[string]string{}}
+	d := &deployment{t: t, keys: unittest.NewKeyDir(t), hosts: map[string]*host{}, address: map[string]string{}, listen: map[string]string{}}
 	for _, name := range names {
 		d.address[name] = freeAddress(t)
 		d.voters = append(d.voters, name+"="+d.address[name])
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -80,12 +80,12 @@
 // deployment has the keys of a test deployment.
 type deployment struct {
 	t    *testing.T
-	keys *unittest.KeyFolder
+	keys *unittest.KeyDir
 }
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	s := &deployment{t: t, keys: unittest.NewKeyFolder(t)}
+	s := &deployment{t: t, keys: unittest.NewKeyDir(t)}
 	return s
 }
 
