--- a/internal/link/admission.go
+++ b/internal/link/admission.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// admission limits how many connections of peers other than control hosts a
-// server admits a second and how many it holds. It has no clock of its own.
+// admission limits the rate and the number of connections of peers other than control hosts.
+// The caller passes the time.
 type admission struct {
-	perSecond float64
-	burst     float64
-	capacity  int
-	longest   time.Duration
+	perSecond     float64
+	burst         float64
+	capacity      int
+	maxRetryAfter time.Duration
 
-	mu     sync.Mutex
-	tokens float64
-	last   time.Time
-	open   int
-	// promised is the time that the last refused peer was told.
-	promised time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	open       int
+	// lastRetryAt is the latest retry time given to a refused peer.
+	lastRetryAt time.Time
 }
 
-func newAdmission(perSecond float64, burst, capacity int, longest time.Duration) *admission {
+func newAdmission(perSecond float64, burst, capacity int, maxRetryAfter time.Duration) *admission {
 	return &admission{
-		perSecond: perSecond,
-		burst:     float64(burst),
-		capacity:  capacity,
-		longest:   longest,
-		tokens:    float64(burst),
+		perSecond:     perSecond,
+		burst:         float64(burst),
+		capacity:      capacity,
+		maxRetryAfter: maxRetryAfter,
+		tokens:        float64(burst),
 	}
 }
 
-// refusal says why a connection is not admitted.
+// refusal is the reason why a connection is not admitted.
 type refusal string
 
 const (
@@ -39,48 +39,47 @@
 	refusalCapacity refusal = "capacity"
 )
 
-// admit takes a place for a connection. If there is none it returns the
-// reason and when the peer shall come back: refused peers get times of their
-// own, one after another at the admitted rate, so that they do not return
-// together.
+// admit reserves a place for a connection. Without one it returns the reason and the
+// retry-after time. Refused peers get successive times at the admitted rate so that they do
+// not return together.
 func (a *admission) admit(now time.Time) (refusal, time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refill(now)
 	if a.open >= a.capacity {
-		return refusalCapacity, a.promise(now)
+		return refusalCapacity, a.nextRetryAfter(now)
 	}
 	if a.tokens < 1 {
-		return refusalRate, a.promise(now)
+		return refusalRate, a.nextRetryAfter(now)
 	}
 	a.tokens--
 	a.open++
 	return "", 0
 }
 
-// leave gives the place of an admitted connection back.
-func (a *admission) leave() {
+// release frees the place of an admitted connection.
+func (a *admission) release() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.open--
 }
 
 func (a *admission) refill(now time.Time) {
-	if !a.last.IsZero() {
-		a.tokens += now.Sub(a.last).Seconds() * a.perSecond
+	if !a.refilledAt.IsZero() {
+		a.tokens += now.Sub(a.refilledAt).Seconds() * a.perSecond
 	}
 	a.tokens = min(a.tokens, a.burst)
-	a.last = now
+	a.refilledAt = now
 }
 
-func (a *admission) promise(now time.Time) time.Duration {
-	if a.promised.Before(now) {
-		a.promised = now
+func (a *admission) nextRetryAfter(now time.Time) time.Duration {
+	if a.lastRetryAt.Before(now) {
+		a.lastRetryAt = now
 	}
 	step := time.Duration(float64(time.Second) / a.perSecond)
-	a.promised = a.promised.Add(step)
-	if latest := now.Add(a.longest); a.promised.After(latest) {
-		a.promised = latest
+	a.lastRetryAt = a.lastRetryAt.Add(step)
+	if latest := now.Add(a.maxRetryAfter); a.lastRetryAt.After(latest) {
+		a.lastRetryAt = latest
 	}
-	return a.promised.Sub(now)
+	return a.lastRetryAt.Sub(now)
 }
--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -11,7 +11,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// processorTime returns the processor time of this process, both ends.
+// processorTime returns the processor time of this process, which holds both ends.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
@@ -41,8 +41,7 @@
 	return s, c
 }
 
-// BenchmarkConnect is a handshake with a first heartbeat, and the end of the
-// connection.
+// BenchmarkConnect measures a handshake with a first heartbeat and the close.
 func BenchmarkConnect(b *testing.B) {
 	is := is.New(b)
 	s, c := benchmarkPair(b)
@@ -55,7 +54,7 @@
 	b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(b.N), "cpu-µs/op")
 }
 
-// BenchmarkCall is one short request and its response.
+// BenchmarkCall measures a short request and its response.
 func BenchmarkCall(b *testing.B) {
 	is := is.New(b)
 	_, c := benchmarkPair(b)
--- a/internal/link/spread_test.go
+++ b/internal/link/capacity_test.go
@@ -12,10 +12,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// TestFullServersSendClientsOn has more clients than three servers take. Each
-// server holds its bound, the clients fill all of them, and those that are left
-// over are refused with a time to come back and get the places that fall free.
-func TestFullServersSendClientsOn(t *testing.T) {
+// Guards against servers that exceed MaxConnections and against clients that do not get
+// the places that become free.
+func TestFullServersRefuseClients(t *testing.T) {
 	const servers, limit, clients = 3, 4, 14
 	is := is.New(t)
 	d := newDeployment(t)
@@ -28,60 +27,60 @@
 		all, scopes, addrs = append(all, s), append(scopes, scope), append(addrs, s.Addr().String())
 	}
 	var connected []*Client
-	var left []tally.TestScope
+	var refused []tally.TestScope
 	open := map[*Client]tally.TestScope{}
 	for i := range clients {
-		opts := quick()
+		opts := fastOptions()
 		opts.Rand = rand.New(rand.NewPCG(9, uint64(i)))
 		c, scope := startClient(t, d.credentials(keys.RoleEntry, fmt.Sprint("e", i)), opts, addrs...)
 		open[c] = scope
 	}
-	sort := func() {
-		connected, left = nil, nil
+	classify := func() {
+		connected, refused = nil, nil
 		for c, scope := range open {
 			if c.Address() != "" {
 				connected = append(connected, c)
 				continue
 			}
-			left = append(left, scope)
+			refused = append(refused, scope)
 		}
 	}
-	eventually(t, "all places taken", func() bool {
-		sort()
+	eventually(t, "all servers at capacity", func() bool {
+		classify()
 		return len(connected) == servers*limit
 	})
 	for i, s := range all {
 		is.Equal(s.Connections(), limit)
-		eventually(t, "a counted refusal", func() bool {
+		eventually(t, "refusal counted by the server", func() bool {
 			return count(scopes[i], metricRefusedConnections, string(refusalCapacity)) > 0
 		})
 	}
-	for _, scope := range left {
-		eventually(t, "a refusal with a time", func() bool { return count(scope, metricDialFailures, "busy") > 0 })
+	for _, scope := range refused {
+		eventually(t, "refusal counted by the client", func() bool { return count(scope, metricDialFailures, "busy") > 0 })
 	}
 	for _, c := range connected[:clients-servers*limit] {
 		c.Close()
 		delete(open, c)
 	}
-	eventually(t, "the free places taken", func() bool {
-		sort()
-		return len(left) == 0
+	eventually(t, "freed places in use", func() bool {
+		classify()
+		return len(refused) == 0
 	})
 	for _, s := range all {
 		is.True(s.Connections() <= limit)
 	}
 }
 
-func TestTrafficOutlivesConnections(t *testing.T) {
+func TestTrafficIncludesClosedConnections(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	mustAsk(t, c)
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	mustCall(t, c)
 	before := s.Traffic()
 	is.True(before.BytesSent > 0 && before.BytesReceived > 0)
 	c.Close()
-	eventually(t, "the end of the connection", func() bool { return s.Connections() == 0 })
+	eventually(t, "connection closed", func() bool { return s.Connections() == 0 })
 	after := s.Traffic()
 	is.True(after.BytesSent >= before.BytesSent && after.BytesReceived >= before.BytesReceived)
 }
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -22,22 +22,20 @@
 // Defaults of ClientOptions.
 const (
 	DefaultDialTimeout = 3 * time.Second
-	// A subscriber of a control host that dies without a word notices within
-	// 1.2 periods and a timeout, 4.4 s, and has to act on the version that
-	// the others accept meanwhile within 7 s.
+	// A failed control host is detected within 1.2 intervals plus the timeout.
 	DefaultHeartbeatInterval = 2 * time.Second
 	DefaultHeartbeatTimeout  = 2 * time.Second
 	DefaultBackoffMin        = 100 * time.Millisecond
 	DefaultBackoffMax        = 5 * time.Second
 	DefaultMaxResponseBytes  = 16 << 20
 
-	// clientStreams is negative because servers open no streams; 0 would mean
+	// clientIncomingStreams is negative because servers open no streams; 0 would mean
 	// the library's default.
-	clientStreams = -1
-	// maxHedges bounds the attempts beside each other.
-	maxHedges = 4
-	// jitterShare is how far a period is varied, up and down.
-	jitterShare = 0.2
+	clientIncomingStreams = -1
+	// maxHedgedAttempts bounds the concurrent attempts to one server.
+	maxHedgedAttempts = 4
+	// jitterFraction is the largest relative deviation of a duration, up or down.
+	jitterFraction = 0.2
 )
 
 // ClientOptions tune a client. Zero values mean the defaults.
@@ -48,28 +46,27 @@
 	Allowed []keys.Role
 	// LocalIP is the IP number that sockets are opened on; by default any.
 	LocalIP netip.Addr
-	// DialTimeout is how long an attempt, handshake and first heartbeat, has no answer
-	// before the next server is tried. DialPatience bounds the attempt, which goes on
-	// beside the next ones; by default it is DialTimeout.
+	// DialTimeout is the time without a reply after which the next server is tried. An
+	// attempt is a handshake and a first heartbeat.
+	// AttemptTimeout bounds an attempt, which continues while later ones run; by default
+	// it is DialTimeout.
 	DialTimeout    time.Duration
 	AttemptTimeout time.Duration
-	// HedgeAfter is how long an attempt has no answer before another one is made
-	// beside it; zero means one attempt at a time. It is for links that everything
-	// waits for: a server in need gets more handshakes to do.
+	// HedgeAfter is the time without a reply after which another attempt to the same server
+	// starts; zero disables hedging. Hedging adds handshakes to a server under load.
 	HedgeAfter time.Duration
-	// HeartbeatInterval is the time between heartbeats on a connection, and
-	// HeartbeatTimeout how long an answer may take before the path counts as
-	// silent.
+	// HeartbeatInterval is the time between heartbeats on a connection.
+	// HeartbeatTimeout bounds the wait for a reply before the connection counts as lost.
 	HeartbeatInterval time.Duration
 	HeartbeatTimeout  time.Duration
-	// BackoffMin and BackoffMax bound the pause between rounds of attempts.
+	// BackoffMin and BackoffMax bound the delay between rounds of attempts.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// MaxRequestBytes and MaxResponseBytes bound messages.
+	// MaxRequestBytes and MaxResponseBytes bound the size of messages.
 	MaxRequestBytes  int
 	MaxResponseBytes int
-	// Rand drives jitter and the order of addresses. By default it is seeded
-	// at random. The client alone may use it.
+	// Rand drives jitter and the order of addresses. The client must be its only user. By
+	// default it is seeded at random.
 	Rand *rand.Rand
 }
 
@@ -96,7 +93,7 @@
 // Client keeps one connection to one out of several servers. All methods may
 // be called concurrently.
 type Client struct {
-	// addrs is changed by the goroutine of run only, with mu held.
+	// addrs is written only by the goroutine of run, with mu held.
 	addrs  []string
 	creds  *keys.Credentials
 	opts   ClientOptions
@@ -106,38 +103,37 @@
 	// randMu guards opts.Rand.
 	randMu sync.Mutex
 
-	// mu guards the fields below; it is never held while calling out.
+	// mu guards the fields below. It is not held during calls to other packages.
 	mu      sync.Mutex
 	current *connection
-	// ready is closed while there is a connection; a new one is made when it
-	// is lost.
+	// ready is closed while there is a connection and replaced when it is lost.
 	ready chan struct{}
-	// opened is closed when there is another connection, and then made anew.
-	opened chan struct{}
-	// configured is what the caller gave, learned what servers named. Both replace
-	// addrs before the next attempt if stale is set.
+	// reconnected is closed and replaced when a connection is established.
+	reconnected chan struct{}
+	// configured was set by the caller, learned was named by servers. If stale is set, both
+	// replace addrs before the next attempt.
 	configured, learned []string
-	stale               bool
-	// named is closed when configured or learned has changed, and then made anew.
-	named chan struct{}
-	// next is where the client shall move to, if not empty.
-	next string
-	// move is signalled to leave the current connection.
-	move chan struct{}
+	addressesStale      bool
+	// addressesChanged is closed and replaced when configured or learned changes.
+	addressesChanged chan struct{}
+	// moveTo is the address to move to; empty means any other server.
+	moveTo string
+	// moveRequested signals the client to leave the current connection.
+	moveRequested chan struct{}
 }
 
 // NewClient starts a client for servers at the given addresses (ip:port). It
 // connects at once and reconnects until it is closed.
 func NewClient(addrs []string, creds *keys.Credentials, opts ClientOptions) *Client {
 	c := &Client{
-		addrs:      slices.Clone(addrs),
-		configured: slices.Clone(addrs),
-		creds:      creds,
-		opts:       opts.withDefaults(),
-		ready:      make(chan struct{}),
-		opened:     make(chan struct{}),
-		named:      make(chan struct{}),
-		move:       make(chan struct{}, 1),
+		addrs:            slices.Clone(addrs),
+		configured:       slices.Clone(addrs),
+		creds:            creds,
+		opts:             opts.withDefaults(),
+		ready:            make(chan struct{}),
+		reconnected:      make(chan struct{}),
+		addressesChanged: make(chan struct{}),
+		moveRequested:    make(chan struct{}, 1),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.shuffle(c.addrs)
@@ -145,8 +141,7 @@
 	return c
 }
 
-// Addresses returns the servers that the client was given, and the one that it is
-// connected to.
+// Addresses returns the configured servers and the one that the client is connected to.
 func (c *Client) Addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,8 +152,8 @@
 	return out
 }
 
-// SetAddresses replaces the servers that the client may use, unless the list is
-// empty. An open connection stays, whether or not its server is on the list.
+// SetAddresses replaces the configured servers unless addrs is empty. An open connection
+// stays, whether or not its server is on the list.
 func (c *Client) SetAddresses(addrs []string) {
 	if len(addrs) == 0 {
 		return
@@ -166,12 +161,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.configured = slices.Clone(addrs)
-	c.nameAddresses()
+	c.notifyAddresses()
 }
 
-// SetLearnedAddresses adds servers that a server named to those that the client may use, in place of
-// what it learned before. They are tried first: a few servers that all clients were
-// given need not be the ones that serve.
+// SetLearnedAddresses replaces the servers that were named by a server, unless addrs is
+// empty. They are tried before the configured ones, which need not be serving.
 func (c *Client) SetLearnedAddresses(addrs []string) {
 	if len(addrs) == 0 {
 		return
@@ -179,17 +173,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.learned = slices.Clone(addrs)
-	c.nameAddresses()
+	c.notifyAddresses()
 }
 
-// takeAddresses takes over what SetAddresses and Learn were given last.
-func (c *Client) takeAddresses(r *redial) {
+// applyAddresses takes over the addresses last set.
+func (c *Client) applyAddresses(r *dialState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.stale {
+	if !c.addressesStale {
 		return
 	}
-	c.stale = false
+	c.addressesStale = false
 	next := slices.Clone(c.learned)
 	c.shuffle(next)
 	for _, addr := range c.configured {
@@ -201,7 +195,7 @@
 	r.index %= len(c.addrs)
 }
 
-// shuffle draws the order of addresses, so that many clients do not go to one server.
+// shuffle randomizes the order of addresses to distribute clients over servers.
 func (c *Client) shuffle(addrs []string) {
 	c.randMu.Lock()
 	defer c.randMu.Unlock()
@@ -210,7 +204,7 @@
 	})
 }
 
-// Address returns the server of the current connection, or "" without one.
+// Address returns the server of the current connection, or "" if there is none.
 func (c *Client) Address() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,16 +214,15 @@
 	return c.current.addr
 }
 
-// Reconnected returns a channel that is closed when the client has another
-// connection than now.
+// Reconnected returns a channel that is closed when the next connection is established.
 func (c *Client) Reconnected() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.opened
+	return c.reconnected
 }
 
-// Transferred returns the bytes of UDP payload that the current connection
-// has sent and received, nothing without one.
+// Transferred returns the bytes of UDP payload sent and received on the current connection,
+// or zero if there is none.
 func (c *Client) Transferred() (sent, received uint64) {
 	c.mu.Lock()
 	conn := c.current
@@ -241,32 +234,30 @@
 	return stats.BytesSent, stats.BytesReceived
 }
 
-// Move makes the client leave its connection for another one. An empty
-// address means any other server of the list. The old connection is closed
-// once the calls on it have ended; subscriptions end with it.
+// Move makes the client switch to the given server, or to any other one if addr is empty.
+// The old connection is closed once its calls have ended; subscriptions end with it.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
-	c.next = addr
+	c.moveTo = addr
 	c.mu.Unlock()
 	select {
-	case c.move <- struct{}{}:
+	case c.moveRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Close ends the connection and all that waits for one.
+// Close closes the connection and fails all pending calls.
 func (c *Client) Close() {
 	c.cancel()
 	c.wg.Wait()
 }
 
-// Call sends a request and waits for its response, no longer than the
-// context. It waits for a connection first if there is none. The error is
-// ErrNotSent or ErrUnknown, ErrTooLarge for a request that was too large to
-// send, and ErrClosed on a closed client. A fault that the server answers is
-// a response: see FaultOf. If the fault names other servers, the client goes to one.
+// Call sends a request and waits for its response until ctx is done. If there is no
+// connection it waits for one. The error is ErrNotSent, ErrOutcomeUnknown, ErrTooLarge for
+// a request above the size bound, or ErrClosed. A fault is a response, not an error: see
+// ResponseError. If the fault names other servers, the client moves to one of them.
 func (c *Client) Call(ctx context.Context, req *controlpb.Request) (*controlpb.Response, error) {
-	conn, err := c.await(ctx)
+	conn, err := c.awaitConnection(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -274,12 +265,12 @@
 	if err != nil {
 		c.countFailure(err)
 	}
-	c.goTo(res.GetFault().GetHosts().GetAddresses())
+	c.followRedirect(res.GetFault().GetHosts().GetAddresses())
 	return res, err
 }
 
-// goTo leaves a server that names others in its place.
-func (c *Client) goTo(hosts []string) {
+// followRedirect moves to one of the servers that a fault named.
+func (c *Client) followRedirect(hosts []string) {
 	if len(hosts) == 0 {
 		return
 	}
@@ -290,10 +281,10 @@
 	c.Move(to)
 }
 
-// Subscribe opens a subscription. It lives until it is closed, the context
-// ends or the connection is lost.
+// Subscribe opens a subscription. It lasts until it is closed, ctx is done or the
+// connection is lost.
 func (c *Client) Subscribe(ctx context.Context, req *controlpb.Subscribe) (*ClientStream, error) {
-	conn, err := c.await(ctx)
+	conn, err := c.awaitConnection(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -304,27 +295,27 @@
 	return s, err
 }
 
-// CallResult is what one server answered to CallEach.
+// CallResult is the response or the error of one server.
 type CallResult struct {
 	Address  string
 	Response *controlpb.Response
 	Err      error
 }
 
-// CallEach sends a request to every server of the list, each over a
-// connection of its own that is closed afterwards. It returns one answer an
-// address once all have answered or failed, or the context ends.
+// CallEach sends a request to every server, each over a new connection that is closed
+// afterwards. It returns one result per address when all have replied or failed or ctx is
+// done.
 func (c *Client) CallEach(ctx context.Context, req *controlpb.Request) []CallResult {
 	addrs := c.Addresses()
-	answers := make([]CallResult, len(addrs))
+	results := make([]CallResult, len(addrs))
 	var wg conc.WaitGroup
 	for i, addr := range addrs {
 		wg.Go(func() {
-			answers[i] = c.callOnce(ctx, addr, req)
+			results[i] = c.callOnce(ctx, addr, req)
 		})
 	}
 	wg.Wait()
-	return answers
+	return results
 }
 
 func (c *Client) callOnce(ctx context.Context, addr string, req *controlpb.Request) CallResult {
@@ -337,8 +328,8 @@
 	return CallResult{Address: addr, Response: res, Err: err}
 }
 
-// await returns the current connection, waiting for one if need be.
-func (c *Client) await(ctx context.Context) (*connection, error) {
+// awaitConnection returns the current connection and waits for one if there is none.
+func (c *Client) awaitConnection(ctx context.Context) (*connection, error) {
 	for {
 		if err := ctx.Err(); err != nil {
 			return nil, notSent(err)
@@ -360,16 +351,16 @@
 	}
 }
 
-func (c *Client) publish(conn *connection) {
+func (c *Client) setCurrent(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = conn
 	close(c.ready)
-	close(c.opened)
-	c.opened = make(chan struct{})
+	close(c.reconnected)
+	c.reconnected = make(chan struct{})
 }
 
-func (c *Client) unpublish() {
+func (c *Client) clearCurrent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = nil
@@ -388,18 +379,18 @@
 }
 
 func (c *Client) countReason(reason string) {
-	byReason(c.opts.Scope, metricCallFailures, reason).Inc(1)
+	reasonCounter(c.opts.Scope, metricCallFailures, reason).Inc(1)
 }
 
-// jitter varies a duration, so that many clients do not act together.
+// jitter varies a duration at random so that clients do not act in lockstep.
 func (c *Client) jitter(d time.Duration) time.Duration {
 	c.randMu.Lock()
 	defer c.randMu.Unlock()
-	factor := 1 + jitterShare*(2*c.opts.Rand.Float64()-1)
+	factor := 1 + jitterFraction*(2*c.opts.Rand.Float64()-1)
 	return time.Duration(float64(d) * factor)
 }
 
 func (c *Client) quicConfig() *quic.Config {
 	idle := c.opts.HeartbeatInterval + c.opts.HeartbeatTimeout
-	return quicConfig(2*idle, clientStreams)
+	return quicConfig(2*idle, clientIncomingStreams)
 }
--- a/internal/link/codec.go
+++ b/internal/link/codec.go
@@ -9,23 +9,22 @@
 )
 
 const (
-	// maxPrefix is the longest length prefix: five bytes of varint hold more
-	// than any size bound.
-	maxPrefix = 5
-	// firstChunk is how much memory a message gets before its bytes arrive. A
-	// prefix alone must not make the reader allocate the size it claims.
-	firstChunk = 4 << 10
+	// maxPrefixLength is the longest length prefix in bytes.
+	maxPrefixLength = 5
+	// initialBufferSize limits the memory allocated before the bytes of a message arrive, so
+	// that a length prefix alone can't exhaust memory.
+	initialBufferSize = 4 << 10
 
-	varintMore = 0x80
+	varintContinuation = 0x80
 )
 
-// writeMessage writes a message with its length in front, in one write.
+// writeMessage writes a message with its length prefix in a single write.
 func writeMessage(w io.Writer, m proto.Message, limit int) error {
 	size := proto.Size(m)
 	if size > limit {
 		return errors.Wrapf(ErrTooLarge, "%d bytes, at most %d", size, limit)
 	}
-	buf := make([]byte, 0, size+maxPrefix)
+	buf := make([]byte, 0, size+maxPrefixLength)
 	buf = protowire.AppendVarint(buf, uint64(size))
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, m)
 	if err != nil {
@@ -37,8 +36,8 @@
 	return nil
 }
 
-// readMessage reads one message of at most limit bytes. It returns io.EOF if
-// the stream ends before the first byte of a message.
+// readMessage reads one message of at most limit bytes. It returns io.EOF if the stream ends
+// before a message.
 func readMessage(r io.Reader, m proto.Message, limit int) error {
 	size, err := readPrefix(r)
 	if err != nil {
@@ -58,8 +57,8 @@
 }
 
 func readPrefix(r io.Reader) (uint64, error) {
-	var buf [maxPrefix]byte
-	for n := 0; n < maxPrefix; n++ {
+	var buf [maxPrefixLength]byte
+	for n := 0; n < maxPrefixLength; n++ {
 		_, err := io.ReadFull(r, buf[n:n+1])
 		if err == io.EOF && n > 0 {
 			err = io.ErrUnexpectedEOF
@@ -70,7 +69,7 @@
 		if err != nil {
 			return 0, errors.Wrap(err, "read message length")
 		}
-		if buf[n]&varintMore != 0 {
+		if buf[n]&varintContinuation != 0 {
 			continue
 		}
 		size, used := protowire.ConsumeVarint(buf[:n+1])
@@ -82,9 +81,9 @@
 	return 0, errors.Wrap(ErrMalformed, "message length is too long")
 }
 
-// readBody reads size bytes. Memory grows with what has arrived.
+// readBody reads size bytes. The buffer grows with the data that has arrived.
 func readBody(r io.Reader, size int) ([]byte, error) {
-	body := make([]byte, 0, min(size, firstChunk))
+	body := make([]byte, 0, min(size, initialBufferSize))
 	for len(body) < size {
 		if len(body) == cap(body) {
 			grown := make([]byte, len(body), min(size, 2*cap(body)))
--- a/internal/link/codec_test.go
+++ b/internal/link/codec_test.go
@@ -21,11 +21,11 @@
 	return b.Bytes()
 }
 
-func TestMessagesFollowEachOther(t *testing.T) {
+func TestConsecutiveMessages(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
 	is.NoErr(writeMessage(&b, versionQuery(), fuzzLimit))
-	big := &controlpb.Request{Body: &controlpb.Request_Propose{Propose: &controlpb.Propose{Command: make([]byte, 3*firstChunk)}}}
+	big := &controlpb.Request{Body: &controlpb.Request_Propose{Propose: &controlpb.Propose{Command: make([]byte, 3*initialBufferSize)}}}
 	is.NoErr(writeMessage(&b, big, fuzzLimit))
 	one, two := new(controlpb.Request), new(controlpb.Request)
 	is.NoErr(readMessage(&b, one, fuzzLimit))
@@ -40,13 +40,13 @@
 	m := &controlpb.Request{Body: &controlpb.Request_Propose{Propose: &controlpb.Propose{Command: make([]byte, 100)}}}
 	var b bytes.Buffer
 	is.True(errors.Is(writeMessage(&b, m, 50), ErrTooLarge))
-	is.Equal(b.Len(), 0) // nothing left
+	is.Equal(b.Len(), 0) // nothing was written
 	is.NoErr(writeMessage(&b, m, 200))
 	is.True(errors.Is(readMessage(&b, new(controlpb.Request), 50), ErrTooLarge))
 }
 
-// A length alone must not cost memory.
-func TestClaimedLengthAllocatesLittle(t *testing.T) {
+// Guards against a large allocation caused by a length prefix alone.
+func TestClaimedLengthBoundsAllocation(t *testing.T) {
 	is := is.New(t)
 	prefix := []byte{0xff, 0xff, 0xff, 0x07} // 16 MiB - 1
 	var body []byte
@@ -61,7 +61,7 @@
 			_ = readMessage(r, new(controlpb.Request), 16<<20)
 		}
 	})
-	is.True(result.AllocedBytesPerOp() < 2*firstChunk)
+	is.True(result.AllocedBytesPerOp() < 2*initialBufferSize)
 }
 
 func FuzzReadMessage(f *testing.F) {
@@ -89,7 +89,7 @@
 			known := err == io.EOF || errors.Is(err, ErrTooLarge) ||
 				errors.Is(err, ErrMalformed) || errors.Is(err, io.ErrUnexpectedEOF)
 			if !known {
-				t.Fatalf("error of another kind: %v", err)
+				t.Fatalf("unexpected error: %v", err)
 			}
 			return
 		}
@@ -103,6 +103,6 @@
 		t.Fatal(err)
 	}
 	if !proto.Equal(m, again) {
-		t.Fatalf("changed: %v became %v", m, again)
+		t.Fatalf("round trip changed %v to %v", m, again)
 	}
 }
--- a/internal/link/connection.go
+++ b/internal/link/connection.go
@@ -11,7 +11,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// connection is one established connection with a socket of its own.
+// connection is an established connection with its own socket.
 type connection struct {
 	addr      string
 	quic      *quic.Conn
@@ -23,8 +23,7 @@
 	calls        inflight
 }
 
-// dial connects to a server within a timeout, by several attempts beside each other if the
-// options ask for it.
+// dial connects to a server within a timeout, with hedged attempts if configured.
 func (c *Client) dial(ctx context.Context, addr string, timeout time.Duration) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -34,8 +33,8 @@
 	return c.hedge(ctx, addr)
 }
 
-// attempt connects from a fresh UDP port and waits until the server has answered
-// a heartbeat: by then it has checked our certificate and admitted us.
+// attempt connects from a new UDP port and waits for the reply to a heartbeat. By then the
+// server has verified the client's certificate and admitted the connection.
 func (c *Client) attempt(ctx context.Context, addr string) (*connection, error) {
 	remote, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -67,7 +66,7 @@
 		cause := context.Cause(conn.quic.Context())
 		conn.close(codeNone)
 		if cause != nil {
-			// The refusal of the connection says more than that of the stream.
+			// The error of the connection is more specific than that of the stream.
 			err = cause
 		}
 		return nil, errors.Wrapf(err, "first heartbeat to %s", addr)
@@ -83,7 +82,7 @@
 	_ = c.socket.Close()
 }
 
-// heartbeat asks the server for a sign of life.
+// heartbeat sends a heartbeat and waits for the reply.
 func (c *connection) heartbeat(ctx context.Context) error {
 	_, err := c.call(ctx, &controlpb.Request{
 		Body: &controlpb.Request_Heartbeat{Heartbeat: &controlpb.Heartbeat{}},
@@ -93,7 +92,7 @@
 
 func (c *connection) call(ctx context.Context, req *controlpb.Request) (*controlpb.Response, error) {
 	if !c.calls.begin() {
-		return nil, notSent(errLeft)
+		return nil, notSent(errDrained)
 	}
 	defer c.calls.end()
 	stream, err := c.quic.OpenStreamSync(ctx)
@@ -107,9 +106,9 @@
 	}
 	res := new(controlpb.Response)
 	if err := readMessage(stream, res, c.receiveLimit); err != nil {
-		return nil, c.failure(ctx, stream, err)
+		return nil, c.failCall(ctx, stream, err)
 	}
-	// Tells the server that the answer has arrived.
+	// Signals to the server that the response has arrived.
 	_ = stream.Close()
 	stream.CancelRead(streamDone)
 	return res, nil
@@ -127,11 +126,10 @@
 		cancel()
 		return nil, err
 	}
-	return &ClientStream{stream: stream, limit: c.receiveLimit, stop: stop, cancel: cancel}, nil
+	return &ClientStream{stream: stream, messageLimit: c.receiveLimit, stop: stop, cancel: cancel}, nil
 }
 
-// write sends the request of a stream. A request that is too large is refused
-// before any byte of it leaves.
+// write sends the request of a stream. It sends nothing of a request that is too large.
 func (c *connection) write(ctx context.Context, stream *quic.Stream, req *controlpb.Request) error {
 	err := writeMessage(stream, req, c.sendLimit)
 	if errors.Is(err, ErrTooLarge) {
@@ -139,22 +137,22 @@
 		return err
 	}
 	if err != nil {
-		return c.failure(ctx, stream, err)
+		return c.failCall(ctx, stream, err)
 	}
 	return nil
 }
 
-// failure turns the error of a stream into an outcome and ends the stream.
-func (c *connection) failure(ctx context.Context, stream *quic.Stream, err error) error {
+// failCall aborts a stream and converts its error to a callError.
+func (c *connection) failCall(ctx context.Context, stream *quic.Stream, err error) error {
 	abort(stream, streamCancelled)
 	if ctx.Err() != nil {
-		return unknown(ctx.Err())
+		return outcomeUnknown(ctx.Err())
 	}
-	return outcomeError(err)
+	return wrapSentError(err)
 }
 
-// watch sends heartbeats until the connection ends, the server stops
-// answering or the client moves on. It returns why.
+// watch sends heartbeats until the connection is lost, the server stops replying or the
+// client moves or closes. It returns the reason.
 func (c *Client) watch(conn *connection) string {
 	for {
 		timer := time.NewTimer(c.jitter(c.opts.HeartbeatInterval))
@@ -162,7 +160,7 @@
 		case <-c.ctx.Done():
 			timer.Stop()
 			return reasonClosed
-		case <-c.move:
+		case <-c.moveRequested:
 			timer.Stop()
 			return reasonMoved
 		case <-conn.quic.Context().Done():
@@ -172,23 +170,23 @@
 		}
 		ctx, cancel := context.WithTimeout(c.ctx, c.opts.HeartbeatTimeout)
 		err := conn.heartbeat(ctx)
-		silent := ctx.Err() != nil
+		timedOut := ctx.Err() != nil
 		cancel()
 		switch {
 		case err == nil || c.ctx.Err() != nil:
-		case silent:
-			return reasonSilent
-		case refusedUnread(err):
-			// The server takes no new requests: it is about to stop.
+		case timedOut:
+			return reasonUnresponsive
+		case refusedBeforeRead(err):
+			// The server accepts no new requests because it is shutting down.
 			return reasonShutdown
 		default:
-			// The stream fails a moment before its connection does.
+			// Streams fail shortly before their connection does.
 			return c.awaitLoss(conn)
 		}
 	}
 }
 
-// awaitLoss returns why a connection ended whose streams have failed.
+// awaitLoss waits for the end of a connection whose streams have failed and returns the reason.
 func (c *Client) awaitLoss(conn *connection) string {
 	select {
 	case <-conn.quic.Context().Done():
@@ -200,8 +198,8 @@
 	}
 }
 
-// leave closes a connection once the calls on it have ended.
-func (c *Client) leave(conn *connection) {
+// drainAndClose closes a connection once its calls have ended.
+func (c *Client) drainAndClose(conn *connection) {
 	select {
 	case <-conn.calls.drain():
 	case <-conn.quic.Context().Done():
--- a/internal/link/counters.go
+++ b/internal/link/counters.go
@@ -19,34 +19,34 @@
 	metricCallFailures       = "link_client_call_failures"
 )
 
-func byReason(scope tally.Scope, metric, reason string) tally.Counter {
+func reasonCounter(scope tally.Scope, metric, reason string) tally.Counter {
 	return scope.Tagged(map[string]string{tagReason: reason}).Counter(metric)
 }
 
-// serverCounters counts what a server refuses, by reason.
+// serverCounters holds the metrics of a server.
 type serverCounters struct {
-	scope              tally.Scope
-	refusedHandshake   tally.Counter
-	refusedClosing     tally.Counter
-	panics             tally.Counter
-	unanswered         tally.Counter
-	drainCut           tally.Counter
-	subscriptions      tally.Counter
-	failedSubscription tally.Counter
-	connections        tally.Gauge
+	scope               tally.Scope
+	refusedHandshakes   tally.Counter
+	refusedWhileClosing tally.Counter
+	panics              tally.Counter
+	unanswered          tally.Counter
+	drainTimeouts       tally.Counter
+	subscriptions       tally.Counter
+	failedSubscriptions tally.Counter
+	connections         tally.Gauge
 }
 
 func newServerCounters(scope tally.Scope) serverCounters {
 	return serverCounters{
-		scope:              scope,
-		refusedHandshake:   byReason(scope, metricRefusedConnections, "handshakes"),
-		refusedClosing:     byReason(scope, metricRefusedConnections, "closing"),
-		panics:             scope.Counter("link_server_panics"),
-		unanswered:         scope.Counter("link_server_unanswered_requests"),
-		drainCut:           scope.Counter("link_server_drains_cut"),
-		subscriptions:      scope.Counter("link_server_subscriptions"),
-		failedSubscription: scope.Counter("link_server_failed_subscriptions"),
-		connections:        scope.Gauge("link_server_connections"),
+		scope:               scope,
+		refusedHandshakes:   reasonCounter(scope, metricRefusedConnections, "handshakes"),
+		refusedWhileClosing: reasonCounter(scope, metricRefusedConnections, "closing"),
+		panics:              scope.Counter("link_server_panics"),
+		unanswered:          scope.Counter("link_server_unanswered_requests"),
+		drainTimeouts:       scope.Counter("link_server_drains_cut"),
+		subscriptions:       scope.Counter("link_server_subscriptions"),
+		failedSubscriptions: scope.Counter("link_server_failed_subscriptions"),
+		connections:         scope.Gauge("link_server_connections"),
 	}
 }
 
@@ -64,19 +64,19 @@
 	case errors.Is(err, keys.ErrNoIdentity):
 		reason = "no_identity"
 	}
-	byReason(c.scope, metricRefusedConnections, reason).Inc(1)
+	reasonCounter(c.scope, metricRefusedConnections, reason).Inc(1)
 }
 
-func (c *serverCounters) refusedAdmission(why refusal) {
-	byReason(c.scope, metricRefusedConnections, string(why)).Inc(1)
+func (c *serverCounters) refusedAdmission(reason refusal) {
+	reasonCounter(c.scope, metricRefusedConnections, string(reason)).Inc(1)
 }
 
 func (c *serverCounters) refusedRequest(err error) {
-	byReason(c.scope, metricRefusedRequests, messageReason(err)).Inc(1)
+	reasonCounter(c.scope, metricRefusedRequests, messageReason(err)).Inc(1)
 }
 
 func (c *serverCounters) failedSend(err error) {
-	byReason(c.scope, metricFailedSends, messageReason(err)).Inc(1)
+	reasonCounter(c.scope, metricFailedSends, messageReason(err)).Inc(1)
 }
 
 func messageReason(err error) string {
--- a/internal/link/errors.go
+++ b/internal/link/errors.go
@@ -14,48 +14,47 @@
 
 // Errors of calls and messages.
 var (
-	// ErrNotSent is returned for a request that certainly was not acted on: no
-	// connection, no stream, or the server refused it before reading it.
+	// ErrNotSent is returned for a request that was certainly not processed: there was no
+	// connection or stream, or the server refused it before reading it.
 	ErrNotSent = errors.New("request not sent")
-	// ErrOutcomeUnknown is returned for a request that was sent and not answered: it
-	// is not known whether it was acted on.
+	// ErrOutcomeUnknown is returned for a request that was sent without getting a response.
 	ErrOutcomeUnknown = errors.New("outcome of request unknown")
 	// ErrClosed is returned on a closed client or server.
 	ErrClosed = errors.New("link closed")
 	// ErrTooLarge is returned for a message above the size bound.
 	ErrTooLarge = errors.New("message too large")
-	// ErrMalformed is returned for bytes that are no message.
+	// ErrMalformed is returned for bytes that can't be decoded as a message.
 	ErrMalformed = errors.New("malformed message")
 )
 
 // Application error codes of connections and streams.
 const (
-	// codeNone closes a connection in the ordinary way.
+	// codeNone closes a connection without an error.
 	codeNone quic.ApplicationErrorCode = 0
-	// codeBusy refuses a connection before any stream of it was read.
+	// codeBusy refuses a connection before any of its streams is read.
 	codeBusy quic.ApplicationErrorCode = 1
-	// codeShutdown closes the connections of a server that stops.
+	// codeShutdown closes the connections of a server that shuts down.
 	codeShutdown quic.ApplicationErrorCode = 2
-	// codeSilent closes a connection whose far end no longer answers.
-	codeSilent quic.ApplicationErrorCode = 3
+	// codeUnresponsive closes a connection whose server no longer replies.
+	codeUnresponsive quic.ApplicationErrorCode = 3
 
-	// streamDone ends the reading side of a finished stream.
+	// streamDone ends the read side of a finished stream.
 	streamDone quic.StreamErrorCode = 0
-	// streamNotDone refuses a stream before its request was read.
-	streamNotDone quic.StreamErrorCode = 1
-	// streamMalformed refuses a request that could not be decoded.
+	// streamRefused refuses a stream before its request is read.
+	streamRefused quic.StreamErrorCode = 1
+	// streamMalformed refuses a request that can't be decoded.
 	streamMalformed quic.StreamErrorCode = 2
 	// streamFailed ends a stream whose handler failed.
 	streamFailed quic.StreamErrorCode = 3
-	// streamCancelled ends a stream that its client gave up.
+	// streamCancelled ends a stream that the client cancelled.
 	streamCancelled quic.StreamErrorCode = 4
 )
 
-// FaultError is a fault that the server answered in place of a subscription.
+// FaultError is a fault returned by a control host.
 type FaultError struct {
 	Kind controlpb.FaultKind
 	Text string
-	// RetryAfter says when to come back; 0 says nothing about it.
+	// RetryAfter is the time until a retry; 0 if the fault has none.
 	RetryAfter time.Duration
 }
 
@@ -64,7 +63,7 @@
 	return fmt.Sprintf("control host answered %s: %s", e.Kind, e.Text)
 }
 
-// ResponseError returns the fault of a response as an error, or nil if it is none.
+// ResponseError returns the fault of a response as an error, or nil if there is none.
 func ResponseError(res *controlpb.Response) error {
 	f := res.GetFault()
 	if f == nil {
@@ -77,37 +76,36 @@
 	}
 }
 
-// outcome is ErrNotSent or ErrUnknown together with what led to it.
-type outcome struct {
+// callError is ErrNotSent or ErrOutcomeUnknown with its cause.
+type callError struct {
 	kind  error
 	cause error
 }
 
 // Error implements error.
-func (e *outcome) Error() string { return e.kind.Error() + ": " + e.cause.Error() }
+func (e *callError) Error() string { return e.kind.Error() + ": " + e.cause.Error() }
 
-// Unwrap makes errors.Is and errors.As find both.
-func (e *outcome) Unwrap() []error { return []error{e.kind, e.cause} }
+// Unwrap exposes both errors to errors.Is and errors.As.
+func (e *callError) Unwrap() []error { return []error{e.kind, e.cause} }
 
-func notSent(cause error) error { return &outcome{kind: ErrNotSent, cause: cause} }
+func notSent(cause error) error { return &callError{kind: ErrNotSent, cause: cause} }
 
-func unknown(cause error) error { return &outcome{kind: ErrOutcomeUnknown, cause: cause} }
+func outcomeUnknown(cause error) error { return &callError{kind: ErrOutcomeUnknown, cause: cause} }
 
-// outcomeError wraps an error that came after the request was handed to the
+// wrapSentError classifies an error that occurred after the request was passed to the
 // connection.
-func outcomeError(err error) error {
-	if refusedUnread(err) {
+func wrapSentError(err error) error {
+	if refusedBeforeRead(err) {
 		return notSent(err)
 	}
-	return unknown(err)
+	return outcomeUnknown(err)
 }
 
-// refusedUnread reports whether the far end said that it read nothing of the
-// request.
-func refusedUnread(err error) bool {
+// refusedBeforeRead reports whether the peer refused the request without reading it.
+func refusedBeforeRead(err error) bool {
 	var stream *quic.StreamError
 	if errors.As(err, &stream) {
-		return stream.Remote && (stream.ErrorCode == streamNotDone || stream.ErrorCode == streamMalformed)
+		return stream.Remote && (stream.ErrorCode == streamRefused || stream.ErrorCode == streamMalformed)
 	}
 	var app *quic.ApplicationError
 	if errors.As(err, &app) {
@@ -115,7 +113,7 @@
 	}
 	var transport *quic.TransportError
 	if errors.As(err, &transport) {
-		// The server hands out connections only after the whole handshake.
+		// The server accepts connections only after the complete handshake.
 		return transport.Remote &&
 			(transport.ErrorCode.IsCryptoError() || transport.ErrorCode == quic.ConnectionRefused)
 	}
@@ -124,12 +122,11 @@
 
 const retryAfterPrefix = "retry-after-ms="
 
-func busyText(d time.Duration) string {
+func retryAfterText(d time.Duration) string {
 	return retryAfterPrefix + strconv.FormatInt(d.Milliseconds(), 10)
 }
 
-// retryAfter returns when a server that refused a connection wants to see its
-// peer again.
+// retryAfter returns the retry-after time of a server that refused a connection.
 func retryAfter(err error) (time.Duration, bool) {
 	var app *quic.ApplicationError
 	if !errors.As(err, &app) || !app.Remote || app.ErrorCode != codeBusy {
--- a/internal/link/fault_test.go
+++ b/internal/link/fault_test.go
@@ -17,7 +17,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestUntrustedAndWrongRoleClientsAreRefused(t *testing.T) {
 	d := newDeployment(t)
 	other := newDeployment(t)
 	server := d.credentials(keys.RoleControl, "c1")
@@ -27,7 +27,7 @@
 		creds  func(t *testing.T) *keys.Credentials
 	}{
 		{"other authority", "stranger", func(t *testing.T) *keys.Credentials {
-			// Trusts the server, but is signed by another authority.
+			// Trusts the server but is signed by another authority.
 			both := append(d.CertificatePEM(), other.CertificatePEM()...)
 			c, err := keys.InMemory(both, other.pair(keys.RoleEntry, "e1", time.Now()), nil)
 			is.New(t).NoErr(err)
@@ -42,13 +42,13 @@
 			is := is.New(t)
 			h := newFakeHandler()
 			s, scope := startServer(t, anyPort, server, h, ServerOptions{})
-			c, clientScope := startClient(t, tc.creds(t), quick(), s.Addr().String())
+			c, clientScope := startClient(t, tc.creds(t), fastOptions(), s.Addr().String())
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			defer cancel()
 			_, err := c.Call(ctx, versionQuery())
 			is.True(errors.Is(err, ErrNotSent))
-			eventually(t, "counted", func() bool { return count(scope, metricRefusedConnections, tc.reason) > 0 })
-			eventually(t, "counted by the client", func() bool {
+			eventually(t, "refusal counted", func() bool { return count(scope, metricRefusedConnections, tc.reason) > 0 })
+			eventually(t, "refusal counted by the client", func() bool {
 				return count(clientScope, metricDialFailures, "refused_certificate") > 0
 			})
 			is.Equal(h.calls(), 0)
@@ -56,12 +56,12 @@
 	}
 }
 
-// rawDial connects with a TLS configuration that Credentials would refuse.
+// rawDial connects with a TLS configuration that Credentials does not offer.
 func rawDial(t *testing.T, s *Server, config *tls.Config) (*quic.Conn, error) {
 	t.Helper()
 	config.InsecureSkipVerify = true
 	config.NextProtos = []string{protocolName}
-	conn, err := quic.DialAddr(limited(t), s.Addr().String(), config, quicConfig(time.Second, clientStreams))
+	conn, err := quic.DialAddr(timeoutContext(t), s.Addr().String(), config, quicConfig(time.Second, clientIncomingStreams))
 	if err == nil {
 		t.Cleanup(func() { _ = conn.CloseWithError(0, "") })
 	}
@@ -105,49 +105,49 @@
 	d := newDeployment(t)
 	h := newFakeHandler()
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleAgent, "a1"), h, ServerOptions{})
-	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
+	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	_, err := c.Call(ctx, versionQuery())
 	is.True(errors.Is(err, ErrNotSent))
-	eventually(t, "counted", func() bool { return count(scope, metricDialFailures, "server_certificate") > 0 })
+	eventually(t, "refusal counted", func() bool { return count(scope, metricDialFailures, "server_certificate") > 0 })
 	is.Equal(h.calls(), 0)
 }
 
-// tlsFor is the configuration of a peer that misbehaves after the handshake.
-func tlsFor(t *testing.T, d *deployment) *tls.Config {
+// clientTLS returns the TLS configuration of an admitted peer.
+func clientTLS(t *testing.T, d *deployment) *tls.Config {
 	t.Helper()
-	pair := d.pair(keys.RoleEntry, "rough", time.Now())
+	pair := d.pair(keys.RoleEntry, "e1", time.Now())
 	cert, err := tls.X509KeyPair(pair.Certificate, pair.PrivateKey)
 	is.New(t).NoErr(err)
 	return &tls.Config{Certificates: []tls.Certificate{cert}}
 }
 
-func TestRoughMessages(t *testing.T) {
+func TestMalformedMessages(t *testing.T) {
 	d := newDeployment(t)
 	cases := []struct {
 		name, reason string
 		data         []byte
 	}{
 		{"oversized", "too_large", []byte{0xff, 0xff, 0xff, 0x7f}},
-		{"endless length", "malformed", []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff}},
+		{"unterminated length", "malformed", []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff}},
 		{"garbage", "malformed", []byte{3, 0xff, 0xff, 0xff}},
 		{"empty request", "malformed", []byte{0}},
-		{"cut off", "broken_off", []byte{100, 1, 2}},
+		{"truncated", "broken_off", []byte{100, 1, 2}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			h := newFakeHandler()
 			s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{MaxRequestBytes: 1000})
-			conn, err := rawDial(t, s, tlsFor(t, d))
+			conn, err := rawDial(t, s, clientTLS(t, d))
 			is.NoErr(err)
 			stream, err := conn.OpenStream()
 			is.NoErr(err)
 			_, err = stream.Write(tc.data)
 			is.NoErr(err)
-			// The server may have refused the stream already, which is what
-			// the read below checks; closing it then fails.
+			// The server may have refused the stream already, which the read below checks;
+			// Close then fails.
 			_ = stream.Close()
 			var b [1]byte
 			_, err = stream.Read(b[:])
@@ -156,8 +156,8 @@
 			is.Equal(streamErr.ErrorCode, streamMalformed)
 			is.Equal(count(scope, metricRefusedRequests, tc.reason), int64(1))
 			is.Equal(h.calls(), 0)
-			// The connection serves others all the same.
-			is.NoErr((&connection{quic: conn, sendLimit: 100, receiveLimit: 100}).heartbeat(limited(t)))
+			// The connection stays usable.
+			is.NoErr((&connection{quic: conn, sendLimit: 100, receiveLimit: 100}).heartbeat(timeoutContext(t)))
 		})
 	}
 }
@@ -167,17 +167,17 @@
 	d := newDeployment(t)
 	h := newFakeHandler()
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{MaxRequestBytes: 1000})
-	opts := quick()
+	opts := fastOptions()
 	opts.MaxRequestBytes = 2000
 	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, s.Addr().String())
 	propose := func(n int) *controlpb.Request {
 		return &controlpb.Request{Body: &controlpb.Request_Propose{Propose: &controlpb.Propose{Command: make([]byte, n)}}}
 	}
-	_, err := c.Call(limited(t), propose(3000))
+	_, err := c.Call(timeoutContext(t), propose(3000))
 	is.True(errors.Is(err, ErrTooLarge))
-	_, err = c.Call(limited(t), propose(1500))
-	is.True(errors.Is(err, ErrNotSent)) // the server refused it unread
-	_, err = c.Call(limited(t), propose(500))
+	_, err = c.Call(timeoutContext(t), propose(1500))
+	is.True(errors.Is(err, ErrNotSent)) // the server refused it before reading it
+	_, err = c.Call(timeoutContext(t), propose(500))
 	is.NoErr(err)
 	is.Equal(h.calls(), 1)
 }
@@ -186,8 +186,8 @@
 	is := is.New(t)
 	d := newDeployment(t)
 	s, serverScope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
-	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	sub, err := c.Subscribe(limited(t), &controlpb.Subscribe{})
+	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	sub, err := c.Subscribe(timeoutContext(t), &controlpb.Subscribe{})
 	is.NoErr(err)
 	defer sub.Close()
 	raw, err := net.Dial("udp", s.Addr().String())
@@ -201,20 +201,19 @@
 		}
 		_, _ = raw.Write(data)
 	}
-	mustAsk(t, c)
+	mustCall(t, c)
 	is.Equal(s.Connections(), 1)
-	is.Equal(count(scope, metricLostConnections, reasonSilent), int64(0))
-	for why := noFault + 1; why < datagramFaultCount; why++ {
-		if why == faultServerPacket || why == faultShortFirst {
-			continue // noise all but never has a known version
+	is.Equal(count(scope, metricLostConnections, reasonUnresponsive), int64(0))
+	for fault := noFault + 1; fault < datagramFaultCount; fault++ {
+		if fault == faultServerPacket || fault == faultShortInitial {
+			continue // random bytes hardly ever have a known version
 		}
-		eventually(t, why.String()+" is counted", func() bool {
-			return count(serverScope, metricRefusedDatagrams, why.String()) > 0
+		eventually(t, fault.String()+" counted", func() bool {
+			return count(serverScope, metricRefusedDatagrams, fault.String()) > 0
 		})
 	}
 }
 
-// Datagrams that a server may not drop, and those that it drops by reason.
 func TestCheckDatagram(t *testing.T) {
 	is := is.New(t)
 	long := func(first byte, version uint32, length int) []byte {
@@ -229,22 +228,22 @@
 		{long(0xc0, 1, 1200), noFault},
 		{long(0xd0, 0x6b3343cf, 1200), noFault},
 		{long(0xe0, 1, 100), noFault}, // a handshake packet may be short
-		{append([]byte{0x40}, make([]byte, serverIDLength)...), noFault},
+		{append([]byte{0x40}, make([]byte, serverConnIDLength)...), noFault},
 		{nil, faultTruncated},
-		{append([]byte{0x40}, make([]byte, serverIDLength-1)...), faultTruncated},
+		{append([]byte{0x40}, make([]byte, serverConnIDLength-1)...), faultTruncated},
 		{long(0xc0, 1, 1200)[:12], faultTruncated},
-		{append([]byte{0x00}, make([]byte, serverIDLength)...), faultNotQUIC},
+		{append([]byte{0x00}, make([]byte, serverConnIDLength)...), faultNotQUIC},
 		{long(0x80, 1, 1200), faultNotQUIC},
 		{long(0xc0, 7, 1200), faultVersion},
 		{long(0xc0, 0, 1200), faultServerPacket},
 		{long(0xf0, 1, 1200), faultServerPacket},
-		{long(0xc0, 1, 1199), faultShortFirst},
+		{long(0xc0, 1, 1199), faultShortInitial},
 	} {
 		is.Equal(checkDatagram(tt.datagram).String(), tt.want.String())
 	}
 }
 
-func TestSilentPathIsRedialled(t *testing.T) {
+func TestUnresponsivePathIsRedialled(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		repliesOnly bool
@@ -255,25 +254,25 @@
 			s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(),
 				ServerOptions{IdleTimeout: time.Second})
 			r := startRelay(t, s.Addr())
-			c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), r.addr())
-			sub, err := c.Subscribe(limited(t), &controlpb.Subscribe{})
+			c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), r.addr())
+			sub, err := c.Subscribe(timeoutContext(t), &controlpb.Subscribe{})
 			is.NoErr(err)
 			defer sub.Close()
-			r.loseTrack(tc.repliesOnly)
+			r.dropKnownPaths(tc.repliesOnly)
 			// The subscription on the dead path ends instead of hanging.
 			_, err = sub.Receive()
 			is.True(err != nil)
-			mustAsk(t, c)
-			is.Equal(count(scope, metricLostConnections, reasonSilent), int64(1))
-			is.Equal(r.pathCount(), 2) // the redial came from a fresh port
-			eventually(t, "the dead connection is gone", func() bool { return s.Connections() == 1 })
+			mustCall(t, c)
+			is.Equal(count(scope, metricLostConnections, reasonUnresponsive), int64(1))
+			is.Equal(r.pathCount(), 2) // the new connection uses another port
+			eventually(t, "lost connection closed", func() bool { return s.Connections() == 1 })
 		})
 	}
 }
 
-// The path to the first server comes back at once for new ports, and yet the
-// client does not spend a dial timeout on a server that may be gone.
-func TestSilentServerIsLeftForTheNext(t *testing.T) {
+// Guards against retrying an unresponsive server, which may cost a dial timeout, before the
+// other servers.
+func TestUnresponsiveServerFailsOver(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	var relays []*relay
@@ -284,35 +283,35 @@
 		relays = append(relays, r)
 		addrs = append(addrs, r.addr())
 	}
-	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), addrs...)
-	mustAsk(t, c)
+	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), addrs...)
+	mustCall(t, c)
 	first := c.Address()
 	for _, r := range relays {
 		if r.addr() == first {
-			r.loseTrack(false)
+			r.dropKnownPaths(false)
 		}
 	}
-	eventually(t, "the other server", func() bool { return c.Address() != "" && c.Address() != first })
-	is.Equal(count(scope, metricLostConnections, reasonSilent), int64(1))
+	eventually(t, "connected to the other server", func() bool { return c.Address() != "" && c.Address() != first })
+	is.Equal(count(scope, metricLostConnections, reasonUnresponsive), int64(1))
 }
 
-func TestAnotherServerTakesOver(t *testing.T) {
+func TestShutdownServerFailsOver(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	a, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
 	b, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c2"), newFakeHandler(), ServerOptions{})
 	servers := map[string]*Server{a.Addr().String(): a, b.Addr().String(): b}
-	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), a.Addr().String(), b.Addr().String())
-	mustAsk(t, c)
+	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), a.Addr().String(), b.Addr().String())
+	mustCall(t, c)
 	first := c.Address()
 	is.NoErr(servers[first].Close())
-	eventually(t, "the other server", func() bool { return c.Address() != "" && c.Address() != first })
-	mustAsk(t, c)
+	eventually(t, "connected to the other server", func() bool { return c.Address() != "" && c.Address() != first })
+	mustCall(t, c)
 	is.Equal(count(scope, metricLostConnections, reasonShutdown), int64(1))
 }
 
-// kill ends a server as a crash would: no connection is told.
-func kill(s *Server) {
+// crash stops a server without closing its connections.
+func crash(s *Server) {
 	s.cancel()
 	_ = s.socket.Close()
 }
@@ -322,29 +321,29 @@
 	d := newDeployment(t)
 	creds := d.credentials(keys.RoleControl, "c1")
 	s, _ := startServer(t, anyPort, creds, newFakeHandler(), ServerOptions{})
-	opts := quick()
-	// Long heartbeats show that the restarted server tells its former peers.
-	opts.HeartbeatTimeout = testLimit
+	opts := fastOptions()
+	// With this timeout only a stateless reset can end the connection.
+	opts.HeartbeatTimeout = testTimeout
 	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, s.Addr().String())
-	mustAsk(t, c)
-	kill(s)
+	mustCall(t, c)
+	crash(s)
 	h := newFakeHandler()
 	startServer(t, s.Addr().String(), creds, h, ServerOptions{})
-	eventually(t, "reset", func() bool { return count(scope, metricLostConnections, reasonReset) == 1 })
-	mustAsk(t, c)
+	eventually(t, "connection reset", func() bool { return count(scope, metricLostConnections, reasonReset) == 1 })
+	mustCall(t, c)
 	is.Equal(h.calls(), 1)
 }
 
 func TestRotationKeepsSubscriptions(t *testing.T) {
 	is := is.New(t)
-	old, fresh := newDeployment(t), newDeployment(t)
-	both := append(old.CertificatePEM(), fresh.CertificatePEM()...)
+	old, renewed := newDeployment(t), newDeployment(t)
+	both := append(old.CertificatePEM(), renewed.CertificatePEM()...)
 	h := newFakeHandler()
 	serverCreds := old.credentials(keys.RoleControl, "c1")
 	clientCreds := old.credentials(keys.RoleEntry, "e1")
 	s, _ := startServer(t, anyPort, serverCreds, h, ServerOptions{})
-	c, scope := startClient(t, clientCreds, quick(), s.Addr().String())
-	sub, err := c.Subscribe(limited(t), &controlpb.Subscribe{})
+	c, scope := startClient(t, clientCreds, fastOptions(), s.Addr().String())
+	sub, err := c.Subscribe(timeoutContext(t), &controlpb.Subscribe{})
 	is.NoErr(err)
 	defer sub.Close()
 	receive := func(v uint64) {
@@ -354,23 +353,23 @@
 		is.Equal(u.GetHeartbeat().GetVersion(), v)
 	}
 	receive(1)
-	// Both trust both; then certificates of the new authority; then only it.
+	// First both trust both authorities, then the new one signs, then only it is trusted.
 	is.NoErr(serverCreds.Replace(both, old.pair(keys.RoleControl, "c1", time.Now()), nil))
 	is.NoErr(clientCreds.Replace(both, old.pair(keys.RoleEntry, "e1", time.Now()), nil))
 	receive(2)
-	is.NoErr(serverCreds.Replace(both, fresh.pair(keys.RoleControl, "c1", time.Now()), nil))
-	late, _ := startClient(t, clientCreds, quick(), s.Addr().String())
-	mustAsk(t, late)
-	is.NoErr(clientCreds.Replace(fresh.CertificatePEM(), fresh.pair(keys.RoleEntry, "e1", time.Now()), nil))
-	is.NoErr(serverCreds.Replace(fresh.CertificatePEM(), fresh.pair(keys.RoleControl, "c1", time.Now()), nil))
+	is.NoErr(serverCreds.Replace(both, renewed.pair(keys.RoleControl, "c1", time.Now()), nil))
+	late, _ := startClient(t, clientCreds, fastOptions(), s.Addr().String())
+	mustCall(t, late)
+	is.NoErr(clientCreds.Replace(renewed.CertificatePEM(), renewed.pair(keys.RoleEntry, "e1", time.Now()), nil))
+	is.NoErr(serverCreds.Replace(renewed.CertificatePEM(), renewed.pair(keys.RoleControl, "c1", time.Now()), nil))
 	receive(3)
-	last, _ := startClient(t, clientCreds, quick(), s.Addr().String())
-	mustAsk(t, last)
+	last, _ := startClient(t, clientCreds, fastOptions(), s.Addr().String())
+	mustCall(t, last)
 	is.Equal(c.Address(), s.Addr().String())
 	is.Equal(len(scope.Snapshot().Counters()), 0) // nothing was lost or refused
 }
 
-func TestWaveIsAdmittedBitByBit(t *testing.T) {
+func TestAdmissionRateLimitsClients(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(),
@@ -379,16 +378,16 @@
 	var busy int64
 	var clients []*Client
 	var scopes []func() int64
-	// An attempt that its client has given up is not told to it as refused.
-	patient := quick()
-	patient.DialTimeout = time.Minute
+	// A client would not see the refusal of an attempt that timed out.
+	opts := fastOptions()
+	opts.DialTimeout = time.Minute
 	for range 10 {
-		c, cs := startClient(t, creds, patient, s.Addr().String())
+		c, cs := startClient(t, creds, opts, s.Addr().String())
 		clients = append(clients, c)
 		scopes = append(scopes, func() int64 { return count(cs, metricDialFailures, "busy") })
 	}
 	for _, c := range clients {
-		mustAsk(t, c)
+		mustCall(t, c)
 	}
 	for _, f := range scopes {
 		busy += f()
@@ -403,30 +402,30 @@
 	d := newDeployment(t)
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(),
 		ServerOptions{AdmitPerSecond: 0.001, AdmitBurst: 1, MaxConnections: 1, MaxRetryAfter: time.Hour})
-	entry, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	mustAsk(t, entry)
-	peer, _ := startClient(t, d.credentials(keys.RoleControl, "c2"), quick(), s.Addr().String())
-	mustAsk(t, peer)
-	other, scope := startClient(t, d.credentials(keys.RoleEntry, "e2"), quick(), s.Addr().String())
-	eventually(t, "refused", func() bool { return count(scope, metricDialFailures, "busy") > 0 })
+	entry, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	mustCall(t, entry)
+	peer, _ := startClient(t, d.credentials(keys.RoleControl, "c2"), fastOptions(), s.Addr().String())
+	mustCall(t, peer)
+	other, scope := startClient(t, d.credentials(keys.RoleEntry, "e2"), fastOptions(), s.Addr().String())
+	eventually(t, "refusal counted", func() bool { return count(scope, metricDialFailures, "busy") > 0 })
 	is.Equal(other.Address(), "")
-	// It was told to come back after 1,000 s. A client that is refused without
-	// such a time has come back again and again meanwhile, by the same pauses.
+	// The retry-after time is 1,000 s. Meanwhile a client that is refused without one
+	// retries repeatedly with the same backoff.
 	second, refused := startServer(t, anyPort, d.credentials(keys.RoleControl, "c3"), newFakeHandler(), ServerOptions{})
-	startClient(t, d.credentials(keys.RoleOperator, "o1"), quick(), second.Addr().String())
-	eventually(t, "many tries of the other client", func() bool {
+	startClient(t, d.credentials(keys.RoleOperator, "o1"), fastOptions(), second.Addr().String())
+	eventually(t, "several retries of the other client", func() bool {
 		return count(refused, metricRefusedConnections, "role") >= 10
 	})
 	is.Equal(count(scope, metricDialFailures, "busy"), int64(1))
 }
 
-func TestFailedHandshakesGiveTheirSlotBack(t *testing.T) {
+func TestFailedHandshakesReleaseTheirSlot(t *testing.T) {
 	d := newDeployment(t)
 	s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{MaxHandshakes: 1})
-	startClient(t, d.credentials(keys.RoleOperator, "o1"), quick(), s.Addr().String())
+	startClient(t, d.credentials(keys.RoleOperator, "o1"), fastOptions(), s.Addr().String())
 	eventually(t, "several refusals", func() bool { return count(scope, metricRefusedConnections, "role") >= 3 })
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	mustAsk(t, c)
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	mustCall(t, c)
 }
 
 func TestHandshakesInProgressAreBounded(t *testing.T) {
@@ -435,12 +434,12 @@
 	s.mu.Lock()
 	s.handshakes = 1
 	s.mu.Unlock()
-	c, clientScope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	eventually(t, "refused", func() bool { return count(scope, metricRefusedConnections, "handshakes") > 0 })
-	eventually(t, "seen", func() bool { return count(clientScope, metricDialFailures, "refused") > 0 })
+	c, clientScope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	eventually(t, "refusal counted", func() bool { return count(scope, metricRefusedConnections, "handshakes") > 0 })
+	eventually(t, "refusal counted by the client", func() bool { return count(clientScope, metricDialFailures, "refused") > 0 })
 	s.releaseHandshake()
-	mustAsk(t, c)
-	eventually(t, "slots given back", func() bool {
+	mustCall(t, c)
+	eventually(t, "handshake slots released", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.handshakes == 0
--- a/internal/link/filter.go
+++ b/internal/link/filter.go
@@ -12,36 +12,33 @@
 // fixedBit is set in the first byte of every QUIC packet (RFC 9000, 17).
 const fixedBit = 0x40
 
-// filter is the socket of a server. It counts datagrams that can't belong to a
-// control link by reason and empties them, so that quic-go, which would drop
-// them uncounted, spends nothing on them. A short-header packet passes: only
-// quic-go knows whether its connection is open, and answers a former one with a
-// stateless reset.
+// datagramFilter is the socket of a server. It counts datagrams that can't belong to a
+// control link by reason and empties them before they reach quic-go. Short-header packets
+// pass, since quic-go replies to unknown connections with a stateless reset.
 //
-// quic-go reads through ReadBatch if there is one, in batches as large as those
-// it reads from the bare socket, and everything else goes to the socket itself.
-type filter struct {
+// quic-go reads through ReadBatch if the socket has it.
+type datagramFilter struct {
 	*net.UDPConn
 	batch   *ipv4.PacketConn
 	refused [datagramFaultCount]tally.Counter
 }
 
-// datagramFault tells why a datagram can't be a packet of a control link.
+// datagramFault is the reason why a datagram can't be a packet of a control link.
 type datagramFault uint8
 
 const (
-	// noFault: it may be one.
+	// noFault means that it may be one.
 	noFault datagramFault = iota
-	// faultNotQUIC: the fixed bit is not set.
+	// faultNotQUIC means that the fixed bit is not set.
 	faultNotQUIC
-	// faultTruncated: the header has no end.
+	// faultTruncated means that the header is incomplete.
 	faultTruncated
-	// faultVersion: a version that control links don't speak.
+	// faultVersion means an unsupported QUIC version.
 	faultVersion
-	// faultServerPacket: of a type that only servers send.
+	// faultServerPacket means a packet type that only servers send.
 	faultServerPacket
-	// faultShortFirst: a first packet below the sizes that QUIC asks for.
-	faultShortFirst
+	// faultShortInitial means an Initial packet below QUIC's minimum size.
+	faultShortInitial
 
 	datagramFaultCount
 )
@@ -53,37 +50,37 @@
 		faultTruncated:    "truncated",
 		faultVersion:      "version",
 		faultServerPacket: "server_packet",
-		faultShortFirst:   "short_first",
+		faultShortInitial: "short_first",
 	}[f]
 }
 
-func newFilter(socket *net.UDPConn, scope tally.Scope) *filter {
-	f := &filter{UDPConn: socket, batch: ipv4.NewPacketConn(socket)}
-	for why := noFault + 1; why < datagramFaultCount; why++ {
-		f.refused[why] = byReason(scope, metricRefusedDatagrams, why.String())
+func newDatagramFilter(socket *net.UDPConn, scope tally.Scope) *datagramFilter {
+	f := &datagramFilter{UDPConn: socket, batch: ipv4.NewPacketConn(socket)}
+	for fault := noFault + 1; fault < datagramFaultCount; fault++ {
+		f.refused[fault] = reasonCounter(scope, metricRefusedDatagrams, fault.String())
 	}
 	return f
 }
 
-// ReadBatch reads like ipv4.PacketConn. A refused datagram keeps its place in
-// the batch with no bytes, which quic-go passes over.
-func (f *filter) ReadBatch(messages []ipv4.Message, flags int) (int, error) {
+// ReadBatch reads like ipv4.PacketConn. A refused datagram keeps its place in the batch with
+// length 0, which quic-go ignores.
+func (f *datagramFilter) ReadBatch(messages []ipv4.Message, flags int) (int, error) {
 	n, err := f.batch.ReadBatch(messages, flags)
 	for i := range n {
 		m := &messages[i]
-		if why := checkDatagram(m.Buffers[0][:m.N]); why != noFault {
-			f.refused[why].Inc(1)
+		if fault := checkDatagram(m.Buffers[0][:m.N]); fault != noFault {
+			f.refused[fault].Inc(1)
 			m.N = 0
 		}
 	}
 	return n, err
 }
 
-// checkDatagram looks at the invariant header only.
+// checkDatagram checks only the invariant header.
 func checkDatagram(datagram []byte) datagramFault {
-	header, whole := quicheader.Parse(datagram, serverIDLength)
+	header, complete := quicheader.Parse(datagram, serverConnIDLength)
 	switch {
-	case !whole:
+	case !complete:
 		return faultTruncated
 	case header.Type == quicheader.VersionNegotiation, header.Type == quicheader.Retry:
 		return faultServerPacket
@@ -92,7 +89,7 @@
 	case datagram[0]&fixedBit == 0:
 		return faultNotQUIC
 	case header.Type == quicheader.Initial && len(datagram) < quicheader.MinInitialSize:
-		return faultShortFirst
+		return faultShortInitial
 	}
 	return noFault
 }
--- a/internal/link/fixture_test.go
+++ b/internal/link/fixture_test.go
@@ -17,11 +17,11 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-const testLimit = unittest.Timeout
+const testTimeout = unittest.Timeout
 
 var loopback = netip.MustParseAddr("127.0.0.1")
 
-// deployment makes credentials that share an authority.
+// deployment issues credentials signed by one authority.
 type deployment struct{ *unittest.Authority }
 
 func newDeployment(t *testing.T) *deployment {
@@ -45,15 +45,15 @@
 	return d.Credentials(identity(role, name))
 }
 
-// fakeHandler answers calls with the version of the query's sender and sends
-// each subscription what the test puts into updates.
+// fakeHandler replies to each call with a fixed version and sends the elements of updates to
+// each subscription.
 type fakeHandler struct {
 	call    func(ctx context.Context, peer Peer, req *controlpb.Request) *controlpb.Response
 	updates chan *controlpb.SubscribeUpdate
 
-	mu    sync.Mutex
-	peers []Peer
-	beats []uint64
+	mu         sync.Mutex
+	peers      []Peer
+	heartbeats []uint64
 }
 
 func newFakeHandler() *fakeHandler {
@@ -95,7 +95,7 @@
 				return
 			}
 			h.mu.Lock()
-			h.beats = append(h.beats, b.GetVersion())
+			h.heartbeats = append(h.heartbeats, b.GetVersion())
 			h.mu.Unlock()
 		}
 	}()
@@ -117,13 +117,13 @@
 	return h.peers[0]
 }
 
-func (h *fakeHandler) lastBeat() uint64 {
+func (h *fakeHandler) lastHeartbeat() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.beats) == 0 {
+	if len(h.heartbeats) == 0 {
 		return 0
 	}
-	return h.beats[len(h.beats)-1]
+	return h.heartbeats[len(h.heartbeats)-1]
 }
 
 func startServer(t *testing.T, addr string, creds *keys.Credentials, h Handler, opts ServerOptions) (*Server, tally.TestScope) {
@@ -137,8 +137,8 @@
 	return s, scope
 }
 
-// quick are client options whose heartbeats and pauses are short.
-func quick() ClientOptions {
+// fastOptions returns client options with short heartbeats and backoffs.
+func fastOptions() ClientOptions {
 	return ClientOptions{
 		LocalIP:           loopback,
 		DialTimeout:       500 * time.Millisecond,
@@ -159,9 +159,9 @@
 	return c, scope
 }
 
-func limited(t *testing.T) context.Context {
+func timeoutContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -171,30 +171,30 @@
 	count      = unittest.Counter
 )
 
-// mustAsk holds that the control host answers.
-func mustAsk(t *testing.T, c *Client) {
+// mustCall checks that a call succeeds.
+func mustCall(t *testing.T, c *Client) {
 	t.Helper()
-	_, err := c.Call(limited(t), versionQuery())
+	_, err := c.Call(timeoutContext(t), versionQuery())
 	is.New(t).NoErr(err)
 }
 
-// relay passes datagrams between clients and one server. It can lose track of
-// the 5-tuples that it knows, while it passes on those of new ones.
+// relay forwards datagrams between clients and one server. It can drop the datagrams of
+// known 5-tuples while new ones work.
 type relay struct {
 	front  *net.UDPConn
 	target *net.UDPAddr
 
 	mu    sync.Mutex
 	paths map[netip.AddrPort]*relayPath
-	// firstDead makes the first path silent.
-	firstDead bool
+	// dropFirst drops all datagrams of the first path.
+	dropFirst bool
 }
 
 type relayPath struct {
-	back *net.UDPConn
-	dead bool
-	// deadBack drops replies only.
-	deadBack bool
+	back    *net.UDPConn
+	dropped bool
+	// dropReplies drops only datagrams to the client.
+	dropReplies bool
 }
 
 func startRelay(t *testing.T, target net.Addr) *relay {
@@ -235,9 +235,9 @@
 			return
 		}
 		r.mu.Lock()
-		dead := p.dead
+		dropped := p.dropped
 		r.mu.Unlock()
-		if !dead {
+		if !dropped {
 			_, _ = p.back.Write(buf[:n])
 		}
 	}
@@ -253,8 +253,8 @@
 	if err != nil {
 		return nil
 	}
-	p := &relayPath{back: back, dead: r.firstDead}
-	r.firstDead = false
+	p := &relayPath{back: back, dropped: r.dropFirst}
+	r.dropFirst = false
 	r.paths[from] = p
 	wg.Add(1)
 	go func() {
@@ -272,34 +272,33 @@
 			return
 		}
 		r.mu.Lock()
-		dead := p.dead || p.deadBack
+		dropped := p.dropped || p.dropReplies
 		r.mu.Unlock()
-		if !dead {
+		if !dropped {
 			_, _ = r.front.WriteToUDPAddrPort(buf[:n], to)
 		}
 	}
 }
 
-// loseTrack makes all known paths silent; new ones work. With repliesOnly,
-// datagrams towards the server still pass.
-func (r *relay) loseTrack(repliesOnly bool) {
+// dropKnownPaths drops the datagrams of all known paths, or only those to the client.
+func (r *relay) dropKnownPaths(repliesOnly bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.paths {
-		p.dead = p.dead || !repliesOnly
-		p.deadBack = true
+		p.dropped = p.dropped || !repliesOnly
+		p.dropReplies = true
 	}
 }
 
-// loseFirst makes the first path silent from its start.
-func (r *relay) loseFirst() {
+// dropFirstPath drops all datagrams of the first path.
+func (r *relay) dropFirstPath() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.firstDead = true
+	r.dropFirst = true
 }
 
-// startSilent returns the address of a socket that answers nothing.
-func startSilent(t *testing.T) string {
+// startUnresponsive returns the address of a socket that sends nothing.
+func startUnresponsive(t *testing.T) string {
 	t.Helper()
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback.AsSlice()})
 	is.New(t).NoErr(err)
--- a/internal/link/hedge.go
+++ b/internal/link/hedge.go
@@ -7,30 +7,29 @@
 	"github.com/sourcegraph/conc"
 )
 
-// dialed is the outcome of one attempt to connect.
-type dialed struct {
+// dialResult is the outcome of an attempt to connect.
+type dialResult struct {
 	conn *connection
 	err  error
 }
 
-// hedge makes another attempt whenever the ones before have had no answer for
-// HedgeAfter, and returns the first connection. The first packet of an attempt is lost
-// if the server is not up yet, and is sent again after 0.2, 0.6 and 1.4 s only.
+// hedge starts another attempt after each HedgeAfter without a reply and returns the first
+// connection. QUIC retransmits a lost first packet only after 0.2 s and longer.
 func (c *Client) hedge(ctx context.Context, addr string) (*connection, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var attempts conc.WaitGroup
-	results := make(chan dialed)
+	results := make(chan dialResult)
 	running := 0
 	start := func() {
 		running++
 		attempts.Go(func() {
 			conn, err := c.attempt(ctx, addr)
-			results <- dialed{conn: conn, err: err}
+			results <- dialResult{conn: conn, err: err}
 		})
 	}
 	defer func() {
 		cancel()
-		c.discard(results, running)
+		c.closeUnused(results, running)
 		attempts.Wait()
 	}()
 	ticker := time.NewTicker(c.opts.HedgeAfter)
@@ -40,19 +39,19 @@
 		select {
 		case r := <-results:
 			running--
-			if r.err == nil || running == 0 || !unanswered(r.err) {
+			if r.err == nil || running == 0 || !isTimeout(r.err) {
 				return r.conn, r.err
 			}
 		case <-ticker.C:
-			if running < maxHedges {
+			if running < maxHedgedAttempts {
 				start()
 			}
 		}
 	}
 }
 
-// discard closes the connections of attempts that are not needed any more.
-func (c *Client) discard(results chan dialed, running int) {
+// closeUnused closes the connections of the remaining attempts.
+func (c *Client) closeUnused(results chan dialResult, running int) {
 	for range running {
 		if r := <-results; r.conn != nil {
 			r.conn.close(codeNone)
@@ -60,6 +59,6 @@
 	}
 }
 
-// unanswered reports whether an attempt failed for want of any answer: a server that
-// has refused one would refuse the next.
-func unanswered(err error) bool { return dialReason(err) == reasonTimeout }
+// isTimeout reports whether an attempt failed without any reply. Hedging does not help
+// against a refusal.
+func isTimeout(err error) bool { return dialReason(err) == reasonTimeout }
--- a/internal/link/idle_test.go
+++ b/internal/link/idle_test.go
@@ -19,13 +19,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// Idle connections are measured with the two ends in two processes: the
-// benchmark serves, and a child of it, the same binary, holds the clients.
+// The benchmark process runs the server and a child process runs the clients.
 const (
 	idleChildEnv = "LINK_IDLE_CHILD"
 	idleAddrEnv  = "LINK_IDLE_ADDR"
 	idleDirEnv   = "LINK_IDLE_KEYS"
-	// idleSettle lets heartbeats go round before memory is read.
+	// idleSettle is the time for heartbeats before memory is read.
 	idleSettle = 3 * DefaultHeartbeatInterval
 )
 
@@ -45,7 +44,7 @@
 	return 0, fmt.Errorf("no VmRSS")
 }
 
-// slope fits a line through the points and returns its rise.
+// slope returns the slope of the least-squares line through the points.
 func slope(x, y []float64) float64 {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(x))
@@ -58,9 +57,9 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// BenchmarkIdleConnections reports the resident memory of a connection at
-// each end, as the slope over four sizes, and the bytes a second that its
-// heartbeats cost the client, UDP payload in both directions.
+// BenchmarkIdleConnections reports the resident memory per connection at each end, as the
+// slope over four sizes, and the client's heartbeat traffic in both directions, UDP payload
+// only.
 func BenchmarkIdleConnections(b *testing.B) {
 	is := is.New(b)
 	dir := b.TempDir()
@@ -112,8 +111,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// TestIdleChild holds the clients of BenchmarkIdleConnections; by itself it
-// does nothing.
+// TestIdleChild runs the clients in the child process of BenchmarkIdleConnections.
 func TestIdleChild(t *testing.T) {
 	if os.Getenv(idleChildEnv) == "" {
 		return
@@ -136,7 +134,7 @@
 				LocalIP: loopback,
 				Rand:    rand.New(rand.NewPCG(1, uint64(len(clients)))),
 			}, os.Getenv(idleAddrEnv))
-			_, err := c.Call(limited(t), versionQuery())
+			_, err := c.Call(timeoutContext(t), versionQuery())
 			is.NoErr(err)
 			clients = append(clients, c)
 		}
@@ -150,8 +148,7 @@
 	}
 }
 
-// transferred returns the bytes of UDP payload that the clients' connections
-// sent and received.
+// transferred returns the bytes of UDP payload sent and received by the clients.
 func transferred(clients []*Client) uint64 {
 	var sum uint64
 	for _, c := range clients {
--- a/internal/link/inflight.go
+++ b/internal/link/inflight.go
@@ -6,11 +6,10 @@
 	"github.com/go-faster/errors"
 )
 
-// errLeft is the cause of a call on a connection that the client has left.
-var errLeft = errors.New("connection was left")
+// errDrained is the cause of a call on a connection that is drained.
+var errDrained = errors.New("connection is drained")
 
-// inflight counts the calls of a connection, so that it can be left without
-// cutting any.
+// inflight counts the calls of a connection so that it can be closed once they have ended.
 type inflight struct {
 	mu      sync.Mutex
 	n       int
@@ -36,7 +35,7 @@
 	f.closeIfIdle()
 }
 
-// drain returns a channel that is closed when no call is left.
+// drain returns a channel that is closed when no call is in progress.
 func (f *inflight) drain() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -23,14 +23,14 @@
 	d := newDeployment(t)
 	h := newFakeHandler()
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{})
-	c, _ := startClient(t, d.credentials(keys.RoleAgent, "a1"), quick(), s.Addr().String())
+	c, _ := startClient(t, d.credentials(keys.RoleAgent, "a1"), fastOptions(), s.Addr().String())
 
-	res, err := c.Call(limited(t), versionQuery())
+	res, err := c.Call(timeoutContext(t), versionQuery())
 	is.NoErr(err)
 	is.Equal(res.GetVersion().GetVersion(), uint64(7))
 	is.Equal(h.firstPeer(), Peer{Role: keys.RoleAgent, Name: "a1", Service: "lodgement"})
 
-	sub, err := c.Subscribe(limited(t), &controlpb.Subscribe{})
+	sub, err := c.Subscribe(timeoutContext(t), &controlpb.Subscribe{})
 	is.NoErr(err)
 	defer sub.Close()
 	h.updates <- update(3)
@@ -38,15 +38,15 @@
 	is.NoErr(err)
 	is.Equal(u.GetHeartbeat().GetVersion(), uint64(3))
 	is.NoErr(sub.Send(&controlpb.Heartbeat{Version: 3}))
-	eventually(t, "heartbeat at the server", func() bool { return h.lastBeat() == 3 })
+	eventually(t, "heartbeat received", func() bool { return h.lastHeartbeat() == 3 })
 }
 
 func TestSubscribeFault(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	sub, err := c.Subscribe(limited(t), &controlpb.Subscribe{Version: 999})
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	sub, err := c.Subscribe(timeoutContext(t), &controlpb.Subscribe{Version: 999})
 	is.NoErr(err)
 	defer sub.Close()
 	_, err = sub.Receive()
@@ -63,7 +63,7 @@
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{})
 	addr := s.Addr().String()
 	is.NoErr(s.Close())
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), addr)
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), addr)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, err := c.Call(ctx, versionQuery())
@@ -72,7 +72,7 @@
 	is.Equal(h.calls(), 0)
 }
 
-func TestUnknownAfterContextEnds(t *testing.T) {
+func TestOutcomeUnknownAfterContextEnds(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	h := newFakeHandler()
@@ -83,8 +83,8 @@
 		return nil
 	}
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{})
-	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	_, err := c.Call(limited(t), &controlpb.Request{Body: &controlpb.Request_Heartbeat{}})
+	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	_, err := c.Call(timeoutContext(t), &controlpb.Request{Body: &controlpb.Request_Heartbeat{}})
 	is.NoErr(err)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -93,8 +93,8 @@
 	is.Equal(count(scope, metricCallFailures, "unknown"), int64(1))
 	select {
 	case <-cancelled:
-	case <-time.After(testLimit):
-		t.Fatal("the handler did not hear that its client gave up")
+	case <-time.After(testTimeout):
+		t.Fatal("the handler's context was not cancelled")
 	}
 }
 
@@ -109,10 +109,10 @@
 		return versionReply(1)
 	}
 	s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{})
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	_, err := c.Call(limited(t), &controlpb.Request{Body: &controlpb.Request_Announce{Announce: &controlpb.Announce{}}})
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	_, err := c.Call(timeoutContext(t), &controlpb.Request{Body: &controlpb.Request_Announce{Announce: &controlpb.Announce{}}})
 	is.True(errors.Is(err, ErrOutcomeUnknown))
-	mustAsk(t, c)
+	mustCall(t, c)
 	is.Equal(count(scope, "link_server_panics", ""), int64(1))
 }
 
@@ -126,32 +126,31 @@
 		<-finish
 		return versionReply(42)
 	}
-	s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{DrainTimeout: testLimit})
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	answers := make(chan CallResult, 1)
-	ctx := limited(t)
+	s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{DrainTimeout: testTimeout})
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), s.Addr().String())
+	results := make(chan CallResult, 1)
+	ctx := timeoutContext(t)
 	go func() {
 		res, err := c.Call(ctx, versionQuery())
-		answers <- CallResult{Response: res, Err: err}
+		results <- CallResult{Response: res, Err: err}
 	}()
 	<-running
 	closed := make(chan error, 1)
 	go func() { closed <- s.Close() }()
 	eventually(t, "server closing", s.isClosing)
 	_, err := c.Call(ctx, versionQuery())
-	is.True(errors.Is(err, ErrNotSent)) // a request during the shutdown is refused unread
+	is.True(errors.Is(err, ErrNotSent)) // refused before it is read
 	is.Equal(count(scope, metricRefusedConnections, "closing") > 0, true)
 	close(finish)
-	a := <-answers
+	a := <-results
 	is.NoErr(a.Err)
 	is.Equal(a.Response.GetVersion().GetVersion(), uint64(42))
 	is.NoErr(<-closed)
 	is.Equal(count(scope, "link_server_drains_cut", ""), int64(0))
 }
 
-// The client leaves a server that is about to stop without cutting the calls
-// that the server still answers.
-func TestClientLeavesWithoutCuttingCalls(t *testing.T) {
+// Guards against a client that aborts calls in progress when it changes servers.
+func TestClientSwitchesWithoutAbortingCalls(t *testing.T) {
 	for _, how := range []string{"shutdown", "move"} {
 		t.Run(how, func(t *testing.T) {
 			is := is.New(t)
@@ -163,19 +162,19 @@
 				<-finish
 				return versionReply(42)
 			}
-			a, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), slow, ServerOptions{DrainTimeout: testLimit})
+			a, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), slow, ServerOptions{DrainTimeout: testTimeout})
 			b, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c2"), newFakeHandler(), ServerOptions{})
-			c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), a.Addr().String(), b.Addr().String())
+			c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), a.Addr().String(), b.Addr().String())
 			eventually(t, "connected", func() bool { return c.Address() != "" })
 			if c.Address() != a.Addr().String() {
 				c.Move(a.Addr().String())
 			}
-			eventually(t, "with the slow server", func() bool { return c.Address() == a.Addr().String() })
-			ctx := limited(t)
-			answers := make(chan CallResult, 1)
+			eventually(t, "connected to the slow server", func() bool { return c.Address() == a.Addr().String() })
+			ctx := timeoutContext(t)
+			results := make(chan CallResult, 1)
 			go func() {
 				res, err := c.Call(ctx, versionQuery())
-				answers <- CallResult{Response: res, Err: err}
+				results <- CallResult{Response: res, Err: err}
 			}()
 			<-running
 			closed := make(chan error, 1)
@@ -185,24 +184,24 @@
 				closed <- nil
 				c.Move("")
 			}
-			eventually(t, "with the other server", func() bool { return c.Address() == b.Addr().String() })
+			eventually(t, "connected to the other server", func() bool { return c.Address() == b.Addr().String() })
 			res, err := c.Call(ctx, versionQuery())
 			is.NoErr(err)
 			is.Equal(res.GetVersion().GetVersion(), uint64(7))
 			close(finish)
-			got := <-answers
+			got := <-results
 			is.NoErr(got.Err)
 			is.Equal(got.Response.GetVersion().GetVersion(), uint64(42))
 			is.NoErr(<-closed)
 			if how == "shutdown" {
 				is.Equal(count(scope, metricLostConnections, reasonShutdown), int64(1))
 			}
-			is.Equal(count(scope, metricLostConnections, reasonSilent), int64(0))
+			is.Equal(count(scope, metricLostConnections, reasonUnresponsive), int64(0))
 		})
 	}
 }
 
-func TestCallEachAsksEveryServer(t *testing.T) {
+func TestCallEachReachesEveryServer(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	var addrs []string
@@ -217,11 +216,11 @@
 			is.NoErr(s.Close())
 		}
 	}
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), addrs...)
-	answers := c.CallEach(limited(t), versionQuery())
-	is.Equal(len(answers), 3)
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), addrs...)
+	results := c.CallEach(timeoutContext(t), versionQuery())
+	is.Equal(len(results), 3)
 	versions := make(map[string]uint64)
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Err == nil {
 			versions[a.Address] = a.Response.GetVersion().GetVersion()
 		} else {
@@ -231,26 +230,26 @@
 	is.Equal(versions, map[string]uint64{addrs[0]: 1, addrs[1]: 2})
 }
 
-func TestMoveChangesTheServer(t *testing.T) {
+func TestMoveChangesServer(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	a, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
 	b, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c2"), newFakeHandler(), ServerOptions{})
-	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), a.Addr().String(), b.Addr().String())
-	mustAsk(t, c)
+	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions(), a.Addr().String(), b.Addr().String())
+	mustCall(t, c)
 	first := c.Address()
 	c.Move("")
-	eventually(t, "another server", func() bool { return c.Address() != "" && c.Address() != first })
+	eventually(t, "connected to another server", func() bool { return c.Address() != "" && c.Address() != first })
 	c.Move(first)
-	eventually(t, "the named server", func() bool { return c.Address() == first })
+	eventually(t, "connected to the named server", func() bool { return c.Address() == first })
 	is.Equal(count(scope, metricLostConnections, reasonMoved), int64(2))
 }
 
 func TestClosedClient(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
-	c := NewClient(nil, d.credentials(keys.RoleEntry, "e1"), quick())
+	c := NewClient(nil, d.credentials(keys.RoleEntry, "e1"), fastOptions())
 	c.Close()
-	_, err := c.Call(limited(t), versionQuery())
+	_, err := c.Call(timeoutContext(t), versionQuery())
 	is.True(errors.Is(err, ErrClosed))
 }
--- a/internal/link/redial.go
+++ b/internal/link/reconnect.go
@@ -12,17 +12,17 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/sleep"
 )
 
-// Reasons for the loss of a connection.
+// Reasons for the loss of a connection, used as metric tags.
 const (
-	reasonClosed   = "closed"
-	reasonMoved    = "moved"
-	reasonSilent   = "silent"
-	reasonShutdown = "server_shutdown"
-	reasonReset    = "reset"
-	reasonOther    = "other"
+	reasonClosed       = "closed"
+	reasonMoved        = "moved"
+	reasonUnresponsive = "silent"
+	reasonShutdown     = "server_shutdown"
+	reasonReset        = "reset"
+	reasonOther        = "other"
 )
 
-// reasonTimeout is the reason of an attempt that got no answer.
+// reasonTimeout is the reason of an attempt without a reply.
 const reasonTimeout = "timeout"
 
 func lossReason(err error) string {
@@ -31,7 +31,7 @@
 	var app *quic.ApplicationError
 	switch {
 	case errors.As(err, &idle):
-		return reasonSilent
+		return reasonUnresponsive
 	case errors.As(err, &reset):
 		return reasonReset
 	case errors.As(err, &app) && app.ErrorCode == codeShutdown:
@@ -40,98 +40,96 @@
 	return reasonOther
 }
 
-// redial is the state of the search for a server.
-type redial struct {
+// dialState is the state of the search for a server.
+type dialState struct {
 	index int
 	// failures counts attempts since the last established connection.
 	failures int
-	// notBefore holds, by address, when a busy server wants to be asked again.
+	// notBefore is the earliest time to retry a busy server, by address.
 	notBefore map[string]time.Time
 }
 
-// run keeps a connection until the client is closed.
+// run maintains a connection until the client is closed.
 func (c *Client) run() {
-	r := &redial{notBefore: make(map[string]time.Time)}
+	r := &dialState{notBefore: make(map[string]time.Time)}
 	for c.awaitAddresses(r) {
-		conn := c.reach(r)
+		conn := c.connect(r)
 		if conn == nil {
 			return
 		}
-		c.serve(r, conn)
+		c.maintain(r, conn)
 	}
 }
 
-// serve holds an established connection until it is lost.
-func (c *Client) serve(r *redial, conn *connection) {
+// maintain uses an established connection until it is lost.
+func (c *Client) maintain(r *dialState, conn *connection) {
 	if r.failures > 0 {
 		c.opts.Log.Info("control link established", zap.String("address", conn.addr))
 	}
 	r.failures = 0
-	r.at(c.addrs, conn.addr)
+	r.resumeAt(c.addrs, conn.addr)
 	clear(r.notBefore)
 	established := time.Now()
-	c.drainMove()
-	c.publish(conn)
+	c.discardMove()
+	c.setCurrent(conn)
 	reason := c.watch(conn)
-	c.unpublish()
+	c.clearCurrent()
 	if reason == reasonMoved || reason == reasonShutdown {
-		c.wg.Go(func() { c.leave(conn) })
+		c.wg.Go(func() { c.drainAndClose(conn) })
 	} else {
 		conn.close(closeCode(reason))
 	}
 	if reason == reasonClosed {
 		return
 	}
-	byReason(c.opts.Scope, metricLostConnections, reason).Inc(1)
+	reasonCounter(c.opts.Scope, metricLostConnections, reason).Inc(1)
 	c.opts.Log.Info("control link lost", zap.String("address", conn.addr), zap.String("reason", reason))
 	if reason == reasonMoved {
-		// The server may just have named the one to go to.
-		c.takeAddresses(r)
-		r.index = c.moveTarget(r.index)
+		// A server may just have named the one to move to.
+		c.applyAddresses(r)
+		r.index = c.moveIndex(r.index)
 		return
 	}
-	// Also after silence: another attempt at a server that is gone takes a
-	// whole dial timeout, and the next one is reached from a fresh port too.
+	// Also if the server is unresponsive: retrying one that is down costs a whole dial timeout.
 	r.index = (r.index + 1) % len(c.addrs)
 	if time.Since(established) < c.opts.BackoffMax {
-		// A server that lets us in and drops us again is no better than one
-		// that refuses.
+		// Treats a server that accepts and soon drops connections like one that refuses them.
 		_ = sleep.For(c.ctx, c.jitter(c.opts.BackoffMin))
 	}
 }
 
 func closeCode(reason string) quic.ApplicationErrorCode {
-	if reason == reasonSilent {
-		return codeSilent
+	if reason == reasonUnresponsive {
+		return codeUnresponsive
 	}
 	return codeNone
 }
 
-// drainMove forgets a move that was asked for before this connection.
-func (c *Client) drainMove() {
+// discardMove drops a move that was requested before this connection.
+func (c *Client) discardMove() {
 	select {
-	case <-c.move:
+	case <-c.moveRequested:
 	default:
 	}
 }
 
-func (c *Client) moveTarget(index int) int {
+func (c *Client) moveIndex(index int) int {
 	c.mu.Lock()
-	next := c.next
-	c.next = ""
+	moveTo := c.moveTo
+	c.moveTo = ""
 	c.mu.Unlock()
 	for i, addr := range c.addrs {
-		if addr == next {
+		if addr == moveTo {
 			return i
 		}
 	}
 	return (index + 1) % len(c.addrs)
 }
 
-// wait returns how long to pause before the next address: hardly at all while
-// others are untried, growing from round to round, and as long as a busy
-// server asked for.
-func (c *Client) wait(r *redial, now time.Time) time.Duration {
+// retryDelay returns the delay before the next address and skips busy servers. The delay is
+// short while there are untried addresses, grows with each round and covers the retry-after
+// time if all servers are busy.
+func (c *Client) retryDelay(r *dialState, now time.Time) time.Duration {
 	round := r.failures / len(c.addrs)
 	d := c.opts.BackoffMin
 	for i := 0; i < round && d < c.opts.BackoffMax; i++ {
@@ -148,11 +146,11 @@
 		}
 		r.index = (r.index + 1) % len(c.addrs)
 	}
-	return max(d, c.soonest(r, now))
+	return max(d, c.earliestAvailable(r, now))
 }
 
-// soonest picks the busy server that may be asked first.
-func (c *Client) soonest(r *redial, now time.Time) time.Duration {
+// earliestAvailable selects the busy server with the earliest retry time.
+func (c *Client) earliestAvailable(r *dialState, now time.Time) time.Duration {
 	for i, addr := range c.addrs {
 		if r.notBefore[addr].Before(r.notBefore[c.addrs[r.index]]) {
 			r.index = i
--- /dev/null
+++ b/internal/link/search.go
@@ -0,0 +1,149 @@
+package link
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// maxAttempts bounds the concurrent attempts to several servers.
+const maxAttempts = 4
+
+// search looks for a server that replies. It tries the addresses in turn. An attempt without
+// a reply within DialTimeout continues until AttemptTimeout while the next ones run, so an
+// unreachable server costs DialTimeout and a slow path is still found.
+type search struct {
+	client    *Client
+	dialState *dialState
+	ctx       context.Context
+	cancel    context.CancelFunc
+	// results receives one value from each attempt.
+	results chan attemptResult
+	running int
+	// latest is the number of the most recent attempt.
+	latest int
+}
+
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
+	dialResult
+	number int
+	addr   string
+}
+
+// connect returns a connection to the first server that replies, or nil once the client is
+// closed.
+func (c *Client) connect(r *dialState) *connection {
+	s := &search{client: c, dialState: r, results: make(chan attemptResult, maxAttempts)}
+	s.ctx, s.cancel = context.WithCancel(c.ctx)
+	defer s.end()
+	for {
+		c.applyAddresses(r)
+		s.start(c.addrs[r.index])
+		if conn := s.await(c.opts.DialTimeout, true); conn != nil || c.ctx.Err() != nil {
+			return conn
+		}
+		r.failures++
+		r.index = (r.index + 1) % len(c.addrs)
+		if conn := s.await(c.retryDelay(r, time.Now()), false); conn != nil || c.ctx.Err() != nil {
+			return conn
+		}
+	}
+}
+
+func (s *search) start(addr string) {
+	s.latest++
+	s.running++
+	number := s.latest
+	s.client.wg.Go(func() {
+		conn, err := s.client.dial(s.ctx, addr, s.client.opts.AttemptTimeout)
+		s.results <- attemptResult{dialResult: dialResult{conn: conn, err: err}, number: number, addr: addr}
+	})
+}
+
+// await processes results for d and returns the first connection. With untilFailed it
+// returns as soon as the latest attempt has failed. It waits longer than d while maxAttempts
+// are running.
+func (s *search) await(d time.Duration, untilFailed bool) *connection {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	over := false
+	for !over || s.running >= maxAttempts {
+		select {
+		case <-s.client.ctx.Done():
+			return nil
+		case <-timer.C:
+			over = true
+		case r := <-s.results:
+			s.running--
+			if r.err == nil {
+				return r.conn
+			}
+			s.client.recordDialFailure(s.dialState, r.addr, r.err)
+			over = over || untilFailed && r.number == s.latest
+		}
+	}
+	return nil
+}
+
+// end cancels the running attempts and closes any connection they still return.
+func (s *search) end() {
+	s.cancel()
+	running, results := s.running, s.results
+	s.client.wg.Go(func() {
+		for range running {
+			if r := <-results; r.conn != nil {
+				r.conn.close(codeNone)
+			}
+		}
+	})
+}
+
+// recordDialFailure counts and logs a failed attempt.
+func (c *Client) recordDialFailure(r *dialState, addr string, err error) {
+	if c.ctx.Err() != nil {
+		return
+	}
+	reason := dialReason(err)
+	reasonCounter(c.opts.Scope, metricDialFailures, reason).Inc(1)
+	c.opts.Log.Info("connection to control host failed", zap.String("address", addr), zap.String("reason", reason),
+		zap.Int("failures", r.failures+1), zap.Error(err))
+	if wait, ok := retryAfter(err); ok {
+		r.notBefore[addr] = time.Now().Add(wait)
+	}
+}
+
+// awaitAddresses waits until there is at least one address. It returns false once the client
+// is closed.
+func (c *Client) awaitAddresses(r *dialState) bool {
+	for {
+		c.mu.Lock()
+		addressesChanged := c.addressesChanged
+		c.mu.Unlock()
+		c.applyAddresses(r)
+		if len(c.addrs) > 0 {
+			return true
+		}
+		select {
+		case <-addressesChanged:
+		case <-c.ctx.Done():
+			return false
+		}
+	}
+}
+
+// notifyAddresses signals run that the addresses have changed. The caller holds mu.
+func (c *Client) notifyAddresses() {
+	c.addressesStale = true
+	close(c.addressesChanged)
+	c.addressesChanged = make(chan struct{})
+}
+
+// resumeAt sets the address at which the search continues.
+func (r *dialState) resumeAt(addrs []string, addr string) {
+	if i := slices.Index(addrs, addr); i >= 0 {
+		r.index = i
+	}
+}
--- a/internal/link/reach_test.go
+++ b/internal/link/search_test.go
@@ -12,8 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// behind starts a server to and from which every datagram takes that long.
-func behind(t *testing.T, d *deployment, name string, delay time.Duration) string {
+// startDelayedServer starts a server behind a relay that delays each datagram.
+func startDelayedServer(t *testing.T, d *deployment, name string, delay time.Duration) string {
 	t.Helper()
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, name), newFakeHandler(), ServerOptions{})
 	r, err := faultproxy.NewRelay(faultproxy.Options{
@@ -27,39 +27,39 @@
 	return r.Addr().String()
 }
 
-// A path on which a handshake takes longer than DialTimeout, as behind a full link, is
-// found by an attempt that goes on.
+// Guards against never connecting over a path on which a handshake takes longer than
+// DialTimeout.
 func TestSlowPathIsReached(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
-	addr := behind(t, d, "c1", 300*time.Millisecond)
-	opts := quick()
+	addr := startDelayedServer(t, d, "c1", 300*time.Millisecond)
+	opts := fastOptions()
 	opts.DialTimeout = 100 * time.Millisecond
-	opts.AttemptTimeout = testLimit
-	opts.HeartbeatTimeout = testLimit
+	opts.AttemptTimeout = testTimeout
+	opts.HeartbeatTimeout = testTimeout
 	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, addr)
-	mustAsk(t, c)
+	mustCall(t, c)
 	is.Equal(c.Address(), addr)
 }
 
-// Servers that are gone cost DialTimeout each, however long an attempt may last.
-func TestSilentServersDoNotHoldUpTheNext(t *testing.T) {
+// Guards against unresponsive servers that delay the next one by more than DialTimeout.
+func TestUnresponsiveServersDoNotDelayNext(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
-	opts := quick()
+	opts := fastOptions()
 	opts.DialTimeout = 50 * time.Millisecond
-	opts.AttemptTimeout = 10 * testLimit
-	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, startSilent(t), startSilent(t), s.Addr().String())
-	mustAsk(t, c)
+	opts.AttemptTimeout = 10 * testTimeout
+	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, startUnresponsive(t), startUnresponsive(t), s.Addr().String())
+	mustCall(t, c)
 	is.Equal(c.Address(), s.Addr().String())
-	is.Equal(count(scope, metricDialFailures, "timeout"), int64(0)) // they were given up, none has failed
-	eventually(t, "one connection", func() bool { return s.Connections() == 1 })
+	is.Equal(count(scope, metricDialFailures, "timeout"), int64(0)) // cancelled attempts are not counted
+	eventually(t, "single connection", func() bool { return s.Connections() == 1 })
 }
 
-// A client that is given no server waits until it learns of one.
-func TestClientWithoutAddressLearnsOne(t *testing.T) {
-	for name, tell := range map[string]func(*Client, string){
+// Guards against a client that fails without an initial address.
+func TestClientWithoutAddressWaitsForOne(t *testing.T) {
+	for name, setAddress := range map[string]func(*Client, string){
 		"learned": func(c *Client, addr string) { c.SetLearnedAddresses([]string{addr}) },
 		"set":     func(c *Client, addr string) { c.SetAddresses([]string{addr}) },
 	} {
@@ -67,23 +67,23 @@
 			is := is.New(t)
 			d := newDeployment(t)
 			s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
-			c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick())
-			tell(c, s.Addr().String())
-			mustAsk(t, c)
+			c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), fastOptions())
+			setAddress(c, s.Addr().String())
+			mustCall(t, c)
 			is.Equal(c.Address(), s.Addr().String())
 		})
 	}
 }
 
-// A closed client ends all of its attempts.
-func TestClosedClientEndsItsAttempts(t *testing.T) {
+// Guards against attempts that keep Close waiting.
+func TestCloseCancelsAttempts(t *testing.T) {
 	d := newDeployment(t)
-	opts := quick()
+	opts := fastOptions()
 	opts.DialTimeout = 10 * time.Millisecond
 	opts.AttemptTimeout = time.Hour
 	var silent []string
 	for range 2 * maxAttempts {
-		silent = append(silent, startSilent(t))
+		silent = append(silent, startUnresponsive(t))
 	}
 	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, silent...)
 	c.Close()
--- a/internal/link/serve.go
+++ b/internal/link/serve.go
@@ -15,8 +15,8 @@
 
 func (s *Server) acceptLoop() {
 	for {
-		// Not the server's own context: while a graceful shutdown waits for
-		// calls, new connections are taken and refused with a reason.
+		// Not the server's context: during a graceful shutdown new connections are accepted and
+		// refused with a reason.
 		conn, err := s.listener.Accept(context.Background())
 		if err != nil {
 			return
@@ -29,14 +29,14 @@
 func (s *Server) serveConnection(conn *quic.Conn) {
 	id, err := keys.IdentityOf(conn.ConnectionState().TLS.PeerCertificates[0])
 	if err != nil {
-		// The handshake has checked it already.
+		// The handshake has already verified it.
 		_ = conn.CloseWithError(codeNone, "identity")
 		return
 	}
 	if !s.admit(conn, id) {
 		return
 	}
-	defer s.forget(conn, id)
+	defer s.removeConnection(conn, id)
 	peer := Peer{Role: id.Role, Name: id.Name, Service: id.Service}
 	for {
 		stream, err := conn.AcceptStream(conn.Context())
@@ -47,17 +47,17 @@
 	}
 }
 
-// admit registers a connection or refuses it with the time to come back.
+// admit registers a connection or refuses it with a retry-after time.
 func (s *Server) admit(conn *quic.Conn, id keys.Identity) bool {
 	if s.isClosing() {
-		s.counters.refusedClosing.Inc(1)
-		_ = conn.CloseWithError(codeBusy, busyText(s.opts.DrainTimeout))
+		s.counters.refusedWhileClosing.Inc(1)
+		_ = conn.CloseWithError(codeBusy, retryAfterText(s.opts.DrainTimeout))
 		return false
 	}
 	if id.Role != keys.RoleControl {
-		if why, wait := s.admission.admit(time.Now()); why != "" {
-			s.counters.refusedAdmission(why)
-			_ = conn.CloseWithError(codeBusy, busyText(wait))
+		if reason, wait := s.admission.admit(time.Now()); reason != "" {
+			s.counters.refusedAdmission(reason)
+			_ = conn.CloseWithError(codeBusy, retryAfterText(wait))
 			return false
 		}
 	}
@@ -68,15 +68,15 @@
 	return true
 }
 
-func (s *Server) forget(conn *quic.Conn, id keys.Identity) {
+func (s *Server) removeConnection(conn *quic.Conn, id keys.Identity) {
 	_ = conn.CloseWithError(codeNone, "")
 	if id.Role != keys.RoleControl {
-		s.admission.leave()
+		s.admission.release()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
-	s.ended.add(conn.ConnectionStats())
+	s.endedTraffic.add(conn.ConnectionStats())
 	s.counters.connections.Update(float64(len(s.conns)))
 }
 
@@ -90,19 +90,19 @@
 	s.mu.Lock()
 	closing := s.closing
 	if !closing {
-		// Under the lock, so that Close waits for all streams or for none.
-		s.streams.Go(func() { s.guardStream(peer, stream) })
+		// Holding the lock makes Close wait for all streams.
+		s.streams.Go(func() { s.serveWithRecovery(peer, stream) })
 	}
 	s.mu.Unlock()
 	if closing {
-		s.counters.refusedClosing.Inc(1)
-		abort(stream, streamNotDone)
+		s.counters.refusedWhileClosing.Inc(1)
+		abort(stream, streamRefused)
 	}
 }
 
-// guardStream keeps a handler's panic to its own stream: the same request
-// would otherwise stop one control host after another.
-func (s *Server) guardStream(peer Peer, stream *quic.Stream) {
+// serveWithRecovery limits a handler's panic to its stream, since a retry of the same request
+// would crash one control host after another.
+func (s *Server) serveWithRecovery(peer Peer, stream *quic.Stream) {
 	recovered := panics.Try(func() { s.serveStream(peer, stream) })
 	if recovered == nil {
 		return
@@ -124,7 +124,7 @@
 		s.counters.refusedRequest(ErrMalformed)
 		abort(stream, streamMalformed)
 	case *controlpb.Request_Heartbeat:
-		s.respond(stream, done())
+		s.respond(stream, doneResponse())
 	case *controlpb.Request_Subscribe:
 		s.serveSubscription(peer, body.Subscribe, stream)
 	default:
@@ -137,21 +137,21 @@
 		return nil, errors.Wrap(err, "set deadline")
 	}
 	req := new(controlpb.Request)
-	if err := readMessage(stream, req, s.limitFor(peer)); err != nil {
+	if err := readMessage(stream, req, s.requestLimit(peer)); err != nil {
 		return nil, err
 	}
 	return req, nil
 }
 
-func (s *Server) limitFor(peer Peer) int {
+func (s *Server) requestLimit(peer Peer) int {
 	if peer.Role == keys.RoleControl {
 		return s.opts.MaxControlRequestBytes
 	}
 	return s.opts.MaxRequestBytes
 }
 
-// respond sends the only response of a stream and waits until the client has
-// it, so that a shutdown does not cut an answer that is still on its way.
+// respond sends the only response of a stream and waits until the client has received it, so
+// that a shutdown does not cut it off.
 func (s *Server) respond(stream *quic.Stream, res *controlpb.Response) {
 	if res == nil {
 		s.counters.unanswered.Inc(1)
@@ -165,12 +165,11 @@
 		return
 	}
 	_ = stream.Close()
-	awaitEnd(stream, s.opts.SendTimeout)
+	awaitClientClose(stream, s.opts.SendTimeout)
 }
 
-// awaitEnd waits until the client ends its side, which it does once it has
-// the answer.
-func awaitEnd(stream *quic.Stream, timeout time.Duration) {
+// awaitClientClose waits until the client closes its side after the response.
+func awaitClientClose(stream *quic.Stream, timeout time.Duration) {
 	_ = stream.SetReadDeadline(time.Now().Add(timeout))
 	var b [1]byte
 	_, _ = stream.Read(b[:])
@@ -183,12 +182,12 @@
 	stop := context.AfterFunc(s.ctx, cancel)
 	defer stop()
 	sub := &ServerStream{
-		stream:      stream,
-		sendTimeout: s.opts.SendTimeout,
-		limit:       s.opts.MaxResponseBytes,
-		readLimit:   s.limitFor(peer),
+		stream:       stream,
+		sendTimeout:  s.opts.SendTimeout,
+		sendLimit:    s.opts.MaxResponseBytes,
+		receiveLimit: s.requestLimit(peer),
 	}
-	// Heartbeats arrive at the subscriber's pace; the handler bounds the wait.
+	// Heartbeats arrive at the subscriber's interval; the handler bounds the wait.
 	_ = stream.SetReadDeadline(time.Time{})
 	unblock := context.AfterFunc(ctx, func() { stream.CancelRead(streamDone) })
 	defer unblock()
@@ -196,15 +195,15 @@
 	err := s.handler.Subscribe(ctx, peer, req, sub)
 	sub.finish(err)
 	if err != nil && ctx.Err() == nil {
-		s.counters.failedSubscription.Inc(1)
+		s.counters.failedSubscriptions.Inc(1)
 	}
 }
 
-func done() *controlpb.Response {
+func doneResponse() *controlpb.Response {
 	return &controlpb.Response{Body: &controlpb.Response_Done{Done: &controlpb.Done{}}}
 }
 
-// abort ends both sides of a stream at once.
+// abort ends both sides of a stream immediately.
 func abort(stream *quic.Stream, code quic.StreamErrorCode) {
 	stream.CancelRead(code)
 	stream.CancelWrite(code)
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -34,7 +34,7 @@
 	DefaultDrainTimeout           = 5 * time.Second
 )
 
-// Peer is the far end of a link, as its certificate names it.
+// Peer is the remote end of a link, as named in its certificate.
 type Peer struct {
 	Role keys.Role
 	Name string
@@ -42,20 +42,18 @@
 	Service string
 }
 
-// Handler answers requests. Both methods are called from many goroutines.
+// Handler serves requests. Both methods are called concurrently.
 type Handler interface {
-	// Call answers one request. The context ends when the client gives up.
-	// A nil response ends the stream without an answer: the client does not
-	// learn what became of its request.
+	// Call handles one request. The context is cancelled when the client gives up. A nil
+	// response ends the stream without a response, so the client does not learn the outcome.
 	Call(ctx context.Context, peer Peer, req *controlpb.Request) *controlpb.Response
-	// Subscribe serves a subscription until the context ends or a method of
-	// the stream fails. It must send a heartbeat at least every
-	// SubscriptionHeartbeat while it has nothing else to send. A *FaultError
-	// that it returns reaches the subscriber.
+	// Subscribe serves a subscription until ctx is done or a method of the stream fails. It
+	// must send a message at least every SubscriptionHeartbeatInterval. A *FaultError that it
+	// returns is sent to the subscriber.
 	Subscribe(ctx context.Context, peer Peer, req *controlpb.Subscribe, s *ServerStream) error
 }
 
-// ServerOptions bound what peers may take. Zero values mean the defaults.
+// ServerOptions limit the resources used by peers. Zero values mean the defaults.
 type ServerOptions struct {
 	Scope tally.Scope
 	Log   *zap.Logger
@@ -64,28 +62,28 @@
 	Allowed []keys.Role
 	// MaxConnections bounds the connections of peers other than control hosts.
 	MaxConnections int
-	// MaxStreams bounds the requests and subscriptions of one connection.
+	// MaxStreams bounds the concurrent requests and subscriptions of one connection.
 	MaxStreams int
-	// MaxHandshakes bounds the handshakes in progress.
+	// MaxHandshakes bounds the concurrent handshakes.
 	MaxHandshakes int
-	// AdmitPerSecond and AdmitBurst limit how fast peers other than control
-	// hosts are admitted.
+	// AdmitPerSecond and AdmitBurst limit the rate of connections of peers other than control
+	// hosts.
 	AdmitPerSecond float64
 	AdmitBurst     int
-	// MaxRetryAfter bounds the time that a refused peer is told to wait.
+	// MaxRetryAfter bounds the retry-after time sent to refused peers.
 	MaxRetryAfter time.Duration
-	// MaxRequestBytes bounds a request; MaxPeerBytes one of a control host.
+	// MaxRequestBytes bounds a request; MaxControlRequestBytes one of a control host.
 	MaxRequestBytes        int
 	MaxControlRequestBytes int
-	// MaxResponseBytes bounds what is sent; by default MaxPeerBytes.
+	// MaxResponseBytes bounds a response; by default MaxControlRequestBytes.
 	MaxResponseBytes int
-	// IdleTimeout ends a connection on which nothing arrives.
+	// IdleTimeout closes a connection on which nothing arrives.
 	IdleTimeout time.Duration
-	// RequestTimeout is how long a request may take to arrive.
+	// RequestTimeout bounds the time to receive a request.
 	RequestTimeout time.Duration
-	// SendTimeout is how long a peer may take to read what it is sent.
+	// SendTimeout bounds the time for a peer to read a response.
 	SendTimeout time.Duration
-	// DrainTimeout is how long Close waits for calls in progress.
+	// DrainTimeout bounds the wait of Close for calls in progress.
 	DrainTimeout time.Duration
 }
 
@@ -111,7 +109,7 @@
 	return o
 }
 
-// Server is the listening end of control links.
+// Server accepts control links.
 type Server struct {
 	opts      ServerOptions
 	creds     *keys.Credentials
@@ -123,20 +121,20 @@
 	transport *quic.Transport
 	listener  *quic.Listener
 
-	// ctx ends subscriptions and accept loops.
+	// ctx ends subscriptions.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// loops are the goroutines of connections, streams those of requests.
+	// loops are the goroutines of connections, streams those of their streams.
 	loops   conc.WaitGroup
 	streams conc.WaitGroup
 
-	// mu guards the fields below; it is never held while calling out.
+	// mu guards the fields below. It is not held during calls to other packages.
 	mu         sync.Mutex
 	closing    bool
 	conns      map[*quic.Conn]struct{}
 	handshakes int
-	// ended is the traffic of the connections that are no longer in conns.
-	ended Traffic
+	// endedTraffic is the traffic of connections removed from conns.
+	endedTraffic Traffic
 }
 
 // Listen opens a UDP socket (ip:port) and serves control links on it.
@@ -172,13 +170,12 @@
 func (s *Server) listen() error {
 	resetKey := quic.StatelessResetKey(s.creds.StatelessResetKey())
 	s.transport = &quic.Transport{
-		Conn:               newFilter(s.socket, s.opts.Scope),
-		ConnectionIDLength: serverIDLength,
+		Conn:               newDatagramFilter(s.socket, s.opts.Scope),
+		ConnectionIDLength: serverConnIDLength,
 		StatelessResetKey:  &resetKey,
 		ConnContext:        s.beginHandshake,
 		VerifySourceAddress: func(net.Addr) bool {
-			// Under load, sources prove their address before they cost a
-			// handshake.
+			// Under load, clients have to prove their address before a handshake.
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.handshakes > s.opts.MaxHandshakes/2
@@ -192,7 +189,7 @@
 	return nil
 }
 
-// tlsConfig refuses peers in the handshake, each refusal counted by reason.
+// tlsConfig returns the TLS configuration, which counts refused peers by reason.
 func (s *Server) tlsConfig() *tls.Config {
 	config := s.creds.ServerTLS(s.opts.Allowed...)
 	config.NextProtos = []string{protocolName}
@@ -209,8 +206,8 @@
 
 type handshakeKey struct{}
 
-// beginHandshake bounds the handshakes in progress. The slot is given back by
-// endHandshake, or when the handshake fails and quic-go ends the context.
+// beginHandshake bounds the concurrent handshakes. endHandshake releases the slot, or the end
+// of the context if the handshake fails.
 func (s *Server) beginHandshake(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
 	s.mu.Lock()
 	full := s.handshakes >= s.opts.MaxHandshakes
@@ -219,7 +216,7 @@
 	}
 	s.mu.Unlock()
 	if full {
-		s.counters.refusedHandshake.Inc(1)
+		s.counters.refusedHandshakes.Inc(1)
 		return nil, errors.New("too many handshakes")
 	}
 	once := new(sync.Once)
@@ -252,9 +249,8 @@
 	return len(s.conns)
 }
 
-// Close stops the server: it admits nothing more, ends subscriptions, lets
-// calls in progress finish within the drain timeout, and then closes the
-// connections.
+// Close stops the server: it accepts nothing new, ends subscriptions, waits up to the drain
+// timeout for calls in progress and then closes the connections.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	if s.closing {
@@ -286,9 +282,9 @@
 	select {
 	case <-done:
 	case <-time.After(s.opts.DrainTimeout):
-		s.counters.drainCut.Inc(1)
-		s.opts.Log.Warn("calls in progress were cut by the shutdown",
-			zap.Duration("after", s.opts.DrainTimeout))
+		s.counters.drainTimeouts.Inc(1)
+		s.opts.Log.Warn("drain timeout exceeded, calls in progress aborted",
+			zap.Duration("timeout", s.opts.DrainTimeout))
 	}
 }
 
--- a/internal/link/stream.go
+++ b/internal/link/stream.go
@@ -11,24 +11,23 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// SubscriptionHeartbeatInterval is the longest time that a control host leaves a
-// subscription without a message.
+// SubscriptionHeartbeatInterval is the longest time between two messages that a control host
+// sends on a subscription.
 const SubscriptionHeartbeatInterval = 5 * time.Second
 
-// ServerStream is the control host's end of a subscription.
+// ServerStream is the control host's side of a subscription.
 type ServerStream struct {
-	stream      *quic.Stream
-	sendTimeout time.Duration
-	limit       int
-	readLimit   int
+	stream       *quic.Stream
+	sendTimeout  time.Duration
+	sendLimit    int
+	receiveLimit int
 
-	// mu orders writers.
+	// mu serializes writers.
 	mu sync.Mutex
 }
 
-// Send sends an update. It may be called from several goroutines. It fails
-// when the subscriber does not read for the send timeout; the stream cannot
-// be used any more then.
+// Send sends an update. It is safe for concurrent use. It fails if the subscriber does not
+// read within the send timeout; the stream is unusable afterwards.
 func (s *ServerStream) Send(u *controlpb.SubscribeUpdate) error {
 	return s.write(&controlpb.Response{Body: &controlpb.Response_Update{Update: u}})
 }
@@ -39,19 +38,19 @@
 	if err := s.stream.SetWriteDeadline(time.Now().Add(s.sendTimeout)); err != nil {
 		return errors.Wrap(err, "set deadline")
 	}
-	if err := writeMessage(s.stream, res, s.limit); err != nil {
-		// Part of the message may have left; nothing can follow it.
+	if err := writeMessage(s.stream, res, s.sendLimit); err != nil {
+		// The message may have been sent in part, so no other can follow.
 		s.stream.CancelWrite(streamFailed)
 		return err
 	}
 	return nil
 }
 
-// Receive returns the next heartbeat of the subscriber. It blocks until one
-// arrives or the subscription ends.
+// Receive returns the subscriber's next heartbeat. It blocks until one arrives or the
+// subscription ends.
 func (s *ServerStream) Receive() (*controlpb.Heartbeat, error) {
 	req := new(controlpb.Request)
-	if err := readMessage(s.stream, req, s.readLimit); err != nil {
+	if err := readMessage(s.stream, req, s.receiveLimit); err != nil {
 		return nil, err
 	}
 	if req.GetHeartbeat() == nil {
@@ -75,22 +74,22 @@
 	s.stream.CancelRead(streamDone)
 }
 
-// ClientStream is the subscriber's end of a subscription.
+// ClientStream is the subscriber's side of a subscription.
 type ClientStream struct {
-	stream *quic.Stream
-	limit  int
-	stop   func() bool
-	cancel context.CancelFunc
+	stream       *quic.Stream
+	messageLimit int
+	stop         func() bool
+	cancel       context.CancelFunc
 
-	// mu orders writers.
+	// mu serializes writers.
 	mu sync.Mutex
 }
 
-// Receive returns the next update. It blocks until one arrives or the
-// subscription ends; a fault of the control host is a *FaultError.
+// Receive returns the next update. It blocks until one arrives or the subscription ends. A
+// fault of the control host is a *FaultError.
 func (s *ClientStream) Receive() (*controlpb.SubscribeUpdate, error) {
 	res := new(controlpb.Response)
-	if err := readMessage(s.stream, res, s.limit); err != nil {
+	if err := readMessage(s.stream, res, s.messageLimit); err != nil {
 		return nil, err
 	}
 	if err := ResponseError(res); err != nil {
@@ -102,14 +101,13 @@
 	return res.GetUpdate(), nil
 }
 
-// SetReceiveDeadline bounds the wait of Receive; the zero time removes the
-// bound.
+// SetReceiveDeadline sets the deadline of Receive; the zero time removes it.
 func (s *ClientStream) SetReceiveDeadline(t time.Time) error {
 	return s.stream.SetReadDeadline(t)
 }
 
-// Send tells the control host the version that the subscriber acts on. It may
-// be called from several goroutines.
+// Send reports the subscriber's active version to the control host. It is safe for
+// concurrent use.
 func (s *ClientStream) Send(h *controlpb.Heartbeat) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,10 +115,10 @@
 	if err := s.stream.SetWriteDeadline(time.Now().Add(DefaultSendTimeout)); err != nil {
 		return errors.Wrap(err, "set deadline")
 	}
-	return writeMessage(s.stream, req, s.limit)
+	return writeMessage(s.stream, req, s.messageLimit)
 }
 
-// Close ends the subscription. Receive and Send fail from then on.
+// Close ends the subscription. Receive and Send fail afterwards.
 func (s *ClientStream) Close() {
 	s.stop()
 	s.cancel()
--- a/internal/link/traffic.go
+++ b/internal/link/traffic.go
@@ -2,8 +2,8 @@
 
 import "github.com/quic-go/quic-go"
 
-// Traffic counts what a server exchanged over admitted connections, without
-// the headers of UDP and IP.
+// Traffic counts what a server exchanged over admitted connections, without UDP and IP
+// headers.
 type Traffic struct {
 	BytesSent       uint64
 	BytesReceived   uint64
@@ -18,12 +18,11 @@
 	t.PacketsReceived += s.PacketsReceived
 }
 
-// Traffic returns what all connections exchanged so far, the ended ones
-// included. It never decreases.
+// Traffic returns the sum over all open and ended connections. It never decreases.
 func (s *Server) Traffic() Traffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum := s.ended
+	sum := s.endedTraffic
 	for conn := range s.conns {
 		sum.add(conn.ConnectionStats())
 	}
