--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -164,7 +164,7 @@
 
 	path = write(t, "[host]\nname = a\n")
 	got = expect(t, cli.ExitFailure, "config", "check", path)
-	is.True(strings.HasPrefix(got.stdout, path+":1: no section tells the role"))
+	is.True(strings.HasPrefix(got.stdout, path+":1: no section identifies the role"))
 	got = expect(t, cli.ExitFailure, "config", "check", "--json", path)
 	is.True(strings.Contains(got.stdout, `"place": "`+path+`:1"`))
 }
--- a/internal/settings/example.go
+++ b/internal/settings/example.go
@@ -13,10 +13,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// Example returns a commented settings file of the role, made from the
-// schema: every key with its comment, required ones with a value to replace,
-// the others commented out with their default. Check accepts it. It returns
-// ErrUnknownRole for another role.
+// Example returns a settings file of the role, generated from the schema: every key with its
+// comment, required keys with a sample value, the others commented out with their default.
+// Check accepts the file. For an unknown role it returns ErrUnknownRole.
 func Example(role Role) (string, error) {
 	m, err := NewMessage(role)
 	if err != nil {
@@ -26,8 +25,7 @@
 	if err != nil {
 		return "", err
 	}
-	// The generated descriptor has no comments; its twin from the embedded
-	// set has.
+	// Only the embedded descriptor includes comments.
 	root := file.Messages().ByName(m.ProtoReflect().Descriptor().Name())
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Settings of the role %s.\n# Relative paths start at the folder of this file.\n", role)
@@ -54,14 +52,14 @@
 		fmt.Fprintf(b, "%s = %s\n", f.Name(), value)
 		return
 	}
-	fmt.Fprintf(b, ";%s = %s\n", f.Name(), shownDefault(f, r))
+	fmt.Fprintf(b, ";%s = %s\n", f.Name(), displayDefault(f, r))
 }
 
-// shownDefault is the default as a file would write it.
-func shownDefault(f protoreflect.FieldDescriptor, r rule) string {
+// displayDefault returns the default in file syntax.
+func displayDefault(f protoreflect.FieldDescriptor, r rule) string {
 	switch {
-	case r.fallback != "":
-		return r.fallback
+	case r.defaultValue != "":
+		return r.defaultValue
 	case f.Kind() == protoreflect.EnumKind:
 		return enumNames(f.Enum())[0]
 	case f.Kind() == protoreflect.BoolKind:
@@ -70,7 +68,7 @@
 	return ""
 }
 
-// sourceFile reads the embedded descriptor of a schema.
+// sourceFile parses the embedded descriptor of a schema.
 func sourceFile(path string) (protoreflect.FileDescriptor, error) {
 	set := &descriptorpb.FileDescriptorSet{}
 	if err := proto.Unmarshal(settingspb.SourceDescriptor, set); err != nil {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -9,21 +9,21 @@
 	"gopkg.in/ini.v1"
 )
 
-// section is one section of a file with the lines of its parts.
+// section is one section of a file with line numbers.
 type section struct {
 	name string
 	line int
 	keys []key
 }
 
-// key is one key of a section and its value as written.
+// key is one key of a section with its unparsed value.
 type key struct {
 	name  string
 	value string
 	line  int
 }
 
-// lineIndex tells where sections and keys stand, which ini.v1 does not keep.
+// lineIndex holds the line numbers of sections and keys, which ini.v1 does not keep.
 type lineIndex struct {
 	sections map[string]int
 	keys     map[keyName]int
@@ -31,9 +31,8 @@
 
 type keyName struct{ section, key string }
 
-// parseFile splits text into sections. Lines that ini.v1 would give up on
-// become findings and are hidden from it, so that one bad line does not keep
-// the findings of the others back.
+// parseFile splits text into sections. Lines that ini.v1 would reject become findings and are
+// blanked, so that one invalid line does not hide the findings of others.
 func parseFile(text []byte, c *collector) []section {
 	if !utf8.Valid(text) {
 		c.add(1, "the file is not UTF-8 text")
@@ -53,7 +52,7 @@
 	return collect(file, index)
 }
 
-// scan indexes lines and blanks out the ones that cannot be used.
+// scan indexes the lines and blanks invalid ones.
 func scan(lines [][]byte, c *collector) lineIndex {
 	index := lineIndex{sections: map[string]int{}, keys: map[keyName]int{}}
 	current := ""
@@ -89,7 +88,7 @@
 		return current, "the section name " + name + " is reserved"
 	}
 	if _, ok := x.sections[name]; ok {
-		return name, name + ": the section is given twice"
+		return name, name + ": duplicate section"
 	}
 	x.sections[name] = number
 	return name, ""
@@ -101,23 +100,23 @@
 	value = strings.TrimSpace(value)
 	switch {
 	case !ok || name == "":
-		return "neither a section, nor key = value, nor a comment"
+		return "expected a section, key = value or a comment"
 	case current == "":
-		return name + ": the key stands outside of a section"
+		return name + ": key outside of a section"
 	case strings.ContainsAny(name, "\"`") || name == "-":
 		return "a key name may not be quoted"
 	case strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"""`):
-		return current + "." + name + ": a value may not go over several lines"
+		return current + "." + name + ": multi-line values are not supported"
 	}
 	at := keyName{current, name}
 	if _, ok := x.keys[at]; ok {
-		return current + "." + name + ": the key is given twice"
+		return current + "." + name + ": duplicate key"
 	}
 	x.keys[at] = number
 	return ""
 }
 
-// collect joins the parsed file with the lines of its parts.
+// collect combines the parsed file with its line numbers.
 func collect(file *ini.File, index lineIndex) []section {
 	var out []section
 	for _, s := range file.Sections() {
@@ -127,8 +126,7 @@
 		sec := section{name: s.Name(), line: index.sections[s.Name()]}
 		for _, k := range s.Keys() {
 			at := keyName{s.Name(), k.Name()}
-			// Value is the text as written: ini.v1's String would
-			// replace %(name)s.
+			// Value is the raw text; ini.v1's String would expand %(name)s.
 			sec.keys = append(sec.keys, key{name: k.Name(), value: k.Value(), line: index.keys[at]})
 		}
 		out = append(out, sec)
--- a/internal/settings/finding.go
+++ b/internal/settings/finding.go
@@ -8,11 +8,11 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// Findings are all faults of one file, ordered by line. It is the error that
-// the loaders of this package return when the file was read but is faulty.
+// Findings are all findings of one file, ordered by line. The loaders of this package return
+// it as the error of a file that was read but is invalid.
 type Findings []*configpb.Finding
 
-// Error has one line for each finding, "file:line: what is wrong".
+// Error returns one line per finding in the form "file:line: text".
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, finding := range f {
@@ -21,35 +21,35 @@
 	return strings.Join(lines, "\n")
 }
 
-// collector gathers findings of one file by line.
+// collector collects the findings of one file.
 type collector struct {
-	file  string
-	found []lineFinding
+	file     string
+	findings []lineFinding
 }
 
 type lineFinding struct {
 	line int
-	// place is empty if the line says it all.
+	// place overrides the file and line if it is not empty.
 	place string
 	text  string
 }
 
 func (c *collector) add(line int, format string, args ...any) {
-	c.found = append(c.found, lineFinding{line: line, text: fmt.Sprintf(format, args...)})
+	c.findings = append(c.findings, lineFinding{line: line, text: fmt.Sprintf(format, args...)})
 }
 
 func (c *collector) place(line int) string {
 	return fmt.Sprintf("%s:%d", c.file, line)
 }
 
-// err returns nil or the findings in the order of their lines.
+// err returns the findings ordered by line, or nil if there are none.
 func (c *collector) err() error {
-	if len(c.found) == 0 {
+	if len(c.findings) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(c.found, func(a, b lineFinding) int { return a.line - b.line })
-	out := make(Findings, 0, len(c.found))
-	for _, f := range c.found {
+	slices.SortStableFunc(c.findings, func(a, b lineFinding) int { return a.line - b.line })
+	out := make(Findings, 0, len(c.findings))
+	for _, f := range c.findings {
 		place := f.place
 		if place == "" {
 			place = c.place(f.line)
--- a/internal/settings/format.go
+++ b/internal/settings/format.go
@@ -10,8 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// Format writes the settings message of a role as a settings file. Unset keys
-// are left out.
+// Format returns the settings message of a role as a settings file without unset keys.
 func Format(m proto.Message) string {
 	var b strings.Builder
 	root := m.ProtoReflect()
@@ -37,8 +36,8 @@
 	}
 }
 
-// FormatService writes a service as the section of a patch file that creates
-// it. Unset keys are left out.
+// FormatService returns a service as the section of a patch file that creates it, without
+// unset keys.
 func FormatService(s *configpb.Service) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[%s %s]\n", putPrefix, s.GetName())
@@ -46,7 +45,7 @@
 		fields := m.Descriptor().Fields()
 		for i := range fields.Len() {
 			f := fields.Get(i)
-			if hiddenFields[f.Name()] || !m.Has(f) {
+			if managedFields[f.Name()] || !m.Has(f) {
 				continue
 			}
 			fmt.Fprintf(&b, "%s = %s\n", f.Name(), formatValue(f, m.Get(f)))
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -9,8 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/settings"
 )
 
-// FuzzParse looks for texts that panic the loader, or that it reads
-// differently the second time.
+// FuzzParse searches for texts on which the parser panics or is not deterministic.
 func FuzzParse(f *testing.F) {
 	for _, role := range settings.Roles() {
 		text, err := settings.Example(role)
@@ -38,7 +37,7 @@
 		}
 		patch, err := settings.ParsePatch("f", text)
 		if err == nil && len(patch.GetOperations()) != len(patch.GetPlaces()) {
-			t.Fatal("an operation without a place")
+			t.Fatal("operation without a place")
 		}
 	})
 }
--- a/internal/settings/internal/page/main.go
+++ b/internal/settings/internal/page/main.go
@@ -1,5 +1,4 @@
-// Command page writes the operators' page of all settings to the file that its
-// argument names.
+// Command page writes the operators' page of all settings to the given file.
 package main
 
 import (
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -13,7 +13,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// Role names a daemon and so the schema of its settings file.
+// Role identifies the schema of a settings file.
 type Role string
 
 // The roles that have a settings file.
@@ -21,17 +21,17 @@
 	RoleControl Role = "control"
 	RoleEntry   Role = "entry"
 	RoleAgent   Role = "agent"
-	// RoleExperiment is no daemon but the command experiment.
+	// RoleExperiment is the command experiment, not a daemon.
 	RoleExperiment Role = "experiment"
 )
 
-// ErrUnknownRole reports the name of a role that does not exist.
+// ErrUnknownRole is returned for an unknown role.
 var ErrUnknownRole = errors.New("unknown role; known are control, entry, agent and experiment")
 
-// noRole is the finding of a file whose role cannot be guessed.
-const noRole = "no section tells the role: [replica], [forwarding], [agent] or [site]"
+// noRoleFinding is the finding of a file whose role cannot be detected.
+const noRoleFinding = "no section identifies the role: [replica], [forwarding], [agent] or [site]"
 
-// roleSections are the sections that only one role has.
+// roleSections maps sections that only one role has to that role.
 var roleSections = map[string]Role{
 	"replica":    RoleControl,
 	"forwarding": RoleEntry,
@@ -39,7 +39,7 @@
 	"site":       RoleExperiment,
 }
 
-// Roles lists the roles in the order of the documentation.
+// Roles returns all roles in the order of the documentation.
 func Roles() []Role { return []Role{RoleControl, RoleEntry, RoleAgent, RoleExperiment} }
 
 // NewMessage returns an empty root message of a role, or ErrUnknownRole.
@@ -57,33 +57,32 @@
 	return nil, errors.Wrapf(ErrUnknownRole, "%q", string(role))
 }
 
-// Load reads the settings file at path into the empty root message m, applies
-// defaults, resolves relative paths against the folder of the file and checks
-// that the files it names can be used. The error is Findings, or what kept
-// the file from being read.
+// Load reads the settings file at path into the empty root message m, applies defaults,
+// resolves relative paths against the directory of the file and checks that the files it
+// names are usable. The error is Findings unless the file cannot be read.
 func Load(path string, m proto.Message) error {
 	return load(path, m, true)
 }
 
-// Check is Load for a file that may be meant for another host: it does not
-// look at the files that the settings name.
+// Check is like Load but does not check the files that the settings name, so that it can be
+// used on another host.
 func Check(path string, m proto.Message) error {
 	return load(path, m, false)
 }
 
-func load(path string, m proto.Message, files bool) error {
+func load(path string, m proto.Message, checkFiles bool) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Wrap(err, "read settings")
 	}
 	c := &collector{file: path}
 	lines := parse(text, m.ProtoReflect(), c)
-	folder := filepath.Dir(path)
-	lines.eachPath(m.ProtoReflect(), func(line int, key string, kind pathKind, value string) string {
+	dir := filepath.Dir(path)
+	lines.forEachPath(m.ProtoReflect(), func(line int, key string, kind pathKind, value string) string {
 		if !filepath.IsAbs(value) {
-			value = filepath.Join(folder, value)
+			value = filepath.Join(dir, value)
 		}
-		if files {
+		if checkFiles {
 			if fault := checkPath(kind, value); fault != "" {
 				c.add(line, "%s: %s %s", key, value, fault)
 			}
@@ -93,18 +92,17 @@
 	return c.err()
 }
 
-// Parse reads the text of a settings file into the empty root message m and
-// applies defaults. The name stands for the file in findings. Paths stay as
-// written and are not looked at. The error is nil or Findings.
+// Parse reads the text of a settings file into the empty root message m and applies
+// defaults. Findings refer to the file by name. Paths are neither resolved nor checked. The
+// error is nil or Findings.
 func Parse(name string, text []byte, m proto.Message) error {
 	c := &collector{file: name}
 	parse(text, m.ProtoReflect(), c)
 	return c.err()
 }
 
-// DetectRole tells the role of a settings file by the section that only this
-// role has, or else by one whose name is nearly that. The error is Findings, or
-// what kept the file from being read.
+// DetectRole returns the role of a settings file by a section that only this role has, or by
+// a section with a similar name. The error is Findings unless the file cannot be read.
 func DetectRole(path string) (Role, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -114,22 +112,21 @@
 	sections := parseFile(text, c)
 	for _, s := range sections {
 		if role, ok := roleSections[s.name]; ok {
-			// Findings are left for the check under the guessed role.
+			// Findings are reported by the check for the detected role.
 			return role, nil
 		}
 	}
 	for _, s := range sections {
-		if role, ok := roleNear(s.name); ok {
+		if role, ok := similarRole(s.name); ok {
 			return role, nil
 		}
 	}
-	c.add(1, noRole)
+	c.add(1, noRoleFinding)
 	return "", c.err()
 }
 
-// roleNear returns the role whose own section is the known section nearest to
-// an unknown name.
-func roleNear(name string) (Role, bool) {
+// similarRole returns the role whose own section is the known section most similar to name.
+func similarRole(name string) (Role, bool) {
 	var known []string
 	for _, r := range Roles() {
 		m, err := NewMessage(r)
@@ -142,7 +139,7 @@
 	return role, ok
 }
 
-// keyLines tells on which line a key was given, by section and key.
+// keyLines holds the line numbers of keys and sections.
 type keyLines map[keyName]int
 
 func parse(text []byte, m protoreflect.Message, c *collector) keyLines {
@@ -152,14 +149,14 @@
 	for _, s := range sections {
 		field := m.Descriptor().Fields().ByName(protoreflect.Name(s.name))
 		if field == nil {
-			c.add(s.line, "%s: unknown section%s", s.name, hint(s.name, known))
+			c.add(s.line, "%s: unknown section%s", s.name, suggestion(s.name, known))
 			continue
 		}
 		lines[keyName{section: s.name}] = s.line
 		parseSection(s, m.Mutable(field).Message(), c, lines)
 	}
 	checkRequired(m, c, lines)
-	checkTogether(m.Interface(), c, lines)
+	checkCombinations(m.Interface(), c, lines)
 	ApplyDefaults(m.Interface())
 	return lines
 }
@@ -167,31 +164,31 @@
 func parseSection(s section, m protoreflect.Message, c *collector, lines keyLines) {
 	known := fieldNames(m.Descriptor())
 	for _, k := range s.keys {
-		at := s.name + "." + k.name
+		path := s.name + "." + k.name
 		field := m.Descriptor().Fields().ByName(protoreflect.Name(k.name))
 		if field == nil {
-			c.add(k.line, "%s: unknown key%s", at, hint(k.name, known))
+			c.add(k.line, "%s: unknown key%s", path, suggestion(k.name, known))
 			continue
 		}
 		lines[keyName{s.name, k.name}] = k.line
-		if err := set(m, field, k.value); err != nil {
-			c.add(k.line, "%s: %v", at, err)
+		if err := setField(m, field, k.value); err != nil {
+			c.add(k.line, "%s: %v", path, err)
 			continue
 		}
-		checkKey(at, k, field, c)
+		checkKey(path, k, field, c)
 	}
 }
 
-// checkKey applies the rule of a key to a value that parsed.
-func checkKey(at string, k key, f protoreflect.FieldDescriptor, c *collector) {
+// checkKey applies the rule of a key to a parsed value.
+func checkKey(path string, k key, f protoreflect.FieldDescriptor, c *collector) {
 	r := ruleOf(f)
 	values := elements(f, k.value)
 	if r.required && (len(values) == 0 || values[0] == "") {
-		c.add(k.line, "%s: may not be empty", at)
+		c.add(k.line, "%s: may not be empty", path)
 		return
 	}
 	if r.positive && k.value == "0" {
-		c.add(k.line, "%s: has to be at least 1", at)
+		c.add(k.line, "%s: must be at least 1", path)
 	}
 	if r.check == nil {
 		return
@@ -201,12 +198,12 @@
 			continue
 		}
 		if fault := r.check(v); fault != "" {
-			c.add(k.line, "%s: %q %s", at, v, fault)
+			c.add(k.line, "%s: %q %s", path, v, fault)
 		}
 	}
 }
 
-// checkRequired reports required keys that were not given at all.
+// checkRequired reports missing required keys.
 func checkRequired(m protoreflect.Message, c *collector, lines keyLines) {
 	sections := m.Descriptor().Fields()
 	for i := range sections.Len() {
@@ -215,7 +212,7 @@
 		for j := range keys.Len() {
 			f := keys.Get(j)
 			_, given := lines[keyName{string(s.Name()), string(f.Name())}]
-			if given || !ruleOf(f).required || needless(m, s) {
+			if given || !ruleOf(f).required || keysOptional(m, s) {
 				continue
 			}
 			line := max(1, lines[keyName{section: string(s.Name())}])
@@ -224,15 +221,15 @@
 	}
 }
 
-// needless reports whether the required keys of a section may be missing: those that
-// name files of keys, where no keys are taken from files.
-func needless(m protoreflect.Message, section protoreflect.FieldDescriptor) bool {
+// keysOptional reports whether a section is the one of key files and names none because the
+// host is unauthenticated.
+func keysOptional(m protoreflect.Message, section protoreflect.FieldDescriptor) bool {
 	taken, ok := m.Get(section).Message().Interface().(*settingspb.Keys)
 	return ok && taken.GetUnauthenticated()
 }
 
-// ApplyDefaults sets every key of the root message m that is unset and has a
-// default. Messages that were made in code need it; Load and Parse apply it.
+// ApplyDefaults sets every unset key of the root message m that has a default. Load and Parse
+// call it; callers that build a message in code have to.
 func ApplyDefaults(m proto.Message) {
 	root := m.ProtoReflect()
 	sections := root.Descriptor().Fields()
@@ -242,17 +239,17 @@
 		for j := range keys.Len() {
 			f := keys.Get(j)
 			r := ruleOf(f)
-			if r.fallback == "" || s.Has(f) {
+			if r.defaultValue == "" || s.Has(f) {
 				continue
 			}
-			// The table's own values parse; a test holds them to it.
-			_ = set(s, f, r.fallback)
+			// A test ensures that the defaults parse.
+			_ = setField(s, f, r.defaultValue)
 		}
 	}
 }
 
-// eachPath calls visit for every given path and stores what it returns.
-func (l keyLines) eachPath(m protoreflect.Message, visit func(line int, key string, kind pathKind, value string) string) {
+// forEachPath calls visit for every path that was given and stores its result.
+func (l keyLines) forEachPath(m protoreflect.Message, visit func(line int, key string, kind pathKind, value string) string) {
 	names := slices.SortedFunc(maps.Keys(l), func(a, b keyName) int { return l[a] - l[b] })
 	for _, at := range names {
 		if at.key == "" {
--- a/internal/settings/markdown.go
+++ b/internal/settings/markdown.go
@@ -74,29 +74,29 @@
 func writeRows(b *strings.Builder, section protoreflect.MessageDescriptor) {
 	for i := range section.Fields().Len() {
 		f := section.Fields().Get(i)
-		if section.Name() == "Service" && hiddenFields[f.Name()] {
+		if section.Name() == "Service" && managedFields[f.Name()] {
 			continue
 		}
-		text, fallback := splitDefault(comment(f))
+		text, defaultValue := splitDefault(comment(f))
 		r := ruleOf(f)
 		switch {
 		case r.required:
-			fallback = "required"
-		case fallback == "":
-			fallback = shownDefault(f, r)
+			defaultValue = "required"
+		case defaultValue == "":
+			defaultValue = displayDefault(f, r)
 		}
-		fmt.Fprintf(b, "| `%s` | %s | %s |\n", f.Name(), strings.ReplaceAll(text, "|", "\\|"), fallback)
+		fmt.Fprintf(b, "| `%s` | %s | %s |\n", f.Name(), strings.ReplaceAll(text, "|", "\\|"), defaultValue)
 	}
 }
 
-// comment returns the comment of a key in the schema, on one line.
+// comment returns the schema comment of a key as one line.
 func comment(f protoreflect.FieldDescriptor) string {
 	lines := f.ParentFile().SourceLocations().ByDescriptor(f).LeadingComments
 	return strings.Join(strings.Fields(lines), " ")
 }
 
-// splitDefault takes the sentence of the default off a comment.
-func splitDefault(text string) (meaning, fallback string) {
+// splitDefault splits the sentence about the default from a comment.
+func splitDefault(text string) (meaning, defaultValue string) {
 	before, after, found := strings.Cut(text, " Default")
 	if !found {
 		return text, ""
--- a/internal/settings/markdown_test.go
+++ b/internal/settings/markdown_test.go
@@ -24,9 +24,9 @@
 	is := is.New(t)
 	page, err := Markdown()
 	is.NoErr(err)
-	eachField(t, func(f protoreflect.FieldDescriptor) {
+	forEachField(t, func(f protoreflect.FieldDescriptor) {
 		is.True(strings.Contains(page, "| `"+string(f.Name())+"` | ")) // has a row
-		is.True(comment(f) != "")                                      // that says something
+		is.True(comment(f) != "")                                      // with a comment
 	})
 	for _, key := range serviceKeys(&configpb.Service{Policy: &configpb.Policy{}}) {
 		is.True(strings.Contains(page, "| `"+key+"` | "))
--- a/internal/settings/nearest.go
+++ b/internal/settings/nearest.go
@@ -2,13 +2,11 @@
 
 import "fmt"
 
-// maxDistance is the largest edit distance at which a known name is offered
-// in place of an unknown one.
+// maxDistance is the largest edit distance of a suggestion.
 const maxDistance = 4
 
-// hint offers the known name nearest to an unknown one, or nothing when none
-// is near.
-func hint(name string, known []string) string {
+// suggestion returns text that suggests the most similar known name, or "" if none is similar.
+func suggestion(name string, known []string) string {
 	best := nearest(name, known)
 	if best == "" {
 		return ""
@@ -16,8 +14,7 @@
 	return fmt.Sprintf("; did you mean %q?", best)
 }
 
-// nearest returns the known name nearest to a name, or nothing when none is
-// near.
+// nearest returns the most similar known name, or "" if none is similar.
 func nearest(name string, known []string) string {
 	best := ""
 	bestDistance := maxDistance + 1
@@ -29,7 +26,7 @@
 	return best
 }
 
-// distance is the Levenshtein distance of two names in bytes.
+// distance returns the Levenshtein distance of two names in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/settings/patch.go
+++ b/internal/settings/patch.go
@@ -19,23 +19,22 @@
 	releasePrefix = "release"
 )
 
-// checkedPatchID stands for the identifier that the operator will choose.
-const checkedPatchID = "config-check"
+// placeholderPatchID is the ID of a patch that is only checked.
+const placeholderPatchID = "config-check"
 
 var operationPrefixes = []string{putPrefix, removePrefix, releasePrefix}
 
-// hiddenFields are fields of a service that the section name or the control
-// host sets.
-var hiddenFields = map[protoreflect.Name]bool{"number": true, "name": true, "policy": true, "warmup": true}
-
-// LoadPatch reads a patch file into operations with their places. A section
-// [service NAME] creates or replaces a service; its keys are the fields of
-// the service and of its policy. A section [remove NAME] removes one, and
-// [release IP:PORT] closes a retired public address. Id and base version are
-// left for the caller. The error is Findings, or what kept the file from being
-// read. A file with a fault of form is checked for its content, too, as
-// CheckPatch does, so that one try shows all faults; content alone is left to
-// the control hosts, who know the version.
+// managedFields are the fields of a service that are not keys of its section.
+var managedFields = map[protoreflect.Name]bool{"number": true, "name": true, "policy": true, "warmup": true}
+
+// LoadPatch reads a patch file into operations with their places. A section [service NAME]
+// creates or replaces a service; its keys are the fields of the service and of its policy. A
+// section [remove NAME] removes a service, and [release IP:PORT] closes a retired public
+// address. The caller sets the ID and the base version.
+//
+// The error is Findings unless the file cannot be read. Content is checked only to complete
+// the findings of a file with syntax errors; otherwise the control hosts check it against the
+// current version.
 func LoadPatch(path string) (*configpb.Patch, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -44,9 +43,8 @@
 	return ParsePatch(path, text)
 }
 
-// CheckPatch checks a patch file in form, and in content as the control hosts
-// would, were it the first patch. Removals and releases are checked in form
-// only, since they are good or bad on a certain version.
+// CheckPatch checks the syntax of a patch file, and its content as if it were the first patch.
+// Removals and releases depend on the version, so only their syntax is checked.
 func CheckPatch(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,7 +55,7 @@
 	return p.err()
 }
 
-// IsPatch tells whether a file is a patch file by its first section.
+// IsPatch reports whether a file is a patch file, judging by its first section.
 func IsPatch(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -71,35 +69,33 @@
 	return slices.Contains(operationPrefixes, kind)
 }
 
-// ParsePatch is LoadPatch for the text of a file; name stands for the file
-// in places and findings.
+// ParsePatch is like LoadPatch for text; name is the file name used in places and findings.
 func ParsePatch(name string, text []byte) (*configpb.Patch, error) {
 	p := parsePatch(name, text)
-	if len(p.found) == 0 {
+	if len(p.findings) == 0 {
 		return p.patch, nil
 	}
 	p.checkContent()
 	return nil, p.err()
 }
 
-// patchFile is a patch file as far as its form could be understood.
+// patchFile is the valid part of a patch file with its findings.
 type patchFile struct {
 	collector
 	patch *configpb.Patch
-	// lines has the line of each operation.
+	// lines holds the line number of each operation.
 	lines []int
-	// keys has the key of each field that a section sets, by the place that
-	// config gives the field.
+	// keys holds the key of each field that a section sets, by the field's place in config.
 	keys map[string]patchKey
 }
 
 // patchKey is a key of a patch file that sets a field.
 type patchKey struct {
-	// at is "section.key".
-	at   string
+	// path is "section.key".
+	path string
 	line int
-	// faulty is set for a fault of form: there is no value to judge.
-	faulty bool
+	// invalid is set if the value could not be parsed; its content is not checked.
+	invalid bool
 }
 
 func parsePatch(name string, text []byte) *patchFile {
@@ -114,15 +110,15 @@
 		p.patch.Places = append(p.patch.Places, p.place(s.line))
 		p.lines = append(p.lines, s.line)
 	}
-	if len(sections) == 0 && len(p.found) == 0 {
+	if len(sections) == 0 && len(p.findings) == 0 {
 		p.add(1, "the patch has no operation: none of [service NAME], [remove NAME], [release IP:PORT]")
 	}
 	return p
 }
 
-// checkContent adds what config finds in the services that the patch puts.
+// checkContent adds the findings of config for the services in the patch.
 func (p *patchFile) checkContent() {
-	puts := &configpb.Patch{Id: checkedPatchID}
+	puts := &configpb.Patch{Id: placeholderPatchID}
 	lines := map[string]int{config.PatchPlace: 1}
 	for i, op := range p.patch.GetOperations() {
 		if op.GetPutService() == nil {
@@ -139,12 +135,12 @@
 	for _, f := range config.ValidatePatch(&configpb.Configuration{}, puts) {
 		k, set := p.keys[f.GetPlace()]
 		switch {
-		case k.faulty:
+		case k.invalid:
 		case set:
-			p.add(k.line, "%s: %s", k.at, f.GetText())
+			p.add(k.line, "%s: %s", k.path, f.GetText())
 		default:
 			operation, _, _ := strings.Cut(f.GetPlace(), ", service ")
-			p.found = append(p.found, lineFinding{line: lines[operation], place: f.GetPlace(), text: f.GetText()})
+			p.findings = append(p.findings, lineFinding{line: lines[operation], place: f.GetPlace(), text: f.GetText()})
 		}
 	}
 }
@@ -153,14 +149,14 @@
 	kind, name, _ := strings.Cut(s.name, " ")
 	name = strings.TrimSpace(name)
 	if !slices.Contains(operationPrefixes, kind) {
-		p.add(s.line, "%s: unknown section, known are [service NAME], [remove NAME] and [release IP:PORT]%s", s.name, hint(kind, operationPrefixes))
+		p.add(s.line, "%s: unknown section, known are [service NAME], [remove NAME] and [release IP:PORT]%s", s.name, suggestion(kind, operationPrefixes))
 		return nil
 	}
 	if kind == releasePrefix {
 		return p.parseRelease(s, name)
 	}
 	if name == "" {
-		p.add(s.line, "%s: the section names no service", s.name)
+		p.add(s.line, "%s: the section has no service name", s.name)
 		return nil
 	}
 	if fault := checkName(name); fault != "" {
@@ -175,14 +171,14 @@
 
 func (p *patchFile) parseRemove(s section, name string) *configpb.Operation {
 	for _, k := range s.keys {
-		p.add(k.line, "%s.%s: a section that removes has no keys", s.name, k.name)
+		p.add(k.line, "%s.%s: a remove section has no keys", s.name, k.name)
 	}
 	return &configpb.Operation{Body: &configpb.Operation_RemoveService{RemoveService: name}}
 }
 
 func (p *patchFile) parseRelease(s section, address string) *configpb.Operation {
 	for _, k := range s.keys {
-		p.add(k.line, "%s.%s: a section that releases has no keys", s.name, k.name)
+		p.add(k.line, "%s.%s: a release section has no keys", s.name, k.name)
 	}
 	if fault := checkDialAddress(address); fault != "" {
 		p.add(s.line, "%s: %q %s", s.name, address, fault)
@@ -195,25 +191,25 @@
 	service := &configpb.Service{Name: name, Policy: &configpb.Policy{}}
 	known := serviceKeys(service)
 	for _, k := range s.keys {
-		at := s.name + "." + k.name
+		path := s.name + "." + k.name
 		m, field := serviceField(service, protoreflect.Name(k.name))
 		if field == nil {
-			p.add(k.line, "%s: unknown key%s", at, hint(k.name, known))
+			p.add(k.line, "%s: unknown key%s", path, suggestion(k.name, known))
 			continue
 		}
-		before := len(p.found)
-		if err := set(m, field, k.value); err != nil {
-			p.add(k.line, "%s: %v", at, err)
+		before := len(p.findings)
+		if err := setField(m, field, k.value); err != nil {
+			p.add(k.line, "%s: %v", path, err)
 		} else {
-			p.checkServiceKey(at, k, service)
+			p.checkServiceKey(path, k, service)
 		}
 		place := config.ServicePlace(p.place(s.line), name, fieldPath(m, k.name))
-		p.keys[place] = patchKey{at: at, line: k.line, faulty: len(p.found) > before}
+		p.keys[place] = patchKey{path: path, line: k.line, invalid: len(p.findings) > before}
 	}
 	return &configpb.Operation{Body: &configpb.Operation_PutService{PutService: service}}
 }
 
-// fieldPath names a field of a service or its policy as config does.
+// fieldPath returns the name that config uses for a field of a service or its policy.
 func fieldPath(m protoreflect.Message, key string) string {
 	if _, ok := m.Interface().(*configpb.Policy); ok {
 		return "policy." + key
@@ -221,9 +217,9 @@
 	return key
 }
 
-// serviceField finds a key among the fields of a service and its policy.
+// serviceField looks up a key among the fields of a service and its policy.
 func serviceField(s *configpb.Service, name protoreflect.Name) (protoreflect.Message, protoreflect.FieldDescriptor) {
-	if hiddenFields[name] {
+	if managedFields[name] {
 		return nil, nil
 	}
 	for _, m := range []protoreflect.Message{s.ProtoReflect(), s.GetPolicy().ProtoReflect()} {
@@ -237,22 +233,22 @@
 func serviceKeys(s *configpb.Service) []string {
 	var keys []string
 	for _, name := range append(fieldNames(s.ProtoReflect().Descriptor()), fieldNames(s.GetPolicy().ProtoReflect().Descriptor())...) {
-		if !hiddenFields[protoreflect.Name(name)] {
+		if !managedFields[protoreflect.Name(name)] {
 			keys = append(keys, name)
 		}
 	}
 	return keys
 }
 
-// checkServiceKey checks only what needs the line of a key; config validates
-// the operation as a whole.
-func (p *patchFile) checkServiceKey(at string, k key, s *configpb.Service) {
+// checkServiceKey checks only what has to be reported with the line of the key; config
+// validates the operation.
+func (p *patchFile) checkServiceKey(path string, k key, s *configpb.Service) {
 	if k.name != "addresses" {
 		return
 	}
 	for _, addr := range s.GetAddresses() {
 		if fault := checkDialAddress(addr); fault != "" {
-			p.add(k.line, "%s: %q %s", at, addr, fault)
+			p.add(k.line, "%s: %q %s", path, addr, fault)
 		}
 	}
 }
--- a/internal/settings/patch_test.go
+++ b/internal/settings/patch_test.go
@@ -40,17 +40,17 @@
 		`p.ini:2: service lodgement.number: unknown key`,
 		`p.ini:3: service lodgement.slot: unknown key; did you mean "slots"?`,
 		`p.ini:4: service lodgement.addresses: "192.0.2.1" is not an address of the form ip:port`,
-		`p.ini:6: remove old.slots: a section that removes has no keys`,
+		`p.ini:6: remove old.slots: a remove section has no keys`,
 		`p.ini:7: removed new: unknown section, known are [service NAME], [remove NAME] and [release IP:PORT]; did you mean "remove"?`,
-		`p.ini:8: service: the section names no service`,
+		`p.ini:8: service: the section has no service name`,
 		`p.ini:9: service a/b: "a/b" may hold letters, digits, '-', '_' and '.' only`,
 		`p.ini:10: release 192.0.2.9: "192.0.2.9" is not an address of the form ip:port`,
 	})
 }
 
-// Faults of form keep no fault of content back, and a field without a value
-// that could be judged is not judged.
-func TestPatchFindingsOfFormAndContent(t *testing.T) {
+// Guards against syntax errors that hide findings of content, and against findings on the
+// content of values that did not parse.
+func TestPatchFindingsOfSyntaxAndContent(t *testing.T) {
 	is := is.New(t)
 	text := "[service lodgement]\naddresses = 192.0.2.1:443\nslot = 4\nramp_ms = 99999999\n" +
 		"[service certificates]\naddresses = 192.0.2.1:443\nslots = many\nimbalance_weight = none\n" +
@@ -74,7 +74,7 @@
 	checked := findings(t, settings.CheckPatch(path))
 	is.Equal(len(checked), len(want))
 
-	// Content alone is left to the control hosts, but for a check.
+	// Without syntax errors only CheckPatch checks the content.
 	is.NoErr(os.WriteFile(path, []byte("[service lodgement]\naddresses = 192.0.2.1:443\n[remove old]\n"), 0o600))
 	_, err = settings.LoadPatch(path)
 	is.NoErr(err)
@@ -87,7 +87,7 @@
 	is.Equal(len(findings(t, err)), 1)
 }
 
-func TestFormattedServiceReadsBack(t *testing.T) {
+func TestFormatServiceRoundTrip(t *testing.T) {
 	is := is.New(t)
 	want := &configpb.Service{
 		Name: "lodgement", Addresses: []string{"192.0.2.1:443", "192.0.2.2:443"}, Slots: 4,
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -14,37 +14,37 @@
 	"eelgrasswharf.example/eelgrasswharf/grant"
 )
 
-// pathKind tells whether a value names something in the file system.
+// pathKind is the kind of path that a value holds.
 type pathKind int
 
 const (
 	notPath pathKind = iota
 	readableFile
-	writableFolder
+	writableDir
 )
 
-// rule is what the schema cannot say about a key.
+// rule holds the constraints of a key that the schema cannot express.
 type rule struct {
 	required bool
-	// fallback is the default, as a file would write it.
-	fallback string
+	// defaultValue is the default in file syntax.
+	defaultValue string
 	// example is the value in a generated example file. A key without one
 	// stands there as a comment.
 	example string
-	// positive refuses 0, which the schema cannot tell from "not given".
+	// positive rejects 0, which the schema cannot distinguish from an unset key.
 	positive bool
 	path     pathKind
-	// check returns what is wrong with a value, or nothing.
+	// check returns what is wrong with a value, or "".
 	check func(value string) string
 }
 
-// rules by message and field. A test holds the table against the schema.
+// rules by message and field.
 var rules = map[protoreflect.FullName]rule{
 	"Host.name":           {required: true, example: "NAME", check: checkName},
 	"Host.failure_domain": {required: true, example: "oke-ado", check: checkName},
 	"Host.region":         {check: checkName},
 
-	"Log.level":      {fallback: "info", check: checkLevel},
+	"Log.level":      {defaultValue: "info", check: checkLevel},
 	"Metrics.listen": {example: "127.0.0.1:0", check: checkAddress},
 
 	"Keys.authority":    {required: true, example: "keys/authority.pem", path: readableFile},
@@ -57,27 +57,27 @@
 		example: "192.0.2.1:7100, 192.0.2.2:7100, 192.0.2.3:7100",
 	},
 
-	"Replica.data_folder":     {required: true, example: "data", path: writableFolder},
+	"Replica.data_folder":     {required: true, example: "data", path: writableDir},
 	"Replica.listen":          {required: true, example: "192.0.2.1:7100", check: checkAddress},
 	"Replica.operator_listen": {required: true, example: "192.0.2.1:7101", check: checkAddress},
 	"Replica.initial_voters": {
 		check:   checkVoter,
 		example: "control-1=192.0.2.1:7100, control-2=192.0.2.2:7100, control-3=192.0.2.3:7100",
 	},
-	"Replica.tick_ms":          {fallback: "50", positive: true},
-	"Replica.snapshot_entries": {fallback: "10000", positive: true},
-	"Replica.max_links":        {fallback: "2000", positive: true},
-	"Replica.grant_groups":     {fallback: "1", positive: true, check: checkGrantGroups},
+	"Replica.tick_ms":          {defaultValue: "50", positive: true},
+	"Replica.snapshot_entries": {defaultValue: "10000", positive: true},
+	"Replica.max_links":        {defaultValue: "2000", positive: true},
+	"Replica.grant_groups":     {defaultValue: "1", positive: true, check: checkGrantGroups},
 	"Replica.failure_domains":  {check: checkName},
-	"Replica.least_voters":     {fallback: "1", positive: true},
-	"Replica.gone_after_ms":    {fallback: "15000", positive: true},
-	"Replica.lease_ms":         {fallback: "9000", positive: true},
-	"Replica.snapshot_bytes":   {fallback: "67108864", positive: true},
+	"Replica.least_voters":     {defaultValue: "1", positive: true},
+	"Replica.gone_after_ms":    {defaultValue: "15000", positive: true},
+	"Replica.lease_ms":         {defaultValue: "9000", positive: true},
+	"Replica.snapshot_bytes":   {defaultValue: "67108864", positive: true},
 
 	"Forwarding.public_ip":      {check: checkIP},
 	"Forwarding.frame_listen":   {required: true, example: "192.0.2.20:7200", check: checkAddress},
 	"Forwarding.agent_networks": {required: true, example: "192.0.2.0/24", check: checkNetwork},
-	"Forwarding.workers":        {fallback: "1", positive: true},
+	"Forwarding.workers":        {defaultValue: "1", positive: true},
 
 	"Directory.failure_domains": {check: checkName},
 
@@ -85,40 +85,40 @@
 	"Agent.announce_listen":     {required: true, example: "127.0.0.1:7301", check: checkLoopback},
 	"Agent.caller_certificate":  {required: true, example: "keys/caller-lodgement.pem", path: readableFile},
 	"Agent.caller_private_key":  {required: true, example: "keys/caller-lodgement.key.pem", path: readableFile},
-	"Agent.max_request_bytes":   {fallback: "1048576", positive: true},
-	"Agent.queue_ms":            {fallback: "50", positive: true},
-	"Agent.default_deadline_ms": {fallback: "10000", positive: true},
-	"Agent.poll_ms":             {fallback: "1000", positive: true},
-	"Agent.frame_address":       {check: checkFrameDial},
-	"Agent.flow_capacity":       {fallback: "285", positive: true},
+	"Agent.max_request_bytes":   {defaultValue: "1048576", positive: true},
+	"Agent.queue_ms":            {defaultValue: "50", positive: true},
+	"Agent.default_deadline_ms": {defaultValue: "10000", positive: true},
+	"Agent.poll_ms":             {defaultValue: "1000", positive: true},
+	"Agent.frame_address":       {check: checkFrameDialAddress},
+	"Agent.flow_capacity":       {defaultValue: "285", positive: true},
 
 	"Site.name":            {required: true, example: "registry", check: checkName},
 	"Site.failure_domains": {required: true, example: "oke-ado, dugbe, bodija, challenge", check: checkName},
-	"Site.control_hosts":   {fallback: "3", positive: true},
-	"Site.entry_hosts":     {fallback: "3", positive: true},
+	"Site.control_hosts":   {defaultValue: "3", positive: true},
+	"Site.entry_hosts":     {defaultValue: "3", positive: true},
 	"Site.targets":         {required: true, example: "lodgement=7, certificates=4", check: checkCount},
 	"Site.patch":           {required: true, example: "services.ini", path: readableFile},
 
-	"Distance.between_domains_us": {fallback: "1000"},
-	"Distance.to_callers_us":      {fallback: "1000"},
-
-	"Callers.connections":            {fallback: "100", positive: true},
-	"Callers.requests_per_flow":      {fallback: "25", positive: true},
-	"Callers.sessions":               {fallback: "100"},
-	"Callers.requests_per_target":    {fallback: "70", positive: true},
-	"Callers.work_ms":                {fallback: "20"},
-	"Callers.non_repeatable_percent": {fallback: "20", check: checkPercent},
-	"Callers.watch_ms":               {fallback: "500", positive: true},
-	"Callers.deadline_ms":            {fallback: "2000", positive: true},
-	"Callers.flow_capacity":          {fallback: "28", positive: true},
+	"Distance.between_domains_us": {defaultValue: "1000"},
+	"Distance.to_callers_us":      {defaultValue: "1000"},
+
+	"Callers.connections":            {defaultValue: "100", positive: true},
+	"Callers.requests_per_flow":      {defaultValue: "25", positive: true},
+	"Callers.sessions":               {defaultValue: "100"},
+	"Callers.requests_per_target":    {defaultValue: "70", positive: true},
+	"Callers.work_ms":                {defaultValue: "20"},
+	"Callers.non_repeatable_percent": {defaultValue: "20", check: checkPercent},
+	"Callers.watch_ms":               {defaultValue: "500", positive: true},
+	"Callers.deadline_ms":            {defaultValue: "2000", positive: true},
+	"Callers.flow_capacity":          {defaultValue: "28", positive: true},
 }
 
-// ruleOf finds the rule of a field; keys without one get the empty rule.
+// ruleOf returns the rule of a field, or the empty rule.
 func ruleOf(f protoreflect.FieldDescriptor) rule {
 	return rules[protoreflect.FullName(f.Parent().Name()).Append(f.Name())]
 }
 
-// maxNameLength keeps names within what a certificate's common name holds.
+// maxNameLength is the limit of a certificate's common name.
 const maxNameLength = 64
 
 func checkName(value string) string {
@@ -142,7 +142,7 @@
 	case "debug", "info", "warn", "error":
 		return ""
 	}
-	return "is none of debug, info, warn, error"
+	return "is not one of debug, info, warn, error"
 }
 
 func checkAddress(value string) string {
@@ -152,7 +152,7 @@
 	return ""
 }
 
-// checkDialAddress is checkAddress for an address that others dial.
+// checkDialAddress is checkAddress for an address that other hosts connect to.
 func checkDialAddress(value string) string {
 	if fault := checkAddress(value); fault != "" {
 		return fault
@@ -163,8 +163,7 @@
 	return ""
 }
 
-// checkFrameAddress wants an IPv4 address of the host itself, because
-// connection IDs name it.
+// checkFrameAddress requires an IPv4 address of this host, because connection IDs encode it.
 func checkFrameAddress(value string) string {
 	if fault := checkAddress(value); fault != "" {
 		return fault
@@ -176,21 +175,21 @@
 	return ""
 }
 
-// checkFrameDial is checkFrameAddress for an address that others send to.
-func checkFrameDial(value string) string {
+// checkFrameDialAddress is checkFrameAddress for an address that other hosts send to.
+func checkFrameDialAddress(value string) string {
 	if fault := checkFrameAddress(value); fault != "" {
 		return fault
 	}
 	return checkDialAddress(value)
 }
 
-// checkLoopback guards addresses that trust whoever calls them.
+// checkLoopback protects an interface without authentication.
 func checkLoopback(value string) string {
 	if fault := checkAddress(value); fault != "" {
 		return fault
 	}
 	if !netip.MustParseAddrPort(value).Addr().IsLoopback() {
-		return "is not a loopback address; announcements are taken from the own host only"
+		return "is not a loopback address; announcements are accepted only from the same host"
 	}
 	return ""
 }
@@ -209,7 +208,7 @@
 	return ""
 }
 
-// checkCount wants "name=number" with a number above 0.
+// checkCount requires "name=number" with a positive number.
 func checkCount(value string) string {
 	name, number, ok := strings.Cut(value, "=")
 	if !ok || name == "" {
@@ -219,7 +218,7 @@
 		return fault
 	}
 	if n, err := strconv.ParseUint(number, 10, 16); err != nil || n == 0 {
-		return "names no number from 1 to 65535"
+		return "has no number from 1 to 65535"
 	}
 	return ""
 }
@@ -249,13 +248,13 @@
 	return checkDialAddress(addr)
 }
 
-// checkPath tells what keeps this process from using the path.
+// checkPath returns why this process can't use the path, or "".
 func checkPath(kind pathKind, path string) string {
 	switch kind {
 	case readableFile:
 		return checkFile(path)
-	case writableFolder:
-		return checkFolder(path)
+	case writableDir:
+		return checkDir(path)
 	}
 	return ""
 }
@@ -271,26 +270,26 @@
 		return "cannot be read: " + reason(err)
 	}
 	if info.IsDir() {
-		return "is a folder, not a file"
+		return "is a directory, not a file"
 	}
 	return ""
 }
 
-// checkFolder accepts a folder that is missing but can be made.
-func checkFolder(path string) string {
+// checkDir accepts a missing directory if it can be created.
+func checkDir(path string) string {
 	info, err := os.Stat(path)
 	if os.IsNotExist(err) {
 		parent := filepath.Dir(path)
 		if parent == path {
 			return "does not exist"
 		}
-		return checkFolder(parent)
+		return checkDir(parent)
 	}
 	if err != nil {
 		return "cannot be used: " + reason(err)
 	}
 	if !info.IsDir() {
-		return "cannot be used: " + path + " is not a folder"
+		return "cannot be used: " + path + " is not a directory"
 	}
 	if err := unix.Access(path, unix.W_OK|unix.X_OK); err != nil {
 		return "cannot be written: " + err.Error()
@@ -298,7 +297,7 @@
 	return ""
 }
 
-// reason drops the path from an error that is reported beside it.
+// reason returns the error without the path, which is reported separately.
 func reason(err error) string {
 	if pathErr, ok := err.(*os.PathError); ok {
 		return pathErr.Err.Error()
--- a/internal/settings/rules_test.go
+++ b/internal/settings/rules_test.go
@@ -11,8 +11,8 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// eachField calls visit for every key of every role.
-func eachField(t *testing.T, visit func(protoreflect.FieldDescriptor)) {
+// forEachField calls visit for every key of every role.
+func forEachField(t *testing.T, visit func(protoreflect.FieldDescriptor)) {
 	t.Helper()
 	is := is.New(t)
 	file, err := sourceFile(settingspb.File_settingspb_settings_proto.Path())
@@ -30,10 +30,10 @@
 	}
 }
 
-func TestRulesNameFieldsOfTheSchema(t *testing.T) {
+func TestRulesMatchSchemaFields(t *testing.T) {
 	is := is.New(t)
 	known := map[protoreflect.FullName]bool{}
-	eachField(t, func(f protoreflect.FieldDescriptor) {
+	forEachField(t, func(f protoreflect.FieldDescriptor) {
 		known[protoreflect.FullName(f.Parent().Name()).Append(f.Name())] = true
 	})
 	for name := range rules {
@@ -41,23 +41,23 @@
 	}
 }
 
-func TestDefaultsMatchTheComments(t *testing.T) {
+func TestDefaultsMatchSchemaComments(t *testing.T) {
 	is := is.New(t)
 	stated := regexp.MustCompile(`Default (\w+)\.`)
-	eachField(t, func(f protoreflect.FieldDescriptor) {
+	forEachField(t, func(f protoreflect.FieldDescriptor) {
 		comment := f.ParentFile().SourceLocations().ByDescriptor(f).LeadingComments
-		is.True(strings.TrimSpace(comment) != "") // every key is explained
+		is.True(strings.TrimSpace(comment) != "") // key without a comment
 		want := ""
 		if match := stated.FindStringSubmatch(comment); match != nil {
 			want = match[1]
 		}
-		is.Equal(ruleOf(f).fallback, want) // default of the comment
+		is.Equal(ruleOf(f).defaultValue, want) // default of the comment
 	})
 }
 
 func TestEmbeddedSchemaIsCurrent(t *testing.T) {
 	is := is.New(t)
-	eachField(t, func(f protoreflect.FieldDescriptor) {
+	forEachField(t, func(f protoreflect.FieldDescriptor) {
 		generated := false
 		for _, role := range Roles() {
 			m, err := NewMessage(role)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	is.Helper()
 	var found settings.Findings
-	is.True(errors.As(err, &found)) // findings expected
+	is.True(errors.As(err, &found)) // expected findings
 	return strings.Split(found.Error(), "\n")
 }
 
@@ -60,37 +60,37 @@
 		`entry.ini:1: control.addresses: required key is missing`,
 		`entry.ini:2: host.name: "entry 1" may hold letters, digits, '-', '_' and '.' only`,
 		`entry.ini:3: host.failure_domian: unknown key; did you mean "failure_domain"?`,
-		`entry.ini:4: neither a section, nor key = value, nor a comment`,
+		`entry.ini:4: expected a section, key = value or a comment`,
 		`entry.ini:5: metrcs: unknown section; did you mean "metrics"?`,
-		`entry.ini:8: log.format: "xml" is none of json, console`,
-		`entry.ini:9: log.level: "loud" is none of debug, info, warn, error`,
-		`entry.ini:10: log.level: the key is given twice`,
+		`entry.ini:8: log.format: "xml" is not one of json, console`,
+		`entry.ini:9: log.level: "loud" is not one of debug, info, warn, error`,
+		`entry.ini:10: log.level: duplicate key`,
 		`entry.ini:12: forwarding.frame_listen: "localhost:7200" is not an address of the form ip:port`,
-		`entry.ini:13: forwarding.workers: has to be at least 1`,
+		`entry.ini:13: forwarding.workers: must be at least 1`,
 		`entry.ini:14: forwarding.free_ports: "yes" is neither true nor false`,
 		`entry.ini:15: forwarding.agent_networks: "192.0.2.0/99" is not a network of the form ip/bits`,
 	})
 }
 
-func TestBrokenLinesHideNoOthers(t *testing.T) {
+func TestInvalidLinesDoNotHideOthers(t *testing.T) {
 	is := is.New(t)
 	text := "stray = 1\n[]\n[host\n[DEFAULT]\n[host]\n\"name\" = a\nregion = `x\n[host]\n"
 	err := settings.Parse("f", []byte(text), &settingspb.EntrySettings{})
 	got := strings.Join(findings(t, err), "\n")
 	for _, want := range []string{
-		"f:1: stray: the key stands outside of a section",
+		"f:1: stray: key outside of a section",
 		"f:2: the section has no name",
 		"f:3: the section has no closing bracket",
 		"f:4: the section name DEFAULT is reserved",
 		"f:6: a key name may not be quoted",
-		"f:7: host.region: a value may not go over several lines",
-		"f:8: host: the section is given twice",
+		"f:7: host.region: multi-line values are not supported",
+		"f:8: host: duplicate section",
 	} {
-		is.True(strings.Contains(got, want)) // want among the findings
+		is.True(strings.Contains(got, want)) // expected finding
 	}
 }
 
-func TestFarNameGetsNoHint(t *testing.T) {
+func TestDissimilarNameGetsNoSuggestion(t *testing.T) {
 	is := is.New(t)
 	err := settings.Parse("f", []byte("[host]\nname = a\nfailure_domain = b\n[elsewhere]\n"), &settingspb.ControlSettings{})
 	got := strings.Join(findings(t, err), "\n")
@@ -104,9 +104,9 @@
 			text, err := settings.Example(role)
 			is.NoErr(err)
 			path := write(t, text)
-			guessed, err := settings.DetectRole(path)
+			detected, err := settings.DetectRole(path)
 			is.NoErr(err)
-			is.Equal(guessed, role)
+			is.Equal(detected, role)
 			m, err := settings.NewMessage(role)
 			is.NoErr(err)
 			is.NoErr(settings.Check(path, m))
@@ -114,8 +114,7 @@
 	}
 }
 
-// Every key that an example leaves as a comment has to be accepted too once
-// the comment sign is taken away, unless it has no default.
+// Guards against commented-out keys in the example whose default is rejected.
 func TestExampleDefaultsAreAccepted(t *testing.T) {
 	for _, role := range settings.Roles() {
 		t.Run(string(role), func(t *testing.T) {
@@ -129,7 +128,7 @@
 	}
 }
 
-func TestExampleCarriesSchemaComments(t *testing.T) {
+func TestExampleContainsSchemaComments(t *testing.T) {
 	is := is.New(t)
 	text, err := settings.Example(settings.RoleEntry)
 	is.NoErr(err)
@@ -150,7 +149,7 @@
 	is.Equal(len(m.GetReplica().GetInitialVoters()), 3)
 }
 
-func TestLoadLooksAtFiles(t *testing.T) {
+func TestLoadChecksFiles(t *testing.T) {
 	is := is.New(t)
 	text, err := settings.Example(settings.RoleEntry)
 	is.NoErr(err)
@@ -160,15 +159,15 @@
 	is.True(strings.Contains(found[0], "keys.authority"))
 	is.True(strings.HasSuffix(found[0], "cannot be read: no such file or directory"))
 
-	folder := filepath.Join(filepath.Dir(path), "keys")
-	is.NoErr(os.Mkdir(folder, 0o700))
+	dir := filepath.Join(filepath.Dir(path), "keys")
+	is.NoErr(os.Mkdir(dir, 0o700))
 	for _, name := range []string{"authority.pem", "entry-1.pem", "entry-1.key.pem", "data-secrets"} {
-		is.NoErr(os.WriteFile(filepath.Join(folder, name), nil, 0o600))
+		is.NoErr(os.WriteFile(filepath.Join(dir, name), nil, 0o600))
 	}
 	is.NoErr(settings.Load(path, &settingspb.EntrySettings{}))
 }
 
-func TestDataFolderBehindFile(t *testing.T) {
+func TestDataFolderBelowFile(t *testing.T) {
 	is := is.New(t)
 	text, err := settings.Example(settings.RoleControl)
 	is.NoErr(err)
@@ -177,7 +176,7 @@
 	is.True(strings.Contains(got, "replica.data_folder"))
 }
 
-func TestPercentSignIsKept(t *testing.T) {
+func TestPercentSignIsNotExpanded(t *testing.T) {
 	is := is.New(t)
 	m := &settingspb.EntrySettings{}
 	_ = settings.Parse("f", []byte("[keys]\nauthority = %(name)s#1 # comment\n"), m)
@@ -198,52 +197,51 @@
 	is.True(errors.Is(err, os.ErrNotExist))
 }
 
-// One wrong letter in the section that tells the role must not hide every
-// other finding.
-func TestRoleIsGuessedFromMisspeltSection(t *testing.T) {
+// Guards against a misspelled role section that hides all other findings.
+func TestRoleIsDetectedFromMisspelledSection(t *testing.T) {
 	for section, role := range map[string]settings.Role{
 		"replca": settings.RoleControl, "forwading": settings.RoleEntry, "agnet": settings.RoleAgent, "stie": settings.RoleExperiment,
 	} {
 		t.Run(section, func(t *testing.T) {
 			is := is.New(t)
-			guessed, err := settings.DetectRole(write(t, "[host]\nname = a\n["+section+"]\n"))
+			detected, err := settings.DetectRole(write(t, "[host]\nname = a\n["+section+"]\n"))
 			is.NoErr(err)
-			is.Equal(guessed, role)
+			is.Equal(detected, role)
 		})
 	}
 }
 
-func TestNoRoleIsFinding(t *testing.T) {
+func TestMissingRoleIsFinding(t *testing.T) {
 	is := is.New(t)
 	path := write(t, "just words\n[host]\nname = a\n[metrcs]\n")
 	_, err := settings.DetectRole(path)
 	is.Equal(findings(t, err), []string{
-		path + ":1: neither a section, nor key = value, nor a comment",
-		path + ":1: no section tells the role: [replica], [forwarding], [agent] or [site]",
+		path + ":1: expected a section, key = value or a comment",
+		path + ":1: no section identifies the role: [replica], [forwarding], [agent] or [site]",
 	})
 }
 
-func TestVotersNameThisHost(t *testing.T) {
+func TestInitialVoters(t *testing.T) {
 	is := is.New(t)
 	example, err := settings.Example(settings.RoleControl)
 	is.NoErr(err)
-	foreign := strings.Replace(example, "name = control-1", "name = control-9", 1)
+	otherHost := strings.Replace(example, "name = control-1", "name = control-9", 1)
 	m := &settingspb.ControlSettings{}
-	found := findings(t, settings.Parse("f", []byte(foreign), m))
+	found := findings(t, settings.Parse("f", []byte(otherHost), m))
 	is.Equal(len(found), 1)
-	is.True(strings.Contains(found[0], `this host, "control-9", is not among them`))
-	joining := strings.Replace(foreign, ";join = false", "join = true", 1)
+	is.True(strings.Contains(found[0], `this host, "control-9", is not a voter`))
+	joining := strings.Replace(otherHost, ";join = false", "join = true", 1)
 	is.NoErr(settings.Parse("f", []byte(joining), &settingspb.ControlSettings{}))
 	twice := strings.Replace(example, "control-2=", "control-3=", 1)
 	found = findings(t, settings.Parse("f", []byte(twice), &settingspb.ControlSettings{}))
-	is.True(strings.Contains(found[0], `"control-3" is named twice`))
+	is.True(strings.Contains(found[0], `duplicate voter "control-3"`))
 	many := example
 	for i := range raft.MaxVoters {
 		many = strings.Replace(many, "control-2=", fmt.Sprintf("extra-%d=192.0.2.9:7100, control-2=", i), 1)
 	}
 	found = findings(t, settings.Parse("f", []byte(many), &settingspb.ControlSettings{}))
 	is.Equal(len(found), 1)
-	is.True(strings.Contains(found[0], "at most 7 may vote"))
+	is.True(strings.Contains(found[0], "at most 7 are supported"))
 }
 
 func TestUnauthenticatedNeedsNoKeyFiles(t *testing.T) {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// set parses text as the value of field f and stores it in m.
-func set(m protoreflect.Message, f protoreflect.FieldDescriptor, text string) error {
+// setField parses text as the value of field f and stores it in m.
+func setField(m protoreflect.Message, f protoreflect.FieldDescriptor, text string) error {
 	if !f.IsList() {
 		v, err := parseValue(f, text)
 		if err != nil {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// elements splits the text of a value into the parts that are checked one by
-// one: the elements of a list, or the value itself.
+// elements splits a value into the parts that are checked one by one: the elements of a list
+// or the value itself.
 func elements(f protoreflect.FieldDescriptor, text string) []string {
 	if !f.IsList() {
 		return []string{text}
@@ -90,11 +90,11 @@
 			return protoreflect.ValueOfEnum(e.Values().Get(i).Number()), nil
 		}
 	}
-	return protoreflect.Value{}, errors.Errorf("%q is none of %s", text, strings.Join(names, ", "))
+	return protoreflect.Value{}, errors.Errorf("%q is not one of %s", text, strings.Join(names, ", "))
 }
 
-// enumNames are the values of an enum as files write them: LOG_FORMAT_JSON of
-// LogFormat is "json".
+// enumNames returns the names of enum values in file syntax: LOG_FORMAT_JSON of LogFormat is
+// "json".
 func enumNames(e protoreflect.EnumDescriptor) []string {
 	prefix := len(upperSnake(string(e.Name()))) + 1
 	values := e.Values()
@@ -116,7 +116,7 @@
 	return strings.ToUpper(b.String())
 }
 
-// fieldNames are the names of the fields of a message.
+// fieldNames returns the field names of a message.
 func fieldNames(d protoreflect.MessageDescriptor) []string {
 	fields := d.Fields()
 	names := make([]string, 0, fields.Len())
