--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -16,13 +16,12 @@
 )
 
 const (
-	// DefaultAuthorityValidity is how long an authority is valid.
+	// DefaultAuthorityValidity is the validity of an authority.
 	DefaultAuthorityValidity = 10 * 365 * 24 * time.Hour
-	// DefaultValidity is how long a certificate is valid if nothing else is
-	// asked for.
+	// DefaultValidity is the validity of a certificate.
 	DefaultValidity = 365 * 24 * time.Hour
-	// clockAllowance is how far the clocks of two hosts may differ.
-	clockAllowance = 10 * time.Minute
+	// maxClockSkew is the tolerated difference between the clocks of two hosts.
+	maxClockSkew = 10 * time.Minute
 
 	serialBits = 120
 )
@@ -36,13 +35,13 @@
 	key  *ecdsa.PrivateKey
 }
 
-// KeyPair is a certificate with its private key, both PEM.
+// KeyPair is a certificate with its private key, both in PEM.
 type KeyPair struct {
 	Certificate []byte
 	PrivateKey  []byte
 }
 
-// NewAuthority makes an authority in memory.
+// NewAuthority creates an authority in memory.
 func NewAuthority(now time.Time, validity time.Duration) (*Authority, error) {
 	if validity <= 0 {
 		return nil, ErrInvalidValidity
@@ -58,7 +57,7 @@
 	template := &x509.Certificate{
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: "eelgrasswharf authority " + serial.Text(36)},
-		NotBefore:             now.Add(-clockAllowance),
+		NotBefore:             now.Add(-maxClockSkew),
 		NotAfter:              now.Add(validity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
@@ -77,8 +76,8 @@
 	return encodeCertificate(a.cert)
 }
 
-// IssueProcess signs a certificate for a process of the deployment. The IP numbers
-// are optional; control links do not check them.
+// IssueProcess issues a certificate for a process of the deployment. ips may be empty;
+// control links do not check them.
 func (a *Authority) IssueProcess(id Identity, ips []netip.Addr, now time.Time, validity time.Duration) (*KeyPair, error) {
 	if err := id.Validate(); err != nil {
 		return nil, err
@@ -91,8 +90,8 @@
 	return a.issue(template, ips, now, validity)
 }
 
-// IssueCaller signs a certificate that agents of a service show to callers. Its
-// DNS name is the service's name.
+// IssueCaller issues the certificate that agents of a service present to callers. Its DNS
+// name is the service's name.
 func (a *Authority) IssueCaller(service string, ips []netip.Addr, now time.Time, validity time.Duration) (*KeyPair, error) {
 	if !namePattern.MatchString(service) {
 		return nil, errors.Wrapf(ErrInvalidName, "service name %q", service)
@@ -116,10 +115,10 @@
 	if template.SerialNumber, err = newSerial(); err != nil {
 		return nil, err
 	}
-	template.NotBefore = now.Add(-clockAllowance)
+	template.NotBefore = now.Add(-maxClockSkew)
 	template.NotAfter = now.Add(validity)
 	if template.NotAfter.After(a.cert.NotAfter) {
-		// A certificate that outlives its authority would fail without warning.
+		// Verification would fail after the authority has expired.
 		template.NotAfter = a.cert.NotAfter
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -20,28 +20,27 @@
 
 const statelessResetLabel = "eelgrasswharf stateless reset"
 
-// ReloadInterval is the time between two looks at the key files of a process.
+// ReloadInterval is the time between checks of the key files of a process.
 const ReloadInterval = 10 * time.Second
 
-// Credentials are the loaded keys of one process. All methods may be called
-// concurrently.
+// Credentials holds the keys of one process. It is safe for concurrent use.
 type Credentials struct {
 	files   Files
-	current atomic.Pointer[material]
+	current atomic.Pointer[keySet]
 
-	// mu orders reloads and guards onChange.
+	// mu serializes reloads and guards onChange.
 	mu       sync.Mutex
 	onChange []func()
 }
 
-// material is one consistent set of keys. It is immutable.
-type material struct {
+// keySet is a consistent set of keys. It is immutable.
+type keySet struct {
 	raw         rawFiles
 	identity    Identity
 	certificate *tls.Certificate
 	authorities *x509.CertPool
 	secrets     []Secret
-	// unauthenticated says that each peer's own word on its identity is believed.
+	// unauthenticated means that the identity in a peer's certificate is not verified.
 	unauthenticated bool
 }
 
@@ -52,11 +51,10 @@
 	secrets     []byte
 }
 
-// Load reads the files of a process and checks that they belong together and
-// are valid now.
+// Load reads the key files of a process and checks that they match and are valid.
 func Load(files Files) (*Credentials, error) {
 	c := &Credentials{files: files}
-	m, err := loadMaterial(files, time.Now())
+	m, err := loadKeySet(files, time.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +62,7 @@
 	return c, nil
 }
 
-// FromSettings loads the files that a settings section names.
+// FromSettings loads the key files named in a settings section.
 func FromSettings(s *settingspb.Keys) (*Credentials, error) {
 	return Load(Files{
 		Authority:   s.GetAuthority(),
@@ -74,8 +72,8 @@
 	})
 }
 
-// ForProcess loads the files that a settings section names, or makes
-// unauthenticated credentials for id if the section asks for that.
+// ForProcess loads the key files named in a settings section, or creates unauthenticated
+// credentials for id if the section requests that.
 func ForProcess(s *settingspb.Keys, id Identity) (*Credentials, error) {
 	if s.GetUnauthenticated() {
 		return Unauthenticated(id)
@@ -83,13 +81,12 @@
 	return FromSettings(s)
 }
 
-// Unauthenticated makes credentials that no authority backs: a key of its own for
-// this process, and belief in what each peer's certificate says of itself. Links
-// are encrypted all the same, so that only who takes part in the handshake of a
-// link can read or change it.
+// Unauthenticated creates credentials with a new key, without a shared authority. Links are
+// encrypted, but peers are not verified, so there is no protection against an attacker who
+// takes part in the handshake.
 func Unauthenticated(id Identity) (*Credentials, error) {
 	now := time.Now()
-	// The validity is long because the time of day may jump, and nobody checks it.
+	// A long validity tolerates jumps of the clock; peers do not check it.
 	authority, err := NewAuthority(now, DefaultAuthorityValidity)
 	if err != nil {
 		return nil, err
@@ -110,10 +107,10 @@
 	return c, nil
 }
 
-// Authenticated reports whether peers have to prove who they are.
+// Authenticated reports whether the identity of peers is verified.
 func (c *Credentials) Authenticated() bool { return !c.current.Load().unauthenticated }
 
-// InMemory makes credentials that no file backs.
+// InMemory creates credentials that are not read from files.
 func InMemory(authorities []byte, pair *KeyPair, secrets []Secret) (*Credentials, error) {
 	c := &Credentials{}
 	if err := c.Replace(authorities, pair, secrets); err != nil {
@@ -122,7 +119,7 @@
 	return c, nil
 }
 
-// Replace puts new keys in place of credentials made by InMemory.
+// Replace sets new keys. It is for credentials created by InMemory.
 func (c *Credentials) Replace(authorities []byte, pair *KeyPair, secrets []Secret) error {
 	raw := rawFiles{
 		authority:   authorities,
@@ -132,7 +129,7 @@
 	if len(secrets) > 0 {
 		raw.secrets = FormatSecrets(secrets)
 	}
-	m, err := parseMaterial(raw, Files{}, time.Now())
+	m, err := parseKeySet(raw, Files{}, time.Now())
 	if err != nil {
 		return err
 	}
@@ -140,32 +137,31 @@
 	return nil
 }
 
-// Identity returns who this process is.
+// Identity returns the identity of this process.
 func (c *Credentials) Identity() Identity {
 	return c.current.Load().identity
 }
 
-// DataSecrets returns the data secrets; the first one encodes. The slice must
-// not be changed.
+// DataSecrets returns the data secrets; the first one encodes. The caller must not modify
+// the slice.
 func (c *Credentials) DataSecrets() []Secret {
 	return c.current.Load().secrets
 }
 
-// NotAfter returns when the certificate of this process expires.
+// NotAfter returns the expiry of the certificate.
 func (c *Credentials) NotAfter() time.Time {
 	return c.current.Load().certificate.Leaf.NotAfter
 }
 
-// OnChange registers a function that runs after each reload that changed
-// something.
+// OnChange registers a function that is called after each reload that changed the keys.
 func (c *Credentials) OnChange(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onChange = append(c.onChange, f)
 }
 
-// Reload reads the files again. It reports whether anything changed. On an
-// error the former keys stay in use.
+// Reload reads the files again and reports whether the keys have changed. After an error the
+// previous keys remain in use.
 func (c *Credentials) Reload() (bool, error) {
 	if c.files == (Files{}) {
 		return false, nil
@@ -177,7 +173,7 @@
 	if raw.equal(c.current.Load().raw) {
 		return false, nil
 	}
-	m, err := parseMaterial(raw, c.files, time.Now())
+	m, err := parseKeySet(raw, c.files, time.Now())
 	if err != nil {
 		return false, err
 	}
@@ -185,13 +181,13 @@
 	return true, nil
 }
 
-// Watch reloads the files at each period until the context ends. The report
-// function hears of every change and, once, of a failure that two attempts in
-// a row met: files that are being replaced do not fit together for a moment.
+// Watch reloads the files at each interval until ctx is done. It calls report after each
+// change and once after the same error in two successive attempts: files that are being
+// replaced may not match for a moment.
 func (c *Credentials) Watch(ctx context.Context, period time.Duration, report func(changed bool, err error)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
-	var last, reported string
+	var lastError, reportedError string
 	for {
 		select {
 		case <-ctx.Done():
@@ -199,45 +195,44 @@
 		case <-ticker.C:
 		}
 		changed, err := c.Reload()
-		text := ""
+		errText := ""
 		if err != nil {
-			text = err.Error()
+			errText = err.Error()
 		}
 		switch {
 		case changed:
 			report(true, nil)
-		case err != nil && text == last && text != reported:
+		case err != nil && errText == lastError && errText != reportedError:
 			report(false, err)
-			reported = text
+			reportedError = errText
 		}
 		if err == nil {
-			reported = ""
+			reportedError = ""
 		}
-		last = text
+		lastError = errText
 	}
 }
 
-// LogReload returns a function for Watch that logs what it hears.
+// LogReload returns a report function for Watch that logs.
 func LogReload(log *zap.Logger) func(changed bool, err error) {
 	return func(_ bool, err error) {
 		if err != nil {
-			log.Warn("keys not renewed, the former ones stay in use", zap.Error(err))
+			log.Warn("keys not reloaded, the previous ones stay in use", zap.Error(err))
 			return
 		}
-		log.Info("keys renewed")
+		log.Info("keys reloaded")
 	}
 }
 
-// StatelessResetKey returns a key derived from the private key. A restarted
-// listener with the same private key can tell its former peers at once that
-// their connections are gone.
+// StatelessResetKey returns a key derived from the private key. With the same private key a
+// restarted listener can reset connections of its previous instance.
 func (c *Credentials) StatelessResetKey() [sha256.Size]byte {
 	mac := hmac.New(sha256.New, c.current.Load().raw.privateKey)
 	_, _ = mac.Write([]byte(statelessResetLabel))
 	return [sha256.Size]byte(mac.Sum(nil))
 }
 
-func (c *Credentials) replace(m *material) {
+func (c *Credentials) replace(m *keySet) {
 	c.mu.Lock()
 	c.current.Store(m)
 	listeners := append([]func(){}, c.onChange...)
@@ -254,12 +249,12 @@
 		bytes.Equal(r.secrets, o.secrets)
 }
 
-func loadMaterial(files Files, now time.Time) (*material, error) {
+func loadKeySet(files Files, now time.Time) (*keySet, error) {
 	raw, err := readFiles(files)
 	if err != nil {
 		return nil, err
 	}
-	return parseMaterial(raw, files, now)
+	return parseKeySet(raw, files, now)
 }
 
 func readFiles(files Files) (rawFiles, error) {
@@ -283,19 +278,19 @@
 	return raw, nil
 }
 
-func parseMaterial(raw rawFiles, files Files, now time.Time) (*material, error) {
-	m := &material{raw: raw, authorities: x509.NewCertPool()}
+func parseKeySet(raw rawFiles, files Files, now time.Time) (*keySet, error) {
+	m := &keySet{raw: raw, authorities: x509.NewCertPool()}
 	authorities, err := parseCertificates(raw.authority)
 	if err != nil {
 		return nil, errors.Wrapf(err, "authority %s", files.Authority)
 	}
 	for _, a := range authorities {
 		if !a.IsCA {
-			return nil, errors.Wrapf(ErrMalformed, "authority %s: %s is no authority", files.Authority, a.Subject)
+			return nil, errors.Wrapf(ErrMalformed, "authority %s: %s is not an authority", files.Authority, a.Subject)
 		}
 		m.authorities.AddCert(a)
 	}
-	if m.certificate, err = parsePair(raw.certificate, raw.privateKey); err != nil {
+	if m.certificate, err = parseKeyPair(raw.certificate, raw.privateKey); err != nil {
 		return nil, errors.Wrapf(err, "certificate %s with private key %s", files.Certificate, files.PrivateKey)
 	}
 	leaf := m.certificate.Leaf
@@ -311,7 +306,7 @@
 	return m, nil
 }
 
-func parsePair(certPEM, keyPEM []byte) (*tls.Certificate, error) {
+func parseKeyPair(certPEM, keyPEM []byte) (*tls.Certificate, error) {
 	certs, err := parseCertificates(certPEM)
 	if err != nil {
 		return nil, err
@@ -321,7 +316,7 @@
 		return nil, err
 	}
 	if !key.PublicKey.Equal(certs[0].PublicKey) {
-		return nil, errors.Wrap(ErrMismatch, "the private key is another one's")
+		return nil, errors.Wrap(ErrMismatch, "the private key does not match the certificate")
 	}
 	out := &tls.Certificate{PrivateKey: key, Leaf: certs[0]}
 	for _, c := range certs {
--- a/internal/keys/dir.go
+++ b/internal/keys/dir.go
@@ -12,7 +12,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// Names of the files in a folder of keys.
+// Names of the files in a key directory.
 const (
 	AuthorityFile    = "authority.pem"
 	AuthorityKeyFile = "authority.key.pem"
@@ -27,11 +27,11 @@
 	dirMode     fs.FileMode = 0o700
 )
 
-// ErrExists is returned instead of writing over an authority.
+// ErrExists is returned instead of overwriting an authority.
 var ErrExists = errors.New("file exists")
 
-// Files names the files of one process. DataSecrets may be empty for a
-// process that neither encodes nor decodes connection IDs.
+// Files names the key files of one process. DataSecrets may be empty if the process does not
+// handle connection IDs.
 type Files struct {
 	Authority   string
 	Certificate string
@@ -39,7 +39,7 @@
 	DataSecrets string
 }
 
-// Settings returns the section of a settings file that names the files.
+// Settings returns the settings section that names the files.
 func (f Files) Settings() *settingspb.Keys {
 	return &settingspb.Keys{
 		Authority:   f.Authority,
@@ -49,8 +49,8 @@
 	}
 }
 
-// InitAuthority makes an authority and the first data secret in a folder. It
-// refuses a folder that holds an authority already.
+// InitAuthority creates an authority and the first data secret in a directory. It fails if
+// there is an authority already.
 func InitAuthority(dir string) error {
 	certPath := filepath.Join(dir, AuthorityFile)
 	keyPath := filepath.Join(dir, AuthorityKeyFile)
@@ -60,7 +60,7 @@
 		}
 	}
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return errors.Wrap(err, "make folder")
+		return errors.Wrap(err, "create directory")
 	}
 	a, err := NewAuthority(time.Now(), DefaultAuthorityValidity)
 	if err != nil {
@@ -83,18 +83,18 @@
 	return err
 }
 
-// LoadAuthority reads the authority of a folder. Of several certificates in
-// the authority file, the one that fits the private key signs.
+// LoadAuthority reads the authority of a key directory: the certificate in the authority
+// file that matches the private key.
 func LoadAuthority(dir string) (*Authority, error) {
 	data, err := os.ReadFile(filepath.Join(dir, AuthorityKeyFile))
 	if err != nil {
 		return nil, errors.Wrap(err, "read authority key")
 	}
-	return authorityOf(dir, data)
+	return matchAuthority(dir, data)
 }
 
-// authorityOf finds the certificate of a private key in the authority file.
-func authorityOf(dir string, keyPEM []byte) (*Authority, error) {
+// matchAuthority finds the certificate in the authority file that matches a private key.
+func matchAuthority(dir string, keyPEM []byte) (*Authority, error) {
 	certPath := filepath.Join(dir, AuthorityFile)
 	certs, err := readCertificates(certPath)
 	if err != nil {
@@ -112,9 +112,9 @@
 	return nil, errors.Wrapf(ErrMismatch, "%s and its private key", certPath)
 }
 
-// Issue signs a certificate with the authority of a folder and writes it
-// there, in place of an older one of the same name. For RoleCaller the name
-// is ignored and the service names the certificate.
+// Issue issues a certificate with the authority of a key directory and writes it there,
+// replacing one of the same name. For RoleCaller the file is named after the service and name
+// is ignored.
 func Issue(dir string, role Role, name, service string, ips []netip.Addr, validity time.Duration) (Files, error) {
 	a, err := LoadAuthority(dir)
 	if err != nil {
@@ -138,7 +138,7 @@
 		DataSecrets: filepath.Join(dir, DataSecretsFile),
 	}
 	if files.Certificate == files.Authority || filepath.Base(files.PrivateKey) == NextAuthorityKeyFile {
-		return Files{}, errors.Wrapf(ErrInvalidName, "%q is the authority's", name)
+		return Files{}, errors.Wrapf(ErrInvalidName, "%q is reserved for the authority", name)
 	}
 	if err := writeFile(files.PrivateKey, pair.PrivateKey, privateMode); err != nil {
 		return Files{}, err
@@ -146,9 +146,9 @@
 	return files, writeFile(files.Certificate, pair.Certificate, publicMode)
 }
 
-// AddDataSecret adds a data secret to the file of a folder and returns its
-// ID. The new one decodes only; once every process has loaded it, the
-// operator moves its line to the top with PreferDataSecret.
+// AddDataSecret adds a data secret to the file in a key directory and returns its ID. The
+// secret only decodes until PreferDataSecret, which must wait until every process has
+// loaded it.
 func AddDataSecret(dir string) (uint8, error) {
 	path := filepath.Join(dir, DataSecretsFile)
 	var secrets []Secret
@@ -169,16 +169,15 @@
 	return added.ID, writeFile(path, FormatSecrets(secrets), privateMode)
 }
 
-// PreferDataSecret moves a data secret to the top of the file, where it
-// encodes.
+// PreferDataSecret moves a data secret to the top of the file, so that it encodes.
 func PreferDataSecret(dir string, id uint8) error {
 	return editSecrets(dir, id, func(chosen Secret, others []Secret) []Secret {
 		return append([]Secret{chosen}, others...)
 	})
 }
 
-// RemoveDataSecret removes a data secret. Flows whose connection IDs it
-// protects can then no longer be forwarded.
+// RemoveDataSecret removes a data secret. Flows whose connection IDs it protects can no
+// longer be forwarded.
 func RemoveDataSecret(dir string, id uint8) error {
 	return editSecrets(dir, id, func(_ Secret, others []Secret) []Secret {
 		return others
@@ -209,13 +208,12 @@
 	return errors.Wrapf(ErrInvalidSecretChange, "%s: no data secret has ID %d", path, id)
 }
 
-// writeFile replaces a file in one step, so that a process that reloads its
-// keys never reads half of one.
+// writeFile replaces a file atomically, since a process may reload it at any time.
 func writeFile(path string, data []byte, mode fs.FileMode) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, ".keys-*")
 	if err != nil {
-		return errors.Wrap(err, "make temporary file")
+		return errors.Wrap(err, "create temporary file")
 	}
 	defer func() { _ = os.Remove(f.Name()) }()
 	if _, err := f.Write(data); err != nil {
@@ -242,7 +240,7 @@
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
-		return errors.Wrap(err, "open folder")
+		return errors.Wrap(err, "open directory")
 	}
 	defer func() { _ = d.Close() }()
 	if err := d.Sync(); err != nil {
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Role says what a process may do on control links.
+// Role is what a process is authorized to do on control links.
 type Role string
 
 // The roles of a deployment.
@@ -18,8 +18,8 @@
 	RoleEntry    Role = "entry"
 	RoleAgent    Role = "agent"
 	RoleOperator Role = "operator"
-	// RoleCaller marks the certificate that agents show to callers. It is no
-	// process identity and is refused on control links.
+	// RoleCaller marks the certificate that agents present to callers. It is not a process
+	// identity and is refused on control links.
 	RoleCaller Role = "caller"
 )
 
@@ -32,25 +32,25 @@
 
 // Errors of identities.
 var (
-	// ErrRoleNotAllowed is returned for an unknown role, or one that is not allowed here.
+	// ErrRoleNotAllowed is returned for a role that is unknown or not allowed.
 	ErrRoleNotAllowed = errors.New("role not allowed")
-	// ErrInvalidName is returned for a name that is empty, too long or has characters
-	// outside of A-Z, a-z, 0-9, dot, underscore and hyphen.
+	// ErrInvalidName is returned for a name that is empty, too long or has characters other
+	// than A-Z, a-z, 0-9, dot, underscore and hyphen.
 	ErrInvalidName = errors.New("invalid name")
 	// ErrNoIdentity is returned for a certificate without a process identity.
-	ErrNoIdentity = errors.New("certificate carries no process identity")
+	ErrNoIdentity = errors.New("certificate has no process identity")
 )
 
-// Identity is what a certificate says of its process.
+// Identity is the process identity in a certificate.
 type Identity struct {
 	Role Role
-	// Name is unique among the processes of the role.
+	// Name is unique among the processes of a role.
 	Name string
 	// Service is set for agents only.
 	Service string
 }
 
-// ParseRole returns the role of that name.
+// ParseRole returns the role with the given name.
 func ParseRole(s string) (Role, error) {
 	switch r := Role(s); r {
 	case RoleControl, RoleEntry, RoleAgent, RoleOperator, RoleCaller:
@@ -59,7 +59,7 @@
 	return "", errors.Wrapf(ErrRoleNotAllowed, "%q", s)
 }
 
-// URI returns the identity in the form that certificates carry.
+// URI returns the identity in the form used in certificates.
 func (i Identity) URI() *url.URL {
 	u := &url.URL{Scheme: uriScheme, Opaque: string(i.Role) + "/" + i.Name}
 	if i.Service != "" {
@@ -73,13 +73,13 @@
 	return i.URI().String()
 }
 
-// Validate reports whether the identity can be put into a certificate.
+// Validate checks that the identity can be put into a certificate.
 func (i Identity) Validate() error {
 	if _, err := ParseRole(string(i.Role)); err != nil {
 		return err
 	}
 	if i.Role == RoleCaller {
-		return errors.Wrap(ErrRoleNotAllowed, "a caller certificate is no process identity")
+		return errors.Wrap(ErrRoleNotAllowed, "a caller certificate is not a process identity")
 	}
 	if !namePattern.MatchString(i.Name) {
 		return errors.Wrapf(ErrInvalidName, "process name %q", i.Name)
@@ -93,8 +93,7 @@
 	return nil
 }
 
-// IdentityOf reads the process identity of a certificate. It does not check
-// who signed the certificate.
+// IdentityOf returns the process identity of a certificate without verifying its signature.
 func IdentityOf(cert *x509.Certificate) (Identity, error) {
 	for _, u := range cert.URIs {
 		if u.Scheme != uriScheme {
--- a/internal/keys/inspect.go
+++ b/internal/keys/inspect.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind says what a key file holds.
+// Kind is the kind of content of a key file.
 type Kind string
 
 // The kinds of key files.
@@ -22,13 +22,12 @@
 	KindDataSecrets Kind = "data secrets"
 )
 
-// Inspection describes one item of a key file. It never holds a secret.
+// Inspection describes one item of a key file without any secret.
 type Inspection struct {
 	Kind Kind
 	// Identity is set for process certificates.
 	Identity Identity
-	// Subject, Serial, DNSNames, IPs and the validity are set for
-	// certificates.
+	// The following fields are set for certificates.
 	Subject   string
 	Serial    string
 	DNSNames  []string
@@ -39,7 +38,7 @@
 	SecretIDs []uint8
 }
 
-// InspectFile tells what a key file holds.
+// InspectFile describes the content of a key file.
 func InspectFile(path string) ([]Inspection, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -64,7 +63,7 @@
 		}
 		return []Inspection{item}, nil
 	}
-	if bytes.Contains(data, []byte(blockKey)) {
+	if bytes.Contains(data, []byte(pemTypeKey)) {
 		if _, err := parseKey(data); err != nil {
 			return nil, err
 		}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -15,9 +15,9 @@
 	"github.com/matryer/is"
 )
 
-var someIP = []netip.Addr{netip.MustParseAddr("127.0.0.1")}
+var loopbackIP = []netip.Addr{netip.MustParseAddr("127.0.0.1")}
 
-func newDir(t *testing.T) string {
+func newKeyDir(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
 	is.New(t).NoErr(InitAuthority(dir))
@@ -26,13 +26,13 @@
 
 func issue(t *testing.T, dir string, role Role, name, service string) Files {
 	t.Helper()
-	files, err := Issue(dir, role, name, service, someIP, time.Hour)
+	files, err := Issue(dir, role, name, service, loopbackIP, time.Hour)
 	is.New(t).NoErr(err)
 	return files
 }
 
 func TestIssueAndLoad(t *testing.T) {
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	cases := []Identity{
 		{Role: RoleControl, Name: "c1"},
 		{Role: RoleEntry, Name: "e-1.oke-ado"},
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestURIForm(t *testing.T) {
+func TestIdentityURI(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Identity{Role: RoleControl, Name: "c1"}.String(), "eelgrasswharf:control/c1")
 	is.Equal(Identity{Role: RoleAgent, Name: "a1", Service: "lodgement"}.String(),
@@ -69,7 +69,7 @@
 }
 
 func TestInvalidIdentities(t *testing.T) {
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	cases := []struct {
 		name string
 		id   Identity
@@ -93,7 +93,7 @@
 
 func TestCallerCertificate(t *testing.T) {
 	is := is.New(t)
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	files := issue(t, dir, RoleCaller, "", "lodgement")
 	cert, err := CallerCertificate(files.Certificate, files.PrivateKey)
 	is.NoErr(err)
@@ -103,20 +103,20 @@
 	items, err := InspectFile(files.Certificate)
 	is.NoErr(err)
 	is.Equal(items[0].Kind, KindCaller)
-	// It is no process identity.
+	// A caller certificate is not a process identity.
 	_, err = Load(files)
 	is.True(errors.Is(err, ErrNoIdentity))
 }
 
 func TestAuthorityIsNotOverwritten(t *testing.T) {
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	is.New(t).True(errors.Is(InitAuthority(dir), ErrExists))
 }
 
 func TestLoadErrors(t *testing.T) {
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	good := issue(t, dir, RoleEntry, "e1", "")
-	other := issue(t, newDir(t), RoleEntry, "e1", "")
+	other := issue(t, newKeyDir(t), RoleEntry, "e1", "")
 	secrets := filepath.Join(t.TempDir(), "bad")
 	is.New(t).NoErr(os.WriteFile(secrets, []byte("0 abc\n"), privateMode))
 	cases := []struct {
@@ -125,7 +125,7 @@
 		want   error
 	}{
 		{"unreadable", func(f *Files) { f.Certificate = filepath.Join(dir, "none") }, fs.ErrNotExist},
-		{"another one's key", func(f *Files) { f.PrivateKey = other.PrivateKey }, ErrMismatch},
+		{"key of another certificate", func(f *Files) { f.PrivateKey = other.PrivateKey }, ErrMismatch},
 		{"another authority", func(f *Files) { f.Authority = other.Authority }, ErrUnknownAuthority},
 		{"key in place of certificate", func(f *Files) { f.Certificate = f.PrivateKey }, ErrMalformed},
 		{"certificate in place of key", func(f *Files) { f.PrivateKey = f.Certificate }, ErrMalformed},
@@ -144,12 +144,12 @@
 	}
 }
 
-func TestExpiredCertificateIsNamed(t *testing.T) {
+func TestCertificateOutsideValidity(t *testing.T) {
 	is := is.New(t)
 	a, err := NewAuthority(time.Now(), time.Hour)
 	is.NoErr(err)
-	for _, made := range []time.Duration{-2 * time.Hour, 2 * time.Hour} {
-		pair, err := a.IssueProcess(Identity{Role: RoleEntry, Name: "e1"}, nil, time.Now().Add(made), 30*time.Minute)
+	for _, offset := range []time.Duration{-2 * time.Hour, 2 * time.Hour} {
+		pair, err := a.IssueProcess(Identity{Role: RoleEntry, Name: "e1"}, nil, time.Now().Add(offset), 30*time.Minute)
 		is.NoErr(err)
 		_, err = InMemory(a.CertificatePEM(), pair, nil)
 		is.True(errors.Is(err, ErrExpired))
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestValidityEndsWithTheAuthority(t *testing.T) {
+func TestValidityIsLimitedByAuthority(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	a, err := NewAuthority(now, time.Hour)
@@ -173,7 +173,7 @@
 
 func TestReload(t *testing.T) {
 	is := is.New(t)
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	files := issue(t, dir, RoleEntry, "e1", "")
 	creds, err := Load(files)
 	is.NoErr(err)
@@ -191,14 +191,14 @@
 	is.NoErr(err)
 	is.True(changed)
 	is.Equal(len(creds.DataSecrets()), 2)
-	is.Equal(creds.DataSecrets()[0].ID, uint8(0)) // the former one still encodes
+	is.Equal(creds.DataSecrets()[0].ID, uint8(0)) // the previous one still encodes
 	is.NoErr(PreferDataSecret(dir, 1))
 	_, err = creds.Reload()
 	is.NoErr(err)
 	is.Equal(creds.DataSecrets()[0].ID, uint8(1))
 
-	// A broken file leaves the former keys in use.
-	is.NoErr(os.WriteFile(files.Certificate, []byte("broken"), publicMode))
+	// An invalid file leaves the previous keys in use.
+	is.NoErr(os.WriteFile(files.Certificate, []byte("invalid"), publicMode))
 	changed, err = creds.Reload()
 	is.True(errors.Is(err, ErrMalformed))
 	is.True(!changed)
@@ -208,7 +208,7 @@
 
 func TestWatchReportsOnce(t *testing.T) {
 	is := is.New(t)
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	files := issue(t, dir, RoleEntry, "e1", "")
 	creds, err := Load(files)
 	is.NoErr(err)
@@ -223,7 +223,7 @@
 		case <-t.Context().Done():
 		}
 	})
-	is.NoErr(os.WriteFile(files.Certificate, []byte("broken"), publicMode))
+	is.NoErr(os.WriteFile(files.Certificate, []byte("invalid"), publicMode))
 	r := <-reports
 	is.True(errors.Is(r.err, ErrMalformed))
 	issue(t, dir, RoleEntry, "e1", "")
@@ -278,9 +278,9 @@
 	is.True(errors.Is(err, ErrMalformed))
 }
 
-func TestSecretIDsRunOut(t *testing.T) {
+func TestSecretIDsExhausted(t *testing.T) {
 	is := is.New(t)
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	for id := 1; id <= MaxSecretID; id++ {
 		got, err := AddDataSecret(dir)
 		is.NoErr(err)
@@ -295,23 +295,23 @@
 	items, err := InspectFile(filepath.Join(dir, DataSecretsFile))
 	is.NoErr(err)
 	is.Equal(items[0].SecretIDs, []uint8{0, 1, 2, 3, 5, 6, 7, 4})
-	is.True(errors.Is(PreferDataSecret(newDir(t), 5), ErrInvalidSecretChange)) // no such secret
-	is.True(errors.Is(RemoveDataSecret(newDir(t), 0), ErrInvalidSecretChange)) // the last one
+	is.True(errors.Is(PreferDataSecret(newKeyDir(t), 5), ErrInvalidSecretChange)) // no such secret
+	is.True(errors.Is(RemoveDataSecret(newKeyDir(t), 0), ErrInvalidSecretChange)) // the last one
 }
 
 func TestSeveralAuthorities(t *testing.T) {
 	is := is.New(t)
-	oldDir, freshDir := newDir(t), newDir(t)
+	oldDir, renewedDir := newKeyDir(t), newKeyDir(t)
 	files := issue(t, oldDir, RoleEntry, "e1", "")
 	data, err := os.ReadFile(files.Authority)
 	is.NoErr(err)
-	fresh, err := os.ReadFile(filepath.Join(freshDir, AuthorityFile))
+	renewed, err := os.ReadFile(filepath.Join(renewedDir, AuthorityFile))
 	is.NoErr(err)
-	// Both in one file, the new one first.
-	is.NoErr(os.WriteFile(files.Authority, append(fresh, data...), publicMode))
+	// Both authorities in one file, the new one first.
+	is.NoErr(os.WriteFile(files.Authority, append(renewed, data...), publicMode))
 	_, err = Load(files)
 	is.NoErr(err)
-	// The one that fits the key signs.
+	// The authority that matches the private key signs.
 	a, err := LoadAuthority(oldDir)
 	is.NoErr(err)
 	is.Equal(string(a.CertificatePEM()), string(data))
--- a/internal/keys/pem.go
+++ b/internal/keys/pem.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	blockCertificate = "CERTIFICATE"
-	blockKey         = "PRIVATE KEY"
+	pemTypeCertificate = "CERTIFICATE"
+	pemTypeKey         = "PRIVATE KEY"
 )
 
 // Errors of key files.
 var (
-	// ErrMalformed is returned for a file that is not in the expected form.
+	// ErrMalformed is returned for a file in an unexpected format.
 	ErrMalformed = errors.New("malformed file")
-	// ErrMismatch is returned for files that do not belong together.
-	ErrMismatch = errors.New("files do not belong together")
-	// ErrExpired is returned for a certificate outside of its validity.
+	// ErrMismatch is returned for files that do not match each other.
+	ErrMismatch = errors.New("files do not match")
+	// ErrExpired is returned for a certificate outside its validity period.
 	ErrExpired = errors.New("certificate is not valid now")
 )
 
 func encodeCertificate(cert *x509.Certificate) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: blockCertificate, Bytes: cert.Raw})
+	return pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: cert.Raw})
 }
 
 func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
@@ -32,10 +32,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode private key")
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: der}), nil
+	return pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: der}), nil
 }
 
-// parseCertificates returns all certificates of a PEM file, one at least.
+// parseCertificates returns the certificates of a PEM file, at least one.
 func parseCertificates(data []byte) ([]*x509.Certificate, error) {
 	var out []*x509.Certificate
 	for {
@@ -44,7 +44,7 @@
 			break
 		}
 		data = rest
-		if block.Type != blockCertificate {
+		if block.Type != pemTypeCertificate {
 			return nil, errors.Wrapf(ErrMalformed, "expected a certificate, found %q", block.Type)
 		}
 		cert, err := x509.ParseCertificate(block.Bytes)
@@ -64,7 +64,7 @@
 	if block == nil {
 		return nil, errors.Wrap(ErrMalformed, "no PEM private key")
 	}
-	if block.Type != blockKey {
+	if block.Type != pemTypeKey {
 		return nil, errors.Wrapf(ErrMalformed, "expected a private key, found %q", block.Type)
 	}
 	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
--- a/internal/keys/rotation.go
+++ b/internal/keys/rotation.go
@@ -9,27 +9,26 @@
 	"github.com/go-faster/errors"
 )
 
-// NextAuthorityKeyFile is the private key of an authority that is trusted but
-// does not sign yet.
+// NextAuthorityKeyFile is the private key of an authority that is trusted but does not sign
+// yet.
 const NextAuthorityKeyFile = "authority-next.key.pem"
 
-// ErrRotationOrder is returned for a step of a rotation that is out of order.
+// ErrRotationOrder is returned for a rotation step that is out of order.
 var ErrRotationOrder = errors.New("rotation step out of order")
 
-// AddAuthority makes a second authority in a folder. The authority file then
-// holds both certificates; the former one signs until PreferAuthority, since
-// every process must trust the new one before any process shows a certificate
-// that it signed.
+// AddAuthority creates a second authority in a key directory and adds its certificate to the
+// authority file. The previous authority signs until PreferAuthority, since every process
+// must trust the new one before it signs certificates.
 func AddAuthority(dir string) error {
 	nextPath := filepath.Join(dir, NextAuthorityKeyFile)
 	if _, err := os.Lstat(nextPath); err == nil {
-		return errors.Wrapf(ErrExists, "%s: the rotation under way comes first", nextPath)
+		return errors.Wrapf(ErrExists, "%s: a rotation is in progress", nextPath)
 	}
 	if _, err := LoadAuthority(dir); err != nil {
 		return err
 	}
 	certPath := filepath.Join(dir, AuthorityFile)
-	former, err := os.ReadFile(certPath)
+	previous, err := os.ReadFile(certPath)
 	if err != nil {
 		return errors.Wrap(err, "read authority")
 	}
@@ -41,16 +40,15 @@
 	if err != nil {
 		return err
 	}
-	// A certificate without its key could never be preferred: the key first.
+	// The key comes first: a certificate without its key could never sign.
 	if err := writeFile(nextPath, keyPEM, privateMode); err != nil {
 		return err
 	}
-	return writeFile(certPath, append(former, next.CertificatePEM()...), publicMode)
+	return writeFile(certPath, append(previous, next.CertificatePEM()...), publicMode)
 }
 
-// PreferAuthority lets the authority that AddAuthority made sign from now on.
-// The private key of the former one is gone afterwards; what it signed stays
-// valid until RemoveAuthority.
+// PreferAuthority makes the authority created by AddAuthority sign. It removes the private
+// key of the previous one, whose certificates stay valid until RemoveAuthority.
 func PreferAuthority(dir string) error {
 	nextPath := filepath.Join(dir, NextAuthorityKeyFile)
 	data, err := os.ReadFile(nextPath)
@@ -60,7 +58,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read authority key")
 	}
-	if _, err := authorityOf(dir, data); err != nil {
+	if _, err := matchAuthority(dir, data); err != nil {
 		return err
 	}
 	if err := os.Rename(nextPath, filepath.Join(dir, AuthorityKeyFile)); err != nil {
@@ -69,8 +67,8 @@
 	return syncDir(dir)
 }
 
-// RemoveAuthority removes every authority from a folder but the one that
-// signs. Certificates of the others are refused wherever the file goes.
+// RemoveAuthority removes all authorities but the signing one from a key directory.
+// Certificates of the others are no longer accepted.
 func RemoveAuthority(dir string) error {
 	nextPath := filepath.Join(dir, NextAuthorityKeyFile)
 	if _, err := os.Lstat(nextPath); err == nil {
@@ -87,7 +85,7 @@
 	}
 	after := signing.CertificatePEM()
 	if bytes.Equal(before, after) {
-		return errors.Wrap(ErrRotationOrder, "there is no former authority")
+		return errors.Wrap(ErrRotationOrder, "there is no previous authority")
 	}
 	return writeFile(certPath, after, publicMode)
 }
--- a/internal/keys/rotation_test.go
+++ b/internal/keys/rotation_test.go
@@ -9,9 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// knows tells whether a process with the files of one folder takes the
-// certificate of another process.
-func knows(t *testing.T, files Files, certificate string) bool {
+// trusts reports whether a process with the given files accepts a certificate.
+func trusts(t *testing.T, files Files, certificate string) bool {
 	t.Helper()
 	is := is.New(t)
 	creds, err := Load(files)
@@ -25,23 +24,23 @@
 
 func TestAuthorityRotation(t *testing.T) {
 	is := is.New(t)
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	old := issue(t, dir, RoleEntry, "old", "")
 	is.NoErr(AddAuthority(dir))
 	is.True(errors.Is(AddAuthority(dir), ErrExists)) // one rotation at a time
-	// The former authority still signs.
+	// The previous authority still signs.
 	between := issue(t, dir, RoleEntry, "between", "")
-	is.True(knows(t, old, between.Certificate))
+	is.True(trusts(t, old, between.Certificate))
 	is.NoErr(PreferAuthority(dir))
 	renewed := issue(t, dir, RoleEntry, "renewed", "")
-	// Both sides know each other until the former authority is removed.
-	is.True(knows(t, old, renewed.Certificate))
-	is.True(knows(t, renewed, old.Certificate))
+	// Certificates of both are accepted until the previous authority is removed.
+	is.True(trusts(t, old, renewed.Certificate))
+	is.True(trusts(t, renewed, old.Certificate))
 	is.NoErr(RemoveAuthority(dir))
-	is.True(!knows(t, renewed, old.Certificate))
+	is.True(!trusts(t, renewed, old.Certificate))
 	_, err := Load(old)
-	is.True(errors.Is(err, ErrUnknownAuthority)) // not even its own process takes it
-	// The next rotation works alike.
+	is.True(errors.Is(err, ErrUnknownAuthority)) // not accepted by its own process either
+	// The next rotation works the same way.
 	is.NoErr(AddAuthority(dir))
 	is.NoErr(PreferAuthority(dir))
 	is.NoErr(RemoveAuthority(dir))
@@ -49,7 +48,7 @@
 
 func TestAuthorityRotationOutOfOrder(t *testing.T) {
 	is := is.New(t)
-	dir := newDir(t)
+	dir := newKeyDir(t)
 	path := filepath.Join(dir, AuthorityFile)
 	before, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -59,8 +58,8 @@
 	is.NoErr(err)
 	is.Equal(after, before)
 	is.NoErr(AddAuthority(dir))
-	is.True(errors.Is(RemoveAuthority(dir), ErrRotationOrder)) // would drop the added one
-	// A key whose certificate is missing never becomes the signing one.
+	is.True(errors.Is(RemoveAuthority(dir), ErrRotationOrder)) // would remove the added one
+	// An authority key without its certificate is not used.
 	is.NoErr(os.WriteFile(path, before, publicMode))
 	is.True(errors.Is(PreferAuthority(dir), ErrMismatch))
 	_, err = LoadAuthority(dir)
--- a/internal/keys/secret.go
+++ b/internal/keys/secret.go
@@ -14,26 +14,24 @@
 const (
 	// SecretLength is the length of a data secret in bytes.
 	SecretLength = 32
-	// MaxSecretID is the largest ID of a data secret: connection IDs have
-	// three bits for it.
+	// MaxSecretID is the largest ID of a data secret; connection IDs have three bits for it.
 	MaxSecretID = 7
 )
 
-// ErrNoFreeSecretID is returned when every ID of a data secret is in use.
+// ErrNoFreeSecretID is returned if all IDs of data secrets are in use.
 var ErrNoFreeSecretID = errors.New("all IDs of data secrets are in use")
 
-// ErrInvalidSecretChange is returned for a step that cannot be taken with the data
-// secrets that there are.
+// ErrInvalidSecretChange is returned for a change that the present data secrets do not allow.
 var ErrInvalidSecretChange = errors.New("data secrets unchanged")
 
 // Secret protects connection IDs and frames.
 type Secret struct {
-	// ID names the secret in connection IDs and frames: 0 to MaxSecretID.
+	// ID identifies the secret in connection IDs and frames: 0 to MaxSecretID.
 	ID  uint8
 	Key [SecretLength]byte
 }
 
-// NewSecret makes a random secret.
+// NewSecret creates a random secret.
 func NewSecret(id uint8) (Secret, error) {
 	s := Secret{ID: id}
 	if id > MaxSecretID {
@@ -45,9 +43,9 @@
 	return s, nil
 }
 
-// ParseSecrets reads a data secrets file: lines of an ID and 32 bytes in hex.
-// The first secret encodes, all of them decode. Empty lines and lines that
-// start with # are skipped. Errors name the line and never show a secret.
+// ParseSecrets parses a data secrets file: lines with an ID and 32 bytes in hex. The first
+// secret encodes, all of them decode. Empty lines and lines that start with # are skipped.
+// Errors contain line numbers but no secrets.
 func ParseSecrets(data []byte) ([]Secret, error) {
 	var out []Secret
 	used := make(map[uint8]bool)
@@ -90,7 +88,7 @@
 	return s, nil
 }
 
-// FormatSecrets writes a data secrets file.
+// FormatSecrets returns the content of a data secrets file.
 func FormatSecrets(secrets []Secret) []byte {
 	var b bytes.Buffer
 	for _, s := range secrets {
@@ -99,9 +97,8 @@
 	return b.Bytes()
 }
 
-// appendSecret adds a new secret with a free ID at the end of the list. It
-// decodes only, until it is made the first one: every process must know a
-// secret before any process encodes with it.
+// appendSecret appends a new secret with a free ID. As it is not the first one it only
+// decodes.
 func appendSecret(secrets []Secret) ([]Secret, Secret, error) {
 	used := make(map[uint8]bool)
 	for _, s := range secrets {
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -10,22 +10,20 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of peers in a TLS handshake.
+// Errors of peer verification.
 var (
-	// ErrNoCertificate is returned for a peer that shows no certificate.
-	ErrNoCertificate = errors.New("peer shows no certificate")
-	// ErrUnknownAuthority is returned for a peer whose certificate none of our
-	// authorities signed.
-	ErrUnknownAuthority = errors.New("no authority of ours signed the certificate")
+	// ErrNoCertificate is returned for a peer without a certificate.
+	ErrNoCertificate = errors.New("peer presented no certificate")
+	// ErrUnknownAuthority is returned for a certificate that no trusted authority signed.
+	ErrUnknownAuthority = errors.New("certificate signed by unknown authority")
 )
 
-// ServerTLS returns the configuration of a listener that admits peers of the
-// given roles only. The caller sets NextProtos.
+// ServerTLS returns the configuration of a listener that accepts only peers with the given
+// roles. The caller sets NextProtos.
 func (c *Credentials) ServerTLS(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The certificate is asked for and checked in VerifyConnection, where
-		// a refusal has a reason of its own.
+		// VerifyConnection checks the certificate and returns distinct errors.
 		ClientAuth:             tls.RequestClientCert,
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -38,13 +36,12 @@
 	}
 }
 
-// ClientTLS returns the configuration of a dialer that accepts peers of the
-// given roles only. The caller sets NextProtos.
+// ClientTLS returns the configuration of a dialer that accepts only peers with the given
+// roles. The caller sets NextProtos.
 func (c *Credentials) ClientTLS(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// Peers are known by their identity, not by a host name;
-		// VerifyConnection checks signature, validity and identity.
+		// VerifyConnection checks signature, validity and identity; host names play no role.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return c.current.Load().certificate, nil
@@ -56,8 +53,7 @@
 	}
 }
 
-// VerifyPeer checks the peer's certificate against the current authorities
-// and its role against the allowed ones.
+// VerifyPeer verifies the peer's certificate and checks that its role is allowed.
 func (c *Credentials) VerifyPeer(state tls.ConnectionState, allowed ...Role) (Identity, error) {
 	certs := state.PeerCertificates
 	if len(certs) == 0 {
@@ -73,17 +69,17 @@
 	return id, nil
 }
 
-// identify returns the identity of a peer's certificate, proven unless these
-// credentials are unauthenticated.
+// identify returns the identity in a peer's certificate, verified unless the credentials are
+// unauthenticated.
 func (c *Credentials) identify(certs []*x509.Certificate) (Identity, error) {
-	held := c.current.Load()
-	if held.unauthenticated {
+	loaded := c.current.Load()
+	if loaded.unauthenticated {
 		return IdentityOf(certs[0])
 	}
-	return verify(certs[0], certs[1:], held.authorities, time.Now())
+	return verify(certs[0], certs[1:], loaded.authorities, time.Now())
 }
 
-// CallerCertificate loads the certificate that an agent shows to callers.
+// CallerCertificate loads the certificate that an agent presents to callers.
 func CallerCertificate(certPath, keyPath string) (*tls.Certificate, error) {
 	certPEM, err := os.ReadFile(certPath)
 	if err != nil {
@@ -100,9 +96,9 @@
 	return cert, nil
 }
 
-// ParseCallerCertificate is CallerCertificate for keys held in memory.
+// ParseCallerCertificate is like CallerCertificate for keys in memory.
 func ParseCallerCertificate(pair *KeyPair) (*tls.Certificate, error) {
-	cert, err := parsePair(pair.Certificate, pair.PrivateKey)
+	cert, err := parseKeyPair(pair.Certificate, pair.PrivateKey)
 	if err != nil {
 		return nil, err
 	}
@@ -112,13 +108,13 @@
 	return cert, nil
 }
 
-// verify checks who signed a certificate and returns its identity.
-func verify(leaf *x509.Certificate, others []*x509.Certificate, authorities *x509.CertPool, now time.Time) (Identity, error) {
+// verify verifies a certificate and returns its identity.
+func verify(leaf *x509.Certificate, chain []*x509.Certificate, authorities *x509.CertPool, now time.Time) (Identity, error) {
 	if err := checkValidity(leaf, now); err != nil {
 		return Identity{}, err
 	}
 	intermediates := x509.NewCertPool()
-	for _, c := range others {
+	for _, c := range chain {
 		intermediates.AddCert(c)
 	}
 	_, err := leaf.Verify(x509.VerifyOptions{
--- a/internal/processtest/rotation.go
+++ b/internal/processtest/rotation.go
@@ -3,7 +3,7 @@
 import "eelgrasswharf.example/eelgrasswharf/internal/keys"
 
 const (
-	keysRenewed   = "keys renewed"
+	keysRenewed   = "keys reloaded"
 	callerRenewed = "caller certificate renewed"
 )
 
