--- a/internal/logging/ring.go
+++ b/internal/logging/asyncwriter.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// ringLines bounds the lines that wait for the reader of the log: some 1 MB.
-	ringLines = 4096
-	// MaxLinesPerSecond bounds the lines of one message a second. The first of each
-	// second are kept, so a rare message is never lost to a frequent one.
+	// maxBufferedLines bounds the buffered lines, about 1 MB.
+	maxBufferedLines = 4096
+	// MaxLinesPerSecond bounds the lines of one message per second. Other messages are not
+	// affected.
 	MaxLinesPerSecond = 40
-	// reportPeriod is the time between two lines that tell how many were dropped.
-	reportPeriod = time.Second
-	// flushTimeout bounds how long a process that ends waits for the reader.
+	// reportInterval is the time between two reports of dropped lines.
+	reportInterval = time.Second
+	// flushTimeout bounds the wait of Close.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// AsyncWriter passes lines on to a writer that may be slow or stopped. Who logs never waits:
-// a line that finds no room is dropped and counted.
+// AsyncWriter writes lines to a writer that may block. Write never waits: a line that does
+// not fit the buffer is dropped and counted.
 type AsyncWriter struct {
 	lines   chan []byte
 	out     io.Writer
 	dropped atomic.Int64
-	// limited counts lines above the bound of their message.
+	// limited counts lines above the rate limit of their message.
 	limited atomic.Int64
 	closing chan struct{}
 	once    sync.Once
 	done    chan struct{}
 }
 
-// NewAsyncWriter starts passing lines on to out.
+// NewAsyncWriter starts a goroutine that writes to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	r := &AsyncWriter{lines: make(chan []byte, ringLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
+	r := &AsyncWriter{lines: make(chan []byte, maxBufferedLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
 	go r.run()
 	return r
 }
 
-// Write implements io.Writer. It keeps a copy.
+// Write implements io.Writer. It copies p.
 func (r *AsyncWriter) Write(p []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), p...):
@@ -55,10 +55,10 @@
 	return len(p), nil
 }
 
-// Sync implements zapcore.WriteSyncer. Lines are on their way.
+// Sync implements zapcore.WriteSyncer. It does nothing.
 func (r *AsyncWriter) Sync() error { return nil }
 
-// Close waits for the lines under way, but not for a reader that has stopped.
+// Close flushes the buffered lines for at most flushTimeout.
 func (r *AsyncWriter) Close() {
 	r.once.Do(func() { close(r.closing) })
 	select {
@@ -69,14 +69,14 @@
 
 func (r *AsyncWriter) run() {
 	defer close(r.done)
-	ticker := time.NewTicker(reportPeriod)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case line := <-r.lines:
 			r.write(line)
 		case <-ticker.C:
-			r.report()
+			r.reportDropped()
 		case <-r.closing:
 			r.drain()
 			return
@@ -90,42 +90,41 @@
 		case line := <-r.lines:
 			r.write(line)
 		default:
-			r.report()
+			r.reportDropped()
 			return
 		}
 	}
 }
 
-// write passes a line on. Where the log itself cannot be written there is no place
-// left to say so.
+// write writes a line. Errors of the log itself cannot be reported.
 func (r *AsyncWriter) write(line []byte) { _, _ = r.out.Write(line) }
 
-// report tells how many lines were dropped since the last time.
-func (r *AsyncWriter) report() {
+// reportDropped logs how many lines were dropped since the last report.
+func (r *AsyncWriter) reportDropped() {
 	dropped, limited := r.dropped.Swap(0), r.limited.Swap(0)
 	if dropped+limited == 0 {
 		return
 	}
-	r.write(fmt.Appendf(nil, `{"level":"warn","ts":%q,"msg":"log lines dropped","no_room":%d,"over_bound":%d}`+"\n",
+	r.write(fmt.Appendf(nil, `{"level":"warn","ts":%q,"msg":"log lines dropped","buffer_full":%d,"rate_limited":%d}`+"\n",
 		time.Now().Format(time.RFC3339Nano), dropped, limited))
 }
 
-// NewRateLimited is New with a bound on the lines of each message, over a Ring that the
-// caller closes.
+// NewRateLimited is like New but limits the rate of each message. The caller closes the
+// returned writer.
 func NewRateLimited(s *settingspb.Log, w io.Writer) (*zap.Logger, *AsyncWriter, error) {
-	ring := NewAsyncWriter(w)
-	log, err := New(s, ring)
+	writer := NewAsyncWriter(w)
+	log, err := New(s, writer)
 	if err != nil {
-		ring.Close()
+		writer.Close()
 		return nil, nil, err
 	}
-	bounded := zap.WrapCore(func(core zapcore.Core) zapcore.Core {
+	sampled := zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, time.Second, MaxLinesPerSecond, 0,
 			zapcore.SamplerHook(func(_ zapcore.Entry, decision zapcore.SamplingDecision) {
 				if decision&zapcore.LogDropped != 0 {
-					ring.limited.Add(1)
+					writer.limited.Add(1)
 				}
 			}))
 	})
-	return log.WithOptions(bounded), ring, nil
+	return log.WithOptions(sampled), writer, nil
 }
--- a/internal/logging/ring_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -13,48 +13,48 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/logging"
 )
 
-// Who logs does not wait for a reader that has stopped: here a pipe that nobody reads
-// takes far less than is written.
-func TestStoppedReaderHoldsUpNobody(t *testing.T) {
+// Guards against a log reader that has stopped and blocks the process. More is written to the
+// pipe than it can hold.
+func TestBlockedReaderDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	read, write, err := os.Pipe()
 	is.NoErr(err)
 	defer read.Close()
-	ring := logging.NewAsyncWriter(write)
+	writer := logging.NewAsyncWriter(write)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	for range 20_000 {
-		n, err := ring.Write(line)
+		n, err := writer.Write(line)
 		is.NoErr(err)
 		is.Equal(n, len(line))
 	}
-	ring.Close() // nor does the end of the process
+	writer.Close() // must not block either
 	is.NoErr(write.Close())
 }
 
-func TestLinesOfAMessageAreBounded(t *testing.T) {
+func TestMessagesAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	log, ring, err := logging.NewRateLimited(nil, &out)
+	log, writer, err := logging.NewRateLimited(nil, &out)
 	is.NoErr(err)
 	for range 1000 {
 		log.Info("frequent")
 	}
 	log.Info("rare")
-	ring.Close()
+	writer.Close()
 	is.Equal(strings.Count(out.String(), "rare"), 1)
 	frequent := strings.Count(out.String(), "frequent")
 	is.True(frequent >= logging.MaxLinesPerSecond)
-	is.True(frequent <= 2*logging.MaxLinesPerSecond) // a second may have ended meanwhile
-	is.True(strings.Contains(out.String(), `"over_bound":`))
+	is.True(frequent <= 2*logging.MaxLinesPerSecond) // the test may span two seconds
+	is.True(strings.Contains(out.String(), `"rate_limited":`))
 }
 
-// BenchmarkDroppedLine is what a line over its bound costs on the path of a packet.
+// BenchmarkDroppedLine measures a line above the rate limit.
 func BenchmarkDroppedLine(b *testing.B) {
-	log, ring, err := logging.NewRateLimited(nil, io.Discard)
+	log, writer, err := logging.NewRateLimited(nil, io.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer ring.Close()
+	defer writer.Close()
 	b.ReportAllocs()
 	for b.Loop() {
 		if line := log.Check(zap.InfoLevel, "flow"); line != nil {
@@ -63,11 +63,11 @@
 	}
 }
 
-func TestDroppedLineAllocatesNothing(t *testing.T) {
+func TestDroppedLineDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
-	log, ring, err := logging.NewRateLimited(nil, io.Discard)
+	log, writer, err := logging.NewRateLimited(nil, io.Discard)
 	is.NoErr(err)
-	defer ring.Close()
+	defer writer.Close()
 	for range 2 * logging.MaxLinesPerSecond {
 		log.Info("flow")
 	}
@@ -76,5 +76,5 @@
 			line.Write()
 		}
 	})
-	is.True(allocated < 1) // but for lines of the next second
+	is.True(allocated < 1) // a line of the next second may allocate
 }
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,3 +1,2 @@
-// Package logging makes the zap logger that the section [log] of a settings
-// file describes.
+// Package logging creates the zap logger configured by the section [log] of a settings file.
 package logging
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,11 +10,11 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// ErrUnknownLevel reports a level that zap does not know.
+// ErrUnknownLevel is returned for an unknown log level.
 var ErrUnknownLevel = errors.New("unknown log level")
 
-// New makes a logger that writes to w. An empty level is info. It returns
-// ErrLevel for a level that is none of debug, info, warn and error.
+// New creates a logger that writes to w. The default level is info. For a level other than
+// debug, info, warn and error it returns ErrUnknownLevel.
 func New(s *settingspb.Log, w io.Writer) (*zap.Logger, error) {
 	level := zapcore.InfoLevel
 	if text := s.GetLevel(); text != "" {
@@ -25,7 +25,7 @@
 		level = parsed
 	}
 	core := zapcore.NewCore(encoder(s.GetFormat()), zapcore.Lock(zapcore.AddSync(w)), level)
-	return zap.New(plainErrors{core}), nil
+	return zap.New(noStackCore{core}), nil
 }
 
 func encoder(format settingspb.LogFormat) zapcore.Encoder {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -23,7 +23,7 @@
 	log.Info("hidden")
 	log.Warn("shown")
 	var line struct{ Level, Msg string }
-	is.NoErr(json.Unmarshal(out.Bytes(), &line)) // exactly one line
+	is.NoErr(json.Unmarshal(out.Bytes(), &line)) // a single line
 	is.Equal(line.Msg, "shown")
 	is.Equal(line.Level, "warn")
 }
@@ -44,9 +44,9 @@
 	is.True(errors.Is(err, logging.ErrUnknownLevel))
 }
 
-// A stack helps with a fault of this release, which is logged as an error. Below
-// that it is noise, and tells folders of the machine that built the binary.
-func TestOnlyErrorsShowTheirStack(t *testing.T) {
+// Guards against stacks in ordinary errors: they are noise and contain paths of the build
+// machine.
+func TestStackOnlyAtErrorLevel(t *testing.T) {
 	cause := errors.Wrap(errors.New("no answer"), "dial")
 	for _, tt := range []struct {
 		level zapcore.Level
--- a/internal/logging/plain.go
+++ b/internal/logging/nostack.go
@@ -7,25 +7,24 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// plainErrors writes errors without their stacks below the level error, where
-// they are ordinary: a stack tells of the code, not of the deployment.
-type plainErrors struct {
+// noStackCore omits the stacks of errors below the level error.
+type noStackCore struct {
 	zapcore.Core
 }
 
-func (c plainErrors) With(fields []zapcore.Field) zapcore.Core {
-	return plainErrors{c.Core.With(fields)}
+func (c noStackCore) With(fields []zapcore.Field) zapcore.Core {
+	return noStackCore{c.Core.With(fields)}
 }
 
-// Check adds this core itself: that of the core within would be written past it.
-func (c plainErrors) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+// Check adds this core, since the wrapped one would bypass Write.
+func (c noStackCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(entry.Level) {
 		return checked.AddCore(entry, c)
 	}
 	return checked
 }
 
-func (c plainErrors) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+func (c noStackCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	if entry.Level < zapcore.ErrorLevel {
 		fields = withoutStacks(fields)
 	}
