--- a/internal/metrics/doc.go
+++ b/internal/metrics/doc.go
@@ -1,3 +1,3 @@
-// Package metrics makes the tally scope of a process and serves what it
-// gathers at /metrics in the Prometheus text format.
+// Package metrics creates the tally scope of a process and serves its metrics at /metrics in
+// the Prometheus text format.
 package metrics
--- a/internal/metrics/durations.go
+++ b/internal/metrics/durations.go
@@ -7,15 +7,12 @@
 )
 
 const (
-	// shortestDuration is the first bound of Durations: a tenth of what a message
-	// between two hosts of one failure domain takes.
-	shortestDuration = 20 * time.Microsecond
-	// durationBounds is the number of bounds, each twice the one before: the last is
-	// 10.5 s, longer than any time after which a caller or operator gives up waiting
-	// for one step.
-	durationBounds = 20
+	// firstBound is below the latency between two hosts of one failure domain.
+	firstBound = 20 * time.Microsecond
+	// boundCount is the number of bounds, each twice the previous one; the last is 10.5 s.
+	boundCount = 20
 )
 
-// DurationBuckets are the bounds of every histogram of times, so that histograms of several
-// processes can be added up.
-var DurationBuckets = tally.MustMakeExponentialDurationBuckets(shortestDuration, 2, durationBounds)
+// DurationBuckets are the buckets of all duration histograms, so that histograms of several
+// processes can be added.
+var DurationBuckets = tally.MustMakeExponentialDurationBuckets(firstBound, 2, boundCount)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -21,28 +21,26 @@
 )
 
 const (
-	// prefix starts the name of every metric.
-	prefix = "eelgrasswharf"
-	// reportInterval is how often the scope hands its counts on, and so the
-	// greatest age of a figure at /metrics.
+	// namePrefix is the prefix of all metric names.
+	namePrefix = "eelgrasswharf"
+	// reportInterval is the time between reports of the scope, and so the largest age of a
+	// value at /metrics.
 	reportInterval = time.Second
 	// closeTimeout bounds the wait for a scrape in progress.
 	closeTimeout = time.Second
 	// headerTimeout bounds the wait for the header of a scrape.
 	headerTimeout = 5 * time.Second
-	// idleTimeout ends a connection that brings no further scrape: those that do come each
-	// minute or more often.
+	// idleTimeout closes a connection without scrapes; it exceeds the usual scrape interval.
 	idleTimeout = 2 * time.Minute
 )
 
-// ErrListen reports that the metrics address could not be opened.
+// ErrListen is returned if the metrics address cannot be opened.
 var ErrListen = errors.New("cannot serve metrics")
 
-// New makes the scope of a process. When s names an address, its /metrics is
-// served there until the closer is closed; the bound address is returned, so
-// that port 0 may be asked for. Without an address the scope counts for
-// nobody and the returned address is invalid. Metrics that cannot be
-// registered (one name with two sets of tags) are told to onError.
+// New creates the scope of a process. If s has an address, the metrics are served there until
+// the closer is closed, and the bound address is returned. Without an address the scope
+// discards its values and the returned address is invalid. onError is called for metrics that
+// cannot be registered, such as one name with two sets of tags.
 func New(s *settingspb.Metrics, onError func(error)) (tally.Scope, io.Closer, netip.AddrPort, error) {
 	if s.GetListen() == "" {
 		return tally.NoopScope, io.NopCloser(nil), netip.AddrPort{}, nil
@@ -58,20 +56,20 @@
 	)
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, OnRegisterError: onError})
 	scope, scopeCloser := tally.NewRootScope(tally.ScopeOptions{
-		Prefix:          prefix,
+		Prefix:          namePrefix,
 		CachedReporter:  reporter,
 		Separator:       prometheus.DefaultSeparator,
 		SanitizeOptions: sanitizer(),
-		// Tally's own metrics carry tags of their own making.
+		// Tally's cardinality metrics have tags of their own.
 		OmitCardinalityMetrics: true,
 	}, reportInterval)
 	e := &exporter{scope: scopeCloser, server: newServer(registry)}
-	e.wait.Go(func() { _ = e.server.Serve(listener) })
+	e.serving.Go(func() { _ = e.server.Serve(listener) })
 	return scope, e, listener.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// sanitizer keeps the dashes in values of tags, so that a reason reads the same
-// at /metrics, in answers to callers and in the docs.
+// sanitizer keeps dashes in tag values, so that reasons read the same as in responses to
+// callers and in the docs.
 func sanitizer() *tally.SanitizeOptions {
 	options := prometheus.DefaultSanitizerOpts
 	options.ValueCharacters.Characters = tally.UnderscoreDashDotCharacters
@@ -84,14 +82,14 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// exporter closes the parts of New in order.
+// exporter serves the metrics and closes them in order.
 type exporter struct {
-	scope  io.Closer
-	server *http.Server
-	wait   conc.WaitGroup
+	scope   io.Closer
+	server  *http.Server
+	serving conc.WaitGroup
 }
 
-// Close reports a last time and frees the address.
+// Close reports a last time and closes the listener.
 func (e *exporter) Close() error {
 	scopeErr := e.scope.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
@@ -99,6 +97,6 @@
 	if e.server.Shutdown(ctx) != nil {
 		_ = e.server.Close()
 	}
-	e.wait.Wait()
+	e.serving.Wait()
 	return scopeErr
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -33,12 +33,12 @@
 	scope.Tagged(map[string]string{"reason": "queue-full"}).Counter("refused").Inc(3)
 	for !strings.Contains(scrape(t, addr.String()), `eelgrasswharf_refused{reason="queue-full"} 3`) {
 		if t.Context().Err() != nil {
-			t.Fatal("the counter never showed")
+			t.Fatal("counter not served")
 		}
 	}
 }
 
-func TestOffWithoutAddress(t *testing.T) {
+func TestDisabledWithoutAddress(t *testing.T) {
 	is := is.New(t)
 	scope, closer, addr, err := metrics.New(&settingspb.Metrics{}, nil)
 	is.NoErr(err)
