--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,4 +1,4 @@
-// Package listen opens TCP addresses that any number of peers may connect to.
+// Package listen opens TCP listeners with a limit on connections.
 package listen
 
 import (
@@ -7,13 +7,11 @@
 	"golang.org/x/net/netutil"
 )
 
-// MaxConnections bounds the open connections of one address. Those that come after wait
-// until one ends, so a server has to end the ones that fall silent. An idle HTTP connection
-// takes 18.7 KB, heap and stack, so these are 19 MB (1,024 of them after one request each,
-// both ends in one process), and a quarter of the 4,096 descriptors that a process may have.
+// MaxConnections limits the open connections of one address, within the file descriptors of a
+// process. Further connections wait until one ends, so servers have to close idle ones.
 const MaxConnections = 1024
 
-// TCP opens an address (ip:port) of IPv4 or IPv6.
+// TCP listens on an IPv4 or IPv6 address (ip:port).
 func TCP(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -10,8 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// Connections above the bound take no descriptor of the server until others end.
-func TestConnectionsAreBounded(t *testing.T) {
+// Guards against connections above the limit that use file descriptors.
+func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	l, err := listen.TCP("127.0.0.1:0")
 	is.NoErr(err)
@@ -27,22 +27,22 @@
 			accepted <- c
 		}
 	}()
-	var dialled []net.Conn
+	var dialed []net.Conn
 	for range listen.MaxConnections + 10 {
 		c, err := net.Dial("tcp", l.Addr().String())
 		is.NoErr(err)
-		dialled = append(dialled, c)
+		dialed = append(dialed, c)
 	}
-	unittest.Eventually(t, "as many as may be", func() bool { return len(accepted) == listen.MaxConnections })
+	unittest.Eventually(t, "connections up to the limit", func() bool { return len(accepted) == listen.MaxConnections })
 	is.NoErr((<-accepted).Close())
-	unittest.Eventually(t, "the next one", func() bool { return len(accepted) == listen.MaxConnections })
+	unittest.Eventually(t, "next connection", func() bool { return len(accepted) == listen.MaxConnections })
 	is.NoErr(l.Close())
 	<-done
 	close(accepted)
 	for c := range accepted {
 		c.Close()
 	}
-	for _, c := range dialled {
+	for _, c := range dialed {
 		c.Close()
 	}
 }
