--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time that a context may cut short.
+// Package sleep provides a sleep that a context can end.
 package sleep
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For returns nil after the duration, at once if that is not positive, or the
-// error of the context when that ends first.
+// For sleeps for d and returns nil, or returns the error of ctx as soon as it is done. It
+// does not sleep if d is not positive.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -17,5 +17,5 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Millisecond, cancel)
 	is.Equal(sleep.For(ctx, time.Hour), context.Canceled)
-	is.Equal(sleep.For(ctx, 0), context.Canceled) // ended before
+	is.Equal(sleep.For(ctx, 0), context.Canceled) // cancelled before
 }
