--- a/internal/loopback/doc.go
+++ b/internal/loopback/doc.go
@@ -1,8 +1,6 @@
-// Package loopback allots addresses on loopback to tests that have to know an
-// address before the process that opens it runs.
+// Package loopback allocates loopback addresses to tests that have to know an address before
+// it is opened.
 //
-// A port that the kernel picked and that was closed again may be taken by any
-// socket before it is opened a second time. Here each test process has IP
-// numbers of its own, and ports lie below the range from which the kernel
-// picks, so that nobody else takes them.
+// A port that the kernel chose may be taken by another socket once it is closed. Therefore
+// each test process gets its own IP numbers, with ports below the kernel's ephemeral range.
 package loopback
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -9,53 +9,51 @@
 )
 
 const (
-	// claimPort is bound on an IP number for as long as a test uses it, so
-	// that two processes never share one.
+	// claimPort is bound on an IP number while a test uses it, so that no other process
+	// takes that number.
 	claimPort = 9999
-	// Ports are counted up below the range from which the kernel takes
-	// ephemeral ports.
+	// Ports are below the kernel's ephemeral range.
 	firstPort = 10000
 	lastPort  = 32767
 
 	addressesPerProcess = 64
 	loopbackBits        = 24
-	reservedAddresses   = 1 << 16 // 127.0.0.0/16 is left to others
+	excludedAddresses   = 1 << 16 // 127.0.0.0/16
 )
 
-// addresses allots IP numbers and ports to the hosts of this test process.
-var addresses = &allotment{port: firstPort}
+// addresses is the allocator of this test process.
+var addresses = &allocator{port: firstPort}
 
-// Host returns an IP number that nobody else uses until the test ends. The
-// search starts at a place given by the process ID, the claim settles
-// collisions.
+// Host returns an IP number that is not used by others until the test ends. The search starts
+// at an index derived from the process ID.
 func Host(t testing.TB) netip.Addr {
 	t.Helper()
 	return addresses.host(t)
 }
 
-// Address returns the IP number of a Host with a port that this process has
-// not used lately and that is free for UDP and TCP.
+// Address returns the IP number of a Host with a port that is free for UDP and TCP and was not
+// returned recently.
 func Address(t testing.TB, host netip.Addr) netip.AddrPort {
 	t.Helper()
 	return addresses.address(t, host)
 }
 
-// allotment is what a process has allotted so far.
-type allotment struct {
+// allocator allocates IP numbers and ports.
+type allocator struct {
 	mu   sync.Mutex
 	next uint32
 	port uint16
 }
 
-func (a *allotment) host(t testing.TB) netip.Addr {
+func (a *allocator) host(t testing.TB) netip.Addr {
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	const all = 1<<loopbackBits - reservedAddresses - 1
+	const all = 1<<loopbackBits - excludedAddresses - 1
 	for range all {
 		index := (uint32(os.Getpid())*addressesPerProcess + a.next) % all
 		a.next++
-		low := index + reservedAddresses
+		low := index + excludedAddresses
 		ip := netip.AddrFrom4([4]byte{127, byte(low >> 16), byte(low >> 8), byte(low)})
 		claim, err := net.Listen("tcp", netip.AddrPortFrom(ip, claimPort).String())
 		if err != nil {
@@ -64,11 +62,11 @@
 		t.Cleanup(func() { claim.Close() })
 		return ip
 	}
-	t.Fatal("no loopback address is free")
+	t.Fatal("no free loopback address")
 	return netip.Addr{}
 }
 
-func (a *allotment) address(t testing.TB, ip netip.Addr) netip.AddrPort {
+func (a *allocator) address(t testing.TB, ip netip.Addr) netip.AddrPort {
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -82,7 +80,7 @@
 			return addr
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port")
 	return netip.AddrPort{}
 }
 
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -16,7 +16,7 @@
 	is.True(one.IsLoopback())
 	first, second := loopback.Address(t, one), loopback.Address(t, one)
 	is.True(first != second)
-	is.True(first.Port() >= 10000 && first.Port() < 32768) // the kernel picks above
+	is.True(first.Port() >= 10000 && first.Port() < 32768) // below the ephemeral range
 	tcp, err := net.Listen("tcp", first.String())
 	is.NoErr(err)
 	defer tcp.Close()
