--- a/internal/unittest/unittest.go
+++ b/internal/unittest/unittest.go
@@ -1,9 +1,7 @@
-// Package unittest is what the unit tests of several packages share: a wait for a
-// condition, the look-up of a counter, credentials in memory and on disk, and data
-// secrets.
+// Package unittest has helpers shared by the unit tests of several packages: waiting for a
+// condition, reading counters, creating credentials and data secrets.
 //
-// It imports little, so that the packages which processtest imports can use it in
-// their own tests.
+// It has few imports, so that packages imported by processtest can use it in their tests.
 package unittest
 
 import (
@@ -18,11 +16,11 @@
 )
 
 const (
-	// Timeout bounds every wait for what must come, however busy the machine
-	// is. It measures nothing: no test passes by it.
+	// Timeout bounds every wait for an expected condition. It is long enough for a loaded
+	// machine.
 	Timeout = 2 * time.Minute
 
-	pollEvery = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 )
 
 // Failer is a testing.TB or a *rapid.T.
@@ -31,7 +29,7 @@
 	Fatal(args ...any)
 }
 
-// Must fails the test on an error. Without one it costs a benchmark nothing.
+// Must fails the test on an error. It is cheap enough for benchmarks.
 func Must(t Failer, err error) {
 	if err != nil {
 		t.Helper()
@@ -39,19 +37,19 @@
 	}
 }
 
-// Eventually polls the condition until it holds and fails the test when it
-// never does.
+// Eventually polls the condition and fails the test if it does not become true within
+// Timeout.
 func Eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	if !Poll(condition) {
-		t.Fatalf("never came: %s", what)
+		t.Fatalf("timeout waiting for: %s", what)
 	}
 }
 
-// Poll reports whether the condition came to hold. Goroutines besides the test's
-// own use it in place of Eventually.
+// Poll polls the condition and reports whether it became true within Timeout. Unlike
+// Eventually it can be called from any goroutine.
 func Poll(condition func() bool) bool {
-	for end := time.Now().Add(Timeout); !condition(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -59,8 +57,8 @@
 	return true
 }
 
-// Counter returns the sum of a counter over the tags that hold the reason, or
-// over all of them if it is empty.
+// Counter returns the sum of a counter over all tags, or over those with the given reason if
+// it is not empty.
 func Counter(scope tally.TestScope, name, reason string) int64 {
 	sum := int64(0)
 	for _, c := range scope.Snapshot().Counters() {
@@ -71,13 +69,13 @@
 	return sum
 }
 
-// Authority signs certificates of processes in memory.
+// Authority issues certificates in memory.
 type Authority struct {
 	*keys.Authority
 	t testing.TB
 }
 
-// NewAuthority makes an authority.
+// NewAuthority creates an authority that is valid for an hour.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	authority, err := keys.NewAuthority(time.Now(), time.Hour)
@@ -85,7 +83,7 @@
 	return &Authority{Authority: authority, t: t}
 }
 
-// KeyPair issues a certificate that is valid for an hour from a time on.
+// KeyPair issues a certificate that is valid for an hour after from.
 func (a *Authority) KeyPair(id keys.Identity, from time.Time) *keys.KeyPair {
 	a.t.Helper()
 	pair, err := a.IssueProcess(id, nil, from, time.Hour)
@@ -93,7 +91,7 @@
 	return pair
 }
 
-// Credentials are those of a process that trusts this authority alone.
+// Credentials returns credentials for id that trust only this authority.
 func (a *Authority) Credentials(id keys.Identity) *keys.Credentials {
 	a.t.Helper()
 	credentials, err := keys.InMemory(a.CertificatePEM(), a.KeyPair(id, time.Now()), nil)
@@ -101,13 +99,13 @@
 	return credentials
 }
 
-// KeyDir is a folder of keys on the disk, as an operator has it.
+// KeyDir is a key directory on disk.
 type KeyDir struct {
 	dir string
 	t   testing.TB
 }
 
-// NewKeyDir makes a folder with an authority and a data secret.
+// NewKeyDir creates a directory with an authority and a data secret.
 func NewKeyDir(t testing.TB) *KeyDir {
 	t.Helper()
 	f := &KeyDir{dir: t.TempDir(), t: t}
@@ -132,7 +130,7 @@
 	return credentials
 }
 
-// Secret is a data secret whose key is told by the fill.
+// Secret returns a data secret whose key bytes count up from fill.
 func Secret(id, fill byte) connid.Secret {
 	s := connid.Secret{ID: id}
 	for i := range s.Key {
