--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,7 +1,6 @@
-// Package fixedseed makes property tests of pgregory.net/rapid draw from a
-// fixed seed, so that a run of the tests gives the same verdict every time. A
-// test package imports it for its effect; the flag -rapid.seed on the command
-// line goes first.
+// Package fixedseed sets a fixed seed for property tests of pgregory.net/rapid, so that test
+// runs are reproducible. Test packages import it for its side effect. The command line flag
+// -rapid.seed takes precedence.
 package fixedseed
 
 import (
@@ -10,7 +9,7 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seedFlag is the flag of rapid that fixes the seed; 0 means a random one.
+// seedFlag is the flag that sets the seed; 0 means a random one.
 const seedFlag = "rapid.seed"
 
 func init() {
