--- a/internal/link/admission_test.go
+++ b/internal/link/admission_test.go
@@ -60,14 +60,14 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	c := &Client{addrs: []string{"a", "b", "c"}, opts: fastOptions().withDefaults()}
-	r := &dialState{failures: 1, notBefore: map[string]time.Time{"b": now.Add(time.Minute)}, index: 1}
-	is.True(c.retryDelay(r, now) < time.Second)
-	is.Equal(c.addrs[r.index], "c")
+	state := &dialState{failures: 1, notBefore: map[string]time.Time{"b": now.Add(time.Minute)}, index: 1}
+	is.True(c.retryDelay(state, now) < time.Second)
+	is.Equal(c.addrs[state.index], "c")
 	// All servers are busy: the one with the earliest retry time is next.
-	r.notBefore["a"] = now.Add(3 * time.Minute)
-	r.notBefore["c"] = now.Add(2 * time.Minute)
-	is.Equal(c.retryDelay(r, now), time.Minute)
-	is.Equal(c.addrs[r.index], "b")
+	state.notBefore["a"] = now.Add(3 * time.Minute)
+	state.notBefore["c"] = now.Add(2 * time.Minute)
+	is.Equal(c.retryDelay(state, now), time.Minute)
+	is.Equal(c.addrs[state.index], "b")
 }
 
 func TestCallErrors(t *testing.T) {
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -110,8 +110,8 @@
 	ready chan struct{}
 	// reconnected is closed and replaced when a connection is established.
 	reconnected chan struct{}
-	// configured was set by the caller, learned was named by servers. If stale is set, both
-	// replace addrs before the next attempt.
+	// configured was set by the caller, learned was named by servers. If addressesStale is set
+	// both replace addrs before the next attempt.
 	configured, learned []string
 	addressesStale      bool
 	// addressesChanged is closed and replaced when configured or learned changes.
@@ -177,7 +177,7 @@
 }
 
 // applyAddresses takes over the addresses last set.
-func (c *Client) applyAddresses(r *dialState) {
+func (c *Client) applyAddresses(state *dialState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.addressesStale {
@@ -192,7 +192,7 @@
 		}
 	}
 	c.addrs = next
-	r.index %= len(c.addrs)
+	state.index %= len(c.addrs)
 }
 
 // shuffle randomizes the order of addresses to distribute clients over servers.
@@ -382,7 +382,7 @@
 	reasonCounter(c.opts.Scope, metricCallFailures, reason).Inc(1)
 }
 
-// jitter varies a duration at random so that clients do not act in lockstep.
+// jitter varies a duration at random so that clients do not act simultaneously.
 func (c *Client) jitter(d time.Duration) time.Duration {
 	c.randMu.Lock()
 	defer c.randMu.Unlock()
--- a/internal/link/fault_test.go
+++ b/internal/link/fault_test.go
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestUnresponsivePathIsRedialled(t *testing.T) {
+func TestUnresponsivePathIsRedialed(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		repliesOnly bool
@@ -259,7 +259,7 @@
 			is.NoErr(err)
 			defer sub.Close()
 			r.dropKnownPaths(tc.repliesOnly)
-			// The subscription on the dead path ends instead of hanging.
+			// The subscription on the lost path must end.
 			_, err = sub.Receive()
 			is.True(err != nil)
 			mustCall(t, c)
@@ -377,19 +377,19 @@
 	creds := d.credentials(keys.RoleEntry, "e1")
 	var busy int64
 	var clients []*Client
-	var scopes []func() int64
+	var busyCounts []func() int64
 	// A client would not see the refusal of an attempt that timed out.
 	opts := fastOptions()
 	opts.DialTimeout = time.Minute
 	for range 10 {
 		c, cs := startClient(t, creds, opts, s.Addr().String())
 		clients = append(clients, c)
-		scopes = append(scopes, func() int64 { return count(cs, metricDialFailures, "busy") })
+		busyCounts = append(busyCounts, func() int64 { return count(cs, metricDialFailures, "busy") })
 	}
 	for _, c := range clients {
 		mustCall(t, c)
 	}
-	for _, f := range scopes {
+	for _, f := range busyCounts {
 		busy += f()
 	}
 	is.True(busy > 0)
--- a/internal/link/reconnect.go
+++ b/internal/link/reconnect.go
@@ -51,24 +51,24 @@
 
 // run maintains a connection until the client is closed.
 func (c *Client) run() {
-	r := &dialState{notBefore: make(map[string]time.Time)}
-	for c.awaitAddresses(r) {
-		conn := c.connect(r)
+	state := &dialState{notBefore: make(map[string]time.Time)}
+	for c.awaitAddresses(state) {
+		conn := c.connect(state)
 		if conn == nil {
 			return
 		}
-		c.maintain(r, conn)
+		c.maintain(state, conn)
 	}
 }
 
 // maintain uses an established connection until it is lost.
-func (c *Client) maintain(r *dialState, conn *connection) {
-	if r.failures > 0 {
+func (c *Client) maintain(state *dialState, conn *connection) {
+	if state.failures > 0 {
 		c.opts.Log.Info("control link established", zap.String("address", conn.addr))
 	}
-	r.failures = 0
-	r.resumeAt(c.addrs, conn.addr)
-	clear(r.notBefore)
+	state.failures = 0
+	state.resumeAt(c.addrs, conn.addr)
+	clear(state.notBefore)
 	established := time.Now()
 	c.discardMove()
 	c.setCurrent(conn)
@@ -86,12 +86,12 @@
 	c.opts.Log.Info("control link lost", zap.String("address", conn.addr), zap.String("reason", reason))
 	if reason == reasonMoved {
 		// A server may just have named the one to move to.
-		c.applyAddresses(r)
-		r.index = c.moveIndex(r.index)
+		c.applyAddresses(state)
+		state.index = c.moveIndex(state.index)
 		return
 	}
 	// Also if the server is unresponsive: retrying one that is down costs a whole dial timeout.
-	r.index = (r.index + 1) % len(c.addrs)
+	state.index = (state.index + 1) % len(c.addrs)
 	if time.Since(established) < c.opts.BackoffMax {
 		// Treats a server that accepts and soon drops connections like one that refuses them.
 		_ = sleep.For(c.ctx, c.jitter(c.opts.BackoffMin))
@@ -129,34 +129,34 @@
 // retryDelay returns the delay before the next address and skips busy servers. The delay is
 // short while there are untried addresses, grows with each round and covers the retry-after
 // time if all servers are busy.
-func (c *Client) retryDelay(r *dialState, now time.Time) time.Duration {
-	round := r.failures / len(c.addrs)
+func (c *Client) retryDelay(state *dialState, now time.Time) time.Duration {
+	round := state.failures / len(c.addrs)
 	d := c.opts.BackoffMin
 	for i := 0; i < round && d < c.opts.BackoffMax; i++ {
 		d *= 2
 	}
 	d = c.jitter(min(d, c.opts.BackoffMax))
-	if r.failures%len(c.addrs) != 0 {
+	if state.failures%len(c.addrs) != 0 {
 		d = c.jitter(c.opts.BackoffMin) / 2
 	}
 	for range c.addrs {
-		until := r.notBefore[c.addrs[r.index]]
+		until := state.notBefore[c.addrs[state.index]]
 		if !until.After(now) {
 			return d
 		}
-		r.index = (r.index + 1) % len(c.addrs)
+		state.index = (state.index + 1) % len(c.addrs)
 	}
-	return max(d, c.earliestAvailable(r, now))
+	return max(d, c.earliestAvailable(state, now))
 }
 
 // earliestAvailable selects the busy server with the earliest retry time.
-func (c *Client) earliestAvailable(r *dialState, now time.Time) time.Duration {
+func (c *Client) earliestAvailable(state *dialState, now time.Time) time.Duration {
 	for i, addr := range c.addrs {
-		if r.notBefore[addr].Before(r.notBefore[c.addrs[r.index]]) {
-			r.index = i
+		if state.notBefore[addr].Before(state.notBefore[c.addrs[state.index]]) {
+			state.index = i
 		}
 	}
-	return r.notBefore[c.addrs[r.index]].Sub(now)
+	return state.notBefore[c.addrs[state.index]].Sub(now)
 }
 
 func dialReason(err error) string {
--- a/internal/link/search.go
+++ b/internal/link/search.go
@@ -35,19 +35,19 @@
 
 // connect returns a connection to the first server that replies, or nil once the client is
 // closed.
-func (c *Client) connect(r *dialState) *connection {
-	s := &search{client: c, dialState: r, results: make(chan attemptResult, maxAttempts)}
+func (c *Client) connect(state *dialState) *connection {
+	s := &search{client: c, dialState: state, results: make(chan attemptResult, maxAttempts)}
 	s.ctx, s.cancel = context.WithCancel(c.ctx)
 	defer s.end()
 	for {
-		c.applyAddresses(r)
-		s.start(c.addrs[r.index])
+		c.applyAddresses(state)
+		s.start(c.addrs[state.index])
 		if conn := s.await(c.opts.DialTimeout, true); conn != nil || c.ctx.Err() != nil {
 			return conn
 		}
-		r.failures++
-		r.index = (r.index + 1) % len(c.addrs)
-		if conn := s.await(c.retryDelay(r, time.Now()), false); conn != nil || c.ctx.Err() != nil {
+		state.failures++
+		state.index = (state.index + 1) % len(c.addrs)
+		if conn := s.await(c.retryDelay(state, time.Now()), false); conn != nil || c.ctx.Err() != nil {
 			return conn
 		}
 	}
@@ -69,20 +69,20 @@
 func (s *search) await(d time.Duration, untilFailed bool) *connection {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	over := false
-	for !over || s.running >= maxAttempts {
+	done := false
+	for !done || s.running >= maxAttempts {
 		select {
 		case <-s.client.ctx.Done():
 			return nil
 		case <-timer.C:
-			over = true
+			done = true
 		case r := <-s.results:
 			s.running--
 			if r.err == nil {
 				return r.conn
 			}
 			s.client.recordDialFailure(s.dialState, r.addr, r.err)
-			over = over || untilFailed && r.number == s.latest
+			done = done || untilFailed && r.number == s.latest
 		}
 	}
 	return nil
@@ -102,27 +102,27 @@
 }
 
 // recordDialFailure counts and logs a failed attempt.
-func (c *Client) recordDialFailure(r *dialState, addr string, err error) {
+func (c *Client) recordDialFailure(state *dialState, addr string, err error) {
 	if c.ctx.Err() != nil {
 		return
 	}
 	reason := dialReason(err)
 	reasonCounter(c.opts.Scope, metricDialFailures, reason).Inc(1)
 	c.opts.Log.Info("connection to control host failed", zap.String("address", addr), zap.String("reason", reason),
-		zap.Int("failures", r.failures+1), zap.Error(err))
+		zap.Int("failures", state.failures+1), zap.Error(err))
 	if wait, ok := retryAfter(err); ok {
-		r.notBefore[addr] = time.Now().Add(wait)
+		state.notBefore[addr] = time.Now().Add(wait)
 	}
 }
 
 // awaitAddresses waits until there is at least one address. It returns false once the client
 // is closed.
-func (c *Client) awaitAddresses(r *dialState) bool {
+func (c *Client) awaitAddresses(state *dialState) bool {
 	for {
 		c.mu.Lock()
 		addressesChanged := c.addressesChanged
 		c.mu.Unlock()
-		c.applyAddresses(r)
+		c.applyAddresses(state)
 		if len(c.addrs) > 0 {
 			return true
 		}
@@ -142,8 +142,8 @@
 }
 
 // resumeAt sets the address at which the search continues.
-func (r *dialState) resumeAt(addrs []string, addr string) {
+func (state *dialState) resumeAt(addrs []string, addr string) {
 	if i := slices.Index(addrs, addr); i >= 0 {
-		r.index = i
+		state.index = i
 	}
 }
