--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -54,11 +54,11 @@
 // Load reads the key files of a process and checks that they match and are valid.
 func Load(files Files) (*Credentials, error) {
 	c := &Credentials{files: files}
-	m, err := loadKeySet(files, time.Now())
+	set, err := loadKeySet(files, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	c.current.Store(m)
+	c.current.Store(set)
 	return c, nil
 }
 
@@ -129,11 +129,11 @@
 	if len(secrets) > 0 {
 		raw.secrets = FormatSecrets(secrets)
 	}
-	m, err := parseKeySet(raw, Files{}, time.Now())
+	set, err := parseKeySet(raw, Files{}, time.Now())
 	if err != nil {
 		return err
 	}
-	c.replace(m)
+	c.replace(set)
 	return nil
 }
 
@@ -173,19 +173,19 @@
 	if raw.equal(c.current.Load().raw) {
 		return false, nil
 	}
-	m, err := parseKeySet(raw, c.files, time.Now())
+	set, err := parseKeySet(raw, c.files, time.Now())
 	if err != nil {
 		return false, err
 	}
-	c.replace(m)
+	c.replace(set)
 	return true, nil
 }
 
 // Watch reloads the files at each interval until ctx is done. It calls report after each
 // change and once after the same error in two successive attempts: files that are being
 // replaced may not match for a moment.
-func (c *Credentials) Watch(ctx context.Context, period time.Duration, report func(changed bool, err error)) {
-	ticker := time.NewTicker(period)
+func (c *Credentials) Watch(ctx context.Context, interval time.Duration, report func(changed bool, err error)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	var lastError, reportedError string
 	for {
@@ -232,9 +232,9 @@
 	return [sha256.Size]byte(mac.Sum(nil))
 }
 
-func (c *Credentials) replace(m *keySet) {
+func (c *Credentials) replace(set *keySet) {
 	c.mu.Lock()
-	c.current.Store(m)
+	c.current.Store(set)
 	listeners := append([]func(){}, c.onChange...)
 	c.mu.Unlock()
 	for _, f := range listeners {
@@ -279,7 +279,7 @@
 }
 
 func parseKeySet(raw rawFiles, files Files, now time.Time) (*keySet, error) {
-	m := &keySet{raw: raw, authorities: x509.NewCertPool()}
+	set := &keySet{raw: raw, authorities: x509.NewCertPool()}
 	authorities, err := parseCertificates(raw.authority)
 	if err != nil {
 		return nil, errors.Wrapf(err, "authority %s", files.Authority)
@@ -288,22 +288,22 @@
 		if !a.IsCA {
 			return nil, errors.Wrapf(ErrMalformed, "authority %s: %s is not an authority", files.Authority, a.Subject)
 		}
-		m.authorities.AddCert(a)
+		set.authorities.AddCert(a)
 	}
-	if m.certificate, err = parseKeyPair(raw.certificate, raw.privateKey); err != nil {
+	if set.certificate, err = parseKeyPair(raw.certificate, raw.privateKey); err != nil {
 		return nil, errors.Wrapf(err, "certificate %s with private key %s", files.Certificate, files.PrivateKey)
 	}
-	leaf := m.certificate.Leaf
-	if m.identity, err = verify(leaf, nil, m.authorities, now); err != nil {
+	leaf := set.certificate.Leaf
+	if set.identity, err = verify(leaf, nil, set.authorities, now); err != nil {
 		return nil, errors.Wrapf(err, "certificate %s", files.Certificate)
 	}
 	if raw.secrets == nil {
-		return m, nil
+		return set, nil
 	}
-	if m.secrets, err = ParseSecrets(raw.secrets); err != nil {
+	if set.secrets, err = ParseSecrets(raw.secrets); err != nil {
 		return nil, errors.Wrapf(err, "data secrets %s", files.DataSecrets)
 	}
-	return m, nil
+	return set, nil
 }
 
 func parseKeyPair(certPEM, keyPEM []byte) (*tls.Certificate, error) {
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -40,72 +40,72 @@
 
 // NewAsyncWriter starts a goroutine that writes to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	r := &AsyncWriter{lines: make(chan []byte, maxBufferedLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
-	go r.run()
-	return r
+	w := &AsyncWriter{lines: make(chan []byte, maxBufferedLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
+	go w.run()
+	return w
 }
 
 // Write implements io.Writer. It copies p.
-func (r *AsyncWriter) Write(p []byte) (int, error) {
+func (w *AsyncWriter) Write(p []byte) (int, error) {
 	select {
-	case r.lines <- append([]byte(nil), p...):
+	case w.lines <- append([]byte(nil), p...):
 	default:
-		r.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
 // Sync implements zapcore.WriteSyncer. It does nothing.
-func (r *AsyncWriter) Sync() error { return nil }
+func (w *AsyncWriter) Sync() error { return nil }
 
 // Close flushes the buffered lines for at most flushTimeout.
-func (r *AsyncWriter) Close() {
-	r.once.Do(func() { close(r.closing) })
+func (w *AsyncWriter) Close() {
+	w.once.Do(func() { close(w.closing) })
 	select {
-	case <-r.done:
+	case <-w.done:
 	case <-time.After(flushTimeout):
 	}
 }
 
-func (r *AsyncWriter) run() {
-	defer close(r.done)
+func (w *AsyncWriter) run() {
+	defer close(w.done)
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case line := <-r.lines:
-			r.write(line)
+		case line := <-w.lines:
+			w.write(line)
 		case <-ticker.C:
-			r.reportDropped()
-		case <-r.closing:
-			r.drain()
+			w.reportDropped()
+		case <-w.closing:
+			w.drain()
 			return
 		}
 	}
 }
 
-func (r *AsyncWriter) drain() {
+func (w *AsyncWriter) drain() {
 	for {
 		select {
-		case line := <-r.lines:
-			r.write(line)
+		case line := <-w.lines:
+			w.write(line)
 		default:
-			r.reportDropped()
+			w.reportDropped()
 			return
 		}
 	}
 }
 
 // write writes a line. Errors of the log itself cannot be reported.
-func (r *AsyncWriter) write(line []byte) { _, _ = r.out.Write(line) }
+func (w *AsyncWriter) write(line []byte) { _, _ = w.out.Write(line) }
 
 // reportDropped logs how many lines were dropped since the last report.
-func (r *AsyncWriter) reportDropped() {
-	dropped, limited := r.dropped.Swap(0), r.limited.Swap(0)
+func (w *AsyncWriter) reportDropped() {
+	dropped, limited := w.dropped.Swap(0), w.limited.Swap(0)
 	if dropped+limited == 0 {
 		return
 	}
-	r.write(fmt.Appendf(nil, `{"level":"warn","ts":%q,"msg":"log lines dropped","buffer_full":%d,"rate_limited":%d}`+"\n",
+	w.write(fmt.Appendf(nil, `{"level":"warn","ts":%q,"msg":"log lines dropped","buffer_full":%d,"rate_limited":%d}`+"\n",
 		time.Now().Format(time.RFC3339Nano), dropped, limited))
 }
 
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -108,11 +108,11 @@
 	case strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"""`):
 		return current + "." + name + ": multi-line values are not supported"
 	}
-	at := keyName{current, name}
-	if _, ok := x.keys[at]; ok {
+	qualified := keyName{current, name}
+	if _, ok := x.keys[qualified]; ok {
 		return current + "." + name + ": duplicate key"
 	}
-	x.keys[at] = number
+	x.keys[qualified] = number
 	return ""
 }
 
@@ -125,9 +125,9 @@
 		}
 		sec := section{name: s.Name(), line: index.sections[s.Name()]}
 		for _, k := range s.Keys() {
-			at := keyName{s.Name(), k.Name()}
+			qualified := keyName{s.Name(), k.Name()}
 			// Value is the raw text; ini.v1's String would expand %(name)s.
-			sec.keys = append(sec.keys, key{name: k.Name(), value: k.Value(), line: index.keys[at]})
+			sec.keys = append(sec.keys, key{name: k.Name(), value: k.Value(), line: index.keys[qualified]})
 		}
 		out = append(out, sec)
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -224,8 +224,8 @@
 // keysOptional reports whether a section is the one of key files and names none because the
 // host is unauthenticated.
 func keysOptional(m protoreflect.Message, section protoreflect.FieldDescriptor) bool {
-	taken, ok := m.Get(section).Message().Interface().(*settingspb.Keys)
-	return ok && taken.GetUnauthenticated()
+	keySettings, ok := m.Get(section).Message().Interface().(*settingspb.Keys)
+	return ok && keySettings.GetUnauthenticated()
 }
 
 // ApplyDefaults sets every unset key of the root message m that has a default. Load and Parse
@@ -251,18 +251,18 @@
 // forEachPath calls visit for every path that was given and stores its result.
 func (l keyLines) forEachPath(m protoreflect.Message, visit func(line int, key string, kind pathKind, value string) string) {
 	names := slices.SortedFunc(maps.Keys(l), func(a, b keyName) int { return l[a] - l[b] })
-	for _, at := range names {
-		if at.key == "" {
+	for _, qualified := range names {
+		if qualified.key == "" {
 			continue
 		}
-		sec := m.Mutable(m.Descriptor().Fields().ByName(protoreflect.Name(at.section))).Message()
-		f := sec.Descriptor().Fields().ByName(protoreflect.Name(at.key))
+		sec := m.Mutable(m.Descriptor().Fields().ByName(protoreflect.Name(qualified.section))).Message()
+		f := sec.Descriptor().Fields().ByName(protoreflect.Name(qualified.key))
 		kind := ruleOf(f).path
 		value := sec.Get(f)
 		if kind == notPath || value.String() == "" {
 			continue
 		}
-		path := visit(l[at], at.section+"."+at.key, kind, value.String())
+		path := visit(l[qualified], qualified.section+"."+qualified.key, kind, value.String())
 		sec.Set(f, protoreflect.ValueOfString(path))
 	}
 }
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -29,7 +29,7 @@
 	// defaultValue is the default in file syntax.
 	defaultValue string
 	// example is the value in a generated example file. A key without one
-	// stands there as a comment.
+	// is commented out there.
 	example string
 	// positive rejects 0, which the schema cannot distinguish from an unset key.
 	positive bool
@@ -118,7 +118,7 @@
 	return rules[protoreflect.FullName(f.Parent().Name()).Append(f.Name())]
 }
 
-// maxNameLength is the limit of a certificate's common name.
+// maxNameLength is the limit of a certificate's common name, in bytes.
 const maxNameLength = 64
 
 func checkName(value string) string {
--- a/internal/unittest/unittest.go
+++ b/internal/unittest/unittest.go
@@ -108,25 +108,25 @@
 // NewKeyDir creates a directory with an authority and a data secret.
 func NewKeyDir(t testing.TB) *KeyDir {
 	t.Helper()
-	f := &KeyDir{dir: t.TempDir(), t: t}
-	Must(t, keys.InitAuthority(f.dir))
-	return f
+	d := &KeyDir{dir: t.TempDir(), t: t}
+	Must(t, keys.InitAuthority(d.dir))
+	return d
 }
 
 // Issue writes a certificate for a process on loopback.
-func (f *KeyDir) Issue(role keys.Role, name, service string) keys.Files {
-	f.t.Helper()
+func (d *KeyDir) Issue(role keys.Role, name, service string) keys.Files {
+	d.t.Helper()
 	loopback := []netip.Addr{netip.MustParseAddr("127.0.0.1")}
-	files, err := keys.Issue(f.dir, role, name, service, loopback, time.Hour)
-	Must(f.t, err)
+	files, err := keys.Issue(d.dir, role, name, service, loopback, time.Hour)
+	Must(d.t, err)
 	return files
 }
 
 // Credentials issues a certificate and loads it.
-func (f *KeyDir) Credentials(role keys.Role, name, service string) *keys.Credentials {
-	f.t.Helper()
-	credentials, err := keys.Load(f.Issue(role, name, service))
-	Must(f.t, err)
+func (d *KeyDir) Credentials(role keys.Role, name, service string) *keys.Credentials {
+	d.t.Helper()
+	credentials, err := keys.Load(d.Issue(role, name, service))
+	Must(d.t, err)
 	return credentials
 }
 
