--- a/internal/agentd/deployment_test.go
+++ b/internal/agentd/deployment_test.go
@@ -31,7 +31,7 @@
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	d := &deployment{t: t, keys: unittest.NewKeyFolder(t)}
+	d := &deployment{t: t, keys: unittest.NewKeyDir(t)}
 	address := freeAddress(t)
 	control, err := controld.New(&settingspb.ControlSettings{
 		Host: &settingspb.Host{Name: "c1", FailureDomain: "bodija"},
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -85,7 +85,7 @@
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	s := &deployment{t: t, keys: unittest.NewKeyFolder(t)}
+	s := &deployment{t: t, keys: unittest.NewKeyDir(t)}
 	return s
 }
 
