--- a/internal/cli/backend.go
+++ b/internal/cli/backend.go
@@ -19,11 +19,11 @@
 		Use:   "backend --service NAME --target NAME --announce ADDRESS",
 		Short: "Run the built-in backend server, for development and tests",
 		Long: `Runs a small backend server that announces itself to the agent of its host and
-answers /echo, /run, /watch and /runs. The --fault flags make it misbehave.
+serves /echo, /run, /watch and /runs. The --fault flags make it misbehave.
 
-SIGTERM or SIGINT drains it: it announces that it leaves and waits for its
-requests and watch streams, without a time limit. A second signal ends it at
-once, with exit status 1.`,
+SIGTERM or SIGINT drains it: it announces that it is draining and waits for its
+requests and watch streams, without a time limit. A second signal ends it
+immediately, with exit status 1.`,
 		Example: `  eelgrasswharf backend --service lodgement --target lodgement-1 --announce 127.0.0.1:7301
   eelgrasswharf backend --service lodgement --target lodgement-2 --announce 127.0.0.1:7301 \
     --fault-health well --fault-broken`,
@@ -32,11 +32,11 @@
 			o.Faults.Health = backend.HealthMode(health)
 			o.Faults.Load = backend.LoadMode(load)
 			if runLog != "" {
-				ledger, err := backend.OpenRunLog(runLog)
+				runs, err := backend.OpenRunLog(runLog)
 				if err != nil {
 					return err
 				}
-				o.RunLog = ledger
+				o.RunLog = runs
 			}
 			return runBackend(cmd, o)
 		},
@@ -45,19 +45,19 @@
 	f.StringVar(&o.Service, "service", "", "`NAME` of the service")
 	f.StringVar(&o.Target, "target", "", "`NAME` of the target")
 	f.StringVar(&o.Listen, "listen", "127.0.0.1:0", "`ADDRESS` (ip:port) for requests")
-	f.StringVar(&o.Announce, "announce", "", "`ADDRESS` (ip:port) where the agent takes announcements")
-	f.Uint32Var(&o.Slots, "slots", backend.DefaultSlots, "requests run at a time")
+	f.StringVar(&o.Announce, "announce", "", "`ADDRESS` (ip:port) where the agent receives announcements")
+	f.Uint32Var(&o.Slots, "slots", backend.DefaultSlots, "number of requests run concurrently")
 	f.DurationVar(&o.AnnouncePeriod, "announce-period", backend.DefaultAnnouncePeriod, "time between two announcements")
 	f.StringVar(&health, "fault-health", string(backend.HealthHonest), "health endpoint: honest, well, ill or frozen")
 	f.StringVar(&load, "fault-load", string(backend.LoadHonest), "load endpoint: honest, idle, full or stale")
-	f.DurationVar(&o.Faults.Age, "fault-age", 0, "claim to be up for at least that long")
+	f.DurationVar(&o.Faults.Age, "fault-age", 0, "report an uptime of at least this long")
 	f.BoolVar(&o.Faults.Broken, "fault-broken", false, "answer 500 to every request")
-	f.StringVar(&runLog, "run-log", "", "keep the idempotency keys of all runs in `FILE`, so that /runs knows of former processes")
-	f.Uint64Var(&o.Faults.LateEvery, "fault-late-every", 0, "hold back every `N`th answer")
-	f.DurationVar(&o.Faults.LateBy, "fault-late-by", 0, "how long late answers are held back")
-	f.Uint64Var(&o.Faults.TruncateEvery, "fault-truncate-every", 0, "cut every `N`th answer short")
-	f.Uint64Var(&o.Faults.CrossEvery, "fault-cross-every", 0, "follow every `N`th answer with a stray one")
-	require(cmd, "service", "target")
+	f.StringVar(&runLog, "run-log", "", "store the idempotency keys of all runs in `FILE`, so that /runs includes previous processes")
+	f.Uint64Var(&o.Faults.LateEvery, "fault-late-every", 0, "delay every `N`th response")
+	f.DurationVar(&o.Faults.LateBy, "fault-late-by", 0, "delay of late responses")
+	f.Uint64Var(&o.Faults.TruncateEvery, "fault-truncate-every", 0, "truncate every `N`th response")
+	f.Uint64Var(&o.Faults.CrossEvery, "fault-cross-every", 0, "send an unrelated response after every `N`th one")
+	requireFlags(cmd, "service", "target")
 	return cmd
 }
 
@@ -68,8 +68,8 @@
 	}
 	defer func() { _ = log.Sync() }()
 	o.Log = log
-	// Signals are taken before anyone is told that the server is ready.
-	return untilSignal(cmd.Context(), func(ctx context.Context) error {
+	// Signals are handled before the server reports that it is ready.
+	return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 		return serveBackend(ctx, o)
 	})
 }
@@ -79,7 +79,7 @@
 	log := o.Log
 	s, err := backend.Start(o)
 	if errors.Is(err, backend.ErrFault) {
-		return usage(err)
+		return usageError(err)
 	}
 	if err != nil {
 		return err
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -14,7 +14,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/cli"
 )
 
-// result is what one command did.
+// result is the exit status and the output of one command.
 type result struct {
 	status         int
 	stdout, stderr string
@@ -27,7 +27,7 @@
 	return result{status, stdout.String(), stderr.String()}
 }
 
-// expect runs a command and holds its exit status.
+// expect runs a command and checks its exit status.
 func expect(t *testing.T, status int, args ...string) result {
 	t.Helper()
 	got := run(t, args...)
@@ -42,7 +42,7 @@
 	return path
 }
 
-// newKeys makes the keys of a deployment and returns their folder.
+// newKeys creates the keys of a deployment and returns their directory.
 func newKeys(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
@@ -61,7 +61,7 @@
 		"bad key role":           {"keys", "issue", "folder", "broker", "b"},
 		"bad secret":             {"keys", "secret", "prefer", "folder", "x"},
 		"bad fault":              {"backend", "--service", "s", "--target", "t", "--fault-health", "odd"},
-		"bad load address":       {"dev", "--log-level", "loud"},
+		"bad log level":          {"dev", "--log-level", "loud"},
 		"bad plot of load":       {"load", "--service", "s", "--address", "127.0.0.1:1", "--authority", "a", "--plot", "run.gif"},
 		"bad plot of dev":        {"dev", "--duration", "1s", "--plot", "run"},
 		"bad plot of experiment": {"experiment", "experiment.ini", "--plot", "run.gif"},
@@ -137,13 +137,13 @@
 		"remove":            {"[remove lodgement]\n", cli.ExitOK},
 		"release":           {"[release 192.0.2.80:443]\n", cli.ExitOK},
 		"release nothing":   {"[release]\n", cli.ExitFailure},
-		"second is faulty":  {"[remove old]\n[service lodgement]\naddresses = 192.0.2.80:443\n", cli.ExitFailure},
+		"second is invalid": {"[remove old]\n[service lodgement]\naddresses = 192.0.2.80:443\n", cli.ExitFailure},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			path := write(t, c.text)
 			got := expect(t, c.status, "config", "check", path)
-			is.Equal(got.stderr, "") // known as a patch
+			is.Equal(got.stderr, "") // recognized as a patch
 			if c.status == cli.ExitFailure {
 				is.True(strings.Contains(got.stdout, path+":"))
 			}
@@ -151,7 +151,7 @@
 	}
 }
 
-// Findings come with their place also where the section that tells the role is
+// Findings have a file and line even if the section that determines the role is
 // misspelt or missing.
 func TestConfigCheckWithoutRoleSection(t *testing.T) {
 	is := is.New(t)
@@ -200,9 +200,9 @@
 func TestKeysAuthority(t *testing.T) {
 	is := is.New(t)
 	dir := newKeys(t)
-	expect(t, cli.ExitFailure, "keys", "authority", "prefer", dir) // none was added
+	expect(t, cli.ExitFailure, "keys", "authority", "prefer", dir) // no second authority yet
 	expect(t, cli.ExitOK, "keys", "authority", "add", dir)
-	expect(t, cli.ExitFailure, "keys", "authority", "remove", dir) // it does not sign yet
+	expect(t, cli.ExitFailure, "keys", "authority", "remove", dir) // the new one does not sign yet
 	expect(t, cli.ExitOK, "keys", "authority", "prefer", dir)
 	expect(t, cli.ExitOK, "keys", "issue", dir, "entry", "entry-1")
 	got := expect(t, cli.ExitOK, "keys", "authority", "remove", dir, "--json")
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -14,12 +14,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/settings"
 )
 
-// rolePatch names patch files, which no daemon reads.
+// rolePatch is the role of patch files, which no daemon reads.
 const rolePatch = "patch"
 
 func newConfig() *cobra.Command {
-	return group("config", "Settings files and the configuration in force",
-		"Checks and makes settings files, and shows versions of the configuration.",
+	return commandGroup("config", "Check settings files and show the configuration",
+		"Checks settings files, prints examples of them, and shows versions of the configuration.",
 		"  eelgrasswharf config example agent > agent.ini\n  eelgrasswharf config check agent.ini",
 		newConfigCheck(), newConfigExample(), newConfigShow())
 }
@@ -29,16 +29,16 @@
 	var files, asJSON bool
 	cmd := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Report every fault of a settings file at once",
+		Short: "Report all errors of a settings file",
 		Long: `Checks a settings file and reports every finding as "file:line: section.key:
-what is wrong". The role is guessed from the sections unless --role names it.
+what is wrong". The role is inferred from the sections unless --role names it.
 
 A patch file is checked as a patch against an empty configuration. Sections
-[remove NAME] and [release IP:PORT] are checked in form only, since they are good
-or bad on a certain version.
+[remove NAME] and [release IP:PORT] are checked for syntax only, since their
+validity depends on the version.
 
-Without --files the files that the settings name are not looked at, so that a
-file meant for another host can be checked here.`,
+Without --files the files that the settings name are not opened, so that settings
+for another host can be checked here.`,
 		Example: `  eelgrasswharf config check entry.ini
   eelgrasswharf config check --files --role control /etc/eelgrasswharf/control.ini`,
 		Args: exactArgs(1),
@@ -50,9 +50,9 @@
 			if asJSON {
 				return writeCheck(cmd.OutOrStdout(), role, err)
 			}
-			var found settings.Findings
-			if errors.As(err, &found) {
-				fmt.Fprintln(cmd.OutOrStdout(), found)
+			var findings settings.Findings
+			if errors.As(err, &findings) {
+				fmt.Fprintln(cmd.OutOrStdout(), findings)
 				return exitWith(ExitFailure, nil)
 			}
 			if err == nil {
@@ -62,7 +62,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&roleName, "role", "", "`ROLE` of the file: control, entry, agent, experiment or patch")
-	cmd.Flags().BoolVar(&files, "files", false, "also check that the files named can be used here")
+	cmd.Flags().BoolVar(&files, "files", false, "also check that the named files can be used on this host")
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
@@ -80,7 +80,7 @@
 	}
 	m, err := settings.NewMessage(role)
 	if err != nil {
-		return role, usage(err)
+		return role, usageError(err)
 	}
 	if files {
 		return role, settings.Load(path, m)
@@ -88,22 +88,22 @@
 	return role, settings.Check(path, m)
 }
 
-// checkReport is the JSON form of config check.
+// checkReport is the JSON form of the result of config check.
 type checkReport struct {
 	Role     settings.Role `json:"role"`
 	Findings []finding     `json:"findings"`
 }
 
 func writeCheck(w io.Writer, role settings.Role, err error) error {
-	var found settings.Findings
-	if err != nil && !errors.As(err, &found) {
+	var findings settings.Findings
+	if err != nil && !errors.As(err, &findings) {
 		return err
 	}
-	report := checkReport{Role: role, Findings: findingsOf(found)}
+	report := checkReport{Role: role, Findings: findingsOf(findings)}
 	if err := writeJSON(w, report); err != nil {
 		return err
 	}
-	if len(found) > 0 {
+	if len(findings) > 0 {
 		return exitWith(ExitFailure, nil)
 	}
 	return nil
@@ -112,15 +112,15 @@
 func newConfigExample() *cobra.Command {
 	return &cobra.Command{
 		Use:       "example ROLE",
-		Short:     "Print a commented settings file",
-		Long:      "Prints a settings file of the role control, entry, agent or experiment with every key explained.",
+		Short:     "Print an example settings file",
+		Long:      "Prints an example settings file of the role control, entry, agent or experiment with a comment for every key.",
 		Example:   "  eelgrasswharf config example control > control.ini",
 		ValidArgs: []string{string(settings.RoleControl), string(settings.RoleEntry), string(settings.RoleAgent), string(settings.RoleExperiment)},
 		Args:      exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := settings.Example(settings.Role(args[0]))
 			if errors.Is(err, settings.ErrUnknownRole) {
-				return usage(err)
+				return usageError(err)
 			}
 			if err != nil {
 				return err
@@ -139,7 +139,7 @@
 		Use:   "show",
 		Short: "Show a version of the configuration",
 		Long: `Shows the current version of the configuration, or the one that --version
-names. A version that no quorum confirmed as the newest is marked so.`,
+names. A version that no quorum confirmed as the newest is marked.`,
 		Example: "  eelgrasswharf config show " + operatorExample + "\n  eelgrasswharf config show --version 12 --json " + operatorExample,
 		Args:    noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -172,13 +172,12 @@
 	}{confirmed, raw})
 }
 
-// marshal writes a message under the names of its schema.
+// marshal encodes a message as JSON with the field names of its schema.
 func marshal(m proto.Message) (rawJSON, error) {
 	return protojson.MarshalOptions{UseProtoNames: true, EmitDefaultValues: true}.Marshal(m)
 }
 
-// writeConfig writes a configuration in the form of a patch file, so that it
-// can be edited and submitted.
+// writeConfig writes a configuration as a patch file that can be edited and submitted.
 func writeConfig(w io.Writer, cfg *configpb.Configuration, confirmed bool) error {
 	fmt.Fprintf(w, "# version %d\n", cfg.GetVersion())
 	if !confirmed {
@@ -187,7 +186,7 @@
 	for _, s := range cfg.GetServices() {
 		fmt.Fprintf(w, "\n%s", settings.FormatService(s))
 	}
-	// A comment, since the file may be submitted again to another end.
+	// Commented out: submitting the file again must not release the addresses.
 	if len(cfg.GetRetired()) > 0 {
 		fmt.Fprintln(w, "\n# retired addresses, open for established flows until a patch releases them:")
 	}
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -21,16 +21,16 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/settings"
 )
 
-// readyMessage is the log line by which scripts know that a daemon serves.
+// readyMessage is the log message that scripts wait for before they use a daemon.
 const readyMessage = "ready"
 
-// daemon is what all roles have in common.
+// daemon is implemented by the daemons of all roles.
 type daemon interface {
 	Run(ctx context.Context) error
 	Ready() <-chan struct{}
 }
 
-// commonSettings are the sections that every role has.
+// commonSettings are the settings sections that every role has.
 type commonSettings interface {
 	proto.Message
 	GetHost() *settingspb.Host
@@ -38,26 +38,26 @@
 	GetMetrics() *settingspb.Metrics
 }
 
-// role describes the command of one daemon with settings S.
+// role describes the command of a daemon D with settings S.
 type role[S commonSettings, D daemon] struct {
-	name    settings.Role
-	short   string
-	long    string
-	message S
-	open    func(S, *zap.Logger, tally.Scope) (D, error)
-	// bound lists the addresses that the daemon opened, once it is ready.
-	bound func(D) []zap.Field
+	name      settings.Role
+	short     string
+	long      string
+	message   S
+	newDaemon func(S, *zap.Logger, tally.Scope) (D, error)
+	// boundAddrs returns the listen addresses of a ready daemon as log fields.
+	boundAddrs func(D) []zap.Field
 }
 
 func newControl() *cobra.Command {
 	return daemonCommand(role[*settingspb.ControlSettings, *controld.Daemon]{
 		name:  settings.RoleControl,
 		short: "Run a control host",
-		long: `Runs a control host in the foreground: a replica of the configuration and of
-the right to run requests that may not be repeated.`,
-		message: &settingspb.ControlSettings{},
-		open:    controld.New,
-		bound: func(d *controld.Daemon) []zap.Field {
+		long: `Runs a control host in the foreground: a replica of the configuration and of the
+grants for requests that must not be repeated.`,
+		message:   &settingspb.ControlSettings{},
+		newDaemon: controld.New,
+		boundAddrs: func(d *controld.Daemon) []zap.Field {
 			return []zap.Field{zap.String("link", d.LinkAddr()), zap.String("operator", d.OperatorAddr())}
 		},
 	})
@@ -68,10 +68,10 @@
 		name:  settings.RoleEntry,
 		short: "Run an entry host",
 		long: `Runs an entry host in the foreground: it forwards the packets of callers to
-the agents of targets and keeps no state of any flow.`,
-		message: &settingspb.EntrySettings{},
-		open:    entryd.New,
-		bound: func(d *entryd.Daemon) []zap.Field {
+the agents of targets and keeps no per-flow state.`,
+		message:   &settingspb.EntrySettings{},
+		newDaemon: entryd.New,
+		boundAddrs: func(d *entryd.Daemon) []zap.Field {
 			return []zap.Field{zap.String("frames", d.FrameAddr()), zap.Any("public", d.PublicAddrs())}
 		},
 	})
@@ -81,14 +81,14 @@
 	return daemonCommand(role[*settingspb.AgentSettings, *agentd.Daemon]{
 		name:  settings.RoleAgent,
 		short: "Run the agent beside a backend server",
-		long: `Runs the agent of one backend server in the foreground: it ends the callers'
-connections and passes their requests on to the backend server.
-
-An agent that is told to stop takes no new flow and exits when its last session
-has ended, however long that takes.`,
-		message: &settingspb.AgentSettings{},
-		open:    agentd.New,
-		bound: func(d *agentd.Daemon) []zap.Field {
+		long: `Runs the agent of one backend server in the foreground: it terminates the callers'
+connections and forwards their requests to the backend server.
+
+On shutdown an agent accepts no new flows and exits once its last session has
+ended, without a time limit.`,
+		message:   &settingspb.AgentSettings{},
+		newDaemon: agentd.New,
+		boundAddrs: func(d *agentd.Daemon) []zap.Field {
 			return []zap.Field{zap.String("frames", d.FrameAddr()), zap.String("announce", d.AnnounceAddr())}
 		},
 	})
@@ -101,24 +101,25 @@
 		Short: r.short,
 		Long: r.long + `
 
-SIGTERM or SIGINT asks for a graceful shutdown, which ends with exit status 0.
-A second signal ends the process at once, with exit status 1.
+SIGTERM or SIGINT starts a graceful shutdown, which ends with exit status 0.
+A second signal ends the process immediately, with exit status 1.
 
-The log goes to standard error. The line with the message "` + readyMessage + `" names the
-addresses that the process has opened.`,
+The log goes to standard error. The line with the message "` + readyMessage + `" lists the
+addresses that the process listens on.`,
 		Example: fmt.Sprintf(`  eelgrasswharf config example %[1]s > %[1]s.ini
   eelgrasswharf config check %[1]s.ini
   eelgrasswharf %[1]s -c %[1]s.ini`, r.name),
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			// A signal during the start is an orderly end as well.
-			return untilSignal(cmd.Context(), func(ctx context.Context) error {
+			// Signals are handled from the start, so that one during startup is
+			// graceful too.
+			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 				return r.serve(ctx, cmd, path)
 			})
 		},
 	}
 	cmd.Flags().StringVarP(&path, "settings", "c", "", "settings `FILE` (INI)")
-	require(cmd, "settings")
+	requireFlags(cmd, "settings")
 	return cmd
 }
 
@@ -140,32 +141,32 @@
 		return err
 	}
 	defer closer.Close()
-	d, err := r.open(s, log, scope)
+	d, err := r.newDaemon(s, log, scope)
 	if err != nil {
 		return err
 	}
 	log = log.With(zap.String("role", string(r.name)), zap.String("name", s.GetHost().GetName()))
 	log.Info("start", zap.String("settings", path), zap.String("failure_domain", s.GetHost().GetFailureDomain()))
-	err = runAnnounced(ctx, d, func() {
-		log.Info(readyMessage, append(r.bound(d), metricsField(metricsAddr))...)
+	err = runDaemon(ctx, d, func() {
+		log.Info(readyMessage, append(r.boundAddrs(d), metricsField(metricsAddr))...)
 	})
 	log.Info("stop", zap.Error(err))
 	return err
 }
 
-// runAnnounced runs d and calls ready once d serves.
-func runAnnounced(ctx context.Context, d daemon, ready func()) error {
-	ended := make(chan struct{})
+// runDaemon runs d and calls ready once d is ready.
+func runDaemon(ctx context.Context, d daemon, ready func()) error {
+	exited := make(chan struct{})
 	var wg conc.WaitGroup
 	wg.Go(func() {
 		select {
 		case <-d.Ready():
 			ready()
-		case <-ended:
+		case <-exited:
 		}
 	})
 	err := d.Run(ctx)
-	close(ended)
+	close(exited)
 	wg.Wait()
 	return err
 }
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -17,7 +17,6 @@
 )
 
 const (
-	// devStartTimeout bounds the start of a deployment.
 	devStartTimeout = time.Minute
 	devLogLevel     = "warn"
 )
@@ -30,18 +29,18 @@
 		Short: "Run a whole deployment in this process",
 		Long: `Runs a control host, two entry hosts and two services with two targets each in
 this process, on free ports of loopback, with built-in backend servers. Keys and
-state live in a temporary folder.
+state are kept in a temporary directory.
 
-With --duration it runs load against the first service for that long, reports
-and ends. Without, it runs until SIGTERM or SIGINT.`,
+With --duration it generates load against the first service for that long, reports
+and exits. Without, it runs until SIGTERM or SIGINT.`,
 		Example: `  eelgrasswharf dev
   eelgrasswharf dev --duration 10s --rate 500 --json`,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := l.check(); err != nil {
+			if err := l.validate(); err != nil {
 				return err
 			}
-			return untilSignal(cmd.Context(), func(ctx context.Context) error {
+			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 				return runDev(ctx, cmd, l, level)
 			})
 		},
@@ -54,7 +53,7 @@
 func runDev(ctx context.Context, cmd *cobra.Command, l *loadFlags, level string) error {
 	log, err := logging.New(&settingspb.Log{Level: level, Format: settingspb.LogFormat_LOG_FORMAT_CONSOLE}, cmd.ErrOrStderr())
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	startCtx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
@@ -63,10 +62,10 @@
 		return err
 	}
 	defer d.Close()
-	// The report goes alone to standard output.
-	writeHowTo(cmd.ErrOrStderr(), d)
+	// Standard output is reserved for the report.
+	writeInstructions(cmd.ErrOrStderr(), d)
 	if l.opts.Duration == 0 {
-		return awaitEnd(ctx, d)
+		return waitForExit(ctx, d)
 	}
 	service := dev.DefaultServices()[0].Name
 	r, err := d.Load(ctx, service, l.opts)
@@ -79,8 +78,8 @@
 	return l.report(cmd.OutOrStdout(), r)
 }
 
-// awaitEnd waits for a signal or the failure of a daemon.
-func awaitEnd(ctx context.Context, d *dev.Deployment) error {
+// waitForExit waits until a signal arrives or a daemon fails.
+func waitForExit(ctx context.Context, d *dev.Deployment) error {
 	select {
 	case <-ctx.Done():
 		return nil
@@ -89,7 +88,7 @@
 	}
 }
 
-func writeHowTo(w io.Writer, d *dev.Deployment) {
+func writeInstructions(w io.Writer, d *dev.Deployment) {
 	for _, service := range d.Services() {
 		fmt.Fprintf(w, "service %s at %s\n", service, strings.Join(d.Addresses(service), ", "))
 	}
@@ -99,6 +98,6 @@
 		self, first, strings.Join(d.Addresses(first), ","), quote(d.AuthorityFile()))
 	fmt.Fprintf(w, "Operate it:\n  %s status %s\n  %s config show %s\n",
 		self, d.OperatorArgs(), self, d.OperatorArgs())
-	// With "go run" a signal has to go to the process that it started.
-	fmt.Fprintf(w, "End it:\n  kill %d\n\n", os.Getpid())
+	// Under "go run" the signal must go to the built binary.
+	fmt.Fprintf(w, "Stop it:\n  kill %d\n\n", os.Getpid())
 }
--- a/internal/cli/evacuation_test.go
+++ b/internal/cli/evacuation_test.go
@@ -38,12 +38,12 @@
 			status: cli.ExitRefused, text: `failure domain: "dugbe" is unknown`,
 		},
 		{name: "outcome unknown", err: operator.ErrOutcomeUnknown, status: cli.ExitUnknown},
-		{name: "not done", err: operator.ErrNotApplied, status: cli.ExitFailure},
+		{name: "not applied", err: operator.ErrNotApplied, status: cli.ExitFailure},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			f := &fakeControl{evacuated: tt.outcome, err: tt.err}
-			got := expectAt(t, tt.status, f.serve(t), "evacuation", "begin", "dugbe", "--id", "works")
+			f := &fakeControl{evacuationOutcome: tt.outcome, err: tt.err}
+			got := expectOperator(t, tt.status, f.serve(t), "evacuation", "begin", "dugbe", "--id", "works")
 			is.True(strings.Contains(got.stdout, tt.text))
 			is.Equal(f.order.GetFailureDomain(), "dugbe")
 			is.Equal(f.order.GetId(), "works")
@@ -52,21 +52,21 @@
 	}
 }
 
-func TestEvacuationEndsAndDrawsAnIdentifier(t *testing.T) {
+func TestEvacuationEndGeneratesID(t *testing.T) {
 	is := is.New(t)
-	f := &fakeControl{evacuated: &configpb.EvacuationOutcome{Verdict: configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED}}
+	f := &fakeControl{evacuationOutcome: &configpb.EvacuationOutcome{Verdict: configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED}}
 	flags := f.serve(t)
-	expectAt(t, cli.ExitOK, flags, "evacuation", "end", "dugbe")
+	expectOperator(t, cli.ExitOK, flags, "evacuation", "end", "dugbe")
 	is.True(f.order.GetEnd())
 	first := f.order.GetId()
 	is.True(first != "")
-	expectAt(t, cli.ExitOK, flags, "evacuation", "end", "dugbe")
+	expectOperator(t, cli.ExitOK, flags, "evacuation", "end", "dugbe")
 	is.True(f.order.GetId() != first)
 }
 
 func TestStatusShowsEvacuations(t *testing.T) {
 	is := is.New(t)
 	f := &fakeControl{}
-	got := expectAt(t, cli.ExitOK, f.serve(t), "status")
+	got := expectOperator(t, cli.ExitOK, f.serve(t), "status")
 	is.True(strings.Contains(got.stdout, `evacuated: dugbe since 2027-01-15T08:00:00Z, version 5, by order "works"`))
 }
--- a/internal/cli/examples_test.go
+++ b/internal/cli/examples_test.go
@@ -15,7 +15,7 @@
 
 const examples = "../../examples"
 
-// exampleFiles are what each example has to hold.
+// exampleFiles are the number of files of each example by name pattern.
 var exampleFiles = map[string]map[string]int{
 	"registry": {
 		"control-*.ini": 3, "entry-*.ini": 4, "agent-lodgement-*.ini": 7, "agent-certificates-*.ini": 4,
@@ -31,35 +31,35 @@
 	for site, patterns := range exampleFiles {
 		t.Run(site, func(t *testing.T) {
 			is := is.New(t)
-			folder := filepath.Join(t.TempDir(), site)
-			is.NoErr(os.CopyFS(folder, os.DirFS(filepath.Join(examples, site))))
-			issueExampleKeys(t, folder)
-			known := 0
+			dir := filepath.Join(t.TempDir(), site)
+			is.NoErr(os.CopyFS(dir, os.DirFS(filepath.Join(examples, site))))
+			issueExampleKeys(t, dir)
+			checked := 0
 			for pattern, want := range patterns {
-				files, err := filepath.Glob(filepath.Join(folder, pattern))
+				files, err := filepath.Glob(filepath.Join(dir, pattern))
 				is.NoErr(err)
 				is.Equal(len(files), want)
-				known += len(files)
+				checked += len(files)
 				for _, file := range files {
 					got := run(t, "config", "check", "--files", file)
 					is.Equal(got.status, cli.ExitOK)
 					is.True(strings.Contains(got.stdout, "good settings"))
 				}
 			}
-			all, err := filepath.Glob(filepath.Join(folder, "*.ini"))
+			all, err := filepath.Glob(filepath.Join(dir, "*.ini"))
 			is.NoErr(err)
-			is.Equal(len(all), known) // none is left unchecked
+			is.Equal(len(all), checked) // no settings file was left out
 		})
 	}
 }
 
-// issueExampleKeys does what issue-keys.sh does.
-func issueExampleKeys(t *testing.T, folder string) {
+// issueExampleKeys issues the same keys as issue-keys.sh.
+func issueExampleKeys(t *testing.T, dir string) {
 	t.Helper()
 	is := is.New(t)
-	keys := filepath.Join(folder, "keys")
+	keys := filepath.Join(dir, "keys")
 	expect(t, cli.ExitOK, "keys", "init", keys)
-	files, err := filepath.Glob(filepath.Join(folder, "*-*.ini"))
+	files, err := filepath.Glob(filepath.Join(dir, "*-*.ini"))
 	is.NoErr(err)
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".ini")
@@ -74,10 +74,10 @@
 	}
 }
 
-// The two deployments weigh the two measures the other way round.
-func TestExamplesWeighTheirOwnMeasureMore(t *testing.T) {
+// One deployment gives more weight to broken flows, the other to imbalance.
+func TestExamplePolicyWeights(t *testing.T) {
 	is := is.New(t)
-	for site, ownIsBroken := range map[string]bool{"registry": true, "towarzysz": false} {
+	for site, favorsFlows := range map[string]bool{"registry": true, "towarzysz": false} {
 		file := filepath.Join(examples, site, "experiment.ini")
 		_, err := experiment.LoadSite(file)
 		is.NoErr(err)
@@ -85,7 +85,7 @@
 		is.NoErr(err)
 		for _, op := range patch.GetOperations() {
 			policy := op.GetPutService().GetPolicy()
-			is.Equal(policy.GetBrokenFlowWeight() > policy.GetImbalanceWeight(), ownIsBroken)
+			is.Equal(policy.GetBrokenFlowWeight() > policy.GetImbalanceWeight(), favorsFlows)
 			is.True(policy.GetBrokenFlowWeight() > 0 && policy.GetImbalanceWeight() > 0)
 		}
 	}
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -8,20 +8,21 @@
 
 // Exit statuses of every command.
 const (
-	// ExitOK is success; for patches and members: accepted.
+	// ExitOK is success; for patches and membership changes: accepted.
 	ExitOK = 0
-	// ExitFailure is any failure that has no status of its own: findings in a
-	// settings file, an address in use, a call that changed nothing.
+	// ExitFailure is any failure without a status of its own, such as findings in a
+	// settings file or an address in use.
 	ExitFailure = 1
-	// ExitUsage is a command line that makes no sense.
+	// ExitUsage is an invalid command line.
 	ExitUsage = 2
-	// ExitRefused is a patch that was refused for good.
+	// ExitRefused is a patch or an order that was refused.
 	ExitRefused = 3
-	// ExitUnknown is a call of which it is not known whether it took effect.
+	// ExitUnknown is a call that may or may not have taken effect.
 	ExitUnknown = 4
 )
 
-// exitError carries an exit status. A nil err has been reported already.
+// exitError carries an exit status. A nil err means that the error has been shown
+// already.
 type exitError struct {
 	status int
 	err    error
@@ -38,10 +39,10 @@
 
 func exitWith(status int, err error) error { return &exitError{status: status, err: err} }
 
-func usage(err error) error { return exitWith(ExitUsage, err) }
+func usageError(err error) error { return exitWith(ExitUsage, err) }
 
-// statusOf is the exit status of what a command returned.
-func statusOf(err error) int {
+// exitStatus returns the exit status for the error of a command.
+func exitStatus(err error) int {
 	var exit *exitError
 	switch {
 	case err == nil:
@@ -52,16 +53,16 @@
 	return ExitFailure
 }
 
-// reported tells whether the error has been shown to the user already.
-func reported(err error) bool {
+// alreadyReported reports whether the error has been shown to the user.
+func alreadyReported(err error) bool {
 	var exit *exitError
 	return errors.As(err, &exit) && exit.err == nil
 }
 
-// usageIf reports err as wrong usage when it is the named kind.
+// usageIf marks err as a usage error if it is of the given kind.
 func usageIf(err, kind error) error {
 	if errors.Is(err, kind) {
-		return usage(err)
+		return usageError(err)
 	}
 	return err
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -14,7 +14,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/logging"
 )
 
-// experimentLogLevel keeps what the scenarios bring about out of the way.
+// experimentLogLevel hides the warnings that the faults of the scenarios cause.
 const experimentLogLevel = "error"
 
 // experimentFlags are the flags of the command experiment.
@@ -31,15 +31,15 @@
 		Use:   "experiment FILE...",
 		Short: "Measure deployments under load and faults",
 		Long: `Runs each deployment that a settings file describes in this process, on
-loopback, with proxies for the fabric and the distance between failure domains.
-In every scenario, under every policy and with every seed, callers make load
-while the events of the scenario happen. Reports broken flows, imbalance,
-refused, unknown, doubled, misrouted and falsely "not run" requests, and
-latency, as a table in Markdown or as JSON.
+loopback, with proxies for the fabric and the delay between failure domains.
+For every scenario, policy and seed, callers generate load during the events of
+the scenario. Reports broken flows, imbalance, refused, unknown, doubled,
+misrouted and falsely "not run" requests, and latency, as a Markdown table or
+as JSON.
 
 Policies are weighted (with the weights of the patch file), two-choices and
-hash. With several files, "weighted as NAME" uses the weights of another one;
-it runs in the scenario unsteady-start unless --policy names it.
+hash. With several files, "weighted as NAME" uses the weights of the site NAME;
+it runs only in the scenario unsteady-start unless --policy names it.
 
 Exit status: 0 when doubled, misrouted and falsely "not run" are 0 everywhere,
 1 otherwise.`,
@@ -53,11 +53,11 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&x.sites, "site", nil, "`NAMES` of sites to run, comma-separated; the others lend their weights; default all")
+	f.StringSliceVar(&x.sites, "site", nil, "`NAMES` of sites to run, comma-separated; of the others only the weights are used; default all")
 	f.StringSliceVar(&x.scenarios, "scenario", nil, "`NAMES` of scenarios, comma-separated; default all")
 	f.StringSliceVar(&x.policies, "policy", nil, "`NAMES` of policies, comma-separated; default all")
-	f.UintSliceVar(&x.seeds, "seed", []uint{1}, "`SEEDS`, comma-separated; each makes a run of every cell")
-	f.StringVar(&x.plot, "plot", "", "draw the last cell over time with its events, as `load --plot` does, into `FILE` (.svg or .png)")
+	f.UintSliceVar(&x.seeds, "seed", []uint{1}, "`SEEDS`, comma-separated; every cell runs once per seed")
+	f.StringVar(&x.plot, "plot", "", "plot the last cell over time with its events, as load --plot does, into `FILE` (.svg or .png)")
 	f.StringVar(&x.level, "log-level", experimentLogLevel, "lowest `LEVEL` logged: debug, info, warn or error")
 	jsonFlag(cmd, &x.asJSON)
 	return cmd
@@ -66,12 +66,12 @@
 func runExperiment(cmd *cobra.Command, files []string, x *experimentFlags) error {
 	if x.plot != "" {
 		if err := loadgen.CheckPlotFile(x.plot); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 	}
 	log, err := logging.New(&settingspb.Log{Level: x.level, Format: settingspb.LogFormat_LOG_FORMAT_CONSOLE}, cmd.ErrOrStderr())
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	o := experiment.Options{
 		Only: x.sites, Scenarios: x.scenarios, Policies: x.policies, Log: log,
@@ -89,17 +89,18 @@
 		}
 		o.Sites = append(o.Sites, site)
 	}
-	return untilSignal(cmd.Context(), func(ctx context.Context) error {
+	return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 		result, err := experiment.Run(ctx, o)
 		if result == nil {
 			return usageIf(err, experiment.ErrOptions)
 		}
-		// What ran is reported even if a later cell failed.
+		// The cells that ran are reported even if a later one failed.
 		return errors.Join(x.report(cmd.OutOrStdout(), result), err)
 	})
 }
 
-// report writes the report and then the plot, whose fault leaves the report.
+// report writes the report before the plot, so that a failed plot does not cost the
+// report.
 func (x *experimentFlags) report(w io.Writer, r *experiment.Result) error {
 	write := r.WriteMarkdown
 	if x.asJSON {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -13,11 +13,11 @@
 func newExplain() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain ID FILE...",
-		Short: "Print what the logs of many processes say of one flow or version",
-		Long: `Reads the logs of many processes and prints the lines that concern one flow (by one of
-its ends, ip:port), backend server, host or version, in the order of their times. Torn
-lines and those of other programs are passed over and counted. Clocks of hosts may
-differ: the lines of one host are always in order.`,
+		Short: "Print the log lines of many processes about one flow or version",
+		Long: `Reads the logs of many processes and prints the lines that mention one flow (by one of
+its ends, ip:port), backend server, host or version, ordered by time. Truncated lines
+and those of other programs are skipped and counted. Clocks of hosts may differ, so the
+order across hosts is approximate.`,
 		Example: "  eelgrasswharf explain 100.64.0.7:40001 entry-*.log agent-*.log",
 		Args:    minArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -40,7 +40,7 @@
 	if err := explain.Write(cmd.OutOrStdout(), all); err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.ErrOrStderr(), "%d lines read, %d passed over, %d found\n", sum.Read, sum.Skipped, sum.Matched)
+	fmt.Fprintf(cmd.ErrOrStderr(), "%d lines read, %d skipped, %d matched\n", sum.Read, sum.Skipped, sum.Matched)
 	return nil
 }
 
--- a/internal/cli/grants.go
+++ b/internal/cli/grants.go
@@ -12,11 +12,11 @@
 )
 
 func newGrants() *cobra.Command {
-	return group("grants", "Say how long idempotency keys are kept",
-		`Changes what the groups of grants agree on. Each group has its own log and
-leader, so name all control hosts. Making a change again is safe.
+	return commandGroup("grants", "Change how long idempotency keys are kept",
+		`Changes the replicated settings of the grant groups. Each group has its own log and
+leader, so name all control hosts. Repeating a change is safe.
 
-Exit status: 0 the change is made in all groups; 1 it is not; 4 it is not known.`,
+Exit status: 0 the change is made in all groups; 1 it is not; 4 the outcome is unknown.`,
 		"  eelgrasswharf grants retention --answered 30m "+operatorExample,
 		newGrantsRetention(),
 	)
@@ -29,12 +29,12 @@
 	cmd := &cobra.Command{
 		Use:   "retention",
 		Short: "Set how long keys are kept",
-		Long: fmt.Sprintf(`Has every group of grants keep a key for --answered after its answer, and for
---held if it never had one, in the logical time of the group. A caller must not
-send a request again after that long: it would run again.
+		Long: fmt.Sprintf(`Makes every grant group keep a key for --answered after its answer, or for --held
+if it has none, in the logical time of the group. A caller must not send a request
+again after that time: it would run again.
 
 Bounds: %v to %v with an answer, %v to %v without one. A flag that is left out
-sets the highest, which is the default of a deployment.`,
+sets the maximum, which is the default of a deployment.`,
 			grant.MinAnsweredRetention, grant.AnsweredRetention, grant.MinHeldRetention, grant.HeldRetention),
 		Example: "  eelgrasswharf grants retention --answered 30m --held 24h " + operatorExample,
 		Args:    noArgs,
@@ -47,14 +47,14 @@
 			})
 		},
 	}
-	cmd.Flags().DurationVar(&keep.Answered, "answered", keep.Answered, "`TIME` from the answer for which a key is kept")
-	cmd.Flags().DurationVar(&keep.Held, "held", keep.Held, "`TIME` for which a key without an answer is kept")
+	cmd.Flags().DurationVar(&keep.Answered, "answered", keep.Answered, "`TIME` to keep a key after its answer")
+	cmd.Flags().DurationVar(&keep.Held, "held", keep.Held, "`TIME` to keep a key without an answer")
 	jsonFlag(cmd, &asJSON)
 	o.add(cmd)
 	return cmd
 }
 
-// writeGrants shows what a host knows of a group of grants.
+// writeGrants writes a host's view of a grant group.
 func writeGrants(w io.Writer, g *operator.GrantStatus) {
 	fmt.Fprintf(w, "    %d of %d slots, %d keys held, %d answered, table %d %% full, kept for %v and %v\n",
 		g.Slots, grant.Slots, g.Held, g.Answered, g.Full,
--- a/internal/cli/invocation.go
+++ b/internal/cli/invocation.go
@@ -9,15 +9,15 @@
 
 const (
 	binaryName = "eelgrasswharf"
-	// mainPackage is what "go run" has to be told.
+	// mainPackage is the argument of "go run".
 	mainPackage = "eelgrasswharf.example/eelgrasswharf/cmd/eelgrasswharf"
-	// goRunFolder begins the name of the temporary folder in which "go run"
-	// keeps a binary for as long as that runs.
-	goRunFolder = "go-build"
+	// goBuildDirPrefix is the prefix of the temporary directory in which "go run"
+	// builds the binary.
+	goBuildDirPrefix = "go-build"
 )
 
-// invocation is how a user can start this binary again: by its name if the
-// shell finds it by that, by "go run" if that made it, else by its path.
+// invocation returns the command that starts this binary again: its name if it is
+// in PATH, "go run" if that built it, else its path.
 func invocation() string {
 	path, err := os.Executable()
 	if err != nil {
@@ -27,14 +27,14 @@
 	if err == nil && sameFile(found, path) {
 		return binaryName
 	}
-	if madeByGoRun(path) {
+	if builtByGoRun(path) {
 		return "go run " + mainPackage
 	}
 	return path
 }
 
-func madeByGoRun(path string) bool {
-	return strings.Contains(path, string(filepath.Separator)+goRunFolder)
+func builtByGoRun(path string) bool {
+	return strings.Contains(path, string(filepath.Separator)+goBuildDirPrefix)
 }
 
 func sameFile(a, b string) bool {
@@ -46,16 +46,16 @@
 	return err == nil && os.SameFile(first, second)
 }
 
-// quote writes a word so that a shell reads it as one.
+// quote quotes a word for a POSIX shell.
 func quote(word string) string {
-	if word != "" && !strings.ContainsFunc(word, special) {
+	if word != "" && !strings.ContainsFunc(word, needsQuoting) {
 		return word
 	}
 	return "'" + strings.ReplaceAll(word, "'", `'\''`) + "'"
 }
 
-// special tells characters that a shell might not take as they are.
-func special(r rune) bool {
+// needsQuoting reports whether a shell may treat the character as special.
+func needsQuoting(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return false
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -14,8 +14,8 @@
 )
 
 func newKeys() *cobra.Command {
-	return group("keys", "Make and look at keys and certificates",
-		`Keys live in a folder of the operator. Each host gets copies of the files that
+	return commandGroup("keys", "Create and inspect keys and certificates",
+		`The operator keeps the keys in a folder. Each host gets copies of the files that
 its settings name; the authority's private key stays in the folder.`,
 		`  eelgrasswharf keys init keys
   eelgrasswharf keys issue keys control control-1
@@ -26,19 +26,19 @@
 }
 
 func newKeysInit() *cobra.Command {
-	return folderCommand(&cobra.Command{
+	return keyDirCommand(&cobra.Command{
 		Use:     "init FOLDER",
-		Short:   "Make an authority and the first data secret",
-		Long:    "Makes the certificate authority and the first data secret of a deployment. It never overwrites an authority.",
+		Short:   "Create an authority and the first data secret",
+		Long:    "Creates the certificate authority and the first data secret of a deployment. It never overwrites an authority.",
 		Example: "  eelgrasswharf keys init keys",
 	}, func(dir string) (keyReport, string, error) {
-		return keyReport{Folder: dir}, "authority and data secret made in " + dir, keys.InitAuthority(dir)
+		return keyReport{Folder: dir}, "authority and data secret created in " + dir, keys.InitAuthority(dir)
 	})
 }
 
-// folderCommand completes a command that does one thing to a folder of keys.
-// change returns the report of it and the text for people.
-func folderCommand(cmd *cobra.Command, change func(dir string) (keyReport, string, error)) *cobra.Command {
+// keyDirCommand completes a command that changes a key directory. change returns
+// its report and the same as text.
+func keyDirCommand(cmd *cobra.Command, change func(dir string) (keyReport, string, error)) *cobra.Command {
 	var asJSON bool
 	cmd.Args = exactArgs(1)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -46,13 +46,13 @@
 		if err != nil {
 			return err
 		}
-		return done(cmd.OutOrStdout(), asJSON, report, text)
+		return writeKeyReport(cmd.OutOrStdout(), asJSON, report, text)
 	}
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
 
-// keyReport is the JSON form of what a keys command did.
+// keyReport is the JSON form of the result of a keys command.
 type keyReport struct {
 	Folder      string `json:"folder,omitempty"`
 	Certificate string `json:"certificate,omitempty"`
@@ -60,8 +60,8 @@
 	SecretID    *uint8 `json:"secret_id,omitempty"`
 }
 
-// done tells what a keys command did.
-func done(w io.Writer, asJSON bool, report keyReport, text string) error {
+// writeKeyReport writes the result of a keys command.
+func writeKeyReport(w io.Writer, asJSON bool, report keyReport, text string) error {
 	if asJSON {
 		return writeJSON(w, report)
 	}
@@ -77,10 +77,10 @@
 	cmd := &cobra.Command{
 		Use:   "issue FOLDER ROLE [NAME]",
 		Short: "Sign a certificate",
-		Long: `Signs a certificate with the authority of the folder and writes it there, in
-place of an older one of the same name. Roles are control, entry, agent,
+		Long: `Signs a certificate with the authority of the folder and writes it there,
+replacing an older one of the same name. Roles are control, entry, agent,
 operator and caller. An agent's certificate names its service. A caller
-certificate is the one that agents show to callers; it has a service in place
+certificate is the one that agents present to callers; it has a service instead
 of a name.`,
 		Example: `  eelgrasswharf keys issue keys entry entry-1
   eelgrasswharf keys issue keys agent agent-1 --service lodgement
@@ -89,7 +89,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			role, err := keys.ParseRole(args[1])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			name := ""
 			if len(args) == 3 {
@@ -97,19 +97,19 @@
 			}
 			addrs, err := parseIPs(ips)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			files, err := keys.Issue(args[0], role, name, service, addrs, valid)
 			if err != nil {
 				return err
 			}
 			report := keyReport{Certificate: files.Certificate, PrivateKey: files.PrivateKey}
-			return done(cmd.OutOrStdout(), asJSON, report, files.Certificate+"\n"+files.PrivateKey)
+			return writeKeyReport(cmd.OutOrStdout(), asJSON, report, files.Certificate+"\n"+files.PrivateKey)
 		},
 	}
 	cmd.Flags().StringVar(&service, "service", "", "`SERVICE` of an agent or caller certificate")
-	cmd.Flags().StringSliceVar(&ips, "ip", nil, "IP `NUMBERS` that the certificate names, comma-separated")
-	cmd.Flags().DurationVar(&valid, "valid", keys.DefaultValidity, "validity")
+	cmd.Flags().StringSliceVar(&ips, "ip", nil, "IP `ADDRESSES` of the certificate, comma-separated")
+	cmd.Flags().DurationVar(&valid, "valid", keys.DefaultValidity, "validity period")
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
@@ -127,10 +127,10 @@
 }
 
 func newKeysSecret() *cobra.Command {
-	return group("secret", "Replace the data secrets step by step",
+	return commandGroup("secret", "Replace the data secrets step by step",
 		`Data secrets protect connection IDs and frames. Every process decodes with all
 secrets of its file and encodes with the first. To replace one: add a new
-secret and copy the file to every host; prefer the new one and copy again; when
+secret and copy the file to every host; prefer the new one and copy again; once
 the flows of the old one have ended, remove it and copy again.`,
 		`  eelgrasswharf keys secret add keys
   eelgrasswharf keys secret prefer keys 1
@@ -141,10 +141,10 @@
 }
 
 func newSecretAdd() *cobra.Command {
-	return folderCommand(&cobra.Command{
+	return keyDirCommand(&cobra.Command{
 		Use:     "add FOLDER",
-		Short:   "Add a secret that decodes only",
-		Long:    "Adds a data secret, which decodes only until it is preferred, and prints its ID.",
+		Short:   "Add a secret used for decoding only",
+		Long:    "Adds a data secret and prints its ID. It is used for decoding only until it is preferred.",
 		Example: "  eelgrasswharf keys secret add keys",
 	}, func(dir string) (keyReport, string, error) {
 		id, err := keys.AddDataSecret(dir)
@@ -163,13 +163,13 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			n, err := strconv.ParseUint(args[1], 10, 8)
 			if err != nil {
-				return usage(errors.Errorf("%q is not the ID of a secret", args[1]))
+				return usageError(errors.Errorf("%q is not the ID of a secret", args[1]))
 			}
 			id := uint8(n)
 			if err := edit(args[0], id); err != nil {
 				return err
 			}
-			return done(cmd.OutOrStdout(), asJSON, keyReport{Folder: args[0], SecretID: &id}, "done")
+			return writeKeyReport(cmd.OutOrStdout(), asJSON, keyReport{Folder: args[0], SecretID: &id}, "done")
 		},
 	}
 	jsonFlag(cmd, &asJSON)
@@ -180,8 +180,8 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:     "inspect FILE...",
-		Short:   "Tell what key files hold",
-		Long:    "Tells what each file holds: whose certificate, until when, which IDs of secrets. It never prints a secret.",
+		Short:   "Show the contents of key files",
+		Long:    "Shows the subject and expiry of each certificate and the IDs of data secrets. It never prints a secret.",
 		Example: "  eelgrasswharf keys inspect keys/*.pem keys/data-secrets",
 		Args:    minArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/cli/listen_test.go
+++ b/internal/cli/listen_test.go
@@ -10,8 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/cli"
 )
 
-// taken holds an address for UDP and TCP during a test.
-func taken(t *testing.T) string {
+// occupiedAddress returns an address that is in use for UDP and TCP during the test.
+func occupiedAddress(t *testing.T) string {
 	t.Helper()
 	is := is.New(t)
 	for {
@@ -30,32 +30,32 @@
 	}
 }
 
-// Each listener of each role whose address is in use ends the start with one
-// error that names the address.
+// Whichever listener finds its address in use, the start fails with an error that
+// names the address.
 func TestEveryListenerReportsAddressInUse(t *testing.T) {
 	const free = "127.0.0.1:0"
 	alone := []string{"initial_voters =", ";initial_voters ="}
 	for name, tt := range map[string]struct {
 		role    string
-		replace func(taken string) []string
+		replace func(occupiedAddress string) []string
 	}{
-		"control link": {"control", func(taken string) []string {
-			return append(alone, "listen = 192.0.2.1:7100", "listen = "+taken, "192.0.2.1:7101", free)
+		"control link": {"control", func(occupiedAddress string) []string {
+			return append(alone, "listen = 192.0.2.1:7100", "listen = "+occupiedAddress, "192.0.2.1:7101", free)
 		}},
-		"control operator": {"control", func(taken string) []string {
-			return append(alone, "listen = 192.0.2.1:7100", "listen = "+free, "192.0.2.1:7101", taken)
+		"control operator": {"control", func(occupiedAddress string) []string {
+			return append(alone, "listen = 192.0.2.1:7100", "listen = "+free, "192.0.2.1:7101", occupiedAddress)
 		}},
-		"entry frames": {"entry", func(taken string) []string {
-			return []string{"192.0.2.20:7200", taken}
+		"entry frames": {"entry", func(occupiedAddress string) []string {
+			return []string{"192.0.2.20:7200", occupiedAddress}
 		}},
-		"agent frames": {"agent", func(taken string) []string {
-			return []string{"192.0.2.30:7300", taken, "127.0.0.1:7301", free}
+		"agent frames": {"agent", func(occupiedAddress string) []string {
+			return []string{"192.0.2.30:7300", occupiedAddress, "127.0.0.1:7301", free}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			addr := taken(t)
-			got := run(t, tt.role, "-c", roleFiles(t, tt.role, tt.replace(addr)...))
+			addr := occupiedAddress(t)
+			got := run(t, tt.role, "-c", writeRoleSettings(t, tt.role, tt.replace(addr)...))
 			is.Equal(got.status, cli.ExitFailure)
 			is.True(strings.Contains(got.stderr, "address already in use"))
 			is.True(strings.Contains(got.stderr, addr))
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -18,7 +18,7 @@
 	errEventsWithoutPlot = errors.New("--events needs --plot")
 )
 
-// loadFlags are shared by the commands that make load.
+// loadFlags are the flags shared by the commands that generate load.
 type loadFlags struct {
 	opts   loadgen.Options
 	asJSON bool
@@ -29,38 +29,39 @@
 func (l *loadFlags) add(cmd *cobra.Command, duration time.Duration) {
 	f := cmd.Flags()
 	o := &l.opts
-	f.Float64Var(&o.Rate, "rate", 100, "requests a second")
-	f.IntVar(&o.Connections, "connections", loadgen.DefaultConnections, "flows that carry requests at a time")
+	f.Float64Var(&o.Rate, "rate", 100, "requests per second")
+	f.IntVar(&o.Connections, "connections", loadgen.DefaultConnections, "number of concurrent flows that carry requests")
 	f.IntVar(&o.RequestsPerFlow, "requests-per-flow", loadgen.DefaultRequestsPerFlow, "requests before a flow is replaced")
 	f.IntVar(&o.Sessions, "sessions", 10, "watch streams held open")
 	f.DurationVar(&o.WatchPeriod, "watch-period", loadgen.DefaultWatchPeriod, "time between two events of a watch stream")
 	f.DurationVar(&o.Duration, "duration", duration, "length of the run")
-	f.Float64Var(&o.NonRepeatable, "non-repeatable", 0.2, "share of requests that may not be repeated, 0 to 1")
-	f.DurationVar(&o.Work, "work", 5*time.Millisecond, "time that a request works on its target")
+	f.Float64Var(&o.NonRepeatable, "non-repeatable", 0.2, "share of requests that must not be repeated, 0 to 1")
+	f.DurationVar(&o.Work, "work", 5*time.Millisecond, "processing time of a request on its target")
 	f.DurationVar(&o.Deadline, "deadline", loadgen.DefaultDeadline, "deadline of a request over all attempts")
-	f.IntVar(&o.MaxAttempts, "attempts", loadgen.DefaultMaxAttempts, "greatest number of attempts of a request")
+	f.IntVar(&o.MaxAttempts, "attempts", loadgen.DefaultMaxAttempts, "maximum number of attempts of a request")
 	f.IntVar(&o.RetryPercent, "retry-percent", loadgen.DefaultRetryPercent, "retries allowed per hundred requests")
-	f.DurationVar(&o.Window, "window", loadgen.DefaultWindow, "window of time for imbalance and plot")
+	f.DurationVar(&o.Window, "window", loadgen.DefaultWindow, "time window for imbalance and plot")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of schedule, kinds and jitter")
-	f.StringVar(&l.plot, "plot", "", "draw answers of each target, latency, broken flows and imbalance over time into `FILE` (.svg or .png)")
+	f.StringVar(&l.plot, "plot", "", "plot answers of each target, latency, broken flows and imbalance over time into `FILE` (.svg or .png)")
 	jsonFlag(cmd, &l.asJSON)
 }
 
-// check refuses what would fail only after the run.
-func (l *loadFlags) check() error {
+// validate rejects plot options that would fail only after the run.
+func (l *loadFlags) validate() error {
 	if l.plot == "" {
 		if l.events != "" {
-			return usage(errEventsWithoutPlot)
+			return usageError(errEventsWithoutPlot)
 		}
 		return nil
 	}
 	if err := loadgen.CheckPlotFile(l.plot); err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	return nil
 }
 
-// report writes the report and then the plot, whose fault leaves the report.
+// report writes the report before the plot, so that a failed plot does not cost the
+// report.
 func (l *loadFlags) report(w io.Writer, r *loadgen.Report) error {
 	write := r.WriteText
 	if l.asJSON {
@@ -79,8 +80,8 @@
 	return r.Chart(l.opts.Window, marks).Save(l.plot)
 }
 
-// readEvents reads lines of a time and a text. Empty lines and an empty path
-// have no event.
+// readEvents reads a file of events, each line a time and a text. Empty lines are
+// ignored; an empty path means no events.
 func readEvents(path string, start time.Time) ([]loadgen.Mark, error) {
 	if path == "" {
 		return nil, nil
@@ -95,7 +96,7 @@
 		if when == "" {
 			continue
 		}
-		// RFC 3339 takes the comma too that "date -Ins" writes.
+		// RFC 3339 parsing also accepts the decimal comma of "date -Ins".
 		at, err := time.Parse(time.RFC3339, when)
 		if err != nil {
 			return nil, errors.Wrapf(err, "events: %s:%d", path, n+1)
@@ -110,20 +111,19 @@
 	var authority string
 	cmd := &cobra.Command{
 		Use:   "load --service NAME --address ADDRESSES --authority FILE",
-		Short: "Play many callers against a service and report",
-		Long: `Plays callers against a service whose targets are built-in backend servers and
+		Short: "Generate load against a service and report",
+		Long: `Simulates callers of a service whose targets are built-in backend servers and
 reports latency, outcomes by reason, broken flows and imbalance over targets.
 
-Requests start on a schedule fixed by --rate and --seed, whatever became of
-earlier ones. Callers honour Retry-After and never repeat a request that may not
-be repeated and whose outcome is unknown.
+Requests start on a schedule fixed by --rate and --seed, independent of the
+outcome of earlier ones. Callers honour Retry-After and never repeat a request
+that must not be repeated and whose outcome is unknown.
 
 Doubled runs are reported only when --runs-url names every backend server.
 
---plot draws the run over time. What is done to the deployment meanwhile can be
-written into a file, one event a line, as a time of "date -Ins" and a text; the
-file that --events names is read at the end of the run, and each event within the run
-is marked.`,
+--plot draws the run over time. Events of the deployment can be recorded in a file,
+one a line, as a time of "date -Ins" and a text. The file that --events names is
+read at the end of the run, and each event within the run is marked.`,
 		Example: `  eelgrasswharf load --service lodgement --address 192.0.2.80:443 \
     --authority keys/authority.pem --rate 500 --sessions 200 --duration 60s --json
   echo "$(date -Ins) drain lodgement-1" >> events.txt
@@ -131,7 +131,7 @@
     --authority keys/authority.pem --duration 60s --plot run.svg --events events.txt`,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := l.check(); err != nil {
+			if err := l.validate(); err != nil {
 				return err
 			}
 			roots, err := readRoots(authority)
@@ -141,7 +141,7 @@
 			l.opts.Roots = roots
 			r, err := loadgen.Run(cmd.Context(), l.opts)
 			if errors.Is(err, loadgen.ErrInvalidOptions) {
-				return usage(err)
+				return usageError(err)
 			}
 			if err != nil {
 				return err
@@ -157,7 +157,7 @@
 	f.StringVar(&l.events, "events", "", "mark the events of `FILE` in the plot")
 	f.StringSliceVar(&l.opts.RunURLs, "runs-url", nil, "base `URLS` of all backend servers, comma-separated")
 	l.add(cmd, 10*time.Second)
-	require(cmd, "service", "address", "authority")
+	requireFlags(cmd, "service", "address", "authority")
 	return cmd
 }
 
--- a/internal/cli/measure.go
+++ b/internal/cli/measure.go
@@ -18,25 +18,24 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "measure",
-		Short: "Measure the slopes of docs/CAPACITY.md",
-		Long: `Runs daemons of this binary on loopback, plays subscribers, announcing agents,
-callers and a backend server for them, and reports what memory, processor time,
-messages and disk grow by for each of them: the least-squares fit over at least
-four sizes with its standard error, and what it comes to at the size that the
-design is made for. A whole run takes about nine minutes, 2 GB of memory and at
-most fifteen daemons at a time.
+		Short: "Measure the resource usage figures of docs/CAPACITY.md",
+		Long: `Runs daemons of this binary on loopback, simulates subscribers, announcing agents,
+callers and a backend server, and reports the growth of memory, CPU time, messages
+and disk usage with the number of each: the least-squares fit over at least four
+sizes with its standard error, and its value at the design size. A full run takes
+about nine minutes, 2 GB of memory and at most fifteen daemons at a time.
 
 Measurements: ` + strings.Join(capacity.Names(), ", ") + `.`,
 		Example: `  eelgrasswharf measure
   eelgrasswharf measure --only force,grants --json`,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return untilSignal(cmd.Context(), func(ctx context.Context) error {
+			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 				return runMeasure(ctx, cmd, only, asJSON)
 			})
 		},
 	}
-	cmd.Flags().StringSliceVar(&only, "only", nil, "`NAMES` of measurements to make, comma-separated")
+	cmd.Flags().StringSliceVar(&only, "only", nil, "`NAMES` of the measurements to run, comma-separated; default all")
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
@@ -52,7 +51,7 @@
 	}
 	report, err := capacity.Run(ctx, capacity.Options{Binary: binary, Only: only, Log: log})
 	if errors.Is(err, capacity.ErrUnknownMeasurement) {
-		return usage(err)
+		return usageError(err)
 	}
 	if writeErr := writeReport(cmd, report, asJSON); writeErr != nil && err == nil {
 		err = writeErr
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -11,10 +11,11 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// operatorExample stands in examples for the flags of operatorFlags.
+// operatorExample is a value of the operatorFlags for the examples of commands.
 const operatorExample = "--control 192.0.2.1:7101,192.0.2.2:7101 \\\n    --authority keys/authority.pem --certificate keys/ada.pem --key keys/ada.key.pem"
 
-// operatorFlags say which control hosts a command calls, and as whom.
+// operatorFlags are the control hosts that a command calls and the operator's
+// credentials.
 type operatorFlags struct {
 	control                     []string
 	authority, certificate, key string
@@ -26,16 +27,16 @@
 	f.StringVar(&o.authority, "authority", "", "certificate authority `FILE` (PEM)")
 	f.StringVar(&o.certificate, "certificate", "", "operator certificate `FILE` (PEM)")
 	f.StringVar(&o.key, "key", "", "private key `FILE` of the operator (PEM)")
-	require(cmd, "control", "authority", "certificate", "key")
+	requireFlags(cmd, "control", "authority", "certificate", "key")
 }
 
-// args are the flags as the user would write them again.
+// args returns the flags as a part of a command line.
 func (o *operatorFlags) args() string {
 	return fmt.Sprintf("--control %s --authority %s --certificate %s --key %s",
 		strings.Join(o.control, ","), quote(o.authority), quote(o.certificate), quote(o.key))
 }
 
-// call opens a client for do and turns its errors into exit statuses.
+// call runs do with a client and maps its error to an exit status.
 func (o *operatorFlags) call(cmd *cobra.Command, do func(*operator.Client) error) error {
 	creds, err := keys.Load(keys.Files{Authority: o.authority, Certificate: o.certificate, PrivateKey: o.key})
 	if err != nil {
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -18,16 +18,16 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// fakeControl answers operators in place of a control host.
+// fakeControl is a control host for operators with fixed replies.
 type fakeControl struct {
 	outcome *configpb.Outcome
 	err     error
 	patch   *configpb.Patch
 	member  operator.MemberRef
 
-	retention operator.Retention
-	order     *configpb.EvacuationOrder
-	evacuated *configpb.EvacuationOutcome
+	retention         operator.Retention
+	order             *configpb.EvacuationOrder
+	evacuationOutcome *configpb.EvacuationOutcome
 }
 
 func (f *fakeControl) Submit(_ context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
@@ -47,7 +47,7 @@
 
 func (f *fakeControl) Evacuate(_ context.Context, o *configpb.EvacuationOrder) (*configpb.EvacuationOutcome, error) {
 	f.order = o
-	return f.evacuated, f.err
+	return f.evacuationOutcome, f.err
 }
 
 func (f *fakeControl) Status() *operator.Status {
@@ -73,7 +73,7 @@
 	return f.err
 }
 
-// serve starts the fake and returns the flags that call it.
+// serve starts the fake control host and returns the flags to call it.
 func (f *fakeControl) serve(t *testing.T) []string {
 	t.Helper()
 	is := is.New(t)
@@ -93,9 +93,8 @@
 	}
 }
 
-// expectAt is expect of an operator's command at the fake that serves by these
-// flags.
-func expectAt(t *testing.T, status int, flags []string, args ...string) result {
+// expectOperator runs an operator's command with the flags and checks its exit status.
+func expectOperator(t *testing.T, status int, flags []string, args ...string) result {
 	t.Helper()
 	return expect(t, status, append(args, flags...)...)
 }
@@ -131,7 +130,7 @@
 			status: cli.ExitRefused, verdict: "refused-id", text: "used for another patch",
 		},
 		{name: "unknown", err: operator.ErrOutcomeUnknown, status: cli.ExitUnknown, verdict: "unknown", text: "patch show p --control "},
-		{name: "not done", err: operator.ErrNotApplied, status: cli.ExitFailure},
+		{name: "not applied", err: operator.ErrNotApplied, status: cli.ExitFailure},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -152,11 +151,11 @@
 	}
 }
 
-func TestFaultyPatchIsNotSubmitted(t *testing.T) {
+func TestInvalidPatchIsNotSubmitted(t *testing.T) {
 	is := is.New(t)
 	f := &fakeControl{}
 	path := write(t, "[servce lodgement]\n")
-	got := expectAt(t, cli.ExitFailure, f.serve(t), "patch", "submit", "--base", "1", "--id", "p", path)
+	got := expectOperator(t, cli.ExitFailure, f.serve(t), "patch", "submit", "--base", "1", "--id", "p", path)
 	is.True(strings.Contains(got.stderr, path+":1: "))
 	is.Equal(f.patch, nil)
 }
@@ -172,15 +171,15 @@
 	expect(t, cli.ExitFailure, args...)
 }
 
-func TestConfigShowCanBeSubmittedAgain(t *testing.T) {
+func TestConfigShowWritesAPatch(t *testing.T) {
 	is := is.New(t)
 	f := &fakeControl{}
 	flags := f.serve(t)
-	got := expectAt(t, cli.ExitOK, flags, "config", "show", "--version", "5")
+	got := expectOperator(t, cli.ExitOK, flags, "config", "show", "--version", "5")
 	is.Equal(got.stdout, "# version 5\n# no quorum confirmed that this is the newest version\n\n"+
 		"[service lodgement]\naddresses = 192.0.2.80:443\nslots = 4\n"+
 		"\n# retired addresses, open for established flows until a patch releases them:\n# [release 192.0.2.79:443]\n")
-	got = expectAt(t, cli.ExitOK, flags, "config", "show", "--json")
+	got = expectOperator(t, cli.ExitOK, flags, "config", "show", "--json")
 	var report struct {
 		Confirmed     bool
 		Configuration struct{ Services []struct{ Name string } }
@@ -193,50 +192,50 @@
 	is := is.New(t)
 	f := &fakeControl{}
 	flags := f.serve(t)
-	got := expectAt(t, cli.ExitOK, flags, "status")
+	got := expectOperator(t, cli.ExitOK, flags, "status")
 	is.True(strings.Contains(got.stdout, "control-1, version 7"))
 	is.True(strings.Contains(got.stdout, "not yet in force on: entry-2"))
 	flags[1] += ",127.0.0.1:1"
-	got = expectAt(t, cli.ExitOK, flags, "status", "--json") // one of two answered
+	got = expectOperator(t, cli.ExitOK, flags, "status", "--json") // one of two replied
 	var reports []struct{ Address, Error string }
 	is.NoErr(json.Unmarshal([]byte(got.stdout), &reports))
 	is.Equal(len(reports), 2)
 	is.True(reports[1].Error != "")
 	flags[1] = "127.0.0.1:1"
-	expectAt(t, cli.ExitFailure, flags, "status")
+	expectOperator(t, cli.ExitFailure, flags, "status")
 }
 
 func TestReplica(t *testing.T) {
 	is := is.New(t)
 	f := &fakeControl{}
 	flags := f.serve(t)
-	expectAt(t, cli.ExitOK, flags, "replica", "add", "192.0.2.4:7100")
-	expectAt(t, cli.ExitOK, flags, "replica", "promote", "control-4", "--incarnation", "3", "--json")
+	expectOperator(t, cli.ExitOK, flags, "replica", "add", "192.0.2.4:7100")
+	expectOperator(t, cli.ExitOK, flags, "replica", "promote", "control-4", "--incarnation", "3", "--json")
 	is.Equal(f.member, operator.MemberRef{Name: "control-4", Incarnation: 3})
-	expectAt(t, cli.ExitOK, flags, "replica", "remove", "control-4")
+	expectOperator(t, cli.ExitOK, flags, "replica", "remove", "control-4")
 	is.Equal(f.member, operator.MemberRef{Name: "control-4"})
 	f.err = operator.ErrOutcomeUnknown
-	expectAt(t, cli.ExitUnknown, flags, "replica", "remove", "control-4")
+	expectOperator(t, cli.ExitUnknown, flags, "replica", "remove", "control-4")
 	f.err = operator.ErrNotApplied
-	expectAt(t, cli.ExitFailure, flags, "replica", "add", "192.0.2.4:7100")
+	expectOperator(t, cli.ExitFailure, flags, "replica", "add", "192.0.2.4:7100")
 }
 
 func TestGrantsRetention(t *testing.T) {
 	is := is.New(t)
 	f := &fakeControl{}
 	flags := f.serve(t)
-	expectAt(t, cli.ExitOK, flags, "grants", "retention", "--answered", "30m")
+	expectOperator(t, cli.ExitOK, flags, "grants", "retention", "--answered", "30m")
 	is.Equal(f.retention, operator.Retention{Answered: 30 * 60, Held: 7 * 24 * 60 * 60})
 	f.err = operator.ErrOutcomeUnknown
-	expectAt(t, cli.ExitUnknown, flags, "grants", "retention")
+	expectOperator(t, cli.ExitUnknown, flags, "grants", "retention")
 	f.err = operator.ErrNotApplied
-	expectAt(t, cli.ExitFailure, flags, "grants", "retention", "--answered", "1m")
+	expectOperator(t, cli.ExitFailure, flags, "grants", "retention", "--answered", "1m")
 }
 
-func TestControlHostOutOfReach(t *testing.T) {
+func TestControlHostUnreachable(t *testing.T) {
 	f := &fakeControl{}
 	flags := f.serve(t)
 	flags[1] = "127.0.0.1:1"
-	expectAt(t, cli.ExitFailure, flags, "patch", "submit", "--base", "1", "--id", "p", write(t, "[remove a]\n"))
-	expectAt(t, cli.ExitUnknown, flags, "patch", "show", "p")
+	expectOperator(t, cli.ExitFailure, flags, "patch", "submit", "--base", "1", "--id", "p", write(t, "[remove a]\n"))
+	expectOperator(t, cli.ExitUnknown, flags, "patch", "show", "p")
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -11,15 +11,15 @@
 
 type rawJSON = json.RawMessage
 
-// finding is the JSON form of a finding.
+// finding is the JSON form of configpb.Finding.
 type finding struct {
 	Place string `json:"place"`
 	Text  string `json:"text"`
 }
 
-func findingsOf(found []*configpb.Finding) []finding {
+func findingsOf(findings []*configpb.Finding) []finding {
 	out := []finding{}
-	for _, f := range found {
+	for _, f := range findings {
 		out = append(out, finding{Place: f.GetPlace(), Text: f.GetText()})
 	}
 	return out
--- a/internal/cli/patch.go
+++ b/internal/cli/patch.go
@@ -13,9 +13,9 @@
 )
 
 func newPatch() *cobra.Command {
-	return group("patch", "Change the configuration",
-		`A patch is a change against one numbered version. It either becomes the next
-version as a whole or is refused as a whole.`,
+	return commandGroup("patch", "Change the configuration",
+		`A patch is a change to one numbered version. It becomes the next version as a
+whole or is refused as a whole.`,
 		"  eelgrasswharf patch submit --base 7 --id add-itinerary change.ini "+operatorExample,
 		newPatchSubmit(), newPatchShow())
 }
@@ -31,7 +31,7 @@
 		Long: `Submits the patch file against version N under an identifier that you choose.
 A section [service NAME] creates or replaces a service, a section [remove NAME]
 removes one, and [release IP:PORT] closes a public address that an earlier version
-retired; sessions that still use it end. Several sections take effect together.
+retired, which ends the sessions that still use it. All sections take effect together.
 
   [service lodgement]
   addresses = 192.0.2.80:443
@@ -39,13 +39,13 @@
 
   [release 192.0.2.79:443]
 
-All keys stand in docs/SETTINGS.md. The first patch of a deployment has the base 0.
+docs/SETTINGS.md describes all keys. The first patch of a deployment has the base 0.
 
-The identifier is unique for ever. Submitting the same patch under the same
-identifier again never applies it twice and tells the first outcome.
+The identifier must never be reused. Submitting the same patch under the same
+identifier again never applies it twice and reports the first outcome.
 
-Exit status: 0 the patch became the next version; 3 it was refused; 4 it is not
-known which; 1 nothing was submitted.`,
+Exit status: 0 the patch became the next version; 3 it was refused; 4 the outcome
+is unknown; 1 nothing was submitted.`,
 		Example: "  eelgrasswharf config check change.ini\n" +
 			"  eelgrasswharf patch submit --base 7 --id add-itinerary change.ini " + operatorExample,
 		Args: exactArgs(1),
@@ -69,8 +69,8 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&base, "base", 0, "version `N` that the patch changes")
-	cmd.Flags().StringVar(&id, "id", "", "identifier of the patch, unique for ever")
-	require(cmd, "base", "id")
+	cmd.Flags().StringVar(&id, "id", "", "unique identifier of the patch, never to be reused")
+	requireFlags(cmd, "base", "id")
 	jsonFlag(cmd, &asJSON)
 	o.add(cmd)
 	return cmd
@@ -81,18 +81,18 @@
 	o := &operatorFlags{}
 	cmd := &cobra.Command{
 		Use:   "show ID",
-		Short: "Tell what became of a patch",
-		Long: `Tells what became of the patch with that identifier, as a quorum of the control
-hosts knows it.
+		Short: "Show the outcome of a patch",
+		Long: `Shows the outcome of the patch with that identifier, as confirmed by a quorum of
+the control hosts.
 
-Exit status: 0 it became a version; 3 it was refused; 4 no quorum could tell;
-1 a quorum knows of no such patch.`,
+Exit status: 0 it became a version; 3 it was refused; 4 no quorum replied;
+1 a quorum knows no such patch.`,
 		Example: "  eelgrasswharf patch show add-itinerary " + operatorExample,
 		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return o.call(cmd, func(c *operator.Client) error {
 				outcome, err := c.Outcome(cmd.Context(), args[0])
-				// That no quorum answered tells nothing about the patch.
+				// Without a quorum the outcome is unknown.
 				if errors.Is(err, operator.ErrNotApplied) {
 					return reportUnknown(cmd, args[0], err, o, asJSON)
 				}
@@ -108,14 +108,14 @@
 	return cmd
 }
 
-// outcomeReport is the JSON form of an outcome.
+// outcomeReport is the JSON form of the outcome of a patch.
 type outcomeReport struct {
 	ID           string    `json:"id"`
 	Verdict      string    `json:"verdict"`
 	Version      uint64    `json:"version,omitempty"`
 	VersionPatch string    `json:"version_patch,omitempty"`
 	Findings     []finding `json:"findings,omitempty"`
-	// Next is the command that tells an outcome that is not known.
+	// Next is the command that shows an outcome not known yet.
 	Next string `json:"next,omitempty"`
 }
 
@@ -168,7 +168,7 @@
 	}
 }
 
-// reportUnknown tells the user how to learn the outcome.
+// reportUnknown writes the command that shows the outcome.
 func reportUnknown(cmd *cobra.Command, id string, cause error, o *operatorFlags, asJSON bool) error {
 	next := fmt.Sprintf("%s patch show %s %s", invocation(), quote(id), o.args())
 	if asJSON {
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -20,12 +20,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/cli"
 )
 
-// asCommand makes this test binary act as the command line, so that tests
-// see real processes with signals and exit statuses.
-const asCommand = "EELGRASSWHARF_TEST_AS_COMMAND"
+// asCommandEnv makes this test binary run as the command line, so that tests get
+// real processes with signals and exit statuses.
+const asCommandEnv = "EELGRASSWHARF_TEST_AS_COMMAND"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asCommand) != "" {
+	if os.Getenv(asCommandEnv) != "" {
 		os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
@@ -37,11 +37,11 @@
 	logs *bufio.Scanner
 }
 
-func launch(t *testing.T, args ...string) *process {
+func startProcess(t *testing.T, args ...string) *process {
 	t.Helper()
 	is := is.New(t)
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asCommand+"=1")
+	cmd.Env = append(os.Environ(), asCommandEnv+"=1")
 	stderr, err := cmd.StderrPipe()
 	is.NoErr(err)
 	is.NoErr(cmd.Start())
@@ -49,8 +49,8 @@
 	return &process{cmd: cmd, logs: bufio.NewScanner(stderr)}
 }
 
-// awaitLine reads log lines up to the one with that message.
-func (p *process) awaitLine(t *testing.T, message string) map[string]any {
+// waitForLine reads log lines until one has the message.
+func (p *process) waitForLine(t *testing.T, message string) map[string]any {
 	t.Helper()
 	for p.logs.Scan() {
 		var line map[string]any
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// exit waits for the end and returns the exit status.
+// exit waits for the process to exit and returns its exit status.
 func (p *process) exit(t *testing.T) int {
 	t.Helper()
 	for p.logs.Scan() {
@@ -83,23 +83,23 @@
 
 func TestSignalShutsDownGracefully(t *testing.T) {
 	is := is.New(t)
-	p := launch(t, backendArgs()...)
-	line := p.awaitLine(t, "ready")
+	p := startProcess(t, backendArgs()...)
+	line := p.waitForLine(t, "ready")
 	is.Equal(line["role"], "backend")
 	is.NoErr(p.cmd.Process.Signal(syscall.SIGTERM))
 	is.Equal(p.exit(t), cli.ExitOK)
 }
 
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+func TestSecondSignalExitsImmediately(t *testing.T) {
 	is := is.New(t)
-	p := launch(t, backendArgs()...)
-	url := p.awaitLine(t, "ready")["url"].(string)
+	p := startProcess(t, backendArgs()...)
+	url := p.waitForLine(t, "ready")["url"].(string)
 	res, err := http.Get(url + "/watch?ms=1")
 	is.NoErr(err)
 	defer res.Body.Close()
 	is.NoErr(p.cmd.Process.Signal(syscall.SIGTERM))
-	p.awaitLine(t, "draining")
-	_, err = bufio.NewReader(res.Body).ReadString('\n') // the watch goes on
+	p.waitForLine(t, "draining")
+	_, err = bufio.NewReader(res.Body).ReadString('\n') // the watch stream is still open
 	is.NoErr(err)
 	is.NoErr(p.cmd.Process.Signal(syscall.SIGINT))
 	is.Equal(p.exit(t), cli.ExitFailure)
@@ -107,17 +107,17 @@
 
 func TestAddressInUse(t *testing.T) {
 	is := is.New(t)
-	holder, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer holder.Close()
-	got := expect(t, cli.ExitFailure, append(backendArgs(), "--listen", holder.Addr().String())...)
+	defer listener.Close()
+	got := expect(t, cli.ExitFailure, append(backendArgs(), "--listen", listener.Addr().String())...)
 	is.Equal(strings.Count(got.stderr, "\n"), 1)
 	is.True(strings.Contains(got.stderr, "address already in use"))
 }
 
-// roleFiles makes the keys and an example settings file of a role with the
+// writeRoleSettings creates the keys of a role and its example settings file with the
 // given replacements.
-func roleFiles(t *testing.T, role string, replace ...string) string {
+func writeRoleSettings(t *testing.T, role string, replace ...string) string {
 	t.Helper()
 	is := is.New(t)
 	keyDir := newKeys(t)
@@ -136,39 +136,39 @@
 	return ""
 }
 
-// checkNoStart holds that a role fails to start with its example settings after
-// the replacements, and says why. It returns all that it said.
-func checkNoStart(t *testing.T, role, why string, replace ...string) (stderr string) {
+// expectStartFailure starts a role with its example settings and the replacements,
+// expects it to fail with the message, and returns its standard error.
+func expectStartFailure(t *testing.T, role, message string, replace ...string) (stderr string) {
 	t.Helper()
 	is := is.New(t)
-	got := expect(t, cli.ExitFailure, role, "-c", roleFiles(t, role, replace...))
-	is.True(strings.Contains(got.stderr, why))
+	got := expect(t, cli.ExitFailure, role, "-c", writeRoleSettings(t, role, replace...))
+	is.True(strings.Contains(got.stderr, message))
 	return got.stderr
 }
 
 func TestDaemonAddressInUse(t *testing.T) {
 	is := is.New(t)
-	holder, err := net.ListenPacket("udp", "127.0.0.1:0")
+	listener, err := net.ListenPacket("udp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer holder.Close()
-	checkNoStart(t, "entry", "address already in use", "192.0.2.20:7200", holder.LocalAddr().String())
+	defer listener.Close()
+	expectStartFailure(t, "entry", "address already in use", "192.0.2.20:7200", listener.LocalAddr().String())
 }
 
 func TestMetricsAddressInUse(t *testing.T) {
 	is := is.New(t)
-	holder, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer holder.Close()
-	checkNoStart(t, "entry", "metrics.listen",
-		"192.0.2.20:7200", "127.0.0.1:0", "listen = 127.0.0.1:0", "listen = "+holder.Addr().String())
+	defer listener.Close()
+	expectStartFailure(t, "entry", "metrics.listen",
+		"192.0.2.20:7200", "127.0.0.1:0", "listen = 127.0.0.1:0", "listen = "+listener.Addr().String())
 }
 
-func TestUnwritableDataFolder(t *testing.T) {
-	stderr := checkNoStart(t, "control", "replica.data_folder", "data_folder = data", "data_folder = control.ini")
+func TestUnwritableDataDir(t *testing.T) {
+	stderr := expectStartFailure(t, "control", "replica.data_folder", "data_folder = data", "data_folder = control.ini")
 	is.New(t).Equal(strings.Count(stderr, "\n"), 1)
 }
 
-func TestLoadAgainstNobody(t *testing.T) {
+func TestLoadWithoutServer(t *testing.T) {
 	is := is.New(t)
 	dir := newKeys(t)
 	got := expect(t, cli.ExitOK, "load", "--service", "lodgement", "--address", "127.0.0.1:1", "--rate", "0", "--sessions", "0",
@@ -181,8 +181,7 @@
 	got = expect(t, cli.ExitFailure, "load", "--service", "lodgement", "--address", "127.0.0.1:1", "--authority", "missing.pem")
 }
 
-// TestLoadMarksEvents expects marks at the events of the file, and that a fault
-// of it does not cost the report.
+// An invalid events file must not cost the report.
 func TestLoadMarksEvents(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -201,7 +200,7 @@
 	text, err := os.ReadFile(plot)
 	is.NoErr(err)
 	is.True(strings.Contains(string(text), "drain lodgement-1"))
-	is.True(!strings.Contains(string(text), "before")) // not of this run
+	is.True(!strings.Contains(string(text), "before")) // before the run
 
 	is.NoErr(os.WriteFile(events, []byte("yesterday drain\n"), 0o600))
 	got := run(t, args...)
@@ -210,8 +209,8 @@
 	is.True(strings.Contains(got.stdout, "service lodgement: 0 requests"))
 }
 
-// Each daemon says that it is ready, with the addresses that it opened, and
-// ends with success when it is told to.
+// Each daemon logs that it is ready, with its listen addresses, and exits with
+// success on a signal.
 func TestDaemonsServeUntilSignal(t *testing.T) {
 	for _, tt := range []struct {
 		role  string
@@ -222,8 +221,8 @@
 	} {
 		t.Run(tt.role, func(t *testing.T) {
 			is := is.New(t)
-			p := launch(t, tt.role, "-c", roleFiles(t, tt.role, onFreePorts[tt.role]...))
-			line := p.awaitLine(t, "ready")
+			p := startProcess(t, tt.role, "-c", writeRoleSettings(t, tt.role, loopbackSettings[tt.role]...))
+			line := p.waitForLine(t, "ready")
 			is.Equal(line["role"], tt.role)
 			is.Equal(line["name"], tt.role+"-1")
 			for _, field := range tt.bound {
@@ -236,7 +235,7 @@
 	}
 }
 
-func TestDevReportsAndEnds(t *testing.T) {
+func TestDevReportsLoad(t *testing.T) {
 	is := is.New(t)
 	got := expect(t, cli.ExitOK, "dev", "--duration", "500ms", "--rate", "20", "--sessions", "2",
 		"--deadline", "30s", "--attempts", "100", "--retry-percent", "10000", "--json")
@@ -244,7 +243,7 @@
 		Requests int
 		Outcomes map[string]int
 	}
-	is.NoErr(json.Unmarshal([]byte(got.stdout), &report)) // nothing but the report
+	is.NoErr(json.Unmarshal([]byte(got.stdout), &report)) // only the report
 	is.Equal(report.Outcomes["answered"], report.Requests)
 	is.True(strings.Contains(got.stderr, "eelgrasswharf load --service "))
 }
--- a/internal/cli/replica.go
+++ b/internal/cli/replica.go
@@ -9,28 +9,28 @@
 )
 
 func newReplica() *cobra.Command {
-	return group("replica", "Add, promote and remove control hosts",
+	return commandGroup("replica", "Add, promote and remove control hosts",
 		`Changes the members of the replicated logs, one at a time. A new control host
 starts with "join = true" in its settings and asks to be added as a learner, or is
 added by "replica add"; it catches up, and is promoted to a voter.
 
-A learner may stay one: it serves entry hosts, agents and operators like a voter, and
-no commit waits for it. Five voters in five regions are enough for any number of
+A learner may remain one: it serves entry hosts, agents and operators like a voter,
+and no commit waits for it. Five voters in five regions are enough for any number of
 control hosts; a promotion that would make more than seven is refused.
 
 A change is made in all replicated logs, which may have different leaders, so name
-all control hosts. Making it again is safe.
+all control hosts. Repeating it is safe.
 
-Exit status: 0 the change is made in all logs; 1 it is not; 4 it is not known.`,
+Exit status: 0 the change is made in all logs; 1 it is not; 4 the outcome is unknown.`,
 		"  eelgrasswharf replica add 192.0.2.4:7100 "+operatorExample+
 			"\n  eelgrasswharf replica promote control-4 "+operatorExample+
 			"\n  eelgrasswharf replica remove control-1 "+operatorExample,
 		newReplicaAdd(),
-		newReplicaMember("promote NAME", "Give a learner that has caught up a vote",
-			"Gives the learner NAME a vote once it has caught up.", (*operator.Client).Promote),
-		newReplicaMember("remove NAME", "Take a control host out of all logs",
-			"Removes the control host NAME for good. Its data folder must not be used again.\n"+
-				"A name that a quorum knows of no member of is a failure.", (*operator.Client).Remove),
+		newReplicaMember("promote NAME", "Make a learner that has caught up a voter",
+			"Makes the learner NAME a voter once it has caught up.", (*operator.Client).Promote),
+		newReplicaMember("remove NAME", "Remove a control host from all logs",
+			"Removes the control host NAME permanently. Its data directory must not be used again.\n"+
+				"Fails for a name that is not a member according to a quorum.", (*operator.Client).Remove),
 	)
 }
 
@@ -40,7 +40,7 @@
 	cmd := &cobra.Command{
 		Use:     "add ADDRESS",
 		Short:   "Add a control host as a learner",
-		Long:    "Adds the control host at the link address (ip:port) to all logs, without a vote.",
+		Long:    "Adds the control host at the link address (ip:port) to all logs as a learner.",
 		Example: "  eelgrasswharf replica add 192.0.2.4:7100 " + operatorExample,
 		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -55,7 +55,7 @@
 	return cmd
 }
 
-// memberCall is a change of one member.
+// memberCall is an operator call that changes one member.
 type memberCall func(*operator.Client, context.Context, operator.MemberRef) (*operator.Status, error)
 
 func newReplicaMember(use, short, long string, change memberCall) *cobra.Command {
@@ -65,7 +65,7 @@
 	cmd := &cobra.Command{
 		Use:     use,
 		Short:   short,
-		Long:    long + "\n\n--incarnation tells lives of one host apart where the name is ambiguous.",
+		Long:    long + "\n\n--incarnation selects one incarnation of a host where the name is ambiguous.",
 		Example: "  eelgrasswharf replica " + use[:len(use)-len("NAME")] + "control-4 " + operatorExample,
 		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -82,7 +82,7 @@
 	return cmd
 }
 
-// reportMember shows the members after a change.
+// reportMember writes the status that a change returned.
 func reportMember(cmd *cobra.Command, s *operator.Status, err error, asJSON bool) error {
 	if err != nil {
 		return err
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -8,36 +8,36 @@
 	"github.com/spf13/cobra"
 )
 
-// Main runs the command line args (without the program name) and returns the
-// exit status of the process. Further commands come from packages above this one.
-func Main(ctx context.Context, args []string, stdout, stderr io.Writer, further ...*cobra.Command) int {
+// Main runs the command line args (without the program name) and returns the exit
+// status of the process. The extra commands belong to packages that import this one.
+func Main(ctx context.Context, args []string, stdout, stderr io.Writer, extra ...*cobra.Command) int {
 	root := newRoot()
-	root.AddCommand(further...)
+	root.AddCommand(extra...)
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	cmd, err := root.ExecuteContextC(ctx)
-	if err != nil && !reported(err) {
+	if err != nil && !alreadyReported(err) {
 		fmt.Fprintf(stderr, "%s: %v\n", cmd.CommandPath(), err)
 	}
-	return statusOf(err)
+	return exitStatus(err)
 }
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "eelgrasswharf",
 		Short: "Layer-4 load balancer for long-lived flows",
-		Long: `eelgrasswharf keeps every established flow on the target where it began and
-tells every caller truthfully what became of its request.
+		Long: `eelgrasswharf keeps every established flow on its first target and reports the
+true outcome of every request to its caller.
 
 Three roles make up a deployment: control hosts agree on the configuration,
 entry hosts forward the packets of callers, and an agent beside each backend
-server ends the callers' connections. Operators change the configuration by
-patches against a numbered version.
+server terminates the callers' connections. Operators change the configuration
+by patches against a numbered version.
 
-Exit status: 0 success, 1 failure, 2 wrong usage, 3 refused, 4 outcome not
-known. The page docs/OPERATIONS.md leads through a deployment step by step.`,
-		Example: `  # Everything in one process, to look around
+Exit status: 0 success, 1 failure, 2 wrong usage, 3 refused, 4 outcome unknown.
+The page docs/OPERATIONS.md describes a deployment step by step.`,
+		Example: `  # A whole deployment in one process, to try things out
   eelgrasswharf dev
 
   # A settings file to start from
@@ -48,7 +48,7 @@
 		RunE:          func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	root.CompletionOptions.HiddenDefaultCmd = true
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(
 		newControl(), newEntry(), newAgent(),
 		newConfig(), newPatch(), newStatus(), newReplica(), newEvacuation(), newGrants(), newKeys(),
@@ -57,7 +57,7 @@
 	return root
 }
 
-// exactArgs and its kin report a wrong number of arguments as wrong usage.
+// exactArgs, minArgs and noArgs report a wrong number of arguments as wrong usage.
 func exactArgs(n int) cobra.PositionalArgs { return usageArgs(cobra.ExactArgs(n)) }
 func minArgs(n int) cobra.PositionalArgs   { return usageArgs(cobra.MinimumNArgs(n)) }
 
@@ -66,18 +66,18 @@
 func usageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := check(cmd, args); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
-		// Cobra checks them later too, but as a plain failure.
+		// Cobra checks required flags later, but reports no usage error.
 		if err := cmd.ValidateRequiredFlags(); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		return nil
 	}
 }
 
-// group is a command that only holds others.
-func group(use, short, long, example string, commands ...*cobra.Command) *cobra.Command {
+// commandGroup returns a command that only holds subcommands.
+func commandGroup(use, short, long, example string, commands ...*cobra.Command) *cobra.Command {
 	cmd := &cobra.Command{
 		Use: use, Short: short, Long: long, Example: example,
 		Args: noArgs,
@@ -87,10 +87,10 @@
 	return cmd
 }
 
-// require marks flags without which the command makes no sense.
-func require(cmd *cobra.Command, names ...string) {
+// requireFlags marks flags as required.
+func requireFlags(cmd *cobra.Command, names ...string) {
 	for _, name := range names {
-		// It fails for a name that is no flag, which no test run survives.
+		// Fails only for a name that is not a flag of the command.
 		if err := cmd.MarkFlagRequired(name); err != nil {
 			panic(err)
 		}
--- a/internal/cli/signals.go
+++ b/internal/cli/signals.go
@@ -9,11 +9,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// untilSignal runs serve with a context that the first SIGTERM or SIGINT
-// ends, which asks for a graceful shutdown without a time limit. The second
-// one ends the process at once: the forced end of sessions is the operator's
-// explicit choice.
-func untilSignal(ctx context.Context, serve func(context.Context) error) error {
+// runUntilSignal runs serve with a context that the first SIGTERM or SIGINT cancels,
+// for a graceful shutdown without a time limit. A second signal exits immediately.
+func runUntilSignal(ctx context.Context, serve func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	signals := make(chan os.Signal, 2)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -11,19 +11,19 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-var errNoAnswer = errors.New("no control host answered")
+var errNoReply = errors.New("no control host answered")
 
 func newStatus() *cobra.Command {
 	var asJSON bool
 	o := &operatorFlags{}
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show what each control host sees",
-		Long: `Asks every control host for its own view: the state of each replicated log,
-the version it knows, the directory of targets, what is evacuated, and the subscribers on which
-that version is not yet in force. It does not wait for a quorum.
+		Short: "Show the state of each control host",
+		Long: `Queries every control host for its own view: the state of each replicated log, the
+version it knows, the number of targets, the evacuated failure domains, and the
+subscribers on which that version is not yet in force. It does not wait for a quorum.
 
-Exit status: 0 when at least one control host answered.`,
+Exit status: 0 when at least one control host replied.`,
 		Example: "  eelgrasswharf status " + operatorExample,
 		Args:    noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -37,7 +37,7 @@
 	return cmd
 }
 
-// hostReport is the JSON form of one host's answer.
+// hostReport is the JSON form of one host's reply.
 type hostReport struct {
 	Address string           `json:"address"`
 	Status  *operator.Status `json:"status,omitempty"`
@@ -45,14 +45,14 @@
 }
 
 func reportStatus(w io.Writer, hosts []operator.HostStatus, asJSON bool) error {
-	answered := 0
+	replied := 0
 	var reports []hostReport
 	for _, h := range hosts {
 		report := hostReport{Address: h.Address, Status: h.Status}
 		if h.Err != nil {
 			report.Error = h.Err.Error()
 		} else {
-			answered++
+			replied++
 		}
 		reports = append(reports, report)
 	}
@@ -65,8 +65,8 @@
 			writeHost(w, r)
 		}
 	}
-	if answered == 0 {
-		return errNoAnswer
+	if replied == 0 {
+		return errNoReply
 	}
 	return nil
 }
