--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts the log lines of many processes that concern one flow, backend
-// server or version together, in order.
+// Package explain merges the log lines of many processes that mention one flow, backend
+// server, host or version.
 package explain
 
 import (
@@ -17,31 +17,31 @@
 	"github.com/go-faster/errors"
 )
 
-// maxLine bounds a line that is read, in bytes.
-const maxLine = 1 << 20
+const maxLine = 1 << 20 // bytes
 
 // Line is one log line.
 type Line struct {
-	// Timestamp is the time by the clock of its host. Clocks of hosts may differ.
+	// Timestamp is the time by the host's clock; clocks of hosts may differ.
 	Timestamp time.Time
-	// Host, Role, Level and Message are what every line has.
+	// Host, Role, Level and Message are the fields that every line has.
 	Host, Role, Level, Message string
-	// Fields are all others, by name.
+	// Fields are all other fields by name.
 	Fields map[string]any
-	// File is where it was read, Number its place there.
+	// File and Number are the log file and the line number, counted from 1.
 	File   string
 	Number int
 }
 
-// Summary counts what was read.
+// Summary counts the lines of all logs.
 type Summary struct {
-	// Read lines, Skipped over because they are no JSON object, and Matched.
+	// Read counts all lines, Skipped those that are not log lines, Matched those that
+	// mention the identity.
 	Read, Skipped, Matched int
 }
 
-// Read returns the lines of a log that concern an identity. Lines that are torn or that
-// another program wrote are passed over and counted; what stands before a JSON object
-// in its line is ignored.
+// Read returns the lines of a log that mention an identity. Truncated lines and those of
+// other programs are skipped and counted. Text before the JSON object of a line is
+// ignored.
 func Read(name string, r io.Reader, id string, sum *Summary) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
@@ -53,7 +53,7 @@
 			sum.Skipped++
 			continue
 		}
-		if !line.concerns(id) {
+		if !line.mentions(id) {
 			continue
 		}
 		sum.Matched++
@@ -66,7 +66,6 @@
 	return out, nil
 }
 
-// parse reads a line.
 func parse(b []byte) (Line, bool) {
 	start := bytes.IndexByte(b, '{')
 	if start < 0 {
@@ -79,8 +78,8 @@
 		return Line{}, false
 	}
 	line := Line{Fields: fields}
-	for name, to := range map[string]*string{"host": &line.Host, "role": &line.Role, "level": &line.Level, "msg": &line.Message} {
-		*to, _ = fields[name].(string)
+	for name, field := range map[string]*string{"host": &line.Host, "role": &line.Role, "level": &line.Level, "msg": &line.Message} {
+		*field, _ = fields[name].(string)
 		delete(fields, name)
 	}
 	if line.Message == "" {
@@ -88,16 +87,16 @@
 	}
 	text, _ := fields["ts"].(string)
 	delete(fields, "ts")
-	at, err := time.Parse(time.RFC3339Nano, text)
+	timestamp, err := time.Parse(time.RFC3339Nano, text)
 	if err == nil {
-		line.Timestamp = at
+		line.Timestamp = timestamp
 	}
 	return line, true
 }
 
-// concerns reports whether a field has the identity as its value, or as one end of a
-// flow.
-func (l *Line) concerns(id string) bool {
+// mentions reports whether the identity is the host, the value of a field, or one end of
+// a flow.
+func (l *Line) mentions(id string) bool {
 	if l.Host == id {
 		return true
 	}
@@ -110,12 +109,12 @@
 	return false
 }
 
-// Sort puts lines in the order of their time; lines of one file stay in theirs.
+// Sort sorts lines by time. Lines of equal time keep their order.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Timestamp.Compare(b.Timestamp) })
 }
 
-// Write prints the lines, each with the time since the first one.
+// Write writes the lines, each with the time since the first one.
 func Write(w io.Writer, lines []Line) error {
 	for _, l := range lines {
 		if _, err := fmt.Fprintf(w, "%s +%8.3fs  %-24s %-8s %-5s %s%s\n", l.Timestamp.Format("15:04:05.000"),
@@ -134,14 +133,14 @@
 	slices.Sort(names)
 	var b strings.Builder
 	for _, name := range names {
-		fmt.Fprintf(&b, " %s=%s", name, oneLine(fmt.Sprint(l.Fields[name])))
+		fmt.Fprintf(&b, " %s=%s", name, quoteControl(fmt.Sprint(l.Fields[name])))
 	}
 	return b.String()
 }
 
-// oneLine quotes a text that would break the line: errors joined from several have
-// line breaks.
-func oneLine(text string) string {
+// quoteControl quotes a text with control characters, such as the line breaks of joined
+// errors.
+func quoteControl(text string) string {
 	if strings.ContainsFunc(text, unicode.IsControl) {
 		return strconv.Quote(text)
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -19,7 +19,7 @@
 {"level":"info","ts":"2026-04-10T23:29:04.501Z","msg":"flow placed","host":"side-1","role":"agent","flow":"100.64.0.7:40001>198.18.0.1:443","reason":"placed","load_permille":250}
 `
 
-func story(t *testing.T, id string) (string, explain.Summary) {
+func readLogs(t *testing.T, id string) (string, explain.Summary) {
 	t.Helper()
 	is := is.New(t)
 	var sum explain.Summary
@@ -35,27 +35,27 @@
 	return out.String(), sum
 }
 
-func TestStoryOfAFlow(t *testing.T) {
+func TestLinesOfAFlow(t *testing.T) {
 	is := is.New(t)
-	text, sum := story(t, "100.64.0.7:40001")
+	text, sum := readLogs(t, "100.64.0.7:40001")
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	is.Equal(len(lines), 2)
 	is.True(strings.Contains(lines[0], "frontend-1"))
 	is.True(strings.Contains(lines[0], "to=10.1.0.11:8172"))
 	is.True(strings.Contains(lines[1], "side-1"))
-	is.Equal(sum, explain.Summary{Read: 6, Skipped: 2, Matched: 2}) // a torn line and another program's
+	is.Equal(sum, explain.Summary{Read: 6, Skipped: 2, Matched: 2}) // skipped: a truncated line and another program's
 }
 
-func TestStoryOfAVersion(t *testing.T) {
+func TestLinesOfAVersion(t *testing.T) {
 	is := is.New(t)
-	text, _ := story(t, "13")
+	text, _ := readLogs(t, "13")
 	is.True(strings.Contains(text, "revision=13"))
-	_, sum := story(t, "1")
-	is.Equal(sum.Matched, 0) // not every line with a 1 in it
+	_, sum := readLogs(t, "1")
+	is.Equal(sum.Matched, 0) // a part of a value does not match
 }
 
-// An error of several lines stays on the line of its decision.
-func TestStoryKeepsALineOnALine(t *testing.T) {
+// An error text of several lines is written on one line.
+func TestControlCharactersAreQuoted(t *testing.T) {
 	is := is.New(t)
 	const log = `{"level":"info","ts":"2026-04-10T23:29:04.500Z","msg":"configuration without an outcome","host":"c","role":"control","revision":26,"error":"unknown\nlost"}`
 	var sum explain.Summary
