--- a/internal/dev/bench_test.go
+++ b/internal/dev/bench_test.go
@@ -18,12 +18,9 @@
 	benchText    = "a request of ordinary size"
 )
 
-// BenchmarkRoundTrip measures the same request from the caller's call to the
-// end of the answer: through an entry host and the agent on an established
-// flow, and straight to the backend server. The agent opens a connection to
-// the backend server for each request, so that the fair comparison is
-// "direct/own"; "direct/kept" is what a caller beside the backend server would
-// see at best.
+// BenchmarkRoundTrip measures a request up to the end of its response: "through" an entry
+// host and the agent on an established flow, and directly at the backend server.
+// "direct/own" opens a connection per request as the agent does, "direct/kept" reuses one.
 func BenchmarkRoundTrip(b *testing.B) {
 	d, err := dev.Start(b.Context(), dev.Options{
 		EntryHosts: 1, Services: []dev.Service{{Name: benchService, Targets: 1}},
@@ -33,29 +30,29 @@
 	}
 	defer d.Close()
 	direct := d.Backends(benchService)[0].URL()
-	kept, own := &http.Transport{}, &http.Transport{DisableKeepAlives: true}
-	defer kept.CloseIdleConnections()
-	through := flowTo(d)
+	keepAlive, perRequest := &http.Transport{}, &http.Transport{DisableKeepAlives: true}
+	defer keepAlive.CloseIdleConnections()
+	through := newFlow(d)
 	defer through.Close()
-	for _, way := range []struct {
+	for _, path := range []struct {
 		name, url string
 		transport http.RoundTripper
 	}{
-		{"direct/kept", direct, kept},
-		{"direct/own", direct, own},
+		{"direct/kept", direct, keepAlive},
+		{"direct/own", direct, perRequest},
 		{"through", "https://" + benchService, through},
 	} {
-		b.Run(way.name, func(b *testing.B) {
+		b.Run(path.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				roundTrip(b, way.transport, way.url)
+				roundTrip(b, path.transport, path.url)
 			}
 		})
 	}
 }
 
-// flowTo returns a caller with one flow to the service.
-func flowTo(d *dev.Deployment) *http3.Transport {
+// newFlow returns a transport with one flow to the service.
+func newFlow(d *dev.Deployment) *http3.Transport {
 	return &http3.Transport{
 		TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, ServerName: benchService, RootCAs: d.Roots()},
 		Dial: func(ctx context.Context, _ string, t *tls.Config, q *quic.Config) (*quic.Conn, error) {
@@ -80,6 +77,6 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil || string(body) != benchText {
-		b.Fatalf("answer %s %q: %v", res.Status, body, err)
+		b.Fatalf("response %s %q: %v", res.Status, body, err)
 	}
 }
--- a/internal/dev/control.go
+++ b/internal/dev/control.go
@@ -20,16 +20,17 @@
 // ErrRefused reports that the patch with the services was refused.
 var ErrRefused = errors.New("the services were refused")
 
-// controlHost is a control host. Its settings and disk outlive its daemon.
+// controlHost is a control host. Its settings and data directory are kept across
+// restarts of its daemon.
 type controlHost struct {
 	name, domain string
 	settings     *settingspb.ControlSettings
 	daemon       *controld.Daemon
 	process      *process
-	// peers leads the other control hosts to it, byDomain the hosts of each
-	// failure domain. Both are empty without a network.
-	peers    *faultproxy.Relay
-	byDomain map[string]*faultproxy.Relay
+	// peerRelay is its address for the other control hosts, domainRelays for the hosts
+	// of each failure domain. Both are empty without a network.
+	peerRelay    *faultproxy.Relay
+	domainRelays map[string]*faultproxy.Relay
 }
 
 func (d *Deployment) startControls(ctx context.Context) error {
@@ -40,13 +41,13 @@
 			return err
 		}
 		d.controls = append(d.controls, h)
-		if h.peers != nil {
-			voters = append(voters, fmt.Sprintf("%s=%s", h.name, h.peers.Addr()))
+		if h.peerRelay != nil {
+			voters = append(voters, fmt.Sprintf("%s=%s", h.name, h.peerRelay.Addr()))
 		}
 	}
 	for _, h := range d.controls {
 		h.settings.Replica.InitialVoters = voters
-		if err := d.launchControl(ctx, h); err != nil {
+		if err := d.startControl(ctx, h); err != nil {
 			return err
 		}
 	}
@@ -55,9 +56,9 @@
 
 func (d *Deployment) newControl(index int) (*controlHost, error) {
 	h := &controlHost{
-		name:     fmt.Sprintf("control-%d", index+1),
-		domain:   d.domain(index),
-		byDomain: map[string]*faultproxy.Relay{},
+		name:         fmt.Sprintf("control-%d", index+1),
+		domain:       d.domain(index),
+		domainRelays: map[string]*faultproxy.Relay{},
 	}
 	keySettings, err := d.keySettings(keys.RoleControl, h.name, "")
 	if err != nil {
@@ -67,7 +68,7 @@
 		Host: &settingspb.Host{Name: h.name, FailureDomain: h.domain},
 		Keys: keySettings,
 		Replica: &settingspb.Replica{
-			DataFolder:     filepath.Join(d.folder, dataFolder, h.name),
+			DataFolder:     filepath.Join(d.dir, dataDirName, h.name),
 			Listen:         freePort,
 			OperatorListen: freePort,
 		},
@@ -79,68 +80,68 @@
 	return h, d.openControlRelays(h)
 }
 
-// openControlRelays gives each failure domain a way of its own to a control
-// host, so that the loss of the domain cuts it.
+// openControlRelays opens a relay from each failure domain to a control host, so that a
+// domain can be isolated.
 func (d *Deployment) openControlRelays(h *controlHost) error {
 	var err error
-	if h.peers, err = d.network.relay(d.network.distanceTo("")); err != nil {
+	if h.peerRelay, err = d.network.relay(d.network.delayTo("")); err != nil {
 		return err
 	}
 	for _, domain := range d.opts.Domains {
-		delay := d.network.distanceTo("")
+		delay := d.network.delayTo("")
 		if domain == h.domain {
 			delay = nil
 		}
-		if h.byDomain[domain], err = d.network.relay(delay); err != nil {
+		if h.domainRelays[domain], err = d.network.relay(delay); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// launchControl starts the daemon of a control host, again after it ended.
-func (d *Deployment) launchControl(ctx context.Context, h *controlHost) error {
+// startControl starts or restarts the daemon of a control host.
+func (d *Deployment) startControl(ctx context.Context, h *controlHost) error {
 	var err error
 	h.daemon, err = controld.New(h.settings, d.log.Named(h.name), d.opts.Scope)
 	if err != nil {
 		return err
 	}
-	h.process = d.launch(h.name, h.daemon)
-	if err := d.await(ctx, h.daemon.Ready()); err != nil {
+	h.process = d.startProcess(h.name, h.daemon)
+	if err := d.wait(ctx, h.daemon.Ready()); err != nil {
 		return err
 	}
-	if h.peers == nil {
+	if h.peerRelay == nil {
 		return nil
 	}
-	if err := lead(h.peers, h.daemon.LinkAddr()); err != nil {
+	if err := setRelayHost(h.peerRelay, h.daemon.LinkAddr()); err != nil {
 		return err
 	}
-	for _, r := range h.byDomain {
-		if err := lead(r, h.daemon.LinkAddr()); err != nil {
+	for _, r := range h.domainRelays {
+		if err := setRelayHost(r, h.daemon.LinkAddr()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// controlAddresses are the link addresses of the control hosts as the hosts
-// of a failure domain reach them, the near ones first.
+// controlAddresses returns the link addresses of the control hosts for the hosts of a
+// failure domain, those in the same domain first.
 func (d *Deployment) controlAddresses(domain string) []string {
-	var near, far []string
+	var local, remote []string
 	for _, h := range d.controls {
 		switch {
-		case h.peers == nil:
-			far = append(far, h.daemon.LinkAddr())
+		case h.peerRelay == nil:
+			remote = append(remote, h.daemon.LinkAddr())
 		case h.domain == domain:
-			near = append(near, h.byDomain[domain].Addr().String())
+			local = append(local, h.domainRelays[domain].Addr().String())
 		default:
-			far = append(far, h.byDomain[domain].Addr().String())
+			remote = append(remote, h.domainRelays[domain].Addr().String())
 		}
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
-// renewClient makes a client for the operator addresses that are open now.
+// renewClient replaces the client by one for the current operator addresses.
 func (d *Deployment) renewClient() error {
 	var addresses []string
 	for _, h := range d.controls {
@@ -166,8 +167,8 @@
 	return operator.NewClient(addresses, creds), nil
 }
 
-// submitServices puts the services into the configuration. The control hosts
-// may still be electing a leader, so a patch that was not done goes again.
+// submitServices submits the services as the first patch. It retries, since the control
+// hosts may still be electing a leader.
 func (d *Deployment) submitServices(ctx context.Context) error {
 	patch := &configpb.Patch{Id: patchID}
 	for i, s := range d.opts.Services {
@@ -185,26 +186,26 @@
 		case err == nil:
 			return errors.Wrapf(ErrRefused, "%v", outcome)
 		}
-		// The identifier keeps a resend from applying twice.
-		if err := d.pause(ctx); err != nil {
+		// The patch identifier prevents a retry from being applied twice.
+		if err := d.waitPollInterval(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// publicAddress is the public address of a service. Entry hosts open a free
-// port in its place.
+// publicAddress returns the configured public address of a service. Entry hosts listen
+// on a free port instead.
 func publicAddress(index int) string {
 	return net.JoinHostPort(loopbackIP, fmt.Sprint(firstPublicPort+index))
 }
 
-// knownTargets is the greatest number of targets that a control host knows.
+// knownTargets returns the highest number of targets that any control host knows.
 func (d *Deployment) knownTargets(ctx context.Context) int {
-	most := 0
+	highest := 0
 	for _, h := range d.Operator().Status(ctx) {
 		if h.Err == nil {
-			most = max(most, h.Status.Targets)
+			highest = max(highest, h.Status.Targets)
 		}
 	}
-	return most
+	return highest
 }
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -24,8 +24,8 @@
 
 const (
 	operatorName = "dev"
-	keysFolder   = "keys"
-	dataFolder   = "data"
+	keysDirName  = "keys"
+	dataDirName  = "data"
 	patchID      = "dev-services"
 
 	freePort        = "127.0.0.1:0"
@@ -37,19 +37,18 @@
 	defaultEntries = 2
 	announcePeriod = 500 * time.Millisecond
 	keyValidity    = 30 * 24 * time.Hour
-	pollPause      = 20 * time.Millisecond
-	// endTimeout bounds the graceful end of a deployment whose sessions the
-	// callers keep open.
-	endTimeout = 10 * time.Second
+	pollInterval   = 20 * time.Millisecond
+	// shutdownTimeout bounds the wait for sessions that callers keep open.
+	shutdownTimeout = 10 * time.Second
 )
 
-// ErrDaemonExited reports a daemon that ended before the deployment did.
-var ErrDaemonExited = errors.New("a daemon ended")
+// ErrDaemonExited reports a daemon that exited before the deployment was closed.
+var ErrDaemonExited = errors.New("daemon exited")
 
 // Service is one service of a deployment.
 type Service struct {
 	Name string
-	// Targets is how many targets it has.
+	// Targets is the number of targets.
 	Targets int
 	// Slots of each target; 0 means 4.
 	Slots uint32
@@ -62,25 +61,25 @@
 	return []Service{{Name: "lodgement", Targets: 2}, {Name: "certificates", Targets: 2}}
 }
 
-// DefaultDomains are the failure domains when the options name none.
+// DefaultDomains are the default failure domains.
 func DefaultDomains() []string { return []string{"oke-ado", "dugbe", "bodija", "challenge"} }
 
 // Options describe a deployment.
 type Options struct {
 	// Services default to DefaultServices.
 	Services []Service
-	// Domains are the failure domains; the hosts of each role stand in them
-	// in turn. They default to DefaultDomains.
+	// Domains are the failure domains; the hosts of each role are assigned to them
+	// round robin. They default to DefaultDomains.
 	Domains []string
 	// EntryHosts is the number of entry hosts; 0 means 2.
 	EntryHosts int
 	// ControlHosts is the number of control hosts; 0 means 1.
 	ControlHosts int
-	// FlowCapacity is the number of open flows that count as a full target; 0
-	// means the agents' default.
+	// FlowCapacity is the number of open flows at which a target is full; 0 means
+	// the agents' default.
 	FlowCapacity uint32
-	// Network puts proxies between the hosts. Nil means none, but for more
-	// than one control host, which need them.
+	// Network puts proxies between the hosts. Nil means none, unless there are
+	// several control hosts, which need them.
 	Network *Network
 	Log     *zap.Logger
 	Scope   tally.Scope
@@ -117,11 +116,11 @@
 	return o
 }
 
-// Deployment is a running deployment. Load may run beside the methods that
-// change it; those themselves are called one at a time.
+// Deployment is a running deployment. Load may run concurrently with the methods that
+// change the deployment; those must be called one at a time.
 type Deployment struct {
 	opts     Options
-	folder   string
+	dir      string
 	log      *zap.Logger
 	roots    *x509.CertPool
 	operator keys.Files
@@ -129,49 +128,49 @@
 	client   atomic.Pointer[operator.Client]
 
 	controls []*controlHost
-	// agents are all agents ever started; old ones may still have sessions.
+	// agents are all agents started; replaced ones may still have sessions.
 	agents  []*process
 	callers map[string]keys.Files
-	ledgers map[string]*backend.RunLog
+	runLogs map[string]*backend.RunLog
 
-	// life ends with Close.
-	life     context.Context
-	endLife  context.CancelFunc
-	running  conc.WaitGroup
-	draining conc.WaitGroup
-	// gone is closed when a daemon ended with an error.
-	gone chan struct{}
+	// runCtx is canceled by Close.
+	runCtx    context.Context
+	cancelRun context.CancelFunc
+	running   conc.WaitGroup
+	draining  conc.WaitGroup
+	// failed is closed when a daemon exits unexpectedly.
+	failed chan struct{}
 
-	// mu guards what Load reads while the deployment changes.
-	mu      sync.Mutex
-	entries []*entryHost
-	targets map[string][]*target
-	ended   error
+	// mu guards the state that Load reads while the deployment changes.
+	mu        sync.Mutex
+	entries   []*entryHost
+	targets   map[string][]*target
+	daemonErr error
 }
 
-// Start starts a deployment and waits until every entry host serves every
-// service and knows every target, and without a network also until every
-// target has answered a call through every entry host. It ends what it started when ctx ends first
-// or a daemon fails.
+// Start starts a deployment and waits until every entry host serves every service and
+// knows every target. Without a network it also waits until every target has answered
+// a call through every entry host. On failure, or when ctx ends first, it stops
+// everything that it started.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
 	o = o.withDefaults()
-	folder, err := os.MkdirTemp("", "eelgrasswharf-dev-")
+	dir, err := os.MkdirTemp("", "eelgrasswharf-dev-")
 	if err != nil {
-		return nil, errors.Wrap(err, "temporary folder")
+		return nil, errors.Wrap(err, "temporary directory")
 	}
 	d := &Deployment{
-		opts: o, folder: folder, log: o.Log,
+		opts: o, dir: dir, log: o.Log,
 		roots:   x509.NewCertPool(),
 		network: newNetwork(Network{}, nil),
 		callers: map[string]keys.Files{},
-		ledgers: map[string]*backend.RunLog{},
+		runLogs: map[string]*backend.RunLog{},
 		targets: map[string][]*target{},
-		gone:    make(chan struct{}),
+		failed:  make(chan struct{}),
 	}
 	if o.Network != nil {
 		d.network = newNetwork(*o.Network, o.Domains)
 	}
-	d.life, d.endLife = context.WithCancel(context.Background())
+	d.runCtx, d.cancelRun = context.WithCancel(context.Background())
 	if err := d.start(ctx); err != nil {
 		d.Close()
 		return nil, err
@@ -181,7 +180,7 @@
 
 func (d *Deployment) start(ctx context.Context) error {
 	steps := []func(context.Context) error{
-		d.makeKeys, d.startControls, d.submitServices, d.startEntries, d.startTargets, d.awaitService, d.awaitTargets,
+		d.createKeys, d.startControls, d.submitServices, d.startEntries, d.startTargets, d.waitForEntryHosts, d.waitForTargets,
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -191,13 +190,13 @@
 	return nil
 }
 
-// awaitService waits until every entry host serves, and has the fabric use
-// them.
-func (d *Deployment) awaitService(ctx context.Context) error {
+// waitForEntryHosts waits until every entry host is ready, and then adds them to the
+// fabric.
+func (d *Deployment) waitForEntryHosts(ctx context.Context) error {
 	want := len(d.allTargets())
-	err := d.until(ctx, func() bool {
+	err := d.waitUntil(ctx, func() bool {
 		for _, h := range d.entries {
-			if !d.entryServes(h, want) {
+			if !d.entryReady(h, want) {
 				return false
 			}
 		}
@@ -206,7 +205,7 @@
 	if err != nil {
 		return err
 	}
-	d.spread()
+	d.updateFabric()
 	d.log.Info("deployment ready", zap.Int("targets", want), zap.Int("entries", len(d.entries)))
 	return nil
 }
@@ -214,28 +213,29 @@
 // domain returns the failure domain of the host at an index of its role.
 func (d *Deployment) domain(index int) string { return d.opts.Domains[index%len(d.opts.Domains)] }
 
-// pause waits a moment, or returns why there is nothing to wait for.
-func (d *Deployment) pause(ctx context.Context) error {
+// waitPollInterval waits for the poll interval, a failure, or the end of ctx.
+func (d *Deployment) waitPollInterval(ctx context.Context) error {
 	select {
-	case <-time.After(pollPause):
+	case <-time.After(pollInterval):
 		return nil
-	case <-d.gone:
+	case <-d.failed:
 		return d.failure()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Failed is closed when a daemon ended by itself; Err then says why.
-func (d *Deployment) Failed() <-chan struct{} { return d.gone }
+// Failed returns a channel that is closed when a daemon exits unexpectedly; Err then
+// returns the reason.
+func (d *Deployment) Failed() <-chan struct{} { return d.failed }
 
-// Err is the failure of a daemon, if any.
+// Err returns the failure of a daemon, if any.
 func (d *Deployment) Err() error { return d.failure() }
 
-// Roots verify what callers are shown.
+// Roots returns the roots that verify the caller certificates.
 func (d *Deployment) Roots() *x509.CertPool { return d.roots }
 
-// Services are the names of the services, sorted.
+// Services returns the sorted names of the services.
 func (d *Deployment) Services() []string {
 	var names []string
 	for _, s := range d.opts.Services {
@@ -245,24 +245,24 @@
 	return names
 }
 
-// Operator is a client for the control hosts.
+// Operator returns a client for the control hosts.
 func (d *Deployment) Operator() *operator.Client { return d.client.Load() }
 
-// OperatorArgs are the flags that let operator commands call the deployment.
+// OperatorArgs returns the flags with which operator commands call the deployment.
 func (d *Deployment) OperatorArgs() string {
 	return fmt.Sprintf("--control %s --authority %s --certificate %s --key %s",
 		d.controls[0].daemon.OperatorAddr(), d.operator.Authority, d.operator.Certificate, d.operator.PrivateKey)
 }
 
-// AuthorityFile is the certificate authority, which callers need.
+// AuthorityFile returns the path of the certificate authority for callers.
 func (d *Deployment) AuthorityFile() string {
-	return filepath.Join(d.folder, keysFolder, keys.AuthorityFile)
+	return filepath.Join(d.dir, keysDirName, keys.AuthorityFile)
 }
 
-// Close ends the deployment gracefully, targets first, and removes its
-// folder. Sessions that callers keep open are cut off after a while.
+// Close shuts the deployment down gracefully, targets first, and removes its directory.
+// Sessions that callers keep open are closed after shutdownTimeout.
 func (d *Deployment) Close() {
-	d.endTargets()
+	d.stopTargets()
 	for _, h := range d.entries {
 		if h.process != nil {
 			h.process.stop()
@@ -278,16 +278,17 @@
 	}
 	d.running.Wait()
 	d.network.close()
-	if err := os.RemoveAll(d.folder); err != nil {
-		d.log.Warn("temporary folder left behind", zap.Error(err))
+	if err := os.RemoveAll(d.dir); err != nil {
+		d.log.Warn("temporary directory not removed", zap.Error(err))
 	}
 }
 
-// endTargets drains backend servers first, as their agents have to hear of it.
-func (d *Deployment) endTargets() {
-	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+// stopTargets drains the backend servers before it stops their agents, which must
+// receive the announcement.
+func (d *Deployment) stopTargets() {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	context.AfterFunc(ctx, d.endLife)
+	context.AfterFunc(ctx, d.cancelRun)
 	for _, t := range d.allTargets() {
 		if t.server != nil {
 			d.draining.Go(func() { d.drain(ctx, t.server) })
@@ -295,15 +296,15 @@
 	}
 	d.draining.Wait()
 	for _, p := range d.agents {
-		p.leave()
+		p.requestStop()
 	}
 	for _, p := range d.agents {
-		<-p.ended
+		<-p.exited
 	}
 }
 
 func (d *Deployment) drain(ctx context.Context, s *backend.Server) {
 	if err := s.Drain(ctx); err != nil {
-		d.log.Warn("backend server cut off", zap.Error(err))
+		d.log.Warn("backend server drain failed", zap.Error(err))
 	}
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -18,7 +18,7 @@
 
 func start(t *testing.T) *dev.Deployment {
 	t.Helper()
-	t.Parallel() // each deployment has ports of its own
+	t.Parallel() // deployments use free ports
 	d, err := dev.Start(t.Context(), dev.Options{Log: zaptest.NewLogger(t)})
 	is.New(t).NoErr(err)
 	t.Cleanup(d.Close)
@@ -26,23 +26,23 @@
 }
 
 const (
-	// ampleAttempts and amplePercent are what a busy machine does not use up.
-	ampleAttempts = 100
-	amplePercent  = 100 * ampleAttempts
+	// Large enough for a busy machine.
+	maxAttempts  = 100
+	retryPercent = 100 * maxAttempts
 )
 
-// options leave a busy machine time enough: targets that are short of
-// processor time shed load, which callers then bring again.
-func options(duration time.Duration) loadgen.Options {
+// loadOptions returns options with a generous retry budget: targets short of CPU time
+// shed load, and callers retry.
+func loadOptions(duration time.Duration) loadgen.Options {
 	return loadgen.Options{
 		Rate: 60, Sessions: 6, WatchPeriod: 100 * time.Millisecond, NonRepeatable: 0.3, Connections: 6,
 		RequestsPerFlow: 10, Duration: duration, Deadline: time.Minute, Seed: 7,
-		MaxAttempts: ampleAttempts, RetryPercent: amplePercent,
+		MaxAttempts: maxAttempts, RetryPercent: retryPercent,
 	}
 }
 
-// check holds a report against what must always hold.
-func check(t *testing.T, r *loadgen.Report) {
+// checkReport checks that all requests were answered and nothing broke or ran twice.
+func checkReport(t *testing.T, r *loadgen.Report) {
 	t.Helper()
 	is := is.New(t)
 	is.Helper()
@@ -65,58 +65,58 @@
 	for _, service := range d.Services() {
 		is.Equal(len(d.Addresses(service)), 2) // one on each entry host
 		wg.Go(func() {
-			r, err := d.Load(t.Context(), service, options(time.Second))
+			r, err := d.Load(t.Context(), service, loadOptions(time.Second))
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			check(t, r)
+			checkReport(t, r)
 		})
 	}
 	wg.Wait()
 	is.NoErr(d.Err())
 }
 
-// A backend server drains under load: its sessions go on until their callers
-// end them, and its agent brings it no new work once the grace is over.
+// A backend server that drains under load keeps its sessions until their callers end
+// them, and gets no new work after the grace period.
 func TestSessionsSurviveDrain(t *testing.T) {
 	is := is.New(t)
 	d := start(t)
 	var wg conc.WaitGroup
-	drained := make(chan drain, 1)
+	drained := make(chan drainResult, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	wg.Go(func() {
-		number, leaving := awaitAnyWatch(ctx, d.Backends("lodgement"))
-		if leaving != nil {
-			drained <- drain{number: number, server: leaving, err: leaving.Drain(ctx)}
+		number, drainingServer := waitForAnyWatch(ctx, d.Backends("lodgement"))
+		if drainingServer != nil {
+			drained <- drainResult{number: number, server: drainingServer, err: drainingServer.Drain(ctx)}
 		}
 	})
-	r, err := d.Load(t.Context(), "lodgement", options(2*backend.DefaultDrainGrace))
+	r, err := d.Load(t.Context(), "lodgement", loadOptions(2*backend.DefaultDrainGrace))
 	is.NoErr(err)
 	t.Logf("%+v", *r)
 	is.True(r.Sessions > 0)
-	left := <-drained
+	result := <-drained
 	cancel()
 	wg.Wait()
-	is.NoErr(left.err)
-	is.True(r.SessionsPerTarget[fmt.Sprint("lodgement-", left.number)] > 0)
+	is.NoErr(result.err)
+	is.True(r.SessionsPerTarget[fmt.Sprint("lodgement-", result.number)] > 0)
 	is.Equal(r.Outcomes["answered"], r.Requests)
 	is.Equal(r.BrokenFlows, 0)
 	is.Equal(r.BrokenSessions, 0)
-	is.Equal(left.server.LateRequests(), 0)
+	is.Equal(result.server.LateRequests(), 0)
 }
 
-// drain is the end of the drain of a backend server.
-type drain struct {
+// drainResult is the result of draining a backend server.
+type drainResult struct {
 	number int
 	server *backend.Server
 	err    error
 }
 
-// awaitAnyWatch returns the first server, counted from 1, that has a session:
-// which one that is, chance decides.
-func awaitAnyWatch(ctx context.Context, all []*backend.Server) (int, *backend.Server) {
+// waitForAnyWatch waits until a server has a session and returns its number, counted
+// from 1, and the server.
+func waitForAnyWatch(ctx context.Context, all []*backend.Server) (int, *backend.Server) {
 	for ctx.Err() == nil {
 		for i, s := range all {
 			if s.Watching() > 0 {
@@ -128,9 +128,9 @@
 	return 0, nil
 }
 
-// awaitSessions waits until so many sessions are open, over all servers, and
-// reports whether they were before the context ended.
-func awaitSessions(ctx context.Context, servers []*backend.Server, count int) bool {
+// waitForSessions waits until count sessions are open on all servers together. It returns
+// false if the context ends first.
+func waitForSessions(ctx context.Context, servers []*backend.Server, count int) bool {
 	for ctx.Err() == nil {
 		open := 0
 		for _, s := range servers {
@@ -144,22 +144,22 @@
 	return false
 }
 
-// Every entry host restarts, one right after the other, so that all that a
-// session's agent remembers of its way back is gone.
+// Sessions survive the restart of all entry hosts in a row, after which none of the return
+// paths that their agents know is left.
 func TestSessionsSurviveRestartOfAllEntryHosts(t *testing.T) {
 	is := is.New(t)
 	d, err := dev.Start(t.Context(), dev.Options{EntryHosts: 3, Network: &dev.Network{Seed: 1}, Log: zaptest.NewLogger(t)})
 	is.NoErr(err)
 	t.Cleanup(d.Close)
-	stop := make(chan struct{})
+	enough := make(chan struct{})
 	restarted := make(chan error, 1)
 	const sessions = 20
-	loaded, loadEnds := context.WithCancel(t.Context())
-	defer loadEnds()
+	loadCtx, cancelLoad := context.WithCancel(t.Context())
+	defer cancelLoad()
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		defer close(stop)
-		if !awaitSessions(loaded, d.Backends("lodgement"), sessions) {
+		defer close(enough)
+		if !waitForSessions(loadCtx, d.Backends("lodgement"), sessions) {
 			restarted <- errors.New("the load ended before all sessions were open")
 			return
 		}
@@ -176,11 +176,11 @@
 		case <-t.Context().Done():
 		}
 	})
-	o := options(5 * time.Minute) // Enough ends it
+	o := loadOptions(5 * time.Minute) // StopWhen ends it
 	o.Sessions, o.SessionRamp = sessions, 100*time.Millisecond
 	o.StopWhen = func(*loadgen.Report) bool {
 		select {
-		case <-stop:
+		case <-enough:
 			return true
 		default:
 			return false
@@ -188,7 +188,7 @@
 	}
 	o.WatchPeriod = 500 * time.Millisecond
 	r, err := d.Load(t.Context(), "lodgement", o)
-	loadEnds()
+	cancelLoad()
 	wg.Wait()
 	is.NoErr(err)
 	is.NoErr(<-restarted)
--- a/internal/dev/entry.go
+++ b/internal/dev/entry.go
@@ -11,13 +11,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/settings"
 )
 
-// entryHost is an entry host. Its settings outlive its daemon.
+// entryHost is an entry host. Its settings are kept across restarts of its daemon.
 type entryHost struct {
 	name, domain string
 	settings     *settingspb.EntrySettings
 	daemon       *entryd.Daemon
 	process      *process
-	// withdrawn hosts get no packets of callers from the fabric.
+	// withdrawn means that the fabric sends it no packets of callers.
 	withdrawn bool
 }
 
@@ -28,7 +28,7 @@
 			return err
 		}
 		d.entries = append(d.entries, h)
-		if err := d.launchEntry(ctx, h); err != nil {
+		if err := d.startEntry(ctx, h); err != nil {
 			return err
 		}
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listen := d.network.listenIn(h.domain)
+	listen := d.network.listenAddr(h.domain)
 	h.settings = &settingspb.EntrySettings{
 		Host:    &settingspb.Host{Name: h.name, FailureDomain: h.domain},
 		Keys:    keySettings,
@@ -65,8 +65,8 @@
 	return h, nil
 }
 
-// launchEntry starts the daemon of an entry host, again after it ended.
-func (d *Deployment) launchEntry(ctx context.Context, h *entryHost) error {
+// startEntry starts or restarts the daemon of an entry host.
+func (d *Deployment) startEntry(ctx context.Context, h *entryHost) error {
 	daemon, err := entryd.New(h.settings, d.log.Named(h.name), d.opts.Scope)
 	if err != nil {
 		return err
@@ -74,19 +74,19 @@
 	d.mu.Lock()
 	h.daemon = daemon
 	d.mu.Unlock()
-	h.process = d.launch(h.name, daemon)
-	return d.await(ctx, daemon.Ready())
+	h.process = d.startProcess(h.name, daemon)
+	return d.wait(ctx, daemon.Ready())
 }
 
-// entryServes reports whether an entry host has opened every public address
-// and knows that many targets.
-func (d *Deployment) entryServes(h *entryHost, targets int) bool {
+// entryReady reports whether an entry host has opened every public address and knows
+// enough targets.
+func (d *Deployment) entryReady(h *entryHost, targets int) bool {
 	return len(h.daemon.PublicAddrs()) >= len(d.opts.Services) && h.daemon.Targets() >= targets
 }
 
-// spread makes the fabric spray over all entry hosts that are not withdrawn.
-func (d *Deployment) spread() {
-	for name, relay := range d.network.fabric {
+// updateFabric makes the fabrics send to all entry hosts that are not withdrawn.
+func (d *Deployment) updateFabric() {
+	for name, relay := range d.network.fabricRelays {
 		var hosts []netip.AddrPort
 		for _, address := range d.entryAddresses(name) {
 			hosts = append(hosts, netip.MustParseAddrPort(address))
@@ -95,7 +95,8 @@
 	}
 }
 
-// entryAddresses are where the entry hosts take the packets of a service.
+// entryAddresses returns the addresses of a service on the entry hosts that are not
+// withdrawn.
 func (d *Deployment) entryAddresses(service string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,10 +114,10 @@
 	return out
 }
 
-// Addresses are where callers reach a service: the fabric if there is one,
+// Addresses returns the addresses of a service for callers: the fabric if there is one,
 // else one address on each entry host.
 func (d *Deployment) Addresses(service string) []string {
-	if relay := d.network.fabric[service]; relay != nil {
+	if relay := d.network.fabricRelays[service]; relay != nil {
 		return []string{relay.Addr().String()}
 	}
 	return d.entryAddresses(service)
--- a/internal/dev/keys.go
+++ b/internal/dev/keys.go
@@ -8,9 +8,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-func (d *Deployment) keysDir() string { return filepath.Join(d.folder, keysFolder) }
+func (d *Deployment) keysDir() string { return filepath.Join(d.dir, keysDirName) }
 
-func (d *Deployment) makeKeys(context.Context) error {
+func (d *Deployment) createKeys(context.Context) error {
 	if err := keys.InitAuthority(d.keysDir()); err != nil {
 		return err
 	}
--- a/internal/dev/load.go
+++ b/internal/dev/load.go
@@ -7,8 +7,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/loadgen"
 )
 
-// Load runs o against a service of the deployment; what the deployment knows
-// better (addresses, roots, targets, backend servers) is filled in.
+// Load generates load against a service of the deployment. It overwrites the options
+// that the deployment knows: service, addresses, roots, targets and run counts.
 func (d *Deployment) Load(ctx context.Context, service string, o loadgen.Options) (*loadgen.Report, error) {
 	o.Service = service
 	o.Addresses = d.Addresses(service)
--- a/internal/dev/network.go
+++ b/internal/dev/network.go
@@ -11,42 +11,43 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/faultproxy"
 )
 
-// Network puts proxies between the hosts of a deployment, each a stand-in for
-// the network: a fabric per service that hands any packet of a caller to any
-// entry host, and delays between failure domains.
+// Network simulates a network between the hosts of a deployment with proxies: a fabric
+// per service that sends each packet of a caller to a random entry host, and delays
+// between failure domains.
 type Network struct {
-	// DomainDelay and CallerDelay are delays one way.
+	// DomainDelay is the one-way delay between failure domains, CallerDelay that
+	// between callers and the fabric.
 	DomainDelay, CallerDelay time.Duration
-	// Seed of the fabric's choices.
+	// Seed of the proxies' random choices.
 	Seed uint64
 }
 
-// network holds the proxies of a deployment. Its zero value has none.
+// network holds the proxies of a deployment.
 type network struct {
 	Network
 	domains []string
 	random  *rand.Rand
 	relays  []*faultproxy.Relay
-	// fabric is by service.
-	fabric map[string]*faultproxy.Relay
+	// fabricRelays are the fabrics by service.
+	fabricRelays map[string]*faultproxy.Relay
 }
 
 func newNetwork(n Network, domains []string) *network {
 	return &network{
 		Network: n, domains: domains,
-		random: rand.New(rand.NewPCG(n.Seed, 0)),
-		fabric: map[string]*faultproxy.Relay{},
+		random:       rand.New(rand.NewPCG(n.Seed, 0)),
+		fabricRelays: map[string]*faultproxy.Relay{},
 	}
 }
 
-// domainIP is the IP number of all hosts in a failure domain, so that a proxy
-// can tell where a packet comes from.
+// domainIP returns the IP address of all hosts in a failure domain. Proxies use it to
+// tell the domain of a sender.
 func domainIP(index int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 0, byte(index + 1), 1})
 }
 
-// listenIn is a free port in a failure domain.
-func (n *network) listenIn(domain string) string {
+// listenAddr returns a listen address with a free port in a failure domain.
+func (n *network) listenAddr(domain string) string {
 	for i, name := range n.domains {
 		if name == domain {
 			return netip.AddrPortFrom(domainIP(i), 0).String()
@@ -55,19 +56,19 @@
 	return freePort
 }
 
-// distanceTo returns the delay by the caller's IP number to a failure domain.
-// Callers outside of the failure domains' IP numbers count as another domain.
-func (n *network) distanceTo(domain string) func(netip.Addr) time.Duration {
-	own := netip.MustParseAddrPort(n.listenIn(domain)).Addr()
+// delayTo returns the delay from a caller's IP address to a failure domain. Callers
+// outside the failure domains count as another domain.
+func (n *network) delayTo(domain string) func(netip.Addr) time.Duration {
+	hostIP := netip.MustParseAddrPort(n.listenAddr(domain)).Addr()
 	return func(caller netip.Addr) time.Duration {
-		if caller == own {
+		if caller == hostIP {
 			return 0
 		}
 		return n.DomainDelay
 	}
 }
 
-// relay opens a proxy that has no host yet.
+// relay opens a proxy without a host.
 func (n *network) relay(delay func(netip.Addr) time.Duration) (*faultproxy.Relay, error) {
 	r, err := faultproxy.NewRelay(faultproxy.Options{
 		Listen: netip.MustParseAddrPort(freePort),
@@ -87,13 +88,13 @@
 	if err != nil {
 		return err
 	}
-	n.fabric[service] = r
+	n.fabricRelays[service] = r
 	return nil
 }
 
-// silence loses what the fabric carries to and from an entry host.
-func (n *network) silence(host netip.AddrPort) {
-	for _, r := range n.fabric {
+// isolate drops all traffic between the fabrics and an entry host.
+func (n *network) isolate(host netip.AddrPort) {
+	for _, r := range n.fabricRelays {
 		r.SetHostFaults(host, faultproxy.ToHost, faultproxy.Faults{Cut: true})
 		r.SetHostFaults(host, faultproxy.ToCaller, faultproxy.Faults{Cut: true})
 	}
@@ -105,8 +106,8 @@
 	}
 }
 
-// lead makes a proxy lead to an address.
-func lead(r *faultproxy.Relay, address string) error {
+// setRelayHost sets the host that a proxy relays to.
+func setRelayHost(r *faultproxy.Relay, address string) error {
 	host, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return errors.Wrap(err, fmt.Sprintf("proxy to %q", address))
--- a/internal/dev/change.go
+++ b/internal/dev/operations.go
@@ -11,95 +11,94 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/backend"
 )
 
-// fabricDelay is how long the fabric goes on to spray packets over an entry
-// host that fell silent.
-const fabricDelay = time.Second
+// withdrawalDelay is the time for which the fabric still sends packets to an unresponsive
+// entry host.
+const withdrawalDelay = time.Second
 
-// ErrNoSuchTarget reports an index that names no target.
+// ErrNoSuchTarget reports an invalid index of a target.
 var ErrNoSuchTarget = errors.New("no such target")
 
-// ControlHosts is the number of control hosts.
+// ControlHosts returns the number of control hosts.
 func (d *Deployment) ControlHosts() int { return len(d.controls) }
 
-// EntryHosts is the number of entry hosts.
+// EntryHosts returns the number of entry hosts.
 func (d *Deployment) EntryHosts() int { return len(d.entries) }
 
-// RestartControl ends a control host gracefully, starts it again on its disk
-// and waits until a quorum confirms the configuration through it.
+// RestartControl restarts a control host gracefully on its data and waits until a quorum
+// confirms the configuration through it.
 func (d *Deployment) RestartControl(ctx context.Context, index int) error {
 	h := d.controls[index]
 	h.process.stop()
-	if err := d.launchControl(ctx, h); err != nil {
+	if err := d.startControl(ctx, h); err != nil {
 		return err
 	}
 	if err := d.renewClient(); err != nil {
 		return err
 	}
-	own, err := d.newClient([]string{h.daemon.OperatorAddr()})
+	client, err := d.newClient([]string{h.daemon.OperatorAddr()})
 	if err != nil {
 		return err
 	}
-	defer own.Close()
-	return d.until(ctx, func() bool {
-		_, confirmed, err := own.Config(ctx, 0)
+	defer client.Close()
+	return d.waitUntil(ctx, func() bool {
+		_, confirmed, err := client.Config(ctx, 0)
 		return err == nil && confirmed
 	})
 }
 
-// RestartEntry withdraws an entry host from the fabric, restarts it, waits
-// until it knows every target, and has the fabric use it again.
+// RestartEntry withdraws an entry host from the fabric, restarts it, waits until it knows
+// as many targets as before, and returns it to the fabric.
 func (d *Deployment) RestartEntry(ctx context.Context, index int) error {
 	h := d.entries[index]
 	known := h.daemon.Targets()
-	d.withdraw(h, true)
+	d.setWithdrawn(h, true)
 	h.process.stop()
-	if err := d.launchEntry(ctx, h); err != nil {
+	if err := d.startEntry(ctx, h); err != nil {
 		return err
 	}
-	if err := d.until(ctx, func() bool { return d.entryServes(h, known) }); err != nil {
+	if err := d.waitUntil(ctx, func() bool { return d.entryReady(h, known) }); err != nil {
 		return err
 	}
-	d.withdraw(h, false)
+	d.setWithdrawn(h, false)
 	return nil
 }
 
-func (d *Deployment) withdraw(h *entryHost, yes bool) {
+func (d *Deployment) setWithdrawn(h *entryHost, value bool) {
 	d.mu.Lock()
-	h.withdrawn = yes
+	h.withdrawn = value
 	d.mu.Unlock()
-	d.spread()
+	d.updateFabric()
 }
 
-// RestartAgent starts a new agent beside the one of a target and has the old
-// one leave, which goes on until its last session has ended. It waits until
-// the new agent takes flows.
+// RestartAgent replaces the agent of a target and waits until the new one is registered.
+// The old one drains until its last session has ended.
 func (d *Deployment) RestartAgent(ctx context.Context, service string, index int) error {
 	t, err := d.target(service, index)
 	if err != nil {
 		return err
 	}
 	old := t.process
-	if err := d.launchAgent(t); err != nil {
+	if err := d.startAgent(t); err != nil {
 		return err
 	}
-	old.leave()
-	return d.await(ctx, t.agent.Registered())
+	old.requestStop()
+	return d.wait(ctx, t.agent.Registered())
 }
 
-// DrainTarget has a backend server leave, which goes on until its last session
-// has ended, or Close.
+// DrainTarget starts to drain a backend server, which lasts until its last session has
+// ended, or until Close.
 func (d *Deployment) DrainTarget(service string, index int) error {
 	t, err := d.target(service, index)
 	if err != nil {
 		return err
 	}
 	server := t.server
-	d.draining.Go(func() { d.drain(d.life, server) })
+	d.draining.Go(func() { d.drain(d.runCtx, server) })
 	return nil
 }
 
-// AddTarget starts one more target of a service, with a cold start, and waits
-// until it takes flows. It returns the name of the target.
+// AddTarget adds a target to a service, with a cold start, and waits until it is
+// registered. It returns the name of the target.
 func (d *Deployment) AddTarget(ctx context.Context, service string, cold backend.ColdStart) (string, error) {
 	t, err := d.addTarget(ctx, service, cold)
 	if err != nil {
@@ -108,7 +107,7 @@
 	return t.name, nil
 }
 
-// CrashServer ends a backend server at once, with all that it does.
+// CrashServer stops a backend server abruptly, with all its requests.
 func (d *Deployment) CrashServer(service string, index int) error {
 	t, err := d.target(service, index)
 	if err != nil {
@@ -117,8 +116,7 @@
 	return t.server.Close()
 }
 
-// StartServer starts a backend server again in the place of one that crashed,
-// with a cold start.
+// StartServer starts a backend server in place of one that crashed, with a cold start.
 func (d *Deployment) StartServer(service string, index int, cold backend.ColdStart) error {
 	t, err := d.target(service, index)
 	if err != nil {
@@ -135,7 +133,7 @@
 	return all[index], nil
 }
 
-// TargetsIn are the names of the targets of a service in a failure domain.
+// TargetsIn returns the names of the targets of a service in a failure domain.
 func (d *Deployment) TargetsIn(service, domain string) []string {
 	var names []string
 	for _, t := range d.targetsOf(service) {
@@ -146,22 +144,22 @@
 	return names
 }
 
-// IsolateDomain silences all hosts of a failure domain: nothing that they send
-// arrives, and nothing reaches them. Its control hosts are stopped. The fabric
-// notices a while later. It needs a Network.
+// IsolateDomain drops all traffic to and from the hosts of a failure domain and stops its
+// control hosts. The fabric withdraws its entry hosts after withdrawalDelay. It needs a
+// Network.
 func (d *Deployment) IsolateDomain(ctx context.Context, domain string) error {
 	for _, t := range d.allTargets() {
 		if t.domain != domain {
 			continue
 		}
-		for _, r := range t.frames {
+		for _, r := range t.frameRelays {
 			r.Cut()
 		}
 	}
 	for _, h := range d.controls {
-		h.byDomain[domain].Cut()
+		h.domainRelays[domain].Cut()
 		if h.domain == domain {
-			d.silence(h)
+			d.isolate(h)
 		}
 	}
 	for _, h := range d.entries {
@@ -169,32 +167,33 @@
 			continue
 		}
 		for _, address := range h.daemon.PublicAddrs() {
-			d.network.silence(netip.MustParseAddrPort(address))
+			d.network.isolate(netip.MustParseAddrPort(address))
 		}
 	}
-	d.log.Info("failure domain lost", zap.String("domain", domain))
-	return d.noticeLoss(ctx, domain)
+	d.log.Info("failure domain isolated", zap.String("domain", domain))
+	return d.withdrawIsolatedEntries(ctx, domain)
 }
 
-// silence cuts a control host off and stops it.
-func (d *Deployment) silence(h *controlHost) {
-	h.peers.Cut()
-	for _, r := range h.byDomain {
+// isolate cuts the relays to a control host and stops it.
+func (d *Deployment) isolate(h *controlHost) {
+	h.peerRelay.Cut()
+	for _, r := range h.domainRelays {
 		r.Cut()
 	}
 	d.draining.Go(h.process.stop)
 }
 
-// noticeLoss has the fabric withdraw silent entry hosts after a while.
-func (d *Deployment) noticeLoss(ctx context.Context, domain string) error {
+// withdrawIsolatedEntries withdraws the entry hosts of a failure domain from the fabric
+// after withdrawalDelay.
+func (d *Deployment) withdrawIsolatedEntries(ctx context.Context, domain string) error {
 	select {
-	case <-time.After(fabricDelay):
+	case <-time.After(withdrawalDelay):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for _, h := range d.entries {
 		if h.domain == domain {
-			d.withdraw(h, true)
+			d.setWithdrawn(h, true)
 		}
 	}
 	return nil
--- a/internal/dev/probe.go
+++ b/internal/dev/probe.go
@@ -19,10 +19,10 @@
 
 var errProbe = errors.New("probe was not answered")
 
-// awaitTargets calls each service through each entry host, on a fresh flow
-// each time, until every target has answered there. Callers of a deployment
-// with a fabric cannot choose the entry host.
-func (d *Deployment) awaitTargets(ctx context.Context) error {
+// waitForTargets calls each service through each entry host, on a new flow each time,
+// until every target has answered. It does nothing with a network, whose callers cannot
+// choose the entry host.
+func (d *Deployment) waitForTargets(ctx context.Context) error {
 	if d.opts.Network != nil {
 		return nil
 	}
@@ -38,7 +38,7 @@
 				if err == nil {
 					continue
 				}
-				if err := d.pause(ctx); err != nil {
+				if err := d.waitPollInterval(ctx); err != nil {
 					return err
 				}
 			}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// probe makes one call and returns the name of the target that answered.
+// probe makes one call on a new flow and returns the name of the target that answered.
 func (d *Deployment) probe(ctx context.Context, service, addr string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/dev/process.go
+++ b/internal/dev/process.go
@@ -6,58 +6,58 @@
 	"github.com/go-faster/errors"
 )
 
-// runner is what all daemons have in common.
-type runner interface {
+// daemon is implemented by the daemons of all roles.
+type daemon interface {
 	Run(ctx context.Context) error
 	Ready() <-chan struct{}
 }
 
-// process is a daemon that runs in this process.
+// process is a daemon running in a goroutine.
 type process struct {
 	name   string
 	cancel context.CancelFunc
-	ended  chan struct{}
+	exited chan struct{}
 }
 
-// launch runs a daemon. Its end before stop is a failure of the deployment.
-func (d *Deployment) launch(name string, r runner) *process {
-	life, stop := context.WithCancel(context.Background())
-	p := &process{name: name, cancel: stop, ended: make(chan struct{})}
+// startProcess runs a daemon. If it exits before it is stopped, the deployment fails.
+func (d *Deployment) startProcess(name string, r daemon) *process {
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	p := &process{name: name, cancel: cancelRun, exited: make(chan struct{})}
 	d.running.Go(func() {
-		defer close(p.ended)
-		err := r.Run(life)
-		if err != nil || life.Err() == nil {
+		defer close(p.exited)
+		err := r.Run(runCtx)
+		if err != nil || runCtx.Err() == nil {
 			d.fail(errors.Wrapf(ErrDaemonExited, "%s: %v", name, err))
 		}
 	})
 	return p
 }
 
-// leave tells the daemon to end gracefully and returns at once.
-func (p *process) leave() { p.cancel() }
+// requestStop starts a graceful shutdown and returns immediately.
+func (p *process) requestStop() { p.cancel() }
 
-// stop ends the daemon gracefully, however long that takes.
+// stop shuts the daemon down gracefully, without a time limit.
 func (p *process) stop() {
 	p.cancel()
-	<-p.ended
+	<-p.exited
 }
 
-// await waits for a channel to be closed, a failure, or the end of ctx.
-func (d *Deployment) await(ctx context.Context, what <-chan struct{}) error {
+// wait waits until done is closed, a daemon fails, or ctx ends.
+func (d *Deployment) wait(ctx context.Context, done <-chan struct{}) error {
 	select {
-	case <-what:
+	case <-done:
 		return nil
-	case <-d.gone:
+	case <-d.failed:
 		return d.failure()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// until polls a condition.
-func (d *Deployment) until(ctx context.Context, condition func() bool) error {
+// waitUntil polls the condition until it holds, a daemon fails, or ctx ends.
+func (d *Deployment) waitUntil(ctx context.Context, condition func() bool) error {
 	for !condition() {
-		if err := d.pause(ctx); err != nil {
+		if err := d.waitPollInterval(ctx); err != nil {
 			return err
 		}
 	}
@@ -67,14 +67,14 @@
 func (d *Deployment) fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ended == nil {
-		d.ended = err
-		close(d.gone)
+	if d.daemonErr == nil {
+		d.daemonErr = err
+		close(d.failed)
 	}
 }
 
 func (d *Deployment) failure() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ended
+	return d.daemonErr
 }
--- a/internal/dev/target.go
+++ b/internal/dev/target.go
@@ -19,9 +19,9 @@
 	agent                 *agentd.Daemon
 	process               *process
 	server                *backend.Server
-	// frames are the proxies in front of this host's agents, the present one
-	// last.
-	frames []*faultproxy.Relay
+	// frameRelays are the proxies in front of this host's agents, that of the current
+	// agent last.
+	frameRelays []*faultproxy.Relay
 }
 
 func (d *Deployment) startTargets(ctx context.Context) error {
@@ -31,7 +31,7 @@
 			return err
 		}
 		d.callers[s.Name] = caller
-		d.ledgers[s.Name] = &backend.RunLog{}
+		d.runLogs[s.Name] = &backend.RunLog{}
 		for range s.Targets {
 			if _, err := d.addTarget(ctx, s.Name, backend.ColdStart{}); err != nil {
 				return err
@@ -41,8 +41,7 @@
 	return nil
 }
 
-// addTarget starts one more target of a service and waits until it is
-// registered.
+// addTarget adds a target to a service and waits until it is registered.
 func (d *Deployment) addTarget(ctx context.Context, service string, cold backend.ColdStart) (*target, error) {
 	index := len(d.targetsOf(service))
 	t := &target{service: service, name: targetName(service, index), domain: d.domain(index)}
@@ -56,7 +55,7 @@
 		Keys:    keySettings,
 		Control: &settingspb.ControlPeers{Addresses: d.controlAddresses(t.domain)},
 		Agent: &settingspb.Agent{
-			FrameListen:       d.network.listenIn(t.domain),
+			FrameListen:       d.network.listenAddr(t.domain),
 			AnnounceListen:    freePort,
 			CallerCertificate: caller.Certificate,
 			CallerPrivateKey:  caller.PrivateKey,
@@ -64,13 +63,13 @@
 		},
 	}
 	settings.Defaults(t.settings)
-	if err := d.launchAgent(t); err != nil {
+	if err := d.startAgent(t); err != nil {
 		return nil, err
 	}
-	if err := d.await(ctx, t.agent.Ready()); err != nil {
+	if err := d.wait(ctx, t.agent.Ready()); err != nil {
 		return nil, err
 	}
-	// The agent that takes its place has to listen where this one did.
+	// A replacement of the agent must listen on the same address.
 	t.settings.Agent.AnnounceListen = t.agent.AnnounceAddr()
 	if err := d.startServer(t, cold); err != nil {
 		return nil, err
@@ -78,15 +77,15 @@
 	d.mu.Lock()
 	d.targets[service] = append(d.targets[service], t)
 	d.mu.Unlock()
-	return t, d.await(ctx, t.agent.Registered())
+	return t, d.wait(ctx, t.agent.Registered())
 }
 
-// launchAgent starts an agent for a target, beside the one that it may have.
-func (d *Deployment) launchAgent(t *target) error {
+// startAgent starts an agent for a target. It does not stop a previous one.
+func (d *Deployment) startAgent(t *target) error {
 	var relay *faultproxy.Relay
 	if d.opts.Network != nil {
 		var err error
-		if relay, err = d.network.relay(d.network.distanceTo(t.domain)); err != nil {
+		if relay, err = d.network.relay(d.network.delayTo(t.domain)); err != nil {
 			return err
 		}
 		t.settings.Agent.FrameAddress = relay.Addr().String()
@@ -96,13 +95,13 @@
 		return err
 	}
 	if relay != nil {
-		if err := lead(relay, agent.FrameAddr()); err != nil {
+		if err := setRelayHost(relay, agent.FrameAddr()); err != nil {
 			return err
 		}
-		t.frames = append(t.frames, relay)
+		t.frameRelays = append(t.frameRelays, relay)
 	}
 	t.agent = agent
-	t.process = d.launch(agentName(t.name), agent)
+	t.process = d.startProcess(agentName(t.name), agent)
 	d.agents = append(d.agents, t.process)
 	return nil
 }
@@ -112,7 +111,7 @@
 	server, err := backend.Start(backend.Options{
 		Service: t.service, Target: t.name, Listen: freePort, Announce: t.settings.Agent.AnnounceListen,
 		Slots: d.slotsOf(t.service), AnnouncePeriod: announcePeriod, Cold: cold,
-		RunLog: d.ledgers[t.service], Log: d.log.Named(t.name),
+		RunLog: d.runLogs[t.service], Log: d.log.Named(t.name),
 	})
 	if err != nil {
 		return err
@@ -138,7 +137,7 @@
 	return append([]*target(nil), d.targets[service]...)
 }
 
-// Targets are the names of the targets of a service, also of those that left.
+// Targets returns the names of all targets of a service, including drained ones.
 func (d *Deployment) Targets(service string) []string {
 	var names []string
 	for _, t := range d.targetsOf(service) {
@@ -147,7 +146,7 @@
 	return names
 }
 
-// Backends are the backend servers of a service, in the order of Targets.
+// Backends returns the backend servers of a service in the order of Targets.
 func (d *Deployment) Backends(service string) []*backend.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,9 +157,9 @@
 	return servers
 }
 
-// RunCount tells how often an idempotency key ran at all backend servers of a
-// service, those that crashed or left included.
-func (d *Deployment) RunCount(service, key string) int { return d.ledgers[service].Count(key) }
+// RunCount returns how often an idempotency key ran on all backend servers of a service,
+// including crashed and drained ones.
+func (d *Deployment) RunCount(service, key string) int { return d.runLogs[service].Count(key) }
 
 func targetName(service string, index int) string { return fmt.Sprintf("%s-%d", service, index+1) }
 
