--- a/internal/loadgen/flow.go
+++ b/internal/loadgen/flow.go
@@ -14,7 +14,7 @@
 const (
 	idleTimeout     = 20 * time.Second
 	keepAlivePeriod = 5 * time.Second
-	// handshakeTimeout leaves time within a usual deadline for another flow.
+	// handshakeTimeout leaves time for another flow within the default deadline.
 	handshakeTimeout = time.Second
 )
 
@@ -22,15 +22,15 @@
 type flow struct {
 	conn *quic.Conn
 	h3   *http3.ClientConn
-	// uses counts the requests that were given this flow; the slot guards it.
+	// uses counts the requests assigned to this flow; guarded by the slot's lock.
 	uses int
-	// leaving flows get no more requests and end with their last one.
-	leaving  atomic.Bool
+	// draining flows get no more requests and are closed after their last one.
+	draining atomic.Bool
 	inFlight atomic.Int64
-	// target is the name of the target that answered on it, if any did.
+	// target is the name of the target that answered first, if any.
 	target atomic.Pointer[string]
-	// own is set before the caller closes the flow.
-	own atomic.Bool
+	// closedByCaller is set before the caller closes the flow.
+	closedByCaller atomic.Bool
 	// broken is set when the flow was counted as broken.
 	broken atomic.Bool
 }
@@ -61,31 +61,31 @@
 	transport := &http3.Transport{DisableCompression: true}
 	f := &flow{conn: conn, h3: transport.NewClientConn(conn)}
 	d.rec.flowOpened()
-	context.AfterFunc(conn.Context(), func() { d.ended(f) })
+	context.AfterFunc(conn.Context(), func() { d.connectionClosed(f) })
 	return f, nil
 }
 
-// ended counts a flow that did not end cleanly.
-func (d *dialer) ended(f *flow) {
+// connectionClosed counts the flow as broken unless it ended cleanly.
+func (d *dialer) connectionClosed(f *flow) {
 	if reason := endReason(context.Cause(f.conn.Context())); reason != "" {
-		d.breakFlow(f, reason)
+		d.recordBroken(f, reason)
 	}
 }
 
-// requestLost counts a flow as broken whose end left a request unknown; that
-// holds for a clean end too. The error tells of the end, since it may come
-// before the connection's own context is done.
+// requestLost counts a flow as broken whose end, even a clean one, left the outcome of a
+// request unknown. The reason comes from the error, since the connection's context may
+// not be done yet.
 func (d *dialer) requestLost(f *flow, err error) {
 	reason := endReason(err)
 	if reason == "" {
 		reason = reasonLost
 	}
-	d.breakFlow(f, reason)
+	d.recordBroken(f, reason)
 }
 
-// breakFlow counts a flow once.
-func (d *dialer) breakFlow(f *flow, reason string) {
-	if f.own.Load() || !f.broken.CompareAndSwap(false, true) {
+// recordBroken counts a flow as broken, at most once.
+func (d *dialer) recordBroken(f *flow, reason string) {
+	if f.closedByCaller.Load() || !f.broken.CompareAndSwap(false, true) {
 		return
 	}
 	if d.hostFailed(f) {
@@ -95,20 +95,20 @@
 	d.rec.flowBroken(reason)
 }
 
-// hostFailed tells whether the flow's target stands on a host that failed.
+// hostFailed reports whether the host of the flow's target has failed.
 func (d *dialer) hostFailed(f *flow) bool {
 	target := f.target.Load()
 	return target != nil && d.opts.HostFailed(*target)
 }
 
-// answeredBy keeps the target that a flow leads to.
-func (f *flow) answeredBy(target string) {
+// setTarget stores the target of the flow's first answer.
+func (f *flow) setTarget(target string) {
 	if name := targetName(target); name != "" && f.target.Load() == nil {
 		f.target.Store(&name)
 	}
 }
 
-// endReason names what ended a connection, or nothing for a clean end.
+// endReason returns the reason for the end of a connection, "" for a clean one.
 func endReason(cause error) string {
 	var app *quic.ApplicationError
 	var idle *quic.IdleTimeoutError
@@ -130,56 +130,55 @@
 	return "other"
 }
 
-// close ends the flow from the caller's side.
+// close closes the flow from the caller's side.
 func (f *flow) close() {
 	if f.conn.Context().Err() == nil {
-		f.own.Store(true)
+		f.closedByCaller.Store(true)
 	}
 	_ = f.h3.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 }
 
-// dead tells that the flow can carry no more requests.
-func (f *flow) dead() bool {
-	return f.leaving.Load() || f.conn.Context().Err() != nil
+// unusable reports whether the flow can carry no more requests.
+func (f *flow) unusable() bool {
+	return f.draining.Load() || f.conn.Context().Err() != nil
 }
 
-// release ends one use of the flow.
+// release ends one use of the flow and closes a draining flow after the last one.
 func (f *flow) release() {
-	if f.inFlight.Add(-1) == 0 && f.leaving.Load() {
+	if f.inFlight.Add(-1) == 0 && f.draining.Load() {
 		f.close()
 	}
 }
 
-// leave keeps further requests off the flow.
-func (f *flow) leave() {
-	f.leaving.Store(true)
+// drain stops further requests on the flow and closes it when idle.
+func (f *flow) drain() {
+	f.draining.Store(true)
 	if f.inFlight.Load() == 0 {
 		f.close()
 	}
 }
 
-// slot holds the flow that serves a share of the requests, and replaces it.
+// slot holds a flow that carries a share of the requests, and replaces it.
 type slot struct {
 	dialer *dialer
 	// lock is a channel so that waiting ends with the request's context.
 	lock chan struct{}
 	flow *flow
-	// spent is how many requests the first flow is shorter.
-	spent int
+	// initialUses shortens the first flow by that many requests.
+	initialUses int
 }
 
-// newSlot returns the slot of an index. Slots take turns, so flows of one length
-// would all end within one round and be opened anew in a burst; the first ones
-// differ in length.
+// newSlot returns the slot of an index. Requests use the slots round robin, so first flows
+// of equal length would all be replaced at once; their lengths differ by index.
 func newSlot(d *dialer, index int) *slot {
 	s := &slot{dialer: d, lock: make(chan struct{}, 1)}
 	if n := d.opts.RequestsPerFlow; n > 0 {
-		s.spent = index % n
+		s.initialUses = index % n
 	}
 	return s
 }
 
-// acquire returns a flow that the caller has to release.
+// acquire returns a flow, which the caller must release.
 func (s *slot) acquire(ctx context.Context) (*flow, error) {
 	select {
 	case s.lock <- struct{}{}:
@@ -187,8 +186,8 @@
 		return nil, ctx.Err()
 	}
 	defer func() { <-s.lock }()
-	if s.flow != nil && (s.flow.dead() || s.flow.uses >= s.dialer.opts.RequestsPerFlow) {
-		s.flow.leave()
+	if s.flow != nil && (s.flow.unusable() || s.flow.uses >= s.dialer.opts.RequestsPerFlow) {
+		s.flow.drain()
 		s.flow = nil
 	}
 	if s.flow == nil {
@@ -196,7 +195,7 @@
 		if err != nil {
 			return nil, err
 		}
-		f.uses, s.spent = s.spent, 0
+		f.uses, s.initialUses = s.initialUses, 0
 		s.flow = f
 	}
 	s.flow.uses++
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -10,14 +10,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/sleep"
 )
 
-// sessionRamp is the share of the run over which sessions are opened, unless
-// the options say otherwise.
+// sessionRamp is the default share of the run over which sessions are opened.
 const sessionRamp = 0.1
 
-// enoughPeriod is the time between two questions whether a run did enough.
-const enoughPeriod = 20 * time.Millisecond
+// stopCheckInterval is the time between two calls of Options.StopWhen.
+const stopCheckInterval = 20 * time.Millisecond
 
-// generator is one run.
+// generator holds the state of one run.
 type generator struct {
 	opts   Options
 	rec    *recorder
@@ -25,8 +24,8 @@
 	slots  []*slot
 }
 
-// Run makes one run and reports it. It ends early, with a report of what was
-// done, when ctx ends. It returns ErrOptions for options that make no sense.
+// Run makes one run and reports it. When ctx ends, it stops early and reports what was
+// done so far. It returns ErrInvalidOptions for invalid options.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -41,7 +40,7 @@
 	defer cancel()
 	var sessions, requests, end conc.WaitGroup
 	if o.StopWhen != nil {
-		end.Go(func() { g.endEarly(runCtx, cancel) })
+		end.Go(func() { g.stopEarly(runCtx, cancel) })
 	}
 	g.openSessions(runCtx, &sessions)
 	g.schedule(runCtx, ctx, &requests)
@@ -59,29 +58,29 @@
 	return report, nil
 }
 
-// endEarly ends the run once it has done enough.
-func (g *generator) endEarly(runCtx context.Context, end context.CancelFunc) {
+// stopEarly cancels the run once StopWhen returns true.
+func (g *generator) stopEarly(runCtx context.Context, cancel context.CancelFunc) {
 	for runCtx.Err() == nil {
 		if g.opts.StopWhen(g.rec.report()) {
-			end()
+			cancel()
 		}
-		_ = sleep.For(runCtx, enoughPeriod)
+		_ = sleep.For(runCtx, stopCheckInterval)
 	}
 }
 
-// openSessions spreads the opening of sessions over the start of the run.
+// openSessions opens the sessions evenly over SessionRamp.
 func (g *generator) openSessions(ctx context.Context, wg *conc.WaitGroup) {
 	step := g.opts.SessionRamp / time.Duration(max(1, g.opts.Sessions))
 	for i := range g.opts.Sessions {
 		wg.Go(func() {
 			_ = sleep.For(ctx, time.Duration(i)*step)
-			g.session(ctx)
+			g.runSession(ctx)
 		})
 	}
 }
 
-// schedule starts requests at times drawn from the seed until runCtx ends.
-// The requests themselves live on until their deadline, or ctx ends.
+// schedule starts requests at random times with exponential gaps until runCtx ends.
+// Requests in flight continue until their deadline or the end of ctx.
 func (g *generator) schedule(runCtx, ctx context.Context, wg *conc.WaitGroup) {
 	if g.opts.Rate == 0 {
 		<-runCtx.Done()
@@ -106,12 +105,12 @@
 		select {
 		case inFlight <- struct{}{}:
 		default:
-			g.rec.finished(q, notRun(reasonCallerFull), 0)
+			g.rec.requestFinished(q, notRun(reasonCallerFull), 0)
 			continue
 		}
 		wg.Go(func() {
 			defer func() { <-inFlight }()
-			g.perform(ctx, q)
+			g.runRequest(ctx, q)
 		})
 	}
 }
--- a/internal/loadgen/imbalance.go
+++ b/internal/loadgen/imbalance.go
@@ -6,39 +6,39 @@
 	"slices"
 )
 
-// Imbalance of the requests over targets; 1 is even, 0 means not known.
+// Imbalance of the answered requests over targets; 1 is even, 0 means not known.
 type Imbalance struct {
 	// Overall is the imbalance of the whole run.
 	Overall float64 `json:"overall"`
-	// P99 is the 99th percentile over windows of time.
+	// P99 is the 99th percentile over time windows.
 	P99 float64 `json:"p99"`
-	// Windows that had enough answers to count.
+	// Windows is the number of windows with enough answers.
 	Windows int `json:"windows"`
 }
 
 const percentile = 0.99
 
-// imbalance computes the measure that the package comment defines.
+// imbalance computes the imbalance as the package comment defines it.
 func imbalance(total map[string]int, windows []map[string]int, targets []string) Imbalance {
 	out := Imbalance{Overall: maxOverMean(total, targets)}
 	var ratios []float64
 	for _, w := range windows {
-		if ratio, ok := ratioOf(w, targets); ok {
+		if ratio, ok := windowRatio(w, targets); ok {
 			ratios = append(ratios, ratio)
 		}
 	}
 	out.Windows = len(ratios)
 	if len(ratios) > 0 {
 		slices.Sort(ratios)
-		// Nearest rank.
+		// Nearest-rank percentile.
 		out.P99 = ratios[int(math.Ceil(percentile*float64(len(ratios))))-1]
 	}
 	return out
 }
 
-// ratioOf is the imbalance of one window, if it counts.
-func ratioOf(w map[string]int, targets []string) (float64, bool) {
-	if len(targets) == 0 || sum(w) < MinAnsweredPerTarget*len(targets) {
+// windowRatio returns the imbalance of one window. It returns false with too few answers.
+func windowRatio(w map[string]int, targets []string) (float64, bool) {
+	if len(targets) == 0 || sumCounts(w) < MinAnsweredPerTarget*len(targets) {
 		return 0, false
 	}
 	return maxOverMean(w, targets), true
@@ -56,10 +56,10 @@
 	return float64(greatest) * float64(len(targets)) / float64(total)
 }
 
-// allTargets joins the named targets and the ones that answered.
-func allTargets(named []string, answered map[string]int) []string {
+// allTargets returns the sorted union of the configured targets and those that answered.
+func allTargets(configured []string, answered map[string]int) []string {
 	set := map[string]bool{}
-	for _, t := range named {
+	for _, t := range configured {
 		set[t] = true
 	}
 	for t := range answered {
@@ -68,7 +68,7 @@
 	return slices.Sorted(maps.Keys(set))
 }
 
-// orderedWindows lays the windows out by time, empty ones too.
+// orderedWindows returns the windows in order of time, with nil for empty ones.
 func orderedWindows(byIndex map[int64]map[string]int) []map[string]int {
 	if len(byIndex) == 0 {
 		return nil
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -25,82 +25,80 @@
 
 const (
 	// SessionTimeoutFactor is the number of event periods without an event after
-	// which a session counts as broken.
+	// which a session is broken.
 	SessionTimeoutFactor = 10
-	// MinAnsweredPerTarget is the mean number of answers a target that a window
-	// needs in order to count for imbalance.
+	// MinAnsweredPerTarget is the mean number of answers per target that a window
+	// needs to count for imbalance.
 	MinAnsweredPerTarget = 10
 
-	// maxInFlight bounds the memory of a run against a service that hangs.
+	// maxInFlight bounds the memory used against an unresponsive service.
 	maxInFlight = 20000
-	// freeRetries is the part of the retry budget that needs no requests.
-	freeRetries = 10
+	// retryBurst is the retry budget before the first request.
+	retryBurst = 10
 )
 
-// ErrInvalidOptions reports options that no run can be made from.
-var ErrInvalidOptions = errors.New("bad load options")
+// ErrInvalidOptions reports invalid Options.
+var ErrInvalidOptions = errors.New("invalid load options")
 
 // Options describe one run.
 type Options struct {
-	// Addresses (ip:port, UDP) that callers dial, each flow the next one.
+	// Addresses (ip:port, UDP) that callers dial, round robin.
 	Addresses []string
-	// Service is the server name that callers ask for.
+	// Service is the TLS server name and HTTP host.
 	Service string
 	// Roots verify the caller certificate.
 	Roots *x509.CertPool
 
-	// Rate of requests a second; 0 sends none.
+	// Rate of requests per second; 0 sends none.
 	Rate float64
-	// Connections is the number of flows that carry requests at a time.
+	// Connections is the number of concurrent flows that carry requests.
 	Connections int
-	// RequestsPerFlow is how many requests a flow carries before the caller
-	// opens another in its place.
+	// RequestsPerFlow is the number of requests after which the caller replaces a
+	// flow.
 	RequestsPerFlow int
 	// Sessions is the number of watch streams held open, each on its own flow.
 	Sessions int
-	// SessionRamp is the time over which they are opened, evenly; 0 takes a
-	// tenth of the run.
+	// SessionRamp is the time over which sessions are opened evenly; 0 means a tenth
+	// of the run.
 	SessionRamp time.Duration
-	// WatchPeriod is the time between two events that sessions ask for.
+	// WatchPeriod is the time between two events that sessions request.
 	WatchPeriod time.Duration
-	// Duration of the run; requests under way at its end are waited for.
+	// Duration of the run, without the wait for requests in flight at its end.
 	Duration time.Duration
-	// StopWhen is asked from time to time whether what the run has done so far
-	// is enough. It then ends as it would after its duration. Nil means that
-	// only the duration ends it.
+	// StopWhen is polled during the run; when it returns true, the run ends as it
+	// would after Duration. Nil means that only Duration ends it.
 	StopWhen func(sofar *Report) bool
-	// NonRepeatable is the share of requests, 0 to 1, that may not be repeated.
+	// NonRepeatable is the share of requests, 0 to 1, that must not run twice.
 	NonRepeatable float64
-	// Work is the time that each request asks a target to work.
+	// Work is the processing time that each request asks of a target.
 	Work time.Duration
 	// Deadline of each request, over all of its attempts.
 	Deadline time.Duration
-	// MaxAttempts is the greatest number of attempts of one request.
+	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
-	// RetryPercent bounds retries per hundred requests of the run.
+	// RetryPercent bounds the retries per hundred requests of the run.
 	RetryPercent int
 	// Seed of schedule, kinds and jitter.
 	Seed uint64
-	// RunID makes idempotency keys unique among runs. Empty takes a random one.
+	// RunID makes idempotency keys unique across runs. Empty means a random one.
 	RunID string
 
-	// Window of time for imbalance.
+	// Window is the length of a time window.
 	Window time.Duration
 	// Targets are the names of all targets of the service, if known.
 	Targets []string
-	// HostFailed tells whether the host of a target of that name has failed.
-	// Flows and sessions that end with their host are counted apart. Nil
-	// means that none fails.
+	// HostFailed reports whether the host of the named target has failed. Flows and
+	// sessions that end with their host are counted separately. Nil means that none
+	// fails.
 	HostFailed func(target string) bool
-	// RunCount tells how often an idempotency key ran, at all backend servers
-	// together. It goes before RunURLs.
+	// RunCount returns how often an idempotency key ran on all backend servers
+	// together. It takes precedence over RunURLs.
 	RunCount func(key string) int
-	// IsTarget tells whether a target of that name is one of the service's, where
-	// targets come while the run lasts. It goes before Targets in the search
-	// for misrouted requests.
+	// IsTarget reports whether the service has a target of that name, for services
+	// whose targets change during the run. It takes precedence over Targets in the
+	// detection of misrouted requests.
 	IsTarget func(target string) bool
-	// RunURLs are the base URLs of all backend servers, if they can be asked
-	// for their runs.
+	// RunURLs are the base URLs of all backend servers, if they serve /runs.
 	RunURLs []string
 }
 
@@ -119,18 +117,18 @@
 		o.HostFailed = func(string) bool { return false }
 	}
 	if o.IsTarget == nil {
-		named := o.Targets
-		o.IsTarget = func(target string) bool { return len(named) == 0 || slices.Contains(named, target) }
+		targets := o.Targets
+		o.IsTarget = func(target string) bool { return len(targets) == 0 || slices.Contains(targets, target) }
 	}
 	if o.RunID == "" {
-		o.RunID = randomID()
+		o.RunID = newRunID()
 	}
 	return o
 }
 
-// randomID tells runs apart. It is an identity: the seed must not fix it, or
-// the keys of a second run with the same seed would be known already.
-func randomID() string {
+// newRunID returns a random ID. It does not depend on the seed, so that a second run
+// with the same seed uses new idempotency keys.
+func newRunID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -139,9 +137,9 @@
 func (o Options) validate() error {
 	switch {
 	case len(o.Addresses) == 0:
-		return errors.Wrap(ErrInvalidOptions, "no address to call")
+		return errors.Wrap(ErrInvalidOptions, "no address")
 	case o.Service == "":
-		return errors.Wrap(ErrInvalidOptions, "no service named")
+		return errors.Wrap(ErrInvalidOptions, "no service")
 	case o.Rate < 0 || o.Sessions < 0 || o.Connections < 0 || o.RequestsPerFlow < 0 || o.MaxAttempts < 0 || o.RetryPercent < 0:
 		return errors.Wrap(ErrInvalidOptions, "a number is negative")
 	case o.NonRepeatable < 0 || o.NonRepeatable > 1:
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -12,20 +12,20 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// Class is what a caller knows of its request.
+// Class is the result of a request as its caller knows it.
 type Class string
 
 // Classes of outcomes.
 const (
-	// ClassAnswered has the whole answer of a backend server.
+	// ClassAnswered means that the backend server's answer is complete.
 	ClassAnswered Class = "answered"
-	// ClassNotRun was told, or knows, that the request was not run.
+	// ClassNotRun means that the request certainly did not run.
 	ClassNotRun Class = "not-run"
-	// ClassUnknown does not know whether the request was run.
+	// ClassUnknown means that the request may have run.
 	ClassUnknown Class = "unknown"
 )
 
-// Reasons that the caller itself finds. Others come from Request-Reason.
+// Reasons that the caller determines itself. Others come from Request-Reason.
 const (
 	reasonDial         = "dial"
 	reasonRefused      = "refused"
@@ -38,7 +38,7 @@
 	reasonTruncated    = "truncated"
 	reasonWrongAnswer  = "wrong-answer"
 	reasonCallerFull   = "caller-full"
-	reasonUnstated     = "unstated"
+	reasonMissing      = "unstated"
 	reasonWrongTarget  = "wrong-target"
 	reasonServerStatus = "status"
 )
@@ -54,36 +54,36 @@
 	headerRetryAfterMS = "Retry-After-Ms"
 )
 
-// outcome is what became of one attempt.
+// outcome is the result of one attempt.
 type outcome struct {
 	class  Class
 	reason string
-	// target that answered, as "name/number/incarnation", if any.
+	// target that answered as "name/number/incarnation", if any.
 	target string
-	// comeBack is the time that the system asked for before a retry. With an
-	// unknown outcome it says that the idempotency key may be sent again.
-	comeBack time.Duration
+	// retryAfter is the delay that the answer requests before a retry. With an unknown
+	// outcome it permits sending the idempotency key again.
+	retryAfter time.Duration
 }
 
-// doubt is what a caller does not know of its earlier attempts.
-type doubt struct {
-	// unsure: one of them may have been run.
-	unsure bool
-	// invited: the system asked for the idempotency key again after the last of them.
-	invited bool
+// attemptHistory is the state of a caller's earlier attempts.
+type attemptHistory struct {
+	// mayHaveRun means that the outcome of an attempt is unknown.
+	mayHaveRun bool
+	// retryAllowed means that the last unknown outcome permitted a retry.
+	retryAllowed bool
 }
 
-// add returns what a caller knows once an attempt follows those before: that nothing of
-// it was sent says nothing of them, and takes back no invitation. What the system tells
-// holds for all.
-func (d *doubt) add(o outcome) outcome {
+// add returns the outcome of the request after another attempt. An attempt that was not
+// sent leaves an earlier unknown outcome and its permission to retry in place. An answer
+// of the system holds for all attempts.
+func (h *attemptHistory) add(o outcome) outcome {
 	switch {
 	case o.class == ClassUnknown:
-		d.unsure, d.invited = true, o.comeBack > 0
-	case d.unsure && o.class == ClassNotRun && o.target == "":
+		h.mayHaveRun, h.retryAllowed = true, o.retryAfter > 0
+	case h.mayHaveRun && o.class == ClassNotRun && o.target == "":
 		o.class = ClassUnknown
-		if d.invited {
-			o.comeBack = max(o.comeBack, firstBackoff)
+		if h.retryAllowed {
+			o.retryAfter = max(o.retryAfter, firstBackoff)
 		}
 	}
 	return o
@@ -99,8 +99,7 @@
 func notRun(reason string) outcome  { return outcome{class: ClassNotRun, reason: reason} }
 func unknown(reason string) outcome { return outcome{class: ClassUnknown, reason: reason} }
 
-// dialOutcome explains a flow that never came to be: nothing of the request
-// was sent.
+// dialOutcome returns the outcome for a failed handshake. Nothing of the request was sent.
 func dialOutcome(ctx context.Context, err error) outcome {
 	var wrongName x509.HostnameError
 	var fault *quic.TransportError
@@ -115,11 +114,11 @@
 	return notRun(reasonDial)
 }
 
-// lostOutcome explains a failure after the request was sent.
-func lostOutcome(ctx context.Context, err error) outcome {
+// failureOutcome returns the outcome for a failure after the request was sent.
+func failureOutcome(ctx context.Context, err error) outcome {
 	code, reset := resetCode(err)
 	switch {
-	// RFC 9114, 4.1.1: a request so rejected was not processed.
+	// RFC 9114, 4.1.1: a request rejected with this code was not processed.
 	case reset && code == http3.ErrCodeRequestRejected:
 		return notRun(reasonRejected)
 	case ctx.Err() != nil:
@@ -130,10 +129,10 @@
 	return unknown(reasonLost)
 }
 
-// resetCode is the code with which the far end reset the stream, if it did.
+// resetCode returns the error code if the peer reset the stream.
 func resetCode(err error) (http3.ErrCode, bool) {
-	// http3 turns stream and connection errors into one type; only the
-	// former carry a stream error.
+	// http3 wraps stream and connection errors in one type; only the former
+	// contain a quic.StreamError.
 	var stream *quic.StreamError
 	if errors.As(err, &stream) && stream.Remote {
 		return http3.ErrCode(stream.ErrorCode), true
@@ -141,18 +140,18 @@
 	return 0, false
 }
 
-// answerOutcome reads the outcome from the headers of a whole answer.
+// answerOutcome reads the outcome from the headers of a complete answer.
 func answerOutcome(res *http.Response) outcome {
 	reason := res.Header.Get(headerReason)
 	if reason == "" {
-		reason = reasonUnstated
+		reason = reasonMissing
 	}
 	target := res.Header.Get(headerTarget)
 	switch res.Header.Get(headerOutcome) {
 	case string(ClassNotRun):
-		return outcome{class: ClassNotRun, reason: reason, target: target, comeBack: comeBack(res.Header)}
+		return outcome{class: ClassNotRun, reason: reason, target: target, retryAfter: retryAfter(res.Header)}
 	case string(ClassUnknown):
-		return outcome{class: ClassUnknown, reason: reason, target: target, comeBack: comeBack(res.Header)}
+		return outcome{class: ClassUnknown, reason: reason, target: target, retryAfter: retryAfter(res.Header)}
 	}
 	o := outcome{class: ClassAnswered, target: target}
 	if res.StatusCode/100 != 2 {
@@ -161,9 +160,9 @@
 	return o
 }
 
-// comeBack is the wait that an answer asks for, in milliseconds if it says
-// so, else in whole seconds.
-func comeBack(h http.Header) time.Duration {
+// retryAfter returns the delay that an answer requests: Retry-After-Ms if set, else
+// Retry-After.
+func retryAfter(h http.Header) time.Duration {
 	if d, err := time.ParseDuration(h.Get(headerRetryAfterMS) + "ms"); err == nil && d > 0 {
 		return d
 	}
--- a/internal/loadgen/outcome_test.go
+++ b/internal/loadgen/outcome_test.go
@@ -7,35 +7,35 @@
 	"github.com/matryer/is"
 )
 
-// TestDoubt follows the attempts of one request: what the last one of each row leaves a
-// caller with, and whether a request that must not run twice may go again.
-func TestDoubt(t *testing.T) {
-	invitation := outcome{class: ClassUnknown, reason: "agent-stalled", target: "t/1/1", comeBack: time.Second}
-	refusal := unknown("agent-stalled")
+// TestAttemptHistory checks, for the attempts of one request, the final class and whether
+// a non-repeatable request may be retried.
+func TestAttemptHistory(t *testing.T) {
+	retryRequested := outcome{class: ClassUnknown, reason: "agent-stalled", target: "t/1/1", retryAfter: time.Second}
+	retryNotRequested := unknown("agent-stalled")
 	for name, tt := range map[string]struct {
 		attempts []outcome
 		class    Class
-		again    bool
+		mayRetry bool
 	}{
-		"nothing sent":                  {[]outcome{notRun(reasonDial)}, ClassNotRun, false},
-		"lost":                          {[]outcome{unknown(reasonLost)}, ClassUnknown, false},
-		"asked back":                    {[]outcome{invitation}, ClassUnknown, true},
-		"asked back, then nothing sent": {[]outcome{invitation, notRun(reasonDial)}, ClassUnknown, true},
-		"and once more":                 {[]outcome{invitation, notRun(reasonDial), notRun(reasonGoAway)}, ClassUnknown, true},
-		"lost, then nothing sent":       {[]outcome{unknown(reasonLost), notRun(reasonDial)}, ClassUnknown, false},
-		"asked back, then not":          {[]outcome{invitation, refusal, notRun(reasonDial)}, ClassUnknown, false},
-		"told that it was not run":      {[]outcome{invitation, {class: ClassNotRun, target: "t/1/1"}}, ClassNotRun, false},
-		"answered after all":            {[]outcome{invitation, {class: ClassAnswered}}, ClassAnswered, false},
+		"nothing sent":                       {[]outcome{notRun(reasonDial)}, ClassNotRun, false},
+		"lost":                               {[]outcome{unknown(reasonLost)}, ClassUnknown, false},
+		"retry requested":                    {[]outcome{retryRequested}, ClassUnknown, true},
+		"retry requested, then nothing sent": {[]outcome{retryRequested, notRun(reasonDial)}, ClassUnknown, true},
+		"retry requested, then twice nothing sent": {[]outcome{retryRequested, notRun(reasonDial), notRun(reasonGoAway)}, ClassUnknown, true},
+		"lost, then nothing sent":                  {[]outcome{unknown(reasonLost), notRun(reasonDial)}, ClassUnknown, false},
+		"retry requested, then not":                {[]outcome{retryRequested, retryNotRequested, notRun(reasonDial)}, ClassUnknown, false},
+		"unknown, then not run":                    {[]outcome{retryRequested, {class: ClassNotRun, target: "t/1/1"}}, ClassNotRun, false},
+		"unknown, then answered":                   {[]outcome{retryRequested, {class: ClassAnswered}}, ClassAnswered, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var d doubt
+			var history attemptHistory
 			var last outcome
 			for _, o := range tt.attempts {
-				last = d.add(o)
+				last = history.add(o)
 			}
 			is.Equal(last.class, tt.class)
-			is.Equal(last.class == ClassUnknown && last.comeBack > 0, tt.again)
+			is.Equal(last.class == ClassUnknown && last.retryAfter > 0, tt.mayRetry)
 		})
 	}
 }
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -22,21 +22,20 @@
 	panelHeight = 8 * vg.Centimeter
 	panelGap    = 4 * vg.Millimeter
 	markSize    = 7 * vg.Inch / 72
-	// markLength bounds the text of a mark. It runs upwards, and a panel has to
-	// have room for it.
-	markLength = panelHeight * 5 / 8
-	// headroom is left above the greatest value, for the legend.
+	// maxMarkLength bounds the text of a mark, which is drawn vertically in a panel.
+	maxMarkLength = panelHeight * 5 / 8
+	// headroom leaves space for the legend above the highest value.
 	headroom = 1.3
-	// markShare is the part of the run within which marks share a line, since
-	// their texts would cover each other.
-	markShare = 0.02
+	// markMergeShare is the share of the run within which marks are merged, so that
+	// their texts do not overlap.
+	markMergeShare = 0.02
 )
 
-// plotFormats are the endings of a plot's file.
+// plotFormats are the file extensions of a plot.
 var plotFormats = []string{".svg", ".png"}
 
-// ErrPlotFormat reports a file name whose ending is no format of a plot.
-var ErrPlotFormat = errors.New("a plot's file ends in .svg or .png")
+// ErrPlotFormat reports a file name with an unsupported extension.
+var ErrPlotFormat = errors.New("plot file must end in .svg or .png")
 
 // Mark is an event to show in a plot.
 type Mark struct {
@@ -45,20 +44,20 @@
 	Text    string
 }
 
-// Chart is a run over time: answers of each target, latency, broken flows and
-// imbalance, one below the other. Index n of each slice is window n.
+// Chart plots a run over time in four panels: answers per target, latency, broken flows
+// and imbalance. Index n of each slice is window n.
 type Chart struct {
 	Title   string
 	Window  time.Duration
 	Answers []map[string]int
 	Stats   []WindowStats
-	// Imbalance is NaN in windows that do not count.
+	// Imbalance is NaN in windows with too few answers.
 	Imbalance []float64
 	Marks     []Mark
 }
 
-// CheckPlotFile reports whether Save knows the format, so that a run need not
-// end before its plot is refused.
+// CheckPlotFile returns ErrPlotFormat if Save does not support the format. It allows the
+// check before a run.
 func CheckPlotFile(file string) error {
 	if !slices.Contains(plotFormats, strings.ToLower(filepath.Ext(file))) {
 		return errors.Wrap(ErrPlotFormat, file)
@@ -66,22 +65,22 @@
 	return nil
 }
 
-// Chart returns the run's chart, with a mark for each event.
+// Chart returns the chart of the run with the marks.
 func (r *Report) Chart(window time.Duration, marks []Mark) *Chart {
 	if window <= 0 {
 		window = DefaultWindow
 	}
 	return &Chart{
 		Title: r.Service, Window: window, Answers: r.Windows, Stats: r.Stats,
-		Imbalance: r.ratios(), Marks: marks,
+		Imbalance: r.windowImbalance(), Marks: marks,
 	}
 }
 
-// ratios is the imbalance of each window, NaN where it does not count.
-func (r *Report) ratios() []float64 {
+// windowImbalance returns the imbalance of each window, NaN with too few answers.
+func (r *Report) windowImbalance() []float64 {
 	out := make([]float64, len(r.Windows))
 	for i, w := range r.Windows {
-		ratio, ok := ratioOf(w, r.targets)
+		ratio, ok := windowRatio(w, r.targets)
 		if !ok {
 			ratio = math.NaN()
 		}
@@ -90,7 +89,7 @@
 	return out
 }
 
-// Save draws the chart. The ending of the file name chooses the format.
+// Save draws the chart. The extension of the file selects the format.
 func (c *Chart) Save(file string) error {
 	if err := CheckPlotFile(file); err != nil {
 		return err
@@ -104,7 +103,7 @@
 		p.X.Min, p.X.Max = 0, c.seconds()
 		p.Y.Min = 0
 		p.Y.Max *= headroom
-		if err := addMarks(p, c.joined(), i == 0); err != nil {
+		if err := addMarks(p, c.mergedMarks(), i == 0); err != nil {
 			return errors.Wrap(err, "plot")
 		}
 		panels = append(panels, []*plot.Plot{p})
@@ -138,21 +137,21 @@
 	return f.Close()
 }
 
-// seconds is the end of the last window.
+// seconds returns the end of the last window.
 func (c *Chart) seconds() float64 {
 	return float64(max(1, len(c.Answers), len(c.Stats))) * c.Window.Seconds()
 }
 
-// joined returns the marks within the run by time, those close to each other as
-// one.
-func (c *Chart) joined() []Mark {
+// mergedMarks returns the marks within the run sorted by time, with close marks merged
+// into one.
+func (c *Chart) mergedMarks() []Mark {
 	var out []Mark
 	sorted := slices.SortedStableFunc(slices.Values(c.Marks), func(a, b Mark) int { return cmp.Compare(a.Seconds, b.Seconds) })
 	for _, m := range sorted {
 		if m.Seconds < 0 || m.Seconds > c.seconds() {
 			continue
 		}
-		if n := len(out); n > 0 && m.Seconds-out[n-1].Seconds < markShare*c.seconds() {
+		if n := len(out); n > 0 && m.Seconds-out[n-1].Seconds < markMergeShare*c.seconds() {
 			out[n-1].Text += "; " + m.Text
 			continue
 		}
@@ -210,13 +209,12 @@
 func panel(what string) *plot.Plot {
 	p := plot.New()
 	p.Y.Label.Text = what
-	p.Y.Max = 1 // at least, so that an empty panel has a scale
+	p.Y.Max = 1 // scale of an empty panel
 	p.Legend.Top = true
 	return p
 }
 
-// line draws one value for each window, in the middle of it. Unknown ones are
-// left out.
+// line draws one value per window at its middle. NaN values are skipped.
 func (c *Chart) line(p *plot.Plot, values []float64, color int, name string) error {
 	var points plotter.XYs
 	for n, v := range values {
@@ -233,7 +231,7 @@
 	}
 	line.Color, dots.Color = plotutil.Color(color), plotutil.Color(color)
 	line.Dashes = plotutil.Dashes(color / len(plotutil.DefaultColors))
-	dots.Radius = vg.Points(1) // a value between two unknown ones shows too
+	dots.Radius = vg.Points(1) // shows values between two NaN ones
 	p.Add(line, dots)
 	if name != "" {
 		p.Legend.Add(name, line)
@@ -241,7 +239,7 @@
 	return nil
 }
 
-// addMarks draws marks over the whole height, and their text along the line.
+// addMarks draws each mark as a vertical line, with its text beside it if text is set.
 func addMarks(p *plot.Plot, marks []Mark, text bool) error {
 	for _, m := range marks {
 		line, err := plotter.NewLine(plotter.XYs{{X: m.Seconds, Y: p.Y.Min}, {X: m.Seconds, Y: p.Y.Max}})
@@ -262,20 +260,20 @@
 		}
 		label.TextStyle[0].Rotation = math.Pi / 2
 		label.TextStyle[0].Font.Size = markSize
-		label.Offset.X = -markSize / 4 // beside the line
-		label.Labels[0] = shortened(m.Text, label.TextStyle[0].Width)
+		label.Offset.X = -markSize / 4 // left of the line
+		label.Labels[0] = truncateText(m.Text, label.TextStyle[0].Width)
 		p.Add(label)
 	}
 	return nil
 }
 
-// shortened cuts a text to markLength.
-func shortened(text string, width func(string) vg.Length) string {
+// truncateText truncates a text to maxMarkLength.
+func truncateText(text string, width func(string) vg.Length) string {
 	runes := []rune(text)
-	if width(text) <= markLength {
+	if width(text) <= maxMarkLength {
 		return text
 	}
-	for len(runes) > 0 && width(string(runes)+"…") > markLength {
+	for len(runes) > 0 && width(string(runes)+"…") > maxMarkLength {
 		runes = runes[:len(runes)-1]
 	}
 	return string(runes) + "…"
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -8,68 +8,67 @@
 )
 
 const (
-	// Latencies are kept in microseconds, from 1 µs to 10 minutes, with
-	// three significant digits.
+	// Latencies are in microseconds.
 	lowestLatency   = 1
 	highestLatency  = int64(10 * time.Minute / time.Microsecond)
 	latencyDigits   = 3
 	maxRecordedKeys = 1 << 20
 )
 
-// keyFate is what the caller was told last of a non-repeatable request.
-type keyFate struct {
+// keyOutcome is the outcome of a non-repeatable request as its caller knows it.
+type keyOutcome struct {
 	key string
-	// told is the class; an answer that is itself an error tells nothing
-	// about the run and counts as unknown.
-	told Class
+	// lastClass is the class of the last outcome. An answer with an error status or
+	// from a wrong target counts as unknown.
+	lastClass Class
 }
 
-// recorder gathers what happens in a run.
+// recorder collects the measurements of a run.
 type recorder struct {
 	opts  Options
 	start time.Time
 
-	mu        sync.Mutex
-	requests  int
-	retries   map[string]int
-	retryUsed int
-	denied    int
-	outcomes  map[string]int
-	latency   *hdrhistogram.Histogram
-	fates     []keyFate
-
-	flows        int
-	broken       map[string]int
-	opened       int
-	held         int
-	events       int
-	lostSessions map[string]int
-	// Ended with the host of their target.
-	flowsWithHost    int
-	sessionsWithHost int
-	refused          map[string]int
-	perTarget        map[string]int
-	sessionsAt       map[string]int
-	windows          map[int64]map[string]int
-	timeline         *timeline
-	misrouted        int
-	wrong            int
+	mu            sync.Mutex
+	requests      int
+	retries       map[string]int
+	retriesUsed   int
+	retriesDenied int
+	outcomes      map[string]int
+	latency       *hdrhistogram.Histogram
+	keyOutcomes   []keyOutcome
+
+	flows          int
+	broken         map[string]int
+	sessions       int
+	openSessions   int
+	events         int
+	brokenSessions map[string]int
+	// Flows and sessions that ended because the host of their target failed.
+	flowsWithHost     int
+	sessionsWithHost  int
+	refusedSessions   map[string]int
+	perTarget         map[string]int
+	sessionsPerTarget map[string]int
+	windows           map[int64]map[string]int
+	timeline          *timeline
+	misrouted         int
+	wrongAnswers      int
 }
 
 func newRecorder(o Options) *recorder {
 	return &recorder{
-		opts:         o,
-		start:        time.Now(),
-		retries:      map[string]int{},
-		outcomes:     map[string]int{},
-		latency:      newLatencies(),
-		broken:       map[string]int{},
-		lostSessions: map[string]int{},
-		refused:      map[string]int{},
-		perTarget:    map[string]int{},
-		sessionsAt:   map[string]int{},
-		windows:      map[int64]map[string]int{},
-		timeline:     newTimeline(o.Window),
+		opts:              o,
+		start:             time.Now(),
+		retries:           map[string]int{},
+		outcomes:          map[string]int{},
+		latency:           newLatencies(),
+		broken:            map[string]int{},
+		brokenSessions:    map[string]int{},
+		refusedSessions:   map[string]int{},
+		perTarget:         map[string]int{},
+		sessionsPerTarget: map[string]int{},
+		windows:           map[int64]map[string]int{},
+		timeline:          newTimeline(o.Window),
 	}
 }
 
@@ -77,20 +76,20 @@
 	return hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
 }
 
-// finished records the final outcome of a request.
-func (r *recorder) finished(q request, out outcome, latency time.Duration) {
+// requestFinished records the final outcome and latency of a request.
+func (r *recorder) requestFinished(q request, out outcome, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests++
 	r.outcomes[out.String()]++
-	r.countSpecial(out)
-	if q.nonRepeatable && len(r.fates) < maxRecordedKeys {
-		r.fates = append(r.fates, keyFate{key: q.key(&r.opts), told: told(out)})
+	r.countViolations(out)
+	if q.nonRepeatable && len(r.keyOutcomes) < maxRecordedKeys {
+		r.keyOutcomes = append(r.keyOutcomes, keyOutcome{key: q.key(&r.opts), lastClass: lastClass(out)})
 	}
 	if out.class != ClassAnswered {
 		return
 	}
-	// Out of range cannot happen: deadlines are far shorter.
+	// Deadlines are far below the highest latency, so this cannot fail.
 	_ = r.latency.RecordValue(max(lowestLatency, latency.Microseconds()))
 	since := time.Since(r.start)
 	r.timeline.answered(since, latency)
@@ -104,41 +103,41 @@
 	}
 }
 
-func told(out outcome) Class {
+func lastClass(out outcome) Class {
 	if out.class == ClassAnswered && out.reason != "" {
 		return ClassUnknown
 	}
 	return out.class
 }
 
-// countSpecial counts what must never happen. The lock is held.
-func (r *recorder) countSpecial(out outcome) {
+// countViolations counts misrouted requests and wrong answers. The caller holds mu.
+func (r *recorder) countViolations(out outcome) {
 	switch out.reason {
 	case reasonCertificate, reasonWrongTarget:
 		r.misrouted++
 	case reasonWrongAnswer:
-		r.wrong++
+		r.wrongAnswers++
 	}
 }
 
-// takeRetry takes one retry from the budget, if there is one left.
+// takeRetry takes one retry from the budget. It returns false if none is left.
 func (r *recorder) takeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	budget := freeRetries + (r.requests+1)*r.opts.RetryPercent/100
-	if r.retryUsed >= budget {
-		r.denied++
+	budget := retryBurst + (r.requests+1)*r.opts.RetryPercent/100
+	if r.retriesUsed >= budget {
+		r.retriesDenied++
 		return false
 	}
-	r.retryUsed++
+	r.retriesUsed++
 	return true
 }
 
-func (r *recorder) retried(out outcome) {
+func (r *recorder) requestRetried(out outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.retries[out.String()]++
-	r.countSpecial(out)
+	r.countViolations(out)
 }
 
 func (r *recorder) flowOpened() {
@@ -169,33 +168,33 @@
 func (r *recorder) sessionOpened(out outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.opened++
-	r.held++
+	r.sessions++
+	r.openSessions++
 	if name := targetName(out.target); name != "" {
-		r.sessionsAt[name]++
+		r.sessionsPerTarget[name]++
 	}
 }
 
 func (r *recorder) sessionEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.held--
+	r.openSessions--
 }
 
 func (r *recorder) sessionBroken(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lostSessions[reason]++
+	r.brokenSessions[reason]++
 }
 
 func (r *recorder) sessionRefused(out outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refused[out.String()]++
-	r.countSpecial(out)
+	r.refusedSessions[out.String()]++
+	r.countViolations(out)
 }
 
-func (r *recorder) event() {
+func (r *recorder) eventReceived() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events++
--- a/internal/loadgen/reject_test.go
+++ b/internal/loadgen/refusal_test.go
@@ -16,23 +16,22 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/loadgen"
 )
 
-// refusal is how a server treats the first request of a connection before it
-// closes the connection without an error, as a server that is leaving does.
-type refusal func(*quic.Conn, *quic.Stream)
+// connHandler handles the first request of a connection before the server closes the
+// connection without an error, as a draining server does.
+type connHandler func(*quic.Conn, *quic.Stream)
 
-func resetWith(code http3.ErrCode) refusal {
+func resetWith(code http3.ErrCode) connHandler {
 	return func(conn *quic.Conn, stream *quic.Stream) {
 		stream.CancelRead(quic.StreamErrorCode(code))
 		stream.CancelWrite(quic.StreamErrorCode(code))
-		// The caller learns of the reset and ends its flow, which is over
-		// after one request.
+		// The caller closes the flow after one request.
 		<-conn.Context().Done()
 	}
 }
 
-func ignore(*quic.Conn, *quic.Stream) {}
+func closeOnly(*quic.Conn, *quic.Stream) {}
 
-func serveRefusals(t *testing.T, a authority, how refusal) string {
+func serveConns(t *testing.T, a authority, handler connHandler) string {
 	t.Helper()
 	is := is.New(t)
 	pair, err := a.Caller(service, nil, time.Now(), time.Hour)
@@ -49,7 +48,7 @@
 			if err != nil {
 				return
 			}
-			wg.Go(func() { refuse(conn, how) })
+			wg.Go(func() { handleConn(conn, handler) })
 		}
 	})
 	t.Cleanup(func() {
@@ -59,8 +58,7 @@
 	return listener.Addr().String()
 }
 
-// A caller whose connection is refused knows that nothing was run, and that it
-// was told so.
+// A refused connection has the outcome "not run" with the reason "refused".
 func TestRefusedConnection(t *testing.T) {
 	is := is.New(t)
 	a := newAuthority(t)
@@ -69,40 +67,40 @@
 	})
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	report := run(t, loadgen.Options{
+	report := runLoad(t, loadgen.Options{
 		Addresses: []string{listener.Addr().String()}, Roots: a.roots, Rate: 20, NonRepeatable: 1, MaxAttempts: 1, RequestsPerFlow: 1,
 	})
 	is.Equal(report.Outcomes, map[string]int{"not-run/refused": report.Requests})
 	is.Equal(report.BrokenFlows, 0)
 }
 
-func refuse(conn *quic.Conn, how refusal) {
+func handleConn(conn *quic.Conn, handler connHandler) {
 	stream, err := conn.AcceptStream(context.Background())
 	if err != nil {
 		return
 	}
-	how(conn, stream)
+	handler(conn, stream)
 	_ = conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 }
 
-// What a caller may claim of its request and its flow depends on how the
-// server ended them.
-func TestRefusals(t *testing.T) {
+// The outcome of a request and the state of its flow depend on how the server ended
+// them.
+func TestConnectionEnds(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		how     refusal
+		handler connHandler
 		outcome string
 		broken  bool
 	}{
 		{"rejected", resetWith(http3.ErrCodeRequestRejected), "not-run/rejected", false},
 		{"reset", resetWith(http3.ErrCodeInternalError), "unknown/stream-reset", false},
-		{"closed under the request", ignore, "unknown/connection-lost", true},
+		{"closed without a response", closeOnly, "unknown/connection-lost", true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			a := newAuthority(t)
-			addr := serveRefusals(t, a, tt.how)
-			report := run(t, loadgen.Options{
+			addr := serveConns(t, a, tt.handler)
+			report := runLoad(t, loadgen.Options{
 				Addresses: []string{addr}, Roots: a.roots, Rate: 20, NonRepeatable: 1, MaxAttempts: 1, RequestsPerFlow: 1,
 			})
 			is.Equal(report.Outcomes, map[string]int{tt.outcome: report.Requests})
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// Report is the result of one run. The package comment defines the measures.
+// Report is the result of one run. The package comment defines its measures.
 type Report struct {
 	Service string `json:"service"`
 	Seed    uint64 `json:"seed"`
 	// Start of the run.
 	Start time.Time `json:"start"`
-	// Seconds the run took, with the requests that it waited for.
+	// Seconds is the length of the run, with the wait for its last requests.
 	Seconds  float64 `json:"seconds"`
 	Requests int     `json:"requests"`
 	// Outcomes counts requests by final class and reason.
 	Outcomes map[string]int `json:"outcomes"`
-	// Retries counts attempts that were followed by another, by class and reason.
+	// Retries counts attempts that were retried, by class and reason.
 	Retries map[string]int `json:"retries"`
-	// RetriesDenied counts retries that the caller's budget did not allow.
+	// RetriesDenied counts retries that the retry budget did not allow.
 	RetriesDenied int `json:"retries_denied"`
-	// LatencyMS of answered requests, from their scheduled time.
+	// LatencyMS is the latency of answered requests from their scheduled time.
 	LatencyMS Latency `json:"latency_ms"`
 
 	Flows       int            `json:"flows"`
 	BrokenFlows int            `json:"broken_flows"`
 	BrokenBy    map[string]int `json:"broken_by"`
-	// FlowsLostWithHost ended because the host of their target failed. They
-	// are not among the broken ones.
+	// FlowsLostWithHost counts flows that ended because the host of their target
+	// failed. They do not count as broken.
 	FlowsLostWithHost int `json:"flows_lost_with_host"`
 
-	// Sessions opened over the run, with the ones that replaced broken ones.
+	// Sessions counts the sessions opened, including replacements of broken ones.
 	Sessions         int            `json:"sessions"`
 	BrokenSessions   int            `json:"broken_sessions"`
 	BrokenSessionsBy map[string]int `json:"broken_sessions_by"`
 	SessionsRefused  map[string]int `json:"sessions_refused"`
-	// SessionsLostWithHost are not among the broken ones.
+	// SessionsLostWithHost do not count as broken.
 	SessionsLostWithHost int `json:"sessions_lost_with_host"`
 	Events               int `json:"events"`
 
@@ -49,15 +49,15 @@
 
 	Misrouted    int `json:"misrouted"`
 	WrongAnswers int `json:"wrong_answers"`
-	// Doubled is nil when it is not known; DoubledUnknown then says why.
+	// Doubled is nil if the run counts are not known; DoubledUnknown is the reason.
 	Doubled        *Doubled `json:"doubled,omitempty"`
 	DoubledUnknown string   `json:"doubled_unknown,omitempty"`
 
-	// Windows are the answers of each target in each window, Moments what the
-	// callers saw in it, for plots. Either may end before the other.
+	// Windows are the answers per target in each window, Stats the latency and broken
+	// flows. Their lengths may differ.
 	Windows []map[string]int `json:"-"`
 	Stats   []WindowStats    `json:"-"`
-	// targets are all of the service, as far as they are known.
+	// targets are all known targets of the service.
 	targets []string
 }
 
@@ -70,16 +70,15 @@
 	Max  float64 `json:"max"`
 }
 
-// Doubled is what the backend servers tell of the non-repeatable requests.
+// Doubled compares the outcomes of non-repeatable requests with their run counts.
 type Doubled struct {
-	// Keys that were asked for.
+	// Keys is the number of keys compared.
 	Keys int `json:"keys"`
-	// Doubled keys ran more than once.
+	// Doubled counts keys that ran more than once.
 	Doubled int `json:"doubled"`
-	// DeniedFalsely counts keys that ran though their caller was told that
-	// they were not run.
+	// DeniedFalsely counts keys that ran although their outcome was "not run".
 	DeniedFalsely int `json:"denied_falsely"`
-	// AnsweredUnrun counts keys that were answered and never ran.
+	// AnsweredUnrun counts keys that were answered but never ran.
 	AnsweredUnrun int `json:"answered_unrun"`
 }
 
@@ -96,26 +95,26 @@
 		Requests:             r.requests,
 		Outcomes:             maps.Clone(r.outcomes),
 		Retries:              maps.Clone(r.retries),
-		RetriesDenied:        r.denied,
+		RetriesDenied:        r.retriesDenied,
 		LatencyMS:            r.percentiles(),
 		Flows:                r.flows,
-		BrokenFlows:          sum(r.broken),
+		BrokenFlows:          sumCounts(r.broken),
 		BrokenBy:             maps.Clone(r.broken),
 		FlowsLostWithHost:    r.flowsWithHost,
-		Sessions:             r.opened,
-		BrokenSessions:       sum(r.lostSessions),
-		BrokenSessionsBy:     maps.Clone(r.lostSessions),
-		SessionsRefused:      maps.Clone(r.refused),
+		Sessions:             r.sessions,
+		BrokenSessions:       sumCounts(r.brokenSessions),
+		BrokenSessionsBy:     maps.Clone(r.brokenSessions),
+		SessionsRefused:      maps.Clone(r.refusedSessions),
 		SessionsLostWithHost: r.sessionsWithHost,
 		Events:               r.events,
 		Imbalance:            imbalance(r.perTarget, windows, targets),
 		PerTarget:            maps.Clone(r.perTarget),
-		SessionsPerTarget:    maps.Clone(r.sessionsAt),
+		SessionsPerTarget:    maps.Clone(r.sessionsPerTarget),
 		Misrouted:            r.misrouted,
-		WrongAnswers:         r.wrong,
+		WrongAnswers:         r.wrongAnswers,
 		Windows:              windows,
 		targets:              targets,
-		Stats:                r.timeline.all(),
+		Stats:                r.timeline.snapshot(),
 	}
 }
 
@@ -126,7 +125,7 @@
 	return Latency{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(r.latency.Max()) / 1000}
 }
 
-func sum(counts map[string]int) int {
+func sumCounts(counts map[string]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
@@ -134,7 +133,7 @@
 	return total
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "service %s: %d requests in %.1f s, seed %d\n", r.Service, r.Requests, r.Seconds, r.Seed)
--- a/internal/loadgen/request.go
+++ b/internal/loadgen/request.go
@@ -22,48 +22,48 @@
 )
 
 const (
-	// firstBackoff doubles with each attempt.
+	// firstBackoff is the delay before the first retry; it doubles with each attempt.
 	firstBackoff = 20 * time.Millisecond
-	// maxRedirects bounds how often a request moves on to another flow
-	// because the first one was taking no more, with nothing sent.
+	// maxRedirects bounds how often a request moves to another flow because the
+	// previous one accepted no more requests and nothing was sent.
 	maxRedirects = 3
 	maxAnswer    = 1 << 20
 )
 
-// request is one request of a caller, over all of its attempts.
+// request is one request of a caller with all of its attempts.
 type request struct {
 	number        int
 	nonRepeatable bool
 	scheduled     time.Time
-	// seed of the jitter, drawn with the schedule.
+	// seed of the retry jitter.
 	seed uint64
 }
 
-// key is the idempotency key; only non-repeatable requests carry it.
+// key returns the idempotency key, which only non-repeatable requests carry.
 func (q request) key(o *Options) string {
 	return fmt.Sprintf("%s-%d", o.RunID, q.number)
 }
 
-// text is unique, so that the answer to another request shows.
+// text returns a unique body, so that an answer to another request is detected.
 func (q request) text(o *Options) string {
 	return "text-" + q.key(o)
 }
 
-// perform makes the attempts of a request and records its final outcome.
-func (g *generator) perform(ctx context.Context, q request) {
+// runRequest makes the attempts of a request and records its final outcome.
+func (g *generator) runRequest(ctx context.Context, q request) {
 	ctx, cancel := context.WithDeadline(ctx, q.scheduled.Add(g.opts.Deadline))
 	defer cancel()
 	jitter := rand.New(rand.NewPCG(g.opts.Seed, q.seed))
-	var earlier doubt
+	var history attemptHistory
 	for attempt := 1; ; attempt++ {
 		s := g.slots[(q.number+attempt-1)%len(g.slots)]
-		out := earlier.add(g.attempt(ctx, s, q))
-		wait, again := g.retry(ctx, q, out, attempt, jitter)
-		if !again {
-			g.rec.finished(q, out, time.Since(q.scheduled))
+		out := history.add(g.attempt(ctx, s, q))
+		wait, mayRetry := g.retry(ctx, q, out, attempt, jitter)
+		if !mayRetry {
+			g.rec.requestFinished(q, out, time.Since(q.scheduled))
 			return
 		}
-		g.rec.retried(out)
+		g.rec.requestRetried(out)
 		_ = sleep.For(ctx, wait)
 	}
 }
@@ -73,23 +73,23 @@
 	if out.class == ClassAnswered || attempt >= g.opts.MaxAttempts {
 		return 0, false
 	}
-	// Whether it ran is not known: only what may be repeated goes again, unless
-	// the system asks for it.
-	if out.class == ClassUnknown && q.nonRepeatable && out.comeBack == 0 {
+	// A non-repeatable request with an unknown outcome is retried only if the answer
+	// asks for it.
+	if out.class == ClassUnknown && q.nonRepeatable && out.retryAfter == 0 {
 		return 0, false
 	}
-	wait := max(out.comeBack, firstBackoff<<(attempt-1))
+	wait := max(out.retryAfter, firstBackoff<<(attempt-1))
 	wait += time.Duration(jitter.Float64() * float64(wait) / 2)
 	deadline, _ := ctx.Deadline()
-	// Giving up now tells the caller more than a wait past its deadline.
+	// No attempt would start before the deadline.
 	if time.Until(deadline) <= wait {
 		return 0, false
 	}
 	return wait, g.rec.takeRetry()
 }
 
-// attempt sends the request once. It moves to another flow for free while
-// nothing of the request was sent.
+// attempt sends the request once. Moving to another flow while nothing was sent does not
+// count as a retry.
 func (g *generator) attempt(ctx context.Context, s *slot, q request) outcome {
 	for redirect := 0; ; redirect++ {
 		f, err := s.acquire(ctx)
@@ -98,7 +98,7 @@
 		}
 		out, sent := g.exchange(ctx, f, q)
 		if !sent {
-			f.leaving.Store(true)
+			f.draining.Store(true)
 		}
 		f.release()
 		if sent || ctx.Err() != nil || redirect == maxRedirects {
@@ -107,8 +107,8 @@
 	}
 }
 
-// exchange sends the request on a flow and reads the whole answer. It tells
-// whether the whole header was sent: without it the request cannot be run.
+// exchange sends the request on a flow and reads the complete answer. It reports whether
+// the complete header was sent; without it the request cannot run.
 func (g *generator) exchange(ctx context.Context, f *flow, q request) (out outcome, sent bool) {
 	var wrote atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }})
@@ -120,7 +120,7 @@
 		return notRun(reasonGoAway), false
 	}
 	if err != nil {
-		return g.lost(ctx, f, err), true
+		return g.handleFailure(ctx, f, err), true
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
@@ -128,25 +128,26 @@
 		return unknown(reasonTruncated), true
 	}
 	if err != nil {
-		return g.lost(ctx, f, err), true
+		return g.handleFailure(ctx, f, err), true
 	}
 	answer := answerOutcome(res)
-	f.answeredBy(answer.target)
-	return g.check(q, answer, body), true
+	f.setTarget(answer.target)
+	return g.verifyAnswer(q, answer, body), true
 }
 
-// lost explains a request that failed after it was sent. A flow whose end
-// left the outcome unknown is broken; one that refused the request is not.
-func (g *generator) lost(ctx context.Context, f *flow, err error) outcome {
-	out := lostOutcome(ctx, err)
+// handleFailure returns the outcome of a request that failed after it was sent. It counts
+// the flow as broken if the end of the flow left the outcome unknown.
+func (g *generator) handleFailure(ctx context.Context, f *flow, err error) outcome {
+	out := failureOutcome(ctx, err)
 	if out.reason == reasonLost {
 		g.dialer.requestLost(f, err)
 	}
 	return out
 }
 
-// check holds an answer against its request.
-func (g *generator) check(q request, out outcome, body []byte) outcome {
+// verifyAnswer checks that an answer belongs to its request and comes from a target of
+// the service.
+func (g *generator) verifyAnswer(q request, out outcome, body []byte) outcome {
 	if out.class != ClassAnswered || out.reason != "" {
 		return out
 	}
@@ -188,7 +189,7 @@
 	s.CancelWrite(quic.StreamErrorCode(http3.ErrCodeRequestCanceled))
 }
 
-// targetName is the first part of "name/number/incarnation".
+// targetName returns the name in "name/number/incarnation".
 func targetName(target string) string {
 	name, _, _ := strings.Cut(target, "/")
 	return name
--- a/internal/loadgen/runs.go
+++ b/internal/loadgen/runcounts.go
@@ -18,22 +18,21 @@
 	runsTimeout = 5 * time.Second
 )
 
-// ErrRunsUnavailable reports that the backend servers could not all be asked how often
-// a key ran.
-var ErrRunsUnavailable = errors.New("the backend servers cannot be asked for their runs")
+// ErrRunsUnavailable reports that the run counts of some backend servers are not known.
+var ErrRunsUnavailable = errors.New("run counts of the backend servers not available")
 
-// checkRuns asks every backend server how often each key ran and fills in
+// checkRuns queries every backend server for the run count of each key and fills in
 // report.Doubled.
 func (g *generator) checkRuns(ctx context.Context, report *Report) error {
 	if g.opts.RunCount != nil {
 		report.Doubled = &Doubled{}
-		for _, fate := range g.rec.fates {
-			report.Doubled.add(judge(fate, g.opts.RunCount(fate.key)))
+		for _, outcome := range g.rec.keyOutcomes {
+			report.Doubled.add(compareRuns(outcome, g.opts.RunCount(outcome.key)))
 		}
 		return nil
 	}
 	if len(g.opts.RunURLs) == 0 {
-		return errors.Wrap(ErrRunsUnavailable, "none is named")
+		return errors.Wrap(ErrRunsUnavailable, "no URLs given")
 	}
 	client := &http.Client{
 		Timeout:   runsTimeout,
@@ -41,10 +40,10 @@
 	}
 	defer client.CloseIdleConnections()
 	workers := pool.NewWithResults[Doubled]().WithContext(ctx).WithMaxGoroutines(runsWorkers).WithCancelOnError()
-	for _, fate := range g.rec.fates {
+	for _, outcome := range g.rec.keyOutcomes {
 		workers.Go(func(ctx context.Context) (Doubled, error) {
-			runs, err := totalRuns(ctx, client, g.opts.RunURLs, fate.key)
-			return judge(fate, runs), err
+			runs, err := totalRuns(ctx, client, g.opts.RunURLs, outcome.key)
+			return compareRuns(outcome, runs), err
 		})
 	}
 	parts, err := workers.Wait()
@@ -65,16 +64,16 @@
 	d.AnsweredUnrun += other.AnsweredUnrun
 }
 
-// judge compares what a caller was told with how often the key ran.
-func judge(fate keyFate, runs int) Doubled {
+// compareRuns compares the outcome of a key with its run count.
+func compareRuns(outcome keyOutcome, runs int) Doubled {
 	d := Doubled{Keys: 1}
 	if runs > 1 {
 		d.Doubled = 1
 	}
-	if fate.told == ClassNotRun && runs > 0 {
+	if outcome.lastClass == ClassNotRun && runs > 0 {
 		d.DeniedFalsely = 1
 	}
-	if fate.told == ClassAnswered && runs == 0 {
+	if outcome.lastClass == ClassAnswered && runs == 0 {
 		d.AnsweredUnrun = 1
 	}
 	return d
--- a/internal/loadgen/server_test.go
+++ b/internal/loadgen/server_test.go
@@ -27,66 +27,66 @@
 
 const service = "lodgement"
 
-// farEnd is a plain HTTP/3 server in place of the system.
-type farEnd struct {
+// testServer is an HTTP/3 server in place of the load balancer.
+type testServer struct {
 	address string
 	http    *http3.Server
 	tls     *tls.Config
-	// leaving servers refuse new flows.
-	leaving atomic.Bool
-	// pending counts flows whose handshake was not refused and that are
-	// neither served nor at their end yet.
+	// draining means that new flows are refused.
+	draining atomic.Bool
+	// pending counts accepted flows that are neither served nor closed yet.
 	pending atomic.Int64
 }
 
-var errLeaving = errors.New("leaving")
+var errDraining = errors.New("draining")
 
-// arrival settles once what became of a flow.
-type arrival struct {
-	once sync.Once
-	far  *farEnd
+// handshake decrements pending once when its flow is served or closed.
+type handshake struct {
+	once   sync.Once
+	server *testServer
 }
 
-func (a *arrival) settle() { a.once.Do(func() { a.far.pending.Add(-1) }) }
+func (h *handshake) complete() { h.once.Do(func() { h.server.pending.Add(-1) }) }
 
-// arrivalKey finds the arrival in the context of a flow.
-type arrivalKey struct{}
+// handshakeKey is the context key of a flow's handshake.
+type handshakeKey struct{}
 
-// admit counts a flow before it looks whether the server is leaving, so that
-// shutdown waits for every flow that it lets through.
-func (f *farEnd) admit(*quic.ClientInfo) (*quic.Config, error) {
+// configForClient increments pending before it checks draining, so that shutdown waits
+// for every accepted flow.
+func (f *testServer) configForClient(*quic.ClientInfo) (*quic.Config, error) {
 	f.pending.Add(1)
-	if f.leaving.Load() {
+	if f.draining.Load() {
 		f.pending.Add(-1)
-		return nil, errLeaving
+		return nil, errDraining
 	}
 	return &quic.Config{}, nil
 }
 
-// arrive begins an admitted flow; one that never gets served ends its context.
-func (f *farEnd) arrive(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
-	a := &arrival{far: f}
-	context.AfterFunc(ctx, a.settle)
-	return context.WithValue(ctx, arrivalKey{}, a), nil
+// connContext adds the handshake of an accepted flow to its context, whose end completes
+// it if the flow is never served.
+func (f *testServer) connContext(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
+	h := &handshake{server: f}
+	context.AfterFunc(ctx, h.complete)
+	return context.WithValue(ctx, handshakeKey{}, h), nil
 }
 
-// served marks a flow that the HTTP/3 server has taken.
-func served(ctx context.Context, conn *quic.Conn) context.Context {
-	conn.Context().Value(arrivalKey{}).(*arrival).settle()
+// completeHandshake completes the handshake of a flow that the HTTP/3 server serves.
+func completeHandshake(ctx context.Context, conn *quic.Conn) context.Context {
+	conn.Context().Value(handshakeKey{}).(*handshake).complete()
 	return ctx
 }
 
-// shutdown takes no more flows, sends GOAWAY and waits for the ones it has.
-// Handshakes that began before it finish first.
-func (f *farEnd) shutdown(ctx context.Context) {
-	f.leaving.Store(true)
+// shutdown refuses new flows, waits for pending handshakes, sends GOAWAY and waits for
+// open flows.
+func (f *testServer) shutdown(ctx context.Context) {
+	f.draining.Store(true)
 	for f.pending.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	_ = f.http.Shutdown(ctx)
 }
 
-// authority signs for all servers of a test.
+// authority signs the certificates of all servers of a test.
 type authority struct {
 	*keys.Authority
 	roots *x509.CertPool
@@ -102,7 +102,7 @@
 	return authority{a, roots}
 }
 
-func (a authority) serve(t *testing.T, name string, h http.Handler) *farEnd {
+func (a authority) serve(t *testing.T, name string, h http.Handler) *testServer {
 	t.Helper()
 	is := is.New(t)
 	pair, err := a.Caller(name, nil, time.Now(), time.Hour)
@@ -111,13 +111,13 @@
 	is.NoErr(err)
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	is.NoErr(err)
-	f := &farEnd{
+	f := &testServer{
 		address: conn.LocalAddr().String(),
 		tls:     http3.ConfigureTLSConfig(&tls.Config{Certificates: []tls.Certificate{*cert}}),
 	}
-	f.http = &http3.Server{Handler: h, ConnContext: served}
-	transport := &quic.Transport{Conn: conn, ConnContext: f.arrive}
-	listener, err := transport.ListenEarly(f.tls, &quic.Config{GetConfigForClient: f.admit})
+	f.http = &http3.Server{Handler: h, ConnContext: completeHandshake}
+	transport := &quic.Transport{Conn: conn, ConnContext: f.connContext}
+	listener, err := transport.ListenEarly(f.tls, &quic.Config{GetConfigForClient: f.configForClient})
 	is.NoErr(err)
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = f.http.ServeListener(listener) })
@@ -130,7 +130,7 @@
 	return f
 }
 
-// proxy hands requests on to a backend server and says who answered.
+// proxy forwards requests to a backend server and sets the Target header.
 func proxy(t *testing.T, s *backend.Server, target string) http.Handler {
 	t.Helper()
 	to, err := url.Parse(s.URL())
@@ -156,48 +156,46 @@
 }
 
 const (
-	// patience bounds a run that never does enough; no verdict depends on it.
-	patience = time.Minute
-	// amplePercent is a retry budget that a busy machine does not use up.
-	amplePercent = 1_000_000
-	// ramp spreads the opening of sessions.
-	ramp = 40 * time.Millisecond
+	// maxRunTime bounds a run whose condition never holds, which fails the test.
+	maxRunTime = time.Minute
+	// largeRetryPercent is sufficient on a busy machine.
+	largeRetryPercent = 1_000_000
+	sessionRamp       = 40 * time.Millisecond
 )
 
-// run makes a run that ends by its condition, so that a busy machine makes it
-// longer and changes nothing else. Unless a test says otherwise, callers do not
-// give up.
-func run(t *testing.T, o loadgen.Options) *loadgen.Report {
+// runLoad makes a run that ends by its condition, by default after five requests, and not
+// by its duration.
+func runLoad(t *testing.T, o loadgen.Options) *loadgen.Report {
 	t.Helper()
 	is := is.New(t)
 	is.Helper()
-	enough := o.StopWhen
-	if enough == nil {
-		enough = someRequests
+	stopWhen := o.StopWhen
+	if stopWhen == nil {
+		stopWhen = fiveRequests
 	}
 	var ended atomic.Bool
 	o.StopWhen = func(sofar *loadgen.Report) bool {
-		if enough(sofar) {
+		if stopWhen(sofar) {
 			ended.Store(true)
 		}
 		return ended.Load()
 	}
 	o.Service = service
-	o.Duration = patience
-	o.Deadline = patience
-	o.SessionRamp = ramp
+	o.Duration = maxRunTime
+	o.Deadline = maxRunTime
+	o.SessionRamp = sessionRamp
 	report, err := loadgen.Run(context.Background(), o)
 	is.NoErr(err)
 	t.Logf("%+v", *report)
-	is.True(ended.Load()) // the run did enough
+	is.True(ended.Load()) // not by the duration
 	return report
 }
 
-// persistent makes callers try until they are answered.
-func persistent(o loadgen.Options) loadgen.Options {
+// retryForever makes callers retry until they are answered.
+func retryForever(o loadgen.Options) loadgen.Options {
 	o.MaxAttempts = math.MaxInt32
-	o.RetryPercent = amplePercent
+	o.RetryPercent = largeRetryPercent
 	return o
 }
 
-func someRequests(sofar *loadgen.Report) bool { return sofar.Requests >= 5 }
+func fiveRequests(sofar *loadgen.Report) bool { return sofar.Requests >= 5 }
--- a/internal/loadgen/session.go
+++ b/internal/loadgen/session.go
@@ -15,23 +15,22 @@
 )
 
 const (
-	// reopenPause is the wait before a caller opens a session again.
-	reopenPause = 200 * time.Millisecond
+	// reopenDelay is the minimum delay before a caller reopens a session.
+	reopenDelay = 200 * time.Millisecond
 	// openTimeout bounds the opening of a session.
 	openTimeout = 5 * time.Second
 )
 
-// session holds one watch stream open until ctx ends, and opens another when
-// it breaks.
-func (g *generator) session(ctx context.Context) {
+// runSession keeps one watch stream open until ctx ends, and reopens it when it breaks.
+func (g *generator) runSession(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := g.watchOnce(ctx)
-		_ = sleep.For(ctx, max(pause, reopenPause))
+		retryAfter := g.watchOnce(ctx)
+		_ = sleep.For(ctx, max(retryAfter, reopenDelay))
 	}
 }
 
-// watchOnce opens a session and reads it to its end. It returns how long the
-// system asked to stay away.
+// watchOnce opens a session and reads it until it ends. It returns the Retry-After of a
+// refused session.
 func (g *generator) watchOnce(ctx context.Context) time.Duration {
 	openCtx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
@@ -52,32 +51,32 @@
 	}
 	stop := context.AfterFunc(ctx, func() { cancelStream(stream) })
 	defer stop()
-	var silent atomic.Bool
-	limit := max(SessionTimeoutFactor*g.opts.WatchPeriod, openTimeout)
-	guard := time.AfterFunc(limit, func() {
-		silent.Store(true)
+	var timedOut atomic.Bool
+	eventTimeout := max(SessionTimeoutFactor*g.opts.WatchPeriod, openTimeout)
+	timer := time.AfterFunc(eventTimeout, func() {
+		timedOut.Store(true)
 		cancelStream(stream)
 	})
-	defer guard.Stop()
+	defer timer.Stop()
 	res, out := g.openWatch(ctx, f, stream)
 	if res == nil {
-		// At the end of the run the caller itself gives up.
+		// At the end of the run the caller cancels the stream itself.
 		if ctx.Err() == nil {
 			g.rec.sessionRefused(out)
 		}
-		return out.comeBack
+		return out.retryAfter
 	}
-	f.answeredBy(out.target)
+	f.setTarget(out.target)
 	g.rec.sessionOpened(out)
 	defer g.rec.sessionEnded()
 	lines := bufio.NewScanner(res.Body)
 	for lines.Scan() {
-		guard.Reset(limit)
-		g.rec.event()
+		timer.Reset(eventTimeout)
+		g.rec.eventReceived()
 	}
 	if ctx.Err() == nil {
-		reason := breakReason(lines.Err(), silent.Load())
-		g.dialer.breakFlow(f, reason)
+		reason := breakReason(lines.Err(), timedOut.Load())
+		g.dialer.recordBroken(f, reason)
 		if g.dialer.hostFailed(f) {
 			g.rec.sessionLostWithHost()
 			return 0
@@ -87,7 +86,7 @@
 	return 0
 }
 
-// openWatch returns the response of an accepted watch, or why there is none.
+// openWatch returns the response of an accepted watch, or nil and the outcome.
 func (g *generator) openWatch(ctx context.Context, f *flow, stream *http3.RequestStream) (*http.Response, outcome) {
 	err := stream.SendRequestHeader(&http.Request{
 		Method: http.MethodGet,
@@ -104,7 +103,7 @@
 	_ = stream.Close()
 	res, err := stream.ReadResponse()
 	if err != nil {
-		return nil, g.lost(ctx, f, err)
+		return nil, g.handleFailure(ctx, f, err)
 	}
 	out := answerOutcome(res)
 	if out.class != ClassAnswered || out.reason != "" {
@@ -113,9 +112,9 @@
 	return res, out
 }
 
-// breakReason tells why a watch that was open ended.
-func breakReason(err error, silent bool) string {
-	if silent {
+// breakReason returns the reason for the end of an open watch stream.
+func breakReason(err error, timedOut bool) string {
+	if timedOut {
 		return "silent-stream"
 	}
 	if err == nil {
--- a/internal/loadgen/timeline.go
+++ b/internal/loadgen/timeline.go
@@ -8,21 +8,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// WindowStats is what the callers saw in one window of time.
+// WindowStats is the latency and the broken flows of one time window.
 type WindowStats struct {
-	// P50 and P99 are of the requests answered in the window, in
+	// P50 and P99 are the latencies of the requests answered in the window, in
 	// milliseconds from their scheduled time; NaN without an answer.
 	P50, P99 float64
-	// BrokenFlows were found broken in the window.
+	// BrokenFlows is the number of flows that broke in the window.
 	BrokenFlows int
 }
 
-// timeline sums up one window after the other. Time does not go back, so that
-// one histogram serves all windows: a long run has thousands.
+// timeline computes the stats of each window. Time never goes back, so one histogram
+// serves all windows.
 type timeline struct {
 	window  time.Duration
 	latency *hdrhistogram.Histogram
-	moments []WindowStats
+	stats   []WindowStats
 }
 
 func newTimeline(window time.Duration) *timeline {
@@ -33,31 +33,31 @@
 }
 
 func (t *timeline) answered(since, latency time.Duration) {
-	t.at(since)
-	// Out of range cannot happen: deadlines are far shorter.
+	t.statsAt(since)
+	// Deadlines are far below the highest latency, so this cannot fail.
 	_ = t.latency.RecordValue(max(lowestLatency, latency.Microseconds()))
 }
 
 func (t *timeline) broken(since time.Duration) {
-	t.at(since).BrokenFlows++
+	t.statsAt(since).BrokenFlows++
 }
 
-// at returns the window of that time since the start, and closes the ones
-// before it.
-func (t *timeline) at(since time.Duration) *WindowStats {
-	for len(t.moments) <= int(since/t.window) {
+// statsAt returns the stats of the window at a time since the start, and closes the
+// windows before it.
+func (t *timeline) statsAt(since time.Duration) *WindowStats {
+	for len(t.stats) <= int(since/t.window) {
 		t.close()
-		t.moments = append(t.moments, WindowStats{P50: math.NaN(), P99: math.NaN()})
+		t.stats = append(t.stats, WindowStats{P50: math.NaN(), P99: math.NaN()})
 	}
-	return &t.moments[len(t.moments)-1]
+	return &t.stats[len(t.stats)-1]
 }
 
-// close writes the percentiles of the last window.
+// close stores the percentiles of the last window and resets the histogram.
 func (t *timeline) close() {
-	if len(t.moments) == 0 {
+	if len(t.stats) == 0 {
 		return
 	}
-	t.percentiles(&t.moments[len(t.moments)-1])
+	t.percentiles(&t.stats[len(t.stats)-1])
 	t.latency.Reset()
 }
 
@@ -69,10 +69,9 @@
 	m.P99 = float64(t.latency.ValueAtPercentile(99)) / 1000
 }
 
-// all returns a copy of the windows, the last one as far as it has come: a run
-// reports more than once.
-func (t *timeline) all() []WindowStats {
-	out := slices.Clone(t.moments)
+// snapshot returns a copy of the stats, with the percentiles of the last window so far.
+func (t *timeline) snapshot() []WindowStats {
+	out := slices.Clone(t.stats)
 	if len(out) > 0 {
 		t.percentiles(&out[len(out)-1])
 	}
