--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -2,24 +2,23 @@
 
 import "net/netip"
 
-// SetHosts replaces the hosts that receive datagrams of callers. Replies of
-// hosts that are no longer among them still return to their callers.
+// SetHosts replaces the hosts that receive datagrams of callers. Replies of removed hosts
+// still return to their callers.
 func (r *Relay) SetHosts(hosts ...netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hosts = append([]netip.AddrPort(nil), hosts...)
 }
 
-// UseRoundRobin sends each datagram of a caller to the host after the one that got
-// the last, in place of one chosen at random.
+// UseRoundRobin sends the datagrams of each caller to the hosts in turn instead of at
+// random.
 func (r *Relay) UseRoundRobin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inTurn = true
+	r.roundRobin = true
 }
 
-// SetFaults sets the faults of one direction for all hosts without faults of
-// their own.
+// SetFaults sets the faults of one direction for all hosts that SetHostFaults has not set.
 func (r *Relay) SetFaults(direction Direction, faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,13 +32,13 @@
 	r.faults[pathKey{host, direction}] = faults
 }
 
-// Cut loses everything in both directions, without a sign to either end.
+// Cut drops all datagrams in both directions without an error at either end.
 func (r *Relay) Cut() {
 	r.SetFaults(ToHost, Faults{Cut: true})
 	r.SetFaults(ToCaller, Faults{Cut: true})
 }
 
-// Heal removes all faults, but leaves stale flows stale.
+// Heal removes all faults. Flows cut by CutFlows and CutFlow stay cut.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,38 +46,37 @@
 	clear(r.faults)
 }
 
-// CutFlows makes the flows of all callers known by now stale in the given
-// directions: their datagrams are lost for good, while a caller that comes
-// from another port gets through.
-func (r *Relay) CutFlows(ways ...Direction) {
+// CutFlows permanently drops the datagrams of all present callers in the given directions.
+// Callers from other ports are not affected.
+func (r *Relay) CutFlows(dirs ...Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.flows {
-		for _, direction := range ways {
-			f.stale[direction] = true
+		for _, direction := range dirs {
+			f.cut[direction] = true
 		}
 	}
 }
 
-// CutFlow makes the flow of one caller stale in the given directions.
-func (r *Relay) CutFlow(caller netip.AddrPort, ways ...Direction) {
+// CutFlow permanently drops the datagrams of one caller in the given directions.
+func (r *Relay) CutFlow(caller netip.AddrPort, dirs ...Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f, ok := r.flows[caller]; ok {
-		for _, direction := range ways {
-			f.stale[direction] = true
+		for _, direction := range dirs {
+			f.cut[direction] = true
 		}
 	}
 }
 
-// Counts tells what was done with the datagrams of one path.
+// Counts returns the datagram counts of one path in one direction.
 func (r *Relay) Counts(host netip.AddrPort, direction Direction) Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[pathKey{host, direction}]
 }
 
-// Flows returns the number of callers in the table.
+// Flows returns the number of callers in the flow table.
 func (r *Relay) Flows() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,8 +90,8 @@
 	return r.defaults[key.direction]
 }
 
-// Record keeps copies of the next datagrams that are delivered, at most limit
-// of each direction, and forgets earlier ones.
+// Record drops earlier copies and keeps copies of the next delivered datagrams, at most
+// limit per direction.
 func (r *Relay) Record(limit int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +99,7 @@
 	r.recorded = [directions][][]byte{}
 }
 
-// Recorded returns the datagrams that were kept of a direction.
+// Recorded returns the recorded datagrams of a direction.
 func (r *Relay) Recorded(direction Direction) [][]byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultproxy/faults.go
+++ b/internal/faultproxy/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Direction is the way that a datagram takes through a relay.
+// Direction is the direction of a datagram through a relay.
 type Direction int
 
 const (
@@ -16,26 +16,25 @@
 	directions
 )
 
-// Faults tells what happens to the datagrams of one path in one direction.
-// The zero value is a path without faults.
+// Faults are the faults of one path in one direction. The zero value has none.
 type Faults struct {
 	// Drop is the probability that a datagram is lost.
 	Drop float64
-	// Duplicate is the probability that a datagram arrives twice.
+	// Duplicate is the probability that a datagram is delivered twice.
 	Duplicate float64
 	// Delay is added to every datagram.
 	Delay time.Duration
-	// Reorder is the probability that a datagram is held back by HoldBack,
-	// so that later ones overtake it.
+	// Reorder is the probability that a datagram is delayed by ReorderDelay, so that
+	// later ones overtake it.
 	Reorder float64
 	// ReorderDelay is the additional delay of a reordered datagram.
 	ReorderDelay time.Duration
-	// Cut loses every datagram without an error at either end.
+	// Cut drops every datagram without an error at either end.
 	Cut bool
 }
 
-// delays returns the delay of each copy of a datagram to deliver; none means
-// that it is lost.
+// delays returns the delay of each copy of a datagram. An empty result means that the
+// datagram is dropped.
 func (f Faults) delays(random *rand.Rand) []time.Duration {
 	if f.Cut {
 		return nil
--- a/internal/faultproxy/record_test.go
+++ b/internal/faultproxy/record_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRecordKeepsTheFirstOfEachDirection(t *testing.T) {
+func TestRecordKeepsFirstDatagrams(t *testing.T) {
 	is := is.New(t)
 	caller, host := socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(host)}})
@@ -24,17 +24,17 @@
 	is.Equal(len(r.Recorded(ToHost)), 0)
 }
 
-func TestOneCallerGoesStale(t *testing.T) {
+func TestCutFlowAffectsOneCaller(t *testing.T) {
 	is := is.New(t)
-	stale, other, host := socket(t), socket(t), socket(t)
+	cut, other, host := socket(t), socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(host)}})
-	send(t, stale, r.Addr(), "before")
+	send(t, cut, r.Addr(), "before")
 	_, from := receive(t, host)
-	r.CutFlow(addrOf(stale), ToCaller)
+	r.CutFlow(addrOf(cut), ToCaller)
 	send(t, host, from, "lost")
-	send(t, stale, r.Addr(), "still heard")
+	send(t, cut, r.Addr(), "still received")
 	text, _ := receive(t, host)
-	is.Equal(text, "still heard")
+	is.Equal(text, "still received")
 	send(t, other, r.Addr(), "other")
 	text, _ = receive(t, host)
 	is.Equal(text, "other")
--- a/internal/faultproxy/relay.go
+++ b/internal/faultproxy/relay.go
@@ -20,45 +20,44 @@
 
 // Options configures a Relay.
 type Options struct {
-	// Listen is the front address. Port 0 takes a free one.
+	// Listen is the front address. Port 0 means a free port.
 	Listen netip.AddrPort
 	// Hosts receive the datagrams of callers.
 	Hosts []netip.AddrPort
-	// Rand decides on faults and hosts.
+	// Rand is the source of randomness for faults and hosts.
 	Rand *rand.Rand
-	// Delay is added, one way, to every datagram from and to a caller at that
-	// IP number, for instance by the distance of its failure domain. It must
-	// not block. Nil adds none.
+	// Delay returns the one-way delay added to every datagram from and to a caller
+	// with that IP address. It must not block. Nil adds none.
 	Delay func(caller netip.Addr) time.Duration
-	// MaxFlows bounds the table of callers; the one idle for longest is
-	// forgotten when it is full. Default 4096.
+	// MaxFlows bounds the flow table; when it is full, the least recently used flow is
+	// evicted. Default 4096.
 	MaxFlows int
 }
 
-// Counts tells what a relay did with the datagrams of one path.
+// Counts are the datagram counts of one path in one direction.
 type Counts struct {
-	// Received counts datagrams taken in for the path.
+	// Received counts datagrams received for the path.
 	Received int
-	// Delivered counts datagrams sent on, copies included.
+	// Delivered counts datagrams forwarded, including duplicates.
 	Delivered int
-	// Lost counts datagrams dropped on purpose.
+	// Lost counts datagrams dropped by faults.
 	Lost int
 }
 
-// pathKey names one direction of the path to one host.
+// pathKey identifies one direction of the path to one host.
 type pathKey struct {
 	host      netip.AddrPort
 	direction Direction
 }
 
-// Relay passes datagrams between callers and hosts.
+// Relay relays datagrams between callers and hosts.
 type Relay struct {
 	front    *net.UDPConn
 	maxFlows int
 	delay    func(caller netip.Addr) time.Duration
 	workers  conc.WaitGroup
 
-	// mu guards the fields below. No other lock is taken under it.
+	// mu guards the fields below. No other lock is acquired while it is held.
 	mu       sync.Mutex
 	random   *rand.Rand
 	hosts    []netip.AddrPort
@@ -68,11 +67,11 @@
 	flows    map[netip.AddrPort]*flow
 	pending  int
 	closed   bool
-	// recorded holds up to recordLimit datagrams of each direction.
+	// recorded holds up to recordLimit datagrams per direction.
 	recorded    [directions][][]byte
 	recordLimit int
-	// inTurn replaces the random choice of a host.
-	inTurn bool
+	// roundRobin replaces the random selection of hosts.
+	roundRobin bool
 }
 
 // flow is the state of one caller address.
@@ -80,14 +79,14 @@
 	caller   netip.AddrPort
 	upstream *net.UDPConn
 	lastUsed time.Time
-	// distance is the delay one way that the caller's IP number brings.
-	distance time.Duration
-	stale    [directions]bool
-	// turn counts the datagrams to hosts.
-	turn int
+	// callerDelay is the one-way delay of the caller's IP address.
+	callerDelay time.Duration
+	cut         [directions]bool
+	// sent counts the datagrams sent to hosts.
+	sent int
 }
 
-// NewRelay opens the front address and starts to relay.
+// NewRelay listens on the front address and starts to relay.
 func NewRelay(opts Options) (*Relay, error) {
 	front, err := listenUDP(opts.Listen)
 	if err != nil {
@@ -120,8 +119,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	// Best effort: with smaller buffers the relay loses more than asked for,
-	// which callers have to survive anyway.
+	// Best effort: smaller buffers only cause additional loss.
 	_ = conn.SetReadBuffer(socketBufferBytes)
 	_ = conn.SetWriteBuffer(socketBufferBytes)
 	return conn, nil
@@ -155,7 +153,7 @@
 	}
 }
 
-// toHost sends one datagram of a caller to a host chosen at random or in turn.
+// toHost sends one datagram of a caller to a host.
 func (r *Relay) toHost(caller netip.AddrPort, datagram []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,10 +165,10 @@
 		return
 	}
 	host := r.hosts[r.random.IntN(len(r.hosts))]
-	if r.inTurn {
-		host = r.hosts[f.turn%len(r.hosts)]
+	if r.roundRobin {
+		host = r.hosts[f.sent%len(r.hosts)]
 	}
-	f.turn++
+	f.sent++
 	r.sendLocked(pathKey{host, ToHost}, f, f.upstream, host, datagram)
 }
 
@@ -195,13 +193,13 @@
 	r.sendLocked(pathKey{host, ToCaller}, f, r.front, f.caller, datagram)
 }
 
-// sendLocked applies the faults of the path and sends what is left over.
+// sendLocked sends a datagram subject to the faults of its path.
 func (r *Relay) sendLocked(key pathKey, f *flow, from *net.UDPConn, to netip.AddrPort, datagram []byte) {
 	counts := r.counts[key]
 	defer func() { r.counts[key] = counts }()
 	counts.Received++
 	delays := r.faultsLocked(key).delays(r.random)
-	if f.stale[key.direction] {
+	if f.cut[key.direction] {
 		delays = nil
 	}
 	if len(delays) == 0 {
@@ -212,12 +210,11 @@
 	r.recordLocked(key.direction, datagram)
 	for _, delay := range delays {
 		counts.Delivered++
-		r.deliverLocked(from, to, datagram, delay+f.distance)
+		r.deliverLocked(from, to, datagram, delay+f.callerDelay)
 	}
 }
 
-// deliverLocked sends at once or after the delay. A failed send is a lost
-// datagram, as on any network.
+// deliverLocked sends a datagram after the delay. A failed send drops it.
 func (r *Relay) deliverLocked(from *net.UDPConn, to netip.AddrPort, datagram []byte, delay time.Duration) {
 	if delay == 0 {
 		_, _ = from.WriteToUDPAddrPort(datagram, to)
@@ -227,23 +224,23 @@
 		return
 	}
 	r.pending++
-	held := append([]byte(nil), datagram...)
+	delayed := append([]byte(nil), datagram...)
 	time.AfterFunc(delay, func() {
-		_, _ = from.WriteToUDPAddrPort(held, to)
+		_, _ = from.WriteToUDPAddrPort(delayed, to)
 		r.mu.Lock()
 		r.pending--
 		r.mu.Unlock()
 	})
 }
 
-// flowLocked returns the flow of the caller, a new one if there is none, or
-// nil if no socket can be opened for it.
+// flowLocked returns the flow of the caller and creates it if needed. It returns nil if no
+// socket can be opened for it.
 func (r *Relay) flowLocked(caller netip.AddrPort) *flow {
 	if f, ok := r.flows[caller]; ok {
 		return f
 	}
 	for len(r.flows) >= r.maxFlows {
-		r.forgetOldestLocked()
+		r.evictOldestLocked()
 	}
 	upstream, err := listenUDP(netip.AddrPortFrom(r.Addr().Addr(), 0))
 	if err != nil {
@@ -251,14 +248,14 @@
 	}
 	f := &flow{
 		caller: caller, upstream: upstream, lastUsed: time.Now(),
-		distance: r.delay(caller.Addr().Unmap()),
+		callerDelay: r.delay(caller.Addr().Unmap()),
 	}
 	r.flows[caller] = f
 	r.workers.Go(func() { r.readHosts(f) })
 	return f
 }
 
-func (r *Relay) forgetOldestLocked() {
+func (r *Relay) evictOldestLocked() {
 	var oldest *flow
 	for _, f := range r.flows {
 		if oldest == nil || f.lastUsed.Before(oldest.lastUsed) {
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -15,7 +15,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-const waitLimit = unittest.Patience
+const readTimeout = unittest.Patience
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
@@ -25,7 +25,7 @@
 	conn, err := listenUDP(loopback)
 	is.NoErr(err)
 	t.Cleanup(func() { conn.Close() })
-	is.NoErr(conn.SetReadDeadline(time.Now().Add(waitLimit)))
+	is.NoErr(conn.SetReadDeadline(time.Now().Add(readTimeout)))
 	return conn
 }
 
@@ -57,13 +57,13 @@
 	return string(buf[:n]), from
 }
 
-// waitFor polls the condition.
+// waitFor polls the condition until it holds.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	unittest.Eventually(t, "the condition", condition)
 }
 
-func TestSpraysCallerOverHosts(t *testing.T) {
+func TestCallerIsSpreadOverHosts(t *testing.T) {
 	is := is.New(t)
 	caller, a, b := socket(t), socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(a), addrOf(b)}})
@@ -72,7 +72,7 @@
 	}
 	_, fromA := receive(t, a)
 	_, fromB := receive(t, b)
-	is.Equal(fromA, fromB) // both hosts see the caller under one address
+	is.Equal(fromA, fromB) // both hosts see the same address of the caller
 	send(t, a, fromA, "by a")
 	text, from := receive(t, caller)
 	is.Equal(text, "by a")
@@ -82,7 +82,7 @@
 	is.Equal(text, "by b")
 }
 
-func TestSendsInTurn(t *testing.T) {
+func TestRoundRobin(t *testing.T) {
 	is := is.New(t)
 	caller, a, b := socket(t), socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(a), addrOf(b)}})
@@ -109,13 +109,13 @@
 	send(t, caller, r.Addr(), "2")
 	text, after := receive(t, b)
 	is.Equal(text, "2")
-	is.Equal(before, after) // the caller's address stays
+	is.Equal(before, after) // the caller's address does not change
 	send(t, a, before, "late reply")
 	text, _ = receive(t, caller)
 	is.Equal(text, "late reply")
 }
 
-func TestDropAndDuplicateFollowTheSeed(t *testing.T) {
+func TestDropAndDuplicateDependOnSeed(t *testing.T) {
 	is := is.New(t)
 	caller, a := socket(t), socket(t)
 	host := addrOf(a)
@@ -130,7 +130,7 @@
 	}
 	first := run()
 	is.True(first.Lost > 30 && first.Lost < 90)
-	is.True(first.Delivered > 200-first.Lost) // some came twice
+	is.True(first.Delivered > 200-first.Lost) // includes duplicates
 	is.Equal(run(), first)
 }
 
@@ -163,19 +163,19 @@
 	is.Equal(text, "after")
 }
 
-func TestStaleFlowsStayCutWhileNewOnesWork(t *testing.T) {
+func TestCutFlowsAffectsOnlyExistingFlows(t *testing.T) {
 	is := is.New(t)
-	stale, fresh, a := socket(t), socket(t), socket(t)
+	cut, other, a := socket(t), socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(a)}})
-	send(t, stale, r.Addr(), "before")
+	send(t, cut, r.Addr(), "before")
 	receive(t, a)
 	r.CutFlows(ToHost, ToCaller)
-	send(t, stale, r.Addr(), "lost")
+	send(t, cut, r.Addr(), "lost")
 	waitFor(t, func() bool { return r.Counts(addrOf(a), ToHost).Lost == 1 })
 	r.Heal()
-	send(t, stale, r.Addr(), "lost too")
+	send(t, cut, r.Addr(), "lost too")
 	waitFor(t, func() bool { return r.Counts(addrOf(a), ToHost).Lost == 2 })
-	send(t, fresh, r.Addr(), "fresh")
+	send(t, other, r.Addr(), "fresh")
 	text, _ := receive(t, a)
 	is.Equal(text, "fresh")
 }
@@ -195,7 +195,7 @@
 	is.Equal(r.Flows(), 3)
 }
 
-func TestTCPRelayCutsAnAnswer(t *testing.T) {
+func TestTCPRelayCutsReplies(t *testing.T) {
 	is := is.New(t)
 	host, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(loopback))
 	is.NoErr(err)
@@ -203,47 +203,47 @@
 	r, err := NewTCPRelay(loopback, host.Addr().(*net.TCPAddr).AddrPort())
 	is.NoErr(err)
 	defer r.Close()
-	near, err := net.Dial("tcp", r.Addr().String())
+	callerConn, err := net.Dial("tcp", r.Addr().String())
 	is.NoErr(err)
-	far, err := host.Accept()
+	hostConn, err := host.Accept()
 	is.NoErr(err)
-	defer far.Close()
+	defer hostConn.Close()
 	buf := make([]byte, 8)
 
-	_, err = near.Write([]byte("question"))
+	_, err = callerConn.Write([]byte("question"))
 	is.NoErr(err)
-	_, err = io.ReadFull(far, buf)
+	_, err = io.ReadFull(hostConn, buf)
 	is.NoErr(err)
 	is.Equal(string(buf), "question")
 
 	r.SetFaults(ToCaller, Faults{Cut: true})
-	_, err = far.Write([]byte("the lost"))
+	_, err = hostConn.Write([]byte("the lost"))
 	is.NoErr(err)
 	r.CloseConnections()
-	n, err := near.Read(buf)
+	n, err := callerConn.Read(buf)
 	is.Equal(n, 0)
-	is.True(err != nil) // the caller never sees the answer
+	is.True(err != nil) // the reply was dropped
 }
 
-func TestDelayGoesByTheCaller(t *testing.T) {
+func TestDelayDependsOnCaller(t *testing.T) {
 	is := is.New(t)
-	const far = 50 * time.Millisecond
-	asked := make(chan netip.Addr, 1)
+	const delay = 50 * time.Millisecond
+	delayCalls := make(chan netip.Addr, 1)
 	host, caller := socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(host)}, Delay: func(caller netip.Addr) time.Duration {
-		asked <- caller
-		return far
+		delayCalls <- caller
+		return delay
 	}})
 	began := time.Now()
 	send(t, caller, r.Addr(), "there")
 	text, upstream := receive(t, host)
 	is.Equal(text, "there")
-	is.True(time.Since(began) >= far)
-	is.Equal(<-asked, addrOf(caller).Addr())
+	is.True(time.Since(began) >= delay)
+	is.Equal(<-delayCalls, addrOf(caller).Addr())
 
 	began = time.Now()
 	send(t, host, upstream, "back")
 	text, _ = receive(t, caller)
 	is.Equal(text, "back")
-	is.True(time.Since(began) >= far)
+	is.True(time.Since(began) >= delay)
 }
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -13,7 +13,7 @@
 
 const copyBytes = 32 << 10
 
-// TCPRelay passes TCP connections to one host.
+// TCPRelay relays TCP connections to one host.
 type TCPRelay struct {
 	listener *net.TCPListener
 	host     netip.AddrPort
@@ -26,8 +26,8 @@
 	closed bool
 }
 
-// NewTCPRelay listens on the address and relays to the host. Of the faults a
-// TCP relay heeds Delay and Cut.
+// NewTCPRelay listens on the address and relays to the host. A TCP relay supports only the
+// faults Delay and Cut.
 func NewTCPRelay(listen, host netip.AddrPort) (*TCPRelay, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(listen))
 	if err != nil {
@@ -43,7 +43,7 @@
 	return r.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// SetFaults sets the faults of one direction, for open connections as well.
+// SetFaults sets the faults of one direction, also for open connections.
 func (r *TCPRelay) SetFaults(direction Direction, faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,47 +71,46 @@
 
 func (r *TCPRelay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.workers.Go(func() { r.serve(near) })
+		r.workers.Go(func() { r.serve(conn) })
 	}
 }
 
-func (r *TCPRelay) serve(near net.Conn) {
-	defer near.Close()
-	if !r.add(near) {
+func (r *TCPRelay) serve(callerConn net.Conn) {
+	defer callerConn.Close()
+	if !r.track(callerConn) {
 		return
 	}
-	defer r.remove(near)
-	far, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(r.host))
+	defer r.untrack(callerConn)
+	hostConn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(r.host))
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	if !r.add(far) {
+	defer hostConn.Close()
+	if !r.track(hostConn) {
 		return
 	}
-	defer r.remove(far)
-	var ways conc.WaitGroup
-	ways.Go(func() { r.copy(far, near, ToHost) })
-	ways.Go(func() { r.copy(near, far, ToCaller) })
-	ways.Wait()
+	defer r.untrack(hostConn)
+	var copies conc.WaitGroup
+	copies.Go(func() { r.copy(hostConn, callerConn, ToHost) })
+	copies.Go(func() { r.copy(callerConn, hostConn, ToCaller) })
+	copies.Wait()
 }
 
-// copy passes bytes on until one end closes. Under a cut it keeps reading and
-// discards, so that the sender sees no error; the connection is unusable from
-// then on, as bytes are missing.
+// copy copies bytes until one end closes. During a cut it reads and discards them, so that
+// the sender sees no error; the connection is unusable afterwards.
 func (r *TCPRelay) copy(to, from net.Conn, direction Direction) {
 	buf := make([]byte, copyBytes)
 	for {
 		n, err := from.Read(buf)
-		faults := r.faultsOf(direction)
+		faults := r.faultsFor(direction)
 		if n > 0 && !faults.Cut {
 			time.Sleep(faults.Delay)
-			if _, werr := to.Write(buf[:n]); werr != nil {
-				err = werr
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if errors.Is(err, io.EOF) && !faults.Cut {
@@ -130,13 +129,13 @@
 	}
 }
 
-func (r *TCPRelay) faultsOf(direction Direction) Faults {
+func (r *TCPRelay) faultsFor(direction Direction) Faults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.faults[direction]
 }
 
-func (r *TCPRelay) add(conn net.Conn) bool {
+func (r *TCPRelay) track(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -146,7 +145,7 @@
 	return true
 }
 
-func (r *TCPRelay) remove(conn net.Conn) {
+func (r *TCPRelay) untrack(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, conn)
