--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -187,13 +187,13 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			all := map[string][]keys.Inspection{}
 			for _, path := range args {
-				found, err := keys.InspectFile(path)
+				inspections, err := keys.InspectFile(path)
 				if err != nil {
 					return err
 				}
-				all[path] = found
+				all[path] = inspections
 				if !asJSON {
-					writeInspections(cmd.OutOrStdout(), path, found)
+					writeInspections(cmd.OutOrStdout(), path, inspections)
 				}
 			}
 			if asJSON {
@@ -206,8 +206,8 @@
 	return cmd
 }
 
-func writeInspections(w io.Writer, path string, found []keys.Inspection) {
-	for _, i := range found {
+func writeInspections(w io.Writer, path string, inspections []keys.Inspection) {
+	for _, i := range inspections {
 		switch i.Kind {
 		case keys.KindDataSecrets:
 			fmt.Fprintf(w, "%s: %s, IDs %v, the first encodes\n", path, i.Kind, i.SecretIDs)
--- a/internal/cli/listen_test.go
+++ b/internal/cli/listen_test.go
@@ -34,16 +34,16 @@
 // names the address.
 func TestEveryListenerReportsAddressInUse(t *testing.T) {
 	const free = "127.0.0.1:0"
-	alone := []string{"initial_voters =", ";initial_voters ="}
+	singleVoter := []string{"initial_voters =", ";initial_voters ="}
 	for name, tt := range map[string]struct {
 		role    string
 		replace func(occupiedAddress string) []string
 	}{
 		"control link": {"control", func(occupiedAddress string) []string {
-			return append(alone, "listen = 192.0.2.1:7100", "listen = "+occupiedAddress, "192.0.2.1:7101", free)
+			return append(singleVoter, "listen = 192.0.2.1:7100", "listen = "+occupiedAddress, "192.0.2.1:7101", free)
 		}},
 		"control operator": {"control", func(occupiedAddress string) []string {
-			return append(alone, "listen = 192.0.2.1:7100", "listen = "+free, "192.0.2.1:7101", occupiedAddress)
+			return append(singleVoter, "listen = 192.0.2.1:7100", "listen = "+free, "192.0.2.1:7101", occupiedAddress)
 		}},
 		"entry frames": {"entry", func(occupiedAddress string) []string {
 			return []string{"192.0.2.20:7200", occupiedAddress}
--- a/internal/dev/control.go
+++ b/internal/dev/control.go
@@ -18,7 +18,7 @@
 )
 
 // ErrRefused reports that the patch with the services was refused.
-var ErrRefused = errors.New("the services were refused")
+var ErrRefused = errors.New("patch with the services refused")
 
 // controlHost is a control host. Its settings and data directory are kept across
 // restarts of its daemon.
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -151,14 +151,14 @@
 	d, err := dev.Start(t.Context(), dev.Options{EntryHosts: 3, Network: &dev.Network{Seed: 1}, Log: zaptest.NewLogger(t)})
 	is.NoErr(err)
 	t.Cleanup(d.Close)
-	enough := make(chan struct{})
+	restartsDone := make(chan struct{})
 	restarted := make(chan error, 1)
 	const sessions = 20
 	loadCtx, cancelLoad := context.WithCancel(t.Context())
 	defer cancelLoad()
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		defer close(enough)
+		defer close(restartsDone)
 		if !waitForSessions(loadCtx, d.Backends("lodgement"), sessions) {
 			restarted <- errors.New("the load ended before all sessions were open")
 			return
@@ -180,7 +180,7 @@
 	o.Sessions, o.SessionRamp = sessions, 100*time.Millisecond
 	o.StopWhen = func(*loadgen.Report) bool {
 		select {
-		case <-enough:
+		case <-restartsDone:
 			return true
 		default:
 			return false
--- a/internal/dev/probe.go
+++ b/internal/dev/probe.go
@@ -17,7 +17,7 @@
 	headerTarget = "Target"
 )
 
-var errProbe = errors.New("probe was not answered")
+var errProbe = errors.New("probe not answered")
 
 // waitForTargets calls each service through each entry host, on a new flow each time,
 // until every target has answered. It does nothing with a network, whose callers cannot
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -234,16 +234,16 @@
 		delayCalls <- caller
 		return delay
 	}})
-	began := time.Now()
+	start := time.Now()
 	send(t, caller, r.Addr(), "there")
 	text, upstream := receive(t, host)
 	is.Equal(text, "there")
-	is.True(time.Since(began) >= delay)
+	is.True(time.Since(start) >= delay)
 	is.Equal(<-delayCalls, addrOf(caller).Addr())
 
-	began = time.Now()
+	start = time.Now()
 	send(t, host, upstream, "back")
 	text, _ = receive(t, caller)
 	is.Equal(text, "back")
-	is.True(time.Since(began) >= delay)
+	is.True(time.Since(start) >= delay)
 }
--- a/internal/loadgen/flow.go
+++ b/internal/loadgen/flow.go
@@ -35,7 +35,7 @@
 	broken atomic.Bool
 }
 
-// dialer opens flows and counts their ends.
+// dialer opens flows and counts the broken ones.
 type dialer struct {
 	opts Options
 	rec  *recorder
--- a/internal/loadgen/imbalance.go
+++ b/internal/loadgen/imbalance.go
@@ -45,15 +45,15 @@
 }
 
 func maxOverMean(counts map[string]int, targets []string) float64 {
-	greatest, total := 0, 0
+	highest, total := 0, 0
 	for _, t := range targets {
-		greatest = max(greatest, counts[t])
+		highest = max(highest, counts[t])
 		total += counts[t]
 	}
 	if total == 0 {
 		return 0
 	}
-	return float64(greatest) * float64(len(targets)) / float64(total)
+	return float64(highest) * float64(len(targets)) / float64(total)
 }
 
 // allTargets returns the sorted union of the configured targets and those that answered.
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -29,8 +29,8 @@
 		Addresses: []string{s1.address, s2.address}, Roots: a.roots,
 		Rate: 300, Sessions: 4, WatchPeriod: 10 * time.Millisecond, NonRepeatable: 0.5,
 		Targets: []string{"l-1", "l-2"}, RunURLs: []string{b1.URL(), b2.URL()}, RequestsPerFlow: 5,
-		StopWhen: func(sofar *loadgen.Report) bool {
-			return sofar.Requests >= 50 && sofar.Sessions == 4 && sofar.Events >= 40
+		StopWhen: func(soFar *loadgen.Report) bool {
+			return soFar.Requests >= 50 && soFar.Sessions == 4 && soFar.Events >= 40
 		},
 	}))
 	is.Equal(report.Outcomes, map[string]int{"answered": report.Requests})
@@ -124,7 +124,7 @@
 	}))
 	report := runLoad(t, loadgen.Options{
 		Addresses: []string{s.address}, Roots: a.roots, Rate: 300, RetryPercent: 10,
-		StopWhen: func(sofar *loadgen.Report) bool { return sofar.Requests >= 20 && sofar.RetriesDenied > 0 },
+		StopWhen: func(soFar *loadgen.Report) bool { return soFar.Requests >= 20 && soFar.RetriesDenied > 0 },
 	})
 	retries := 0
 	for _, n := range report.Retries {
@@ -203,11 +203,11 @@
 		events    = 100
 	)
 	var last *loadgen.Report
-	return func(sofar *loadgen.Report) bool {
-		if last == nil || !draining.draining.Load() || sofar.PerTarget["l-1"] > last.PerTarget["l-1"] {
-			last = sofar
+	return func(soFar *loadgen.Report) bool {
+		if last == nil || !draining.draining.Load() || soFar.PerTarget["l-1"] > last.PerTarget["l-1"] {
+			last = soFar
 		}
-		return sofar.PerTarget["l-2"] >= last.PerTarget["l-2"]+elsewhere && sofar.Events >= last.Events+events
+		return soFar.PerTarget["l-2"] >= last.PerTarget["l-2"]+elsewhere && soFar.Events >= last.Events+events
 	}
 }
 
@@ -246,9 +246,9 @@
 		Addresses: []string{s1.address, s2.address}, Roots: a.roots, Sessions: sharedSessions,
 		WatchPeriod: 5 * time.Millisecond,
 		// A watch without a response yet counts as refused.
-		StopWhen: func(sofar *loadgen.Report) bool {
-			lost := sofar.BrokenSessions + sofar.SessionsRefused["unknown/connection-lost"]
-			return lost >= 2 && sofar.BrokenFlows >= 2
+		StopWhen: func(soFar *loadgen.Report) bool {
+			lost := soFar.BrokenSessions + soFar.SessionsRefused["unknown/connection-lost"]
+			return lost >= 2 && soFar.BrokenFlows >= 2
 		},
 	})
 	stop()
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -67,7 +67,7 @@
 	Duration time.Duration
 	// StopWhen is polled during the run; when it returns true, the run ends as it
 	// would after Duration. Nil means that only Duration ends it.
-	StopWhen func(sofar *Report) bool
+	StopWhen func(soFar *Report) bool
 	// NonRepeatable is the share of requests, 0 to 1, that must not run twice.
 	NonRepeatable float64
 	// Work is the processing time that each request asks of a target.
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -101,12 +101,12 @@
 
 // dialOutcome returns the outcome for a failed handshake. Nothing of the request was sent.
 func dialOutcome(ctx context.Context, err error) outcome {
-	var wrongName x509.HostnameError
-	var fault *quic.TransportError
+	var hostnameErr x509.HostnameError
+	var transportErr *quic.TransportError
 	switch {
-	case errors.As(err, &fault) && fault.Remote && fault.ErrorCode == quic.ConnectionRefused:
+	case errors.As(err, &transportErr) && transportErr.Remote && transportErr.ErrorCode == quic.ConnectionRefused:
 		return notRun(reasonRefused)
-	case errors.As(err, &wrongName):
+	case errors.As(err, &hostnameErr):
 		return notRun(reasonCertificate)
 	case ctx.Err() != nil:
 		return notRun(reasonDeadline)
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -206,9 +206,9 @@
 	return p, c.line(p, c.Imbalance, 0, "")
 }
 
-func panel(what string) *plot.Plot {
+func panel(label string) *plot.Plot {
 	p := plot.New()
-	p.Y.Label.Text = what
+	p.Y.Label.Text = label
 	p.Y.Max = 1 // scale of an empty panel
 	p.Legend.Top = true
 	return p
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -37,22 +37,21 @@
 	latency       *hdrhistogram.Histogram
 	keyOutcomes   []keyOutcome
 
-	flows          int
-	broken         map[string]int
-	sessions       int
-	openSessions   int
-	events         int
-	brokenSessions map[string]int
-	// Flows and sessions that ended because the host of their target failed.
-	flowsWithHost     int
-	sessionsWithHost  int
-	refusedSessions   map[string]int
-	perTarget         map[string]int
-	sessionsPerTarget map[string]int
-	windows           map[int64]map[string]int
-	timeline          *timeline
-	misrouted         int
-	wrongAnswers      int
+	flows                int
+	broken               map[string]int
+	sessions             int
+	openSessions         int
+	events               int
+	brokenSessions       map[string]int
+	flowsLostWithHost    int
+	sessionsLostWithHost int
+	refusedSessions      map[string]int
+	perTarget            map[string]int
+	sessionsPerTarget    map[string]int
+	windows              map[int64]map[string]int
+	timeline             *timeline
+	misrouted            int
+	wrongAnswers         int
 }
 
 func newRecorder(o Options) *recorder {
@@ -156,13 +155,13 @@
 func (r *recorder) flowLostWithHost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.flowsWithHost++
+	r.flowsLostWithHost++
 }
 
 func (r *recorder) sessionLostWithHost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sessionsWithHost++
+	r.sessionsLostWithHost++
 }
 
 func (r *recorder) sessionOpened(out outcome) {
--- a/internal/loadgen/server_test.go
+++ b/internal/loadgen/server_test.go
@@ -174,8 +174,8 @@
 		stopWhen = fiveRequests
 	}
 	var ended atomic.Bool
-	o.StopWhen = func(sofar *loadgen.Report) bool {
-		if stopWhen(sofar) {
+	o.StopWhen = func(soFar *loadgen.Report) bool {
+		if stopWhen(soFar) {
 			ended.Store(true)
 		}
 		return ended.Load()
@@ -198,4 +198,4 @@
 	return o
 }
 
-func fiveRequests(sofar *loadgen.Report) bool { return sofar.Requests >= 5 }
+func fiveRequests(soFar *loadgen.Report) bool { return soFar.Requests >= 5 }
