--- a/internal/cli/patch.go
+++ b/internal/cli/patch.go
@@ -41,8 +41,8 @@
 
 docs/SETTINGS.md describes all keys. The first patch of a deployment has the base 0.
 
-The identifier must never be reused. Submitting the same patch under the same
-identifier again never applies it twice and reports the first outcome.
+The identifier must not be used for another patch. Submitting the same patch under the
+same identifier again never applies it twice and reports the first outcome.
 
 Exit status: 0 the patch became the next version; 3 it was refused; 4 the outcome
 is unknown; 1 nothing was submitted.`,
@@ -69,7 +69,7 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&base, "base", 0, "version `N` that the patch changes")
-	cmd.Flags().StringVar(&id, "id", "", "unique identifier of the patch, never to be reused")
+	cmd.Flags().StringVar(&id, "id", "", "unique identifier of the patch")
 	requireFlags(cmd, "base", "id")
 	jsonFlag(cmd, &asJSON)
 	o.add(cmd)
