--- a/internal/loadgen/refusal_test.go
+++ b/internal/loadgen/refusal_test.go
@@ -34,7 +34,7 @@
 func serveConns(t *testing.T, a authority, handler connHandler) string {
 	t.Helper()
 	is := is.New(t)
-	pair, err := a.Caller(service, nil, time.Now(), time.Hour)
+	pair, err := a.IssueCaller(service, nil, time.Now(), time.Hour)
 	is.NoErr(err)
 	cert, err := keys.ParseCallerCertificate(pair)
 	is.NoErr(err)
