--- a/soak/inject.go
+++ b/soak/inject.go
@@ -60,7 +60,7 @@
 		in.entries = append(in.entries, relay)
 		d.Router.SetPath(host, relay.Addr())
 	}
-	for _, p := range d.Controls {
+	for _, p := range d.ControlHosts {
 		relay, err := faultproxy.NewTCPRelay(local, standin.OperatorAddress(netip.MustParseAddr(p.Host)))
 		if err != nil {
 			in.close()
@@ -124,11 +124,11 @@
 	case KillAgent, FreezeAgent:
 		return in.process(s, in.d.Agents)
 	case KillControl, StopControl, FreezeHost, WipeControl, FillControl:
-		return in.process(s, in.d.Controls)
+		return in.process(s, in.d.ControlHosts)
 	case Reload:
 		return in.process(s, in.d.Processes())
 	case KillControls:
-		return in.killAll(s, in.d.Controls)
+		return in.killAll(s, in.d.ControlHosts)
 	case KillAll:
 		return in.killAll(s, in.d.Processes())
 	case CrashTarget, DrainTarget:
