--- a/soak/inject.go
+++ b/soak/inject.go
@@ -47,7 +47,7 @@
 func newInjector(d *standin.Deployment, truth *Truth, o Options) (*injector, error) {
 	in := &injector{d: d, truth: truth, patience: o.Patience, busy: map[any]bool{}, down: map[*standin.Process]bool{}, said: map[*standin.Process]bool{}}
 	local := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), 0)
-	for i, p := range d.Entries {
+	for i, p := range d.EntryHosts {
 		host := netip.MustParseAddr(p.Host)
 		relay, err := faultproxy.NewRelay(faultproxy.Options{
 			Listen: local, Hosts: []netip.AddrPort{standin.PacketAddress(host)},
@@ -120,7 +120,7 @@
 func (in *injector) apply(s Step) bool {
 	switch s.Kind {
 	case KillEntry, StopEntry, FreezeEntry:
-		return in.process(s, in.d.Entries)
+		return in.process(s, in.d.EntryHosts)
 	case KillAgent, FreezeAgent:
 		return in.process(s, in.d.Agents)
 	case KillControl, StopControl, FreezeHost, WipeControl, FillControl:
--- a/soak/run.go
+++ b/soak/run.go
@@ -75,7 +75,7 @@
 		o.Out = io.Discard
 	}
 	d, err := standin.Start(standin.Options{
-		Binary: o.Binary, Dir: o.Folder, IPs: o.IPs, ControlHosts: controls, Entries: entries, Losses: 1, Zones: zones,
+		Binary: o.Binary, Dir: o.Folder, IPs: o.IPs, ControlHosts: controls, EntryHosts: entries, Losses: 1, Zones: zones,
 		Services: []standin.Service{{Name: firstService, Targets: firstTargets}, {Name: secondService, Targets: secondTargets}},
 	})
 	if err != nil {
@@ -105,7 +105,7 @@
 }
 
 func (r *run) awaitReady(ctx context.Context) error {
-	for end := time.Now().Add(startPatience); r.d.Router.Ready() < len(r.d.Entries); time.Sleep(lookPeriod) {
+	for end := time.Now().Add(startPatience); r.d.Router.Ready() < len(r.d.EntryHosts); time.Sleep(lookPeriod) {
 		if time.Now().After(end) || ctx.Err() != nil {
 			return errors.New("the entry hosts do not become ready: see their logs")
 		}
@@ -212,8 +212,8 @@
 			}
 		}
 	}
-	if ready := r.d.Router.Ready(); ready < len(r.d.Entries) {
-		return fmt.Sprintf("%d of %d entry hosts are ready", ready, len(r.d.Entries))
+	if ready := r.d.Router.Ready(); ready < len(r.d.EntryHosts) {
+		return fmt.Sprintf("%d of %d entry hosts are ready", ready, len(r.d.EntryHosts))
 	}
 	return ""
 }
