--- a/soak/internal/mutants/defects.go
+++ b/soak/internal/mutants/defects.go
@@ -28,7 +28,7 @@
 		"st := p.targets[s.Service]", "st := p.targets[1]"},
 	{"routes never renewed", "internal/flowd/placer.go",
 		"if table := v.Config.GetTable(); table != nil && table != p.table {", "if table := v.Config.GetTable(); table != nil && p.table == nil {"},
-	{"reload ends the process", "platform/watch.go",
+	{"reload ends the process", "platform/watcher.go",
 		"signal.Notify(w.signals, syscall.SIGHUP)", "signal.Notify(w.signals, syscall.SIGUSR1)"},
 	{"stop is not obeyed", "platform/command.go",
 		"ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)", "signal.Ignore(syscall.SIGTERM)\n\tctx, stop := signal.NotifyContext(ctx, syscall.SIGINT)"},
