--- a/deploy/internal/sitecopy/main.go
+++ b/deploy/internal/sitecopy/main.go
@@ -1,10 +1,8 @@
-// Command sitecopy writes altered copies of a site file that is named on the command
-// line: deployments of the same kind with other numbers. It is for those who develop
-// the product; nothing of it runs on the platform.
+// Command sitecopy writes variants of a site file, as a tool for development.
 //
-//	go run ./deploy/internal/sitecopy --out FOLDER SITE [COPY...]
+//	go run ./deploy/internal/sitecopy --out DIR SITE [VARIANT...]
 //
-// Without names all copies are written, each as FOLDER/SITE-COPY.toml.
+// Without names all variants are written, each as DIR/SITE-VARIANT.toml.
 package main
 
 import (
@@ -23,30 +21,30 @@
 func main() {
 	var out string
 	command := &cobra.Command{
-		Use:          "sitecopy SITE [COPY...]",
-		Short:        "Write altered copies of a site file",
-		Long:         "Write altered copies of a site file: " + strings.Join(names(), ", ") + ".",
+		Use:          "sitecopy SITE [VARIANT...]",
+		Short:        "Write variants of a site file",
+		Long:         "Write variants of a site file: " + strings.Join(variantNames(), ", ") + ".",
 		Args:         cobra.MinimumNArgs(1),
 		SilenceUsage: true,
 		RunE: func(_ *cobra.Command, args []string) error {
-			return write(out, args[0], args[1:])
+			return writeVariants(out, args[0], args[1:])
 		},
 	}
-	command.Flags().StringVar(&out, "out", ".", "folder that the copies go to")
+	command.Flags().StringVar(&out, "out", ".", "output directory")
 	if command.Execute() != nil {
 		os.Exit(1)
 	}
 }
 
-// write writes the copies with the given names, or all.
-func write(folder, path string, wanted []string) error {
+// writeVariants writes the variants with the given names, or all.
+func writeVariants(dir, path string, wanted []string) error {
 	for _, name := range wanted {
-		if !slices.Contains(names(), name) {
-			return errors.Errorf("no copy is called %q; there are %s", name, strings.Join(names(), ", "))
+		if !slices.Contains(variantNames(), name) {
+			return errors.Errorf("unknown variant %q, known: %s", name, strings.Join(variantNames(), ", "))
 		}
 	}
 	base := strings.TrimSuffix(filepath.Base(path), ".toml")
-	for _, c := range copies {
+	for _, c := range variants {
 		if len(wanted) > 0 && !slices.Contains(wanted, c.name) {
 			continue
 		}
@@ -54,25 +52,25 @@
 		if _, err := toml.DecodeFile(path, &s); err != nil {
 			return errors.Wrap(err, "read site file")
 		}
-		if err := c.change(s); err != nil {
-			return errors.Wrapf(err, "copy %s", c.name)
+		if err := c.apply(s); err != nil {
+			return errors.Wrapf(err, "variant %s", c.name)
 		}
 		var text bytes.Buffer
 		if err := toml.NewEncoder(&text).Encode(map[string]any(s)); err != nil {
-			return errors.Wrapf(err, "copy %s", c.name)
+			return errors.Wrapf(err, "variant %s", c.name)
 		}
-		target := filepath.Join(folder, base+"-"+c.name+".toml")
+		target := filepath.Join(dir, base+"-"+c.name+".toml")
 		if err := os.WriteFile(target, text.Bytes(), 0o600); err != nil {
-			return errors.Wrap(err, "write copy")
+			return errors.Wrap(err, "write variant")
 		}
 		fmt.Println(target)
 	}
 	return nil
 }
 
-func names() []string {
-	out := make([]string, 0, len(copies))
-	for _, c := range copies {
+func variantNames() []string {
+	out := make([]string, 0, len(variants))
+	for _, c := range variants {
 		out = append(out, c.name)
 	}
 	return out
--- a/deploy/internal/sitecopy/copies.go
+++ b/deploy/internal/sitecopy/variants.go
@@ -11,37 +11,37 @@
 // table is a table of a site file.
 type table = map[string]any
 
-// site is a site file as it was read. Fields that no copy changes stay as they are.
+// site is a decoded site file. Fields that a variant does not change are kept.
 type site table
 
-// copyOf is one way to change a site.
-type copyOf struct {
-	name   string
-	change func(site) error
+// variant is a named change of a site.
+type variant struct {
+	name  string
+	apply func(site) error
 }
 
-var copies = []copyOf{
+var variants = []variant{
 	{"mod", func(s site) error { return s.set("entry", "hash", "mod") }},
-	{"zones1", func(s site) error { return s.zones(1) }},
-	{"zones2", func(s site) error { return s.zones(2) }},
-	{"zones5", func(s site) error { return s.zones(5) }},
+	{"zones1", func(s site) error { return s.setZones(1) }},
+	{"zones2", func(s site) error { return s.setZones(2) }},
+	{"zones5", func(s site) error { return s.setZones(5) }},
 	{"regions2", site.twoRegions},
-	{"disks-half", site.disksInHalf},
-	{"disks-few", site.disksInThreeOfSeven},
-	{"disks7", func(s site) error { return s.disks(7) }},
+	{"disks-half", site.halveDisks},
+	{"disks-few", site.threeDisksOfSeven},
+	{"disks7", func(s site) error { return s.setDisks(7) }},
 	{"seed1", site.oneSeed},
 	{"targets-more", func(s site) error { return s.multiply("side", 2) }},
 	{"entries-more", func(s site) error { return s.multiply("front", 2) }},
 	{"beats-half", func(s site) error { return s.scale("discovery", 0.5, "beat_ms", "lag_ms") }},
 	{"beats-double", func(s site) error { return s.scale("discovery", 2, "beat_ms", "lag_ms") }},
-	{"bounds-half", func(s site) error { return s.bounds(0.5) }},
-	{"bounds-double", func(s site) error { return s.bounds(2) }},
-	{"slow", site.slow},
+	{"bounds-half", func(s site) error { return s.scaleBounds(0.5) }},
+	{"bounds-double", func(s site) error { return s.scaleBounds(2) }},
+	{"slow", site.reduceCPU},
 	{"services1", site.oneService},
 	{"services5", func(s site) error { return s.services(5) }},
 }
 
-// list returns a list of tables, or an error if the site has none.
+// list returns the list of tables with this name.
 func (s site) list(name string) ([]table, error) {
 	switch l := s[name].(type) {
 	case []table:
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// each calls visit for each table of a list of the site and of its days.
+// each calls visit for all tables of a list, in the site itself and in its days.
 func (s site) each(name string, visit func(table)) error {
 	days, err := s.list("day")
 	if err != nil {
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// zones leaves the site that many zones: those beyond are folded into the others, new
-// ones get machines and callers like those of the first.
-func (s site) zones(count int) error {
+// setZones sets the number of zones. Excess zones are merged into the others, additional
+// ones get copies of the machines and traffic of the first.
+func (s site) setZones(count int) error {
 	old, err := s.list("zones")
 	if err != nil {
 		return err
@@ -105,42 +105,42 @@
 	for len(old) < count {
 		added := maps.Clone(old[0])
 		added["name"] = fmt.Sprintf("zone-%d", len(old)+1)
-		if err := s.likeFirst(old[0]["name"], added["name"]); err != nil {
+		if err := s.addZoneLike(old[0]["name"], added["name"]); err != nil {
 			return err
 		}
 		old = append(old, added)
 	}
-	to := map[any]any{}
+	newNames := map[any]any{}
 	for i, z := range old {
-		to[z["name"]] = old[i%count]["name"]
+		newNames[z["name"]] = old[i%count]["name"]
 	}
 	s["zones"] = old[:count]
-	if err := s.fold("machines", to); err != nil {
+	if err := s.renameZones("machines", newNames); err != nil {
 		return err
 	}
-	if err := s.fold("traffic", to); err != nil {
+	if err := s.renameZones("traffic", newNames); err != nil {
 		return err
 	}
 	for _, entries := range []string{"plan", "faults", "troubles"} {
-		if err := s.fold(entries, to); err != nil {
+		if err := s.renameZones(entries, newNames); err != nil {
 			return err
 		}
 	}
 	return s.each("day", func(day table) { delete(day, "floor_zones") })
 }
 
-func (s site) fold(name string, to map[any]any) error {
+func (s site) renameZones(name string, newNames map[any]any) error {
 	return s.each(name, func(t table) {
 		for _, field := range []string{"zone", "to_zone"} {
-			if zone, there := to[t[field]]; there {
+			if zone, there := newNames[t[field]]; there {
 				t[field] = zone
 			}
 		}
 	})
 }
 
-// likeFirst adds machines and callers of a new zone, copied from an old one.
-func (s site) likeFirst(old, added any) error {
+// addZoneLike copies the machines and traffic of a zone to a new zone.
+func (s site) addZoneLike(old, added any) error {
 	days, err := s.list("day")
 	if err != nil {
 		return err
@@ -153,9 +153,9 @@
 			}
 			for _, t := range slices.Clone(l) {
 				if t["zone"] == old {
-					like := maps.Clone(t)
-					like["zone"] = added
-					l = append(l, like)
+					clone := maps.Clone(t)
+					clone["zone"] = added
+					l = append(l, clone)
 				}
 			}
 			owner[name] = l
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// diskMachines returns the rows of machines that have a disk.
+// diskMachines returns the entries of machines with a disk.
 func (s site) diskMachines() ([]table, error) {
 	machines, err := s.list("machines")
 	if err != nil {
@@ -190,39 +190,39 @@
 	return rows, nil
 }
 
-// disksInHalf takes the disks away in half of the zones.
-func (s site) disksInHalf() error {
+// halveDisks removes half of the machine entries' disks.
+func (s site) halveDisks() error {
 	rows, err := s.diskMachines()
 	if err != nil {
 		return err
 	}
-	takeDisks(rows[(len(rows)+1)/2:])
+	removeDisks(rows[(len(rows)+1)/2:])
 	return nil
 }
 
-// disksInThreeOfSeven leaves three of seven zones with disks, so that all seeds may be
-// hosts without one.
-func (s site) disksInThreeOfSeven() error {
-	if err := s.zones(7); err != nil {
+// threeDisksOfSeven keeps disks in three of seven zones, so that all seeds may be hosts
+// without a disk.
+func (s site) threeDisksOfSeven() error {
+	if err := s.setZones(7); err != nil {
 		return err
 	}
 	rows, err := s.diskMachines()
 	if err != nil {
 		return err
 	}
-	takeDisks(rows[min(3, len(rows)):])
+	removeDisks(rows[min(3, len(rows)):])
 	return nil
 }
 
-func takeDisks(machines []table) {
+func removeDisks(machines []table) {
 	for _, m := range machines {
 		delete(m, "disk")
 		delete(m, "counted")
 	}
 }
 
-// disks gives the site that many machines with a disk.
-func (s site) disks(count int64) error {
+// setDisks sets the number of machines with a disk.
+func (s site) setDisks(count int64) error {
 	rows, err := s.diskMachines()
 	if err != nil {
 		return err
@@ -237,10 +237,9 @@
 	return nil
 }
 
-// oneSeed leaves one zone with one machine that has a disk, and nothing that may be
-// lost.
+// oneSeed keeps one zone with one machine with a disk, and sets the tolerated losses to 0.
 func (s site) oneSeed() error {
-	if err := s.zones(1); err != nil {
+	if err := s.setZones(1); err != nil {
 		return err
 	}
 	rows, err := s.diskMachines()
@@ -261,21 +260,21 @@
 	return s.set("tolerate", "machines", int64(0))
 }
 
-func (s site) multiply(class string, by int64) error {
+func (s site) multiply(class string, factor int64) error {
 	machines, err := s.list("machines")
 	if err != nil {
 		return err
 	}
 	for _, m := range machines {
 		if m["class"] == class && m["disk"] == nil {
-			m["count"] = m["count"].(int64) * by
+			m["count"] = m["count"].(int64) * factor
 		}
 	}
 	return nil
 }
 
 // scale multiplies fields of a table.
-func (s site) scale(name string, by float64, fields ...string) error {
+func (s site) scale(name string, factor float64, fields ...string) error {
 	t, err := s.table(name)
 	if err != nil {
 		return err
@@ -283,24 +282,24 @@
 	for _, field := range fields {
 		switch v := t[field].(type) {
 		case int64:
-			t[field] = int64(float64(v) * by)
+			t[field] = int64(float64(v) * factor)
 		case float64:
-			t[field] = v * by
+			t[field] = v * factor
 		}
 	}
 	return nil
 }
 
-func (s site) bounds(by float64) error {
-	return s.scale("bounds", by,
+func (s site) scaleBounds(factor float64) error {
+	return s.scale("bounds", factor,
 		"drain_ms", "config_ms", "touch_ms", "ack_ms", "outer_ms", "grace_s", "recover_s")
 }
 
-func (s site) slow() error {
+func (s site) reduceCPU() error {
 	return s.each("machines", func(m table) { m["cpu_share"] = 0.2 })
 }
 
-// oneService gives all targets and requests to the first service.
+// oneService assigns all targets and requests to the first service.
 func (s site) oneService() error {
 	services, err := s.list("services")
 	if err != nil {
@@ -328,8 +327,8 @@
 	return nil
 }
 
-// services adds services like the last one, each with a target taken from a row of the
-// first that has several, and requests of its own.
+// services adds copies of the last service, each with its own request class and a target
+// taken from the first service.
 func (s site) services(count int) error {
 	services, err := s.list("services")
 	if err != nil {
--- a/deploy/internal/sitecopy/copies_test.go
+++ b/deploy/internal/sitecopy/variants_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const small = `
+const smallSite = `
 name = "small"
 zones = [{ name = "a", region = "r" }, { name = "b", region = "r" }]
 machines = [
@@ -40,27 +40,27 @@
 traffic = [{ zone = "a", mix = { watch = 7 } }, { zone = "b", mix = { watch = 7 } }]
 `
 
-func changed(t *testing.T, name string) site {
+func readVariant(t *testing.T, name string) site {
 	t.Helper()
 	is := is.New(t)
-	folder := t.TempDir()
-	path := filepath.Join(folder, "small.toml")
-	is.NoErr(os.WriteFile(path, []byte(small), 0o600))
-	is.NoErr(write(folder, path, []string{name}))
+	dir := t.TempDir()
+	path := filepath.Join(dir, "small.toml")
+	is.NoErr(os.WriteFile(path, []byte(smallSite), 0o600))
+	is.NoErr(writeVariants(dir, path, []string{name}))
 	var s site
-	_, err := toml.DecodeFile(filepath.Join(folder, "small-"+name+".toml"), &s)
+	_, err := toml.DecodeFile(filepath.Join(dir, "small-"+name+".toml"), &s)
 	is.NoErr(err)
 	return s
 }
 
-// total returns how many machines there are of those that fit.
-func total(t *testing.T, s site, fits func(table) bool) int64 {
+// countMachines returns the number of machines that match.
+func countMachines(t *testing.T, s site, match func(table) bool) int64 {
 	t.Helper()
 	machines, err := s.list("machines")
 	is.New(t).NoErr(err)
 	sum := int64(0)
 	for _, m := range machines {
-		if fits(m) {
+		if match(m) {
 			sum += m["count"].(int64)
 		}
 	}
@@ -73,24 +73,26 @@
 	return func(m table) bool { return m["zone"] == name }
 }
 
-func TestCopies(t *testing.T) {
+func TestVariants(t *testing.T) {
 	for name, check := range map[string]func(*testing.T, site) bool{
-		"mod":    func(_ *testing.T, s site) bool { return s["entry"].(table)["hash"] == "mod" },
-		"zones1": func(t *testing.T, s site) bool { return total(t, s, inZone("b")) == 0 && total(t, s, inZone("a")) == 9 },
+		"mod": func(_ *testing.T, s site) bool { return s["entry"].(table)["hash"] == "mod" },
+		"zones1": func(t *testing.T, s site) bool {
+			return countMachines(t, s, inZone("b")) == 0 && countMachines(t, s, inZone("a")) == 9
+		},
 		"zones5": func(t *testing.T, s site) bool {
 			zones, err := s.list("zones")
-			return err == nil && len(zones) == 5 && total(t, s, inZone("zone-5")) == 7
+			return err == nil && len(zones) == 5 && countMachines(t, s, inZone("zone-5")) == 7
 		},
 		"regions2": func(_ *testing.T, s site) bool {
 			zones, err := s.list("zones")
 			return err == nil && zones[0]["region"] != zones[1]["region"]
 		},
-		"disks-half": func(t *testing.T, s site) bool { return total(t, s, hasDisk) == 1 },
-		"disks-few":  func(t *testing.T, s site) bool { return total(t, s, hasDisk) == 3 },
-		"disks7":     func(t *testing.T, s site) bool { return total(t, s, hasDisk) == 7 },
-		"seed1":      func(t *testing.T, s site) bool { return total(t, s, hasDisk) == 1 },
+		"disks-half": func(t *testing.T, s site) bool { return countMachines(t, s, hasDisk) == 1 },
+		"disks-few":  func(t *testing.T, s site) bool { return countMachines(t, s, hasDisk) == 3 },
+		"disks7":     func(t *testing.T, s site) bool { return countMachines(t, s, hasDisk) == 7 },
+		"seed1":      func(t *testing.T, s site) bool { return countMachines(t, s, hasDisk) == 1 },
 		"targets-more": func(t *testing.T, s site) bool {
-			return total(t, s, func(m table) bool { return m["class"] == "side" }) == 10
+			return countMachines(t, s, func(m table) bool { return m["class"] == "side" }) == 10
 		},
 		"beats-half": func(_ *testing.T, s site) bool { return s["discovery"].(table)["beat_ms"] == int64(600) },
 		"bounds-double": func(_ *testing.T, s site) bool {
@@ -99,25 +101,25 @@
 		},
 		"services1": func(t *testing.T, s site) bool {
 			services, err := s.list("services")
-			return err == nil && len(services) == 1 && total(t, s, func(m table) bool { return m["app"] == "other" }) == 0
+			return err == nil && len(services) == 1 && countMachines(t, s, func(m table) bool { return m["app"] == "other" }) == 0
 		},
 		"services5": func(t *testing.T, s site) bool {
 			classes, err := s.list("classes")
-			return err == nil && len(classes) == 5 && total(t, s, func(m table) bool { return m["app"] == "service-5" }) == 1
+			return err == nil && len(classes) == 5 && countMachines(t, s, func(m table) bool { return m["app"] == "service-5" }) == 1
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).True(check(t, changed(t, name)))
+			is.New(t).True(check(t, readVariant(t, name)))
 		})
 	}
 }
 
-func TestBadCopies(t *testing.T) {
+func TestInvalidVariants(t *testing.T) {
 	is := is.New(t)
-	folder := t.TempDir()
-	path := filepath.Join(folder, "site.toml")
-	is.True(write(folder, path, nil) != nil) // no such file
+	dir := t.TempDir()
+	path := filepath.Join(dir, "site.toml")
+	is.True(writeVariants(dir, path, nil) != nil) // no such file
 	is.NoErr(os.WriteFile(path, []byte("name = \"bare\"\n"), 0o600))
-	is.True(write(folder, path, []string{"mod"}) != nil) // nothing to change
-	is.True(write(folder, path, []string{"no-such"}) != nil)
+	is.True(writeVariants(dir, path, []string{"mod"}) != nil) // nothing to change
+	is.True(writeVariants(dir, path, []string{"no-such"}) != nil)
 }
