--- a/soak/inject.go
+++ b/soak/inject.go
@@ -28,9 +28,9 @@
 type injector struct {
 	deployment *standin.Deployment
 	checker    *Checker
-	// entries and operators are the relays before entry hosts and control hosts.
-	entries   []*faultproxy.Relay
-	operators []*faultproxy.TCPRelay
+	// entryRelays and operatorRelays are the relays before entry hosts and control hosts.
+	entryRelays    []*faultproxy.Relay
+	operatorRelays []*faultproxy.TCPRelay
 	// timeoutMargin is added to stopTimeout.
 	timeoutMargin time.Duration
 	steps         conc.WaitGroup
@@ -57,7 +57,7 @@
 			in.close()
 			return nil, err
 		}
-		in.entries = append(in.entries, relay)
+		in.entryRelays = append(in.entryRelays, relay)
 		deployment.Router.SetRelay(host, relay.Addr())
 	}
 	for _, p := range deployment.ControlHosts {
@@ -66,7 +66,7 @@
 			in.close()
 			return nil, err
 		}
-		in.operators = append(in.operators, relay)
+		in.operatorRelays = append(in.operatorRelays, relay)
 	}
 	return in, nil
 }
@@ -75,10 +75,10 @@
 const pathStream = 100
 
 func (in *injector) close() {
-	for _, r := range in.entries {
+	for _, r := range in.entryRelays {
 		r.Close()
 	}
-	for _, r := range in.operators {
+	for _, r := range in.operatorRelays {
 		r.Close()
 	}
 }
@@ -86,7 +86,7 @@
 // urls returns the base URLs of the relays for operators' calls.
 func (in *injector) urls() []string {
 	var out []string
-	for _, r := range in.operators {
+	for _, r := range in.operatorRelays {
 		out = append(out, "http://"+r.Addr().String())
 	}
 	return out
@@ -117,46 +117,46 @@
 
 // apply starts a fault, which ends by itself. It returns false if a victim is busy with
 // another fault.
-func (in *injector) apply(s Fault) bool {
-	switch s.Kind {
+func (in *injector) apply(fault Fault) bool {
+	switch fault.Kind {
 	case KillEntry, StopEntry, FreezeEntry:
-		return in.applyToProcess(s, in.deployment.EntryHosts)
+		return in.applyToProcess(fault, in.deployment.EntryHosts)
 	case KillAgent, FreezeAgent:
-		return in.applyToProcess(s, in.deployment.Agents)
+		return in.applyToProcess(fault, in.deployment.Agents)
 	case KillControl, StopControl, FreezeControl, WipeControl, FillControl:
-		return in.applyToProcess(s, in.deployment.ControlHosts)
+		return in.applyToProcess(fault, in.deployment.ControlHosts)
 	case Reload:
-		return in.applyToProcess(s, in.deployment.Processes())
+		return in.applyToProcess(fault, in.deployment.Processes())
 	case KillControls:
-		return in.killAll(s, in.deployment.ControlHosts)
+		return in.killAll(fault, in.deployment.ControlHosts)
 	case KillAll:
-		return in.killAll(s, in.deployment.Processes())
+		return in.killAll(fault, in.deployment.Processes())
 	case CrashTarget, DrainTarget:
-		return in.applyToTarget(s)
+		return in.applyToTarget(fault)
 	}
-	return in.applyToPath(s)
+	return in.applyToPath(fault)
 }
 
 // applyToProcess starts a fault of one process.
-func (in *injector) applyToProcess(s Fault, among []*standin.Process) bool {
-	p := among[s.Victim%len(among)]
+func (in *injector) applyToProcess(fault Fault, among []*standin.Process) bool {
+	p := among[fault.Victim%len(among)]
 	if !in.acquire(p) {
 		return false
 	}
-	in.markDisturbed(s.For, p)
+	in.markDisturbed(fault.For, p)
 	in.steps.Go(func() {
 		defer in.release(p)
-		switch s.Kind {
+		switch fault.Kind {
 		case FreezeEntry, FreezeAgent, FreezeControl:
 			p.Signal(syscall.SIGSTOP)
-			time.Sleep(s.For)
+			time.Sleep(fault.For)
 			p.Signal(syscall.SIGCONT)
 		case Reload:
 			p.Signal(syscall.SIGHUP)
 		case FillControl:
-			in.fill(p, s.For)
+			in.fill(p, fault.For)
 		default:
-			in.restart(p, s)
+			in.restart(p, fault)
 		}
 		in.markDisturbed(0, p)
 	})
@@ -164,21 +164,21 @@
 }
 
 // restart stops a process as the fault requires and starts it after the fault's duration.
-func (in *injector) restart(p *standin.Process, s Fault) {
+func (in *injector) restart(p *standin.Process, fault Fault) {
 	in.setDown(p, true)
-	if s.Kind == StopEntry || s.Kind == StopControl {
+	if fault.Kind == StopEntry || fault.Kind == StopControl {
 		if err := p.Stop(stopTimeout + in.timeoutMargin); err != nil {
 			in.checker.AddViolation(RuleProcessExit, "%s on %s was asked to stop: %v", p.Role, p.Host, err)
 		}
 	} else {
 		p.Kill()
 	}
-	if s.Kind == WipeControl {
+	if fault.Kind == WipeControl {
 		if err := in.deployment.WipeDisk(p); err != nil {
-			in.checker.AddViolation(RuleProcessExit, "disk of %s not emptied: %v", p.Host, err)
+			in.checker.AddViolation(RuleProcessExit, "wipe disk of %s: %v", p.Host, err)
 		}
 	}
-	time.Sleep(s.For)
+	time.Sleep(fault.For)
 	in.start(p)
 }
 
@@ -197,12 +197,12 @@
 	}
 	time.Sleep(duration)
 	if err := p.LimitFiles(-1); err != nil {
-		in.checker.AddViolation(RuleProcessExit, "disk of %s not emptied: %v", p.Host, err)
+		in.checker.AddViolation(RuleProcessExit, "free disk of %s: %v", p.Host, err)
 	}
 }
 
 // killAll kills processes at the same time.
-func (in *injector) killAll(s Fault, all []*standin.Process) bool {
+func (in *injector) killAll(fault Fault, all []*standin.Process) bool {
 	victims := make([]any, 0, len(all))
 	for _, p := range all {
 		victims = append(victims, p)
@@ -210,7 +210,7 @@
 	if !in.acquire(victims...) {
 		return false
 	}
-	in.markDisturbed(s.For, all...)
+	in.markDisturbed(fault.For, all...)
 	in.steps.Go(func() {
 		defer in.release(victims...)
 		var kills conc.WaitGroup
@@ -219,7 +219,7 @@
 			kills.Go(p.Kill)
 		}
 		kills.Wait()
-		time.Sleep(min(s.For, time.Second))
+		time.Sleep(min(fault.For, time.Second))
 		for _, p := range all {
 			in.start(p)
 		}
@@ -229,14 +229,14 @@
 }
 
 // applyToTarget crashes a target, after draining if required, and restarts it.
-func (in *injector) applyToTarget(s Fault) bool {
-	t := in.deployment.Targets[s.Victim%len(in.deployment.Targets)]
+func (in *injector) applyToTarget(fault Fault) bool {
+	t := in.deployment.Targets[fault.Victim%len(in.deployment.Targets)]
 	if !in.acquire(t) {
 		return false
 	}
 	in.steps.Go(func() {
 		defer in.release(t)
-		if s.Kind == DrainTarget && t.Drain(stopTimeout+in.timeoutMargin) {
+		if fault.Kind == DrainTarget && t.Drain(stopTimeout+in.timeoutMargin) {
 			time.Sleep(drainTime)
 			if last, acked := t.LastOpened(), t.DrainAckedAt(); last.After(acked) {
 				in.checker.AddViolation(RuleDrain, "%s opened a flow %s after its agent had acknowledged the draining", t.Instance(), last.Sub(acked))
@@ -244,7 +244,7 @@
 		}
 		in.checker.RecordInstanceEnd(t.Instance())
 		t.Crash()
-		time.Sleep(s.For)
+		time.Sleep(fault.For)
 		if err := t.Restart(); err != nil {
 			in.checker.AddViolation(RuleProcessExit, "target %s does not start: %v", t.IP, err)
 		}
@@ -253,24 +253,24 @@
 }
 
 // applyToPath starts a fault of the path to an entry host or a control host.
-func (in *injector) applyToPath(s Fault) bool {
-	if s.Kind == ResetOperator {
-		in.operators[s.Victim%len(in.operators)].CloseConnections()
+func (in *injector) applyToPath(fault Fault) bool {
+	if fault.Kind == ResetOperator {
+		in.operatorRelays[fault.Victim%len(in.operatorRelays)].CloseConnections()
 		return true
 	}
-	if s.Kind == CutOperator {
-		r := in.operators[s.Victim%len(in.operators)]
-		return in.faults(r, s.For, func(f faultproxy.Faults) { r.SetFaults(faultproxy.ToCaller, f) }, faultproxy.Faults{Cut: true})
+	if fault.Kind == CutOperator {
+		r := in.operatorRelays[fault.Victim%len(in.operatorRelays)]
+		return in.faults(r, fault.For, func(f faultproxy.Faults) { r.SetFaults(faultproxy.ToCaller, f) }, faultproxy.Faults{Cut: true})
 	}
-	r := in.entries[s.Victim%len(in.entries)]
+	r := in.entryRelays[fault.Victim%len(in.entryRelays)]
 	faults := faultproxy.Faults{Cut: true}
-	switch s.Kind {
+	switch fault.Kind {
 	case LosePackets:
 		faults = faultproxy.Faults{Drop: lossProbability, Duplicate: lossProbability}
 	case DelayPackets:
 		faults = faultproxy.Faults{Delay: packetDelay, Reorder: lossProbability, HoldBack: packetDelay}
 	}
-	return in.faults(r, s.For, func(f faultproxy.Faults) { r.SetFaults(faultproxy.ToHost, f) }, faults)
+	return in.faults(r, fault.For, func(f faultproxy.Faults) { r.SetFaults(faultproxy.ToHost, f) }, faults)
 }
 
 func (in *injector) faults(relay any, duration time.Duration, set func(faultproxy.Faults), f faultproxy.Faults) bool {
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -74,24 +74,24 @@
 	// No control host is disturbed before nextControlFault, no disk is lost before nextWipe.
 	var nextControlFault, nextWipe time.Duration
 	for at := faultInterval; at < length; at += time.Duration(random.Float64() * 2 * float64(faultInterval)) {
-		s := Fault{
+		fault := Fault{
 			At:     at,
 			Kind:   randomKind(random),
 			Victim: random.IntN(1 << 16),
 			For:    minFaultTime + time.Duration(random.Float64()*float64(maxFaultTime-minFaultTime)),
 		}
-		if !affectsControl(s.Kind) {
-			plan = append(plan, s)
+		if !affectsControl(fault.Kind) {
+			plan = append(plan, fault)
 			continue
 		}
-		if at < nextControlFault || s.Kind == WipeControl && at < nextWipe {
+		if at < nextControlFault || fault.Kind == WipeControl && at < nextWipe {
 			continue
 		}
-		nextWipe = max(nextWipe, at+s.For+catchUp)
-		if s.Kind == WipeControl {
-			nextControlFault = at + s.For + catchUp
+		nextWipe = max(nextWipe, at+fault.For+catchUp)
+		if fault.Kind == WipeControl {
+			nextControlFault = at + fault.For + catchUp
 		}
-		plan = append(plan, s)
+		plan = append(plan, fault)
 	}
 	return plan
 }
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -14,13 +14,13 @@
 	for seed := range uint64(50) {
 		plan := Plan(seed, length)
 		is.Equal(plan, Plan(seed, length)) // the same seed, the same plan
-		for i, s := range plan {
-			seen[s.Kind]++
-			is.True(s.At < length && s.For >= minFaultTime && s.For <= maxFaultTime)
+		for i, fault := range plan {
+			seen[fault.Kind]++
+			is.True(fault.At < length && fault.For >= minFaultTime && fault.For <= maxFaultTime)
 			for _, other := range plan[:i] {
-				lost := s.Kind == WipeControl || other.Kind == WipeControl
-				if lost && affectsControl(s.Kind) && affectsControl(other.Kind) {
-					is.True(s.At >= other.At+other.For+catchUp) // one lost disk at a time
+				lost := fault.Kind == WipeControl || other.Kind == WipeControl
+				if lost && affectsControl(fault.Kind) && affectsControl(other.Kind) {
+					is.True(fault.At >= other.At+other.For+catchUp) // one lost disk at a time
 				}
 			}
 		}
--- a/soak/run.go
+++ b/soak/run.go
@@ -16,13 +16,13 @@
 
 // Sizes of a deployment.
 const (
-	controls      = 3
-	entries       = 2
+	controlHosts  = 3
+	entryHosts    = 2
 	firstTargets  = 3
 	secondTargets = 2
 	callers       = 16
 	// RequiredIPs is the number of IP addresses of a run, including one for the callers.
-	RequiredIPs = controls + entries + firstTargets + secondTargets + 1
+	RequiredIPs = controlHosts + entryHosts + firstTargets + secondTargets + 1
 )
 
 const (
@@ -76,7 +76,7 @@
 		o.Out = io.Discard
 	}
 	deployment, err := standin.Start(standin.Options{
-		Binary: o.Binary, Dir: o.Dir, IPs: o.IPs, ControlHosts: controls, EntryHosts: entries, ToleratedLosses: 1, Zones: zones,
+		Binary: o.Binary, Dir: o.Dir, IPs: o.IPs, ControlHosts: controlHosts, EntryHosts: entryHosts, ToleratedLosses: 1, Zones: zones,
 		Services: []standin.Service{{Name: firstService, Targets: firstTargets}, {Name: secondService, Targets: secondTargets}},
 	})
 	if err != nil {
@@ -148,7 +148,7 @@
 	// Stop changes so that the expected version is known.
 	stopChanges()
 	changes.Wait()
-	r.awaitRecovery(ctx, in, operators)
+	r.waitRecovery(ctx, in, operators)
 	stop()
 	load.Wait()
 	return r.result(), nil
@@ -166,23 +166,23 @@
 // inject injects the faults of the plan.
 func (r *run) inject(ctx context.Context, in *injector) {
 	start := time.Now()
-	for _, s := range Plan(r.options.Seed, r.options.Length) {
-		for time.Since(start) < s.At && ctx.Err() == nil {
-			time.Sleep(min(pollInterval, s.At-time.Since(start)))
+	for _, fault := range Plan(r.options.Seed, r.options.Length) {
+		for time.Since(start) < fault.At && ctx.Err() == nil {
+			time.Sleep(min(pollInterval, fault.At-time.Since(start)))
 			in.checkProcesses()
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if in.apply(s) {
+		if in.apply(fault) {
 			r.faults++
-			fmt.Fprintf(r.options.Out, "%7.3f s  %s, number %d, for %s\n", time.Since(r.checker.start).Seconds(), s.Kind, s.Victim, s.For.Round(time.Millisecond))
+			fmt.Fprintf(r.options.Out, "%7.3f s  %s, number %d, for %s\n", time.Since(r.checker.start).Seconds(), fault.Kind, fault.Victim, fault.For.Round(time.Millisecond))
 		}
 	}
 }
 
-// awaitRecovery waits until failure reports none.
-func (r *run) awaitRecovery(ctx context.Context, in *injector, o *operators) {
+// waitRecovery waits until failure reports none.
+func (r *run) waitRecovery(ctx context.Context, in *injector, o *operators) {
 	start := time.Now()
 	timeout := recoveryTimeout + r.options.TimeoutMargin
 	var failure string
