--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -57,7 +57,7 @@
 // An error of several lines stays on the line of its decision.
 func TestStoryKeepsALineOnALine(t *testing.T) {
 	is := is.New(t)
-	const log = `{"level":"info","ts":"2026-04-10T23:29:04.500Z","msg":"configuration change failed","host":"c","role":"control","revision":26,"error":"unknown\nlost"}`
+	const log = `{"level":"info","ts":"2026-04-10T23:29:04.500Z","msg":"configuration change not confirmed","host":"c","role":"control","revision":26,"error":"unknown\nlost"}`
 	var sum explain.Summary
 	lines, err := explain.Read("c.log", strings.NewReader(log), "26", &sum)
 	is.NoErr(err)
