--- a/soak/inject.go
+++ b/soak/inject.go
@@ -268,7 +268,7 @@
 	case LosePackets:
 		faults = faultproxy.Faults{Drop: lossProbability, Duplicate: lossProbability}
 	case DelayPackets:
-		faults = faultproxy.Faults{Delay: packetDelay, Reorder: lossProbability, HoldBack: packetDelay}
+		faults = faultproxy.Faults{Delay: packetDelay, Reorder: lossProbability, ReorderDelay: packetDelay}
 	}
 	return in.faults(r, fault.For, func(f faultproxy.Faults) { r.SetFaults(faultproxy.ToHost, f) }, faults)
 }
