--- a/internal/agentd/fakes_test.go
+++ b/internal/agentd/fakes_test.go
@@ -78,7 +78,7 @@
 	res := f.apply(req)
 	if mode == controlDeaf {
 		<-ctx.Done()
-		return nil, link.ErrUnknown
+		return nil, link.ErrOutcomeUnknown
 	}
 	return res, nil
 }
