--- a/internal/agentd/connect.go
+++ b/internal/agentd/connect.go
@@ -89,7 +89,7 @@
 	}
 	client := link.NewClient(s.GetControl().GetAddresses(), credentials, link.ClientOptions{Scope: scope, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
-	go credentials.Watch(ctx, keys.ReloadPeriod, keys.LogReload(log))
+	go credentials.Watch(ctx, keys.ReloadInterval, keys.LogReload(log))
 	go caller.watch(ctx, log)
 	return parts{
 		control:     client,
@@ -184,7 +184,7 @@
 // together, as during their replacement, the former certificate stays.
 func (c *callerCertificate) watch(ctx context.Context, log *zap.Logger) {
 	failed := false
-	for pause(ctx, keys.ReloadPeriod) {
+	for pause(ctx, keys.ReloadInterval) {
 		former := c.get()
 		err := c.load()
 		if err != nil && !failed {
