--- a/internal/agentd/fixture_test.go
+++ b/internal/agentd/fixture_test.go
@@ -30,7 +30,7 @@
 
 const (
 	testService = "lodgement"
-	patience    = unittest.Patience
+	patience    = unittest.Timeout
 )
 
 func testTiming() timing {
