--- a/soak/internal/mutants/defects.go
+++ b/soak/internal/mutants/defects.go
@@ -10,12 +10,12 @@
 
 // defects are the defects that the soak must find.
 var defects = []defect{
-	{"stale read", "internal/controld/routes.go",
-		"if err := d.confirm.wait(ctx); err != nil {", "if err := ctx.Err(); err != nil {"},
+	{"stale read", "internal/controld/routetable.go",
+		"if err := d.readBarrier.wait(ctx); err != nil {", "if err := ctx.Err(); err != nil {"},
 	{"two contents of a version accepted", "config/routes.go",
-		"if r.GetTable().GetRevision() <= held {", "if r.GetTable().GetRevision() < held {"},
+		"if r.GetTable().GetRevision() <= activeRevision {", "if r.GetTable().GetRevision() < activeRevision {"},
 	{"older version accepted", "config/routes.go",
-		"if r.GetTable().GetRevision() <= held {", "if r.GetTable().GetRevision() == held {"},
+		"if r.GetTable().GetRevision() <= activeRevision {", "if r.GetTable().GetRevision() == activeRevision {"},
 	{"invalid configuration accepted", "config/routes.go",
 		"if !c.services[s.GetService()] {", "if len(s.GetService()) == 0 {"},
 	{"commit without a quorum", "raft/membership.go",
@@ -32,8 +32,8 @@
 		"signal.Notify(w.signals, syscall.SIGHUP)", "signal.Notify(w.signals, syscall.SIGUSR1)"},
 	{"stop signal ignored", "platform/command.go",
 		"ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)", "signal.Ignore(syscall.SIGTERM)\n\tctx, stop := signal.NotifyContext(ctx, syscall.SIGINT)"},
-	{"host with an empty disk does not rejoin", "internal/controld/found.go",
-		"asks.start(v.address)", "_ = asks"},
+	{"host with an empty disk does not rejoin", "internal/controld/bootstrap.go",
+		"requests.start(v.address)", "_ = requests"},
 	{"full disk ends the process", "internal/wal/fs.go",
 		"errors.Is(err, syscall.EFBIG)", "errors.Is(err, syscall.ENOTTY)"},
 }
