--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -92,7 +92,7 @@
 	return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 		result, err := experiment.Run(ctx, o)
 		if result == nil {
-			return usageIf(err, experiment.ErrOptions)
+			return usageIf(err, experiment.ErrInvalidOptions)
 		}
 		// The cells that ran are reported even if a later one failed.
 		return errors.Join(x.report(cmd.OutOrStdout(), result), err)
