--- a/internal/processtest/binary.go
+++ b/internal/processtest/binary.go
@@ -12,20 +12,20 @@
 
 const mainPackage = "eelgrasswharf.example/eelgrasswharf/cmd/eelgrasswharf"
 
-// built is the binary under test, made at most once per test process.
-var built struct {
+// binary is the binary under test, built at most once per test process.
+var binary struct {
 	once sync.Once
 	dir  string
 	path string
 	err  error
 }
 
-// Main runs the tests of a package and removes the binary afterwards. It is
-// the body of TestMain.
+// Main is the body of TestMain: it runs the tests of a package and removes the
+// binary afterwards.
 func Main(m *testing.M) {
 	code := m.Run()
-	if built.dir != "" {
-		os.RemoveAll(built.dir)
+	if binary.dir != "" {
+		os.RemoveAll(binary.dir)
 	}
 	os.Exit(code)
 }
@@ -33,21 +33,21 @@
 // Binary returns the path of the binary under test.
 func Binary(t testing.TB) string {
 	t.Helper()
-	built.once.Do(build)
-	if built.err != nil {
-		t.Fatal(built.err)
+	binary.once.Do(build)
+	if binary.err != nil {
+		t.Fatal(binary.err)
 	}
-	return built.path
+	return binary.path
 }
 
 func build() {
-	built.dir, built.err = os.MkdirTemp("", "eelgrasswharf-test-")
-	if built.err != nil {
+	binary.dir, binary.err = os.MkdirTemp("", "eelgrasswharf-test-")
+	if binary.err != nil {
 		return
 	}
-	built.path = filepath.Join(built.dir, "eelgrasswharf")
-	out, err := exec.Command("go", "build", "-o", built.path, mainPackage).CombinedOutput()
+	binary.path = filepath.Join(binary.dir, "eelgrasswharf")
+	out, err := exec.Command("go", "build", "-o", binary.path, mainPackage).CombinedOutput()
 	if err != nil {
-		built.err = errors.Wrapf(err, "build: %s", out)
+		binary.err = errors.Wrapf(err, "build: %s", out)
 	}
 }
--- a/internal/processtest/caller.go
+++ b/internal/processtest/caller.go
@@ -27,7 +27,7 @@
 	HeaderOutcome = "Request-Outcome"
 	HeaderReason  = "Request-Reason"
 	HeaderTarget  = "Target"
-	// HeaderRetryAfter names the seconds after which the caller may come back.
+	// HeaderRetryAfter holds the delay before a retry, in seconds.
 	HeaderRetryAfter = "Retry-After"
 )
 
@@ -38,22 +38,22 @@
 	OutcomeUnknown  = "unknown"
 )
 
-// keepAlive is shorter than the idle timeout of either end, so that only a
-// dead path ends a quiet connection.
+// keepAlive is shorter than the idle timeout of both ends, so that an idle
+// connection only ends when its path fails.
 const keepAlive = 5 * time.Second
 
-// Caller calls one service over HTTP/3 through the fabric. It keeps one
-// connection and opens another one when that was asked to go away.
+// Caller calls one service over HTTP/3 through the fabric. It uses one
+// connection and opens another one after a GOAWAY.
 type Caller struct {
 	t         testing.TB
 	service   string
 	ip        netip.Addr
 	transport *http3.Transport
-	// conn is the newest connection.
+	// conn is the latest connection.
 	conn atomic.Pointer[quic.Conn]
 }
 
-// Response is a whole answer.
+// Response is a response with its complete body.
 type Response struct {
 	Status  int
 	Outcome string
@@ -63,14 +63,14 @@
 	Body    []byte
 }
 
-// NewCaller makes a caller with an address of its own.
+// NewCaller returns a caller with its own source address.
 func (s *Service) NewCaller() *Caller {
 	s.cluster.t.Helper()
 	return s.NewCallerAs(s.Name)
 }
 
-// NewCallerAs makes a caller that expects the service of that name behind the
-// address of s.
+// NewCallerAs returns a caller that connects to s but expects the certificate
+// of the named service.
 func (s *Service) NewCallerAs(name string) *Caller {
 	c := s.cluster
 	c.t.Helper()
@@ -99,7 +99,7 @@
 	return caller
 }
 
-// Do sends a request and reads its whole answer.
+// Do sends a request and reads the complete response.
 func (c *Caller) Do(ctx context.Context, method, path string, header http.Header, body []byte) (*Response, error) {
 	resp, err := c.open(ctx, method, path, header, body)
 	if err != nil {
@@ -131,30 +131,30 @@
 	return c.transport.RoundTrip(req)
 }
 
-// MustDo is Do within the wait limit; an error fails the test.
+// MustDo calls Do with a timeout and fails the test on an error.
 func (c *Caller) MustDo(method, path string, header http.Header, body []byte) *Response {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	answer, err := c.Do(ctx, method, path, header, body)
+	response, err := c.Do(ctx, method, path, header, body)
 	if err != nil {
 		c.t.Fatalf("%s %s of %s: %v", method, path, c.service, err)
 	}
-	return answer
+	return response
 }
 
-// Echo asks for the text back.
+// Echo requests a response with the given text.
 func (c *Caller) Echo(text string) *Response {
 	c.t.Helper()
 	return c.MustDo(http.MethodGet, "/echo?text="+url.QueryEscape(text), nil, nil)
 }
 
-// RunPath is the path of a run that takes the given time.
-func RunPath(lasts time.Duration) string {
-	return "/run?ms=" + strconv.FormatInt(lasts.Milliseconds(), 10)
+// RunPath returns the path of a run that takes the given time.
+func RunPath(duration time.Duration) string {
+	return "/run?ms=" + strconv.FormatInt(duration.Milliseconds(), 10)
 }
 
-// KeyHeader is the header of a request that may not be repeated.
+// KeyHeader returns the header of a request that must not run twice.
 func KeyHeader(key string) http.Header {
 	header := make(http.Header)
 	header.Set(HeaderKey, key)
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -20,20 +20,20 @@
 
 	keyValidity = 24 * time.Hour
 
-	// coresPerCluster bounds how many deployments run at a time.
-	coresPerCluster = 4
+	// cpusPerCluster limits how many clusters run at a time.
+	cpusPerCluster = 4
 )
 
-// room has a place for each deployment that may run.
-var room = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/coresPerCluster))
+// clusterSlots is a semaphore for running clusters.
+var clusterSlots = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/cpusPerCluster))
 
-// identity is whom a certificate was issued to.
-type identity struct {
+// certificate describes the holder of an issued certificate.
+type certificate struct {
 	role          keys.Role
 	name, service string
 }
 
-// Cluster is one deployment of real processes.
+// Cluster is a deployment of real processes.
 type Cluster struct {
 	t        testing.TB
 	dir      string
@@ -44,23 +44,22 @@
 	entries  []*Entry
 	services []*Service
 	operator keys.Files
-	// issued are the certificates that were issued, each once.
-	issued []identity
+	// issued holds each issued certificate once.
+	issued []certificate
 	// grantGroups and maxLinks are settings of the control hosts.
 	grantGroups, maxLinks uint32
 
-	// version is the newest one that Patch made, of so many patches.
+	// version is the latest one created by Patch, patches the number of calls.
 	version uint64
 	patches int
 }
 
-// New makes the keys of a deployment without any process. It waits while enough
-// other deployments of this test process run; deployments share nothing, so
-// that their tests may run in parallel.
+// New creates a cluster with keys and no processes. It waits for a free slot.
+// Clusters share no state, so their tests may run in parallel.
 func New(t testing.TB) *Cluster {
 	t.Helper()
-	room <- struct{}{}
-	t.Cleanup(func() { <-room })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 	c := &Cluster{
 		t:      t,
 		dir:    t.TempDir(),
@@ -84,13 +83,13 @@
 	c.t.Helper()
 	files, err := keys.Issue(c.keyDir, role, name, service, nil, keyValidity)
 	c.must(err)
-	if id := (identity{role, name, service}); !slices.Contains(c.issued, id) {
+	if id := (certificate{role, name, service}); !slices.Contains(c.issued, id) {
 		c.issued = append(c.issued, id)
 	}
 	return files
 }
 
-// metricsSettings open a metrics listener on a free port.
+// metricsSettings returns settings of a metrics listener on a free port.
 func metricsSettings(ip netip.Addr) *settingspb.Metrics {
 	return &settingspb.Metrics{Listen: netip.AddrPortFrom(ip, 0).String()}
 }
@@ -99,13 +98,13 @@
 	return &settingspb.Host{Name: name, FailureDomain: domain}
 }
 
-// path returns the name of a file in the folder of the deployment.
+// path returns the path of a file in the directory of the cluster.
 func (c *Cluster) path(format string, args ...any) string {
 	return filepath.Join(c.dir, fmt.Sprintf(format, args...))
 }
 
-// newRand returns a generator of its own, so that relays which run at the
-// same time do not change each other's sequence.
+// newRand returns a separate generator, so that concurrent relays have
+// independent sequences.
 func (c *Cluster) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(c.random.Uint64(), c.random.Uint64()))
 }
--- a/internal/processtest/commandline.go
+++ b/internal/processtest/commandline.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// CommandResult is what a command wrote and how it ended.
+// CommandResult holds the output and the exit status of a command.
 type CommandResult struct {
 	Stdout string
 	Stderr string
 	Status int
 }
 
-// RunOperator runs an operator command against control hosts with these operator
-// addresses, or against all of them if none is named.
+// RunOperator runs an operator command against the given operator addresses, or
+// against all control hosts if none is given.
 func (c *Cluster) RunOperator(args []string, control ...netip.AddrPort) CommandResult {
 	c.t.Helper()
-	stdout, stderr, status := c.run(append(args, c.operatorFlags(control)...))
+	stdout, stderr, status := c.runCommand(append(args, c.operatorFlags(control)...))
 	return CommandResult{Stdout: string(stdout), Stderr: string(stderr), Status: status}
 }
 
-// SubmitArgs writes the sections as a patch file and returns the command that
-// submits it.
+// SubmitArgs writes a patch file with the sections and returns the arguments of
+// the command that submits it.
 func (c *Cluster) SubmitArgs(base uint64, id string, sections ...string) []string {
 	c.t.Helper()
 	path := c.path("%s.ini", id)
@@ -32,7 +32,7 @@
 	return []string{"patch", "submit", "--base", strconv.FormatUint(base, 10), "--id", id, path}
 }
 
-// RunShell gives a printed command to a shell.
+// RunShell runs a command line in a shell.
 func (c *Cluster) RunShell(command string) CommandResult {
 	c.t.Helper()
 	var stdout, stderr strings.Builder
--- a/internal/processtest/control.go
+++ b/internal/processtest/control.go
@@ -10,15 +10,15 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/loopback"
 )
 
-// Control is a control host. Its addresses outlive its process.
+// Control is a control host. It keeps its addresses across restarts.
 type Control struct {
 	*Process
-	// Link is where peers and subscribers dial it.
+	// Link is the address that peers and subscribers dial.
 	Link netip.AddrPort
-	// Operator is where operators call it.
+	// Operator is the address of the operators' API.
 	Operator netip.AddrPort
-	// PeerRelay relays what other control hosts send to this one, if the hosts
-	// were started by StartRelayedControls.
+	// PeerRelay relays the datagrams of other control hosts to this one. Only set
+	// by StartRelayedControls.
 	PeerRelay *faultproxy.Relay
 
 	cluster  *Cluster
@@ -26,33 +26,33 @@
 	settings *settingspb.ControlSettings
 }
 
-// StartControls starts the founding control hosts and waits until they are
-// ready.
+// StartControls starts the initial control hosts and waits until they are ready.
 func (c *Cluster) StartControls(count int) []*Control {
 	c.t.Helper()
 	return c.StartControlsWithGrantGroups(count, 0)
 }
 
-// StartControlsWithGrantGroups is StartControls with so many groups of grants.
+// StartControlsWithGrantGroups is StartControls with the given number of grant
+// groups.
 func (c *Cluster) StartControlsWithGrantGroups(count, grantGroups int) []*Control {
 	c.t.Helper()
 	c.grantGroups = uint32(grantGroups)
 	for i := range count {
 		c.controls = append(c.controls, c.newControl(i+1))
 	}
-	return c.found()
+	return c.bootstrap()
 }
 
-// StartControlsWithMaxLinks is StartControls with so many places for entry hosts
-// and agents on each host.
-func (c *Cluster) StartControlsWithMaxLinks(count, places int) []*Control {
+// StartControlsWithMaxLinks is StartControls with a limit for the links of entry
+// hosts and agents on each control host.
+func (c *Cluster) StartControlsWithMaxLinks(count, limit int) []*Control {
 	c.t.Helper()
-	c.maxLinks = uint32(places)
+	c.maxLinks = uint32(limit)
 	return c.StartControls(count)
 }
 
-// StartLearner starts a further control host that asks to join and is never
-// promoted, and waits until it learns in every group and knows the leaders.
+// StartLearner starts another control host that joins and is never promoted. It
+// waits until the host is a learner in every group.
 func (c *Cluster) StartLearner() *Control {
 	c.t.Helper()
 	host := c.newControl(len(c.controls) + 1)
@@ -61,13 +61,13 @@
 	c.controls = append(c.controls, host)
 	host.Launch()
 	host.WaitReady()
-	Eventually(c.t, host.name+" follows as a learner", host.learns)
+	Eventually(c.t, host.name+" follows as a learner", host.isLearner)
 	return host
 }
 
-// StartRelayedControls is StartControls with a relay in front of each host's
-// link address, which the other control hosts dial. Subscribers and agents dial
-// the hosts themselves.
+// StartRelayedControls is StartControls with a relay in front of each link
+// address. Other control hosts dial the relay; subscribers and agents dial the
+// host directly.
 func (c *Cluster) StartRelayedControls(count int) []*Control {
 	c.t.Helper()
 	for i := range count {
@@ -75,11 +75,11 @@
 		host.PeerRelay = host.Relay()
 		c.controls = append(c.controls, host)
 	}
-	return c.found()
+	return c.bootstrap()
 }
 
-// found starts the control hosts as the first members of their groups.
-func (c *Cluster) found() []*Control {
+// bootstrap starts the control hosts as the initial voters of their groups.
+func (c *Cluster) bootstrap() []*Control {
 	c.t.Helper()
 	var voters []string
 	for _, host := range c.controls {
@@ -95,7 +95,7 @@
 	return c.controls
 }
 
-// peerAddress is where other control hosts dial this one.
+// peerAddress returns the address that other control hosts dial.
 func (h *Control) peerAddress() netip.AddrPort {
 	if h.PeerRelay != nil {
 		return h.PeerRelay.Addr()
@@ -127,7 +127,7 @@
 	return host
 }
 
-// Launch starts the process of the host, again after it ended.
+// Launch starts the process of the host and does not wait.
 func (h *Control) Launch() {
 	h.cluster.t.Helper()
 	path := h.cluster.path("%s.ini", h.name)
@@ -135,15 +135,14 @@
 	h.Process = Start(h.cluster.t, h.name, "control", "--settings", path)
 }
 
-// Relaunch starts the process of the host, which has ended, and waits until it
-// is ready.
+// Relaunch starts the process of a stopped host and waits until it is ready.
 func (h *Control) Relaunch() {
 	h.cluster.t.Helper()
 	h.Launch()
 	h.WaitReady()
 }
 
-// Restart stops the process of the host by plan and starts it again.
+// Restart stops the process gracefully and starts it again.
 func (h *Control) Restart() {
 	h.cluster.t.Helper()
 	h.Terminate()
@@ -151,14 +150,13 @@
 	h.Relaunch()
 }
 
-// Relay puts a relay in front of the host's link address. Whoever dials its
-// address can be cut off.
+// Relay starts a relay in front of the host's link address.
 func (h *Control) Relay() *faultproxy.Relay {
 	h.cluster.t.Helper()
 	return h.cluster.newRelay(h.Link)
 }
 
-// newRelay puts a relay in front of an address.
+// newRelay starts a relay in front of an address.
 func (c *Cluster) newRelay(host netip.AddrPort) *faultproxy.Relay {
 	c.t.Helper()
 	relay, err := faultproxy.NewRelay(faultproxy.Options{
@@ -171,11 +169,11 @@
 	return relay
 }
 
-// links returns the link addresses of all control hosts.
-func (c *Cluster) links() []string {
-	var all []string
+// allLinkAddresses returns the link addresses of all control hosts.
+func (c *Cluster) allLinkAddresses() []string {
+	var addrs []string
 	for _, host := range c.controls {
-		all = append(all, host.Link.String())
+		addrs = append(addrs, host.Link.String())
 	}
-	return all
+	return addrs
 }
--- a/internal/processtest/doc.go
+++ b/internal/processtest/doc.go
@@ -1,8 +1,8 @@
-// Package processtest runs real processes of the system for the tests below
-// test/: it builds the binary once, gives every host an IP number of its own
-// on loopback, writes keys and settings, starts, stops and freezes processes,
-// and calls services through a stand-in of the fabric.
+// Package processtest runs real processes of the system for end-to-end tests.
+// It builds the binary once, gives every host its own loopback address, writes
+// keys and settings, starts, stops and freezes processes, and calls services
+// through a simulated fabric.
 //
-// Nothing waits for a fixed time: helpers poll a condition up to a generous
-// limit. When a test fails, the logs of all its processes are printed.
+// Helpers poll a condition up to a timeout and never wait for a fixed time. When
+// a test fails, the logs of all its processes are printed.
 package processtest
--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -9,10 +9,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/loopback"
 )
 
-// loopbackNetwork is where agents stand in tests.
+// loopbackNetwork contains the addresses of all agents.
 const loopbackNetwork = "127.0.0.0/8"
 
-// Entry is an entry host. Its addresses outlive its process.
+// Entry is an entry host. It keeps its addresses across restarts.
 type Entry struct {
 	*Process
 
@@ -25,7 +25,7 @@
 }
 
 // StartEntry starts an entry host, waits until it is ready and adds it to the
-// fabric. Without control addresses it dials the control hosts directly.
+// fabric. Without control addresses it dials all control hosts directly.
 func (c *Cluster) StartEntry(control ...netip.AddrPort) *Entry {
 	c.t.Helper()
 	e := c.LaunchEntry(control...)
@@ -34,8 +34,8 @@
 	return e
 }
 
-// RestartWithDomains restarts the host: it knows the targets of these failure domains
-// only from then on.
+// RestartWithDomains restarts the host with a directory of only the targets in
+// these failure domains.
 func (e *Entry) RestartWithDomains(domains ...string) {
 	e.cluster.t.Helper()
 	e.settings.Directory = &settingspb.Directory{FailureDomains: domains}
@@ -45,7 +45,7 @@
 	e.WaitReady()
 }
 
-// LaunchEntry starts an entry host and does not wait for it.
+// LaunchEntry starts an entry host and does not wait.
 func (c *Cluster) LaunchEntry(control ...netip.AddrPort) *Entry {
 	c.t.Helper()
 	name := fmt.Sprintf("entry-%d", len(c.entries)+1)
@@ -55,7 +55,7 @@
 		Host:    hostSettings(name, name),
 		Keys:    c.issue(keys.RoleEntry, name, "").Settings(),
 		Metrics: metricsSettings(ip),
-		Control: &settingspb.ControlPeers{Addresses: c.linksOr(control)},
+		Control: &settingspb.ControlPeers{Addresses: c.linkAddresses(control)},
 		Forwarding: &settingspb.Forwarding{
 			PublicIp:      ip.String(),
 			FrameListen:   loopback.Address(c.t, ip).String(),
@@ -67,7 +67,7 @@
 	return e
 }
 
-// Launch starts the process of the host, again after it ended.
+// Launch starts the process of the host and does not wait.
 func (e *Entry) Launch() {
 	e.cluster.t.Helper()
 	path := e.cluster.path("%s.ini", e.Host)
@@ -75,59 +75,61 @@
 	e.Process = Start(e.cluster.t, e.Host, "entry", "--settings", path)
 }
 
-// AddToFabric lets the fabric send packets to the host.
+// AddToFabric makes the fabric send datagrams to the host.
 func (e *Entry) AddToFabric() {
 	for _, s := range e.cluster.services {
 		s.addHost(e.PublicAddress(s))
 	}
 }
 
-// RemoveFromFabric takes the host out of the fabric.
+// RemoveFromFabric makes the fabric send no more datagrams to the host.
 func (e *Entry) RemoveFromFabric() {
 	for _, s := range e.cluster.services {
 		s.removeHost(e.PublicAddress(s))
 	}
 }
 
-// FrameAddr returns where the host takes reply frames of agents.
+// FrameAddr returns the address that agents send reply frames to.
 func (e *Entry) FrameAddr() netip.AddrPort {
 	return netip.MustParseAddrPort(e.settings.Forwarding.FrameListen)
 }
 
-// Refused returns how many datagrams and frames the host refused for a reason.
+// Refused returns the number of datagrams and frames that the host refused for a
+// reason.
 func (e *Entry) Refused(reason string) float64 {
 	return e.MetricValue("entry_refused", "reason", reason)
 }
 
-// Candidates returns how many targets of all services the host decides between.
-// Tables that say so are in force when it is told, up to a second later.
+// Candidates returns the number of targets of all services that are candidates
+// for new flows. The gauge is up to a second old.
 func (e *Entry) Candidates() int {
 	return int(e.MetricValue("entry_candidates", "", ""))
 }
 
-// DampedTargets returns how many targets the host keeps from new flows as they flap.
-// It is told like Candidates.
+// DampedTargets returns the number of targets that get no new flows because they
+// flap. The gauge is up to a second old.
 func (e *Entry) DampedTargets() int {
 	return int(e.MetricValue("entry_targets_damped", "", ""))
 }
 
-// ResidentMemory returns the memory of the process, in bytes.
+// ResidentMemory returns the resident memory of the process, in bytes.
 func (e *Entry) ResidentMemory() float64 {
 	return e.MetricValue(residentMemory, "", "")
 }
 
-// PublicAddress returns where the host opens the public address of the service.
+// PublicAddress returns the address at which the host serves the public address
+// of the service.
 func (e *Entry) PublicAddress(s *Service) netip.AddrPort {
 	return netip.AddrPortFrom(e.ip, s.Address.Port())
 }
 
-func (c *Cluster) linksOr(control []netip.AddrPort) []string {
+func (c *Cluster) linkAddresses(control []netip.AddrPort) []string {
 	if len(control) == 0 {
-		return c.links()
+		return c.allLinkAddresses()
 	}
-	var all []string
+	var addrs []string
 	for _, addr := range control {
-		all = append(all, addr.String())
+		addrs = append(addrs, addr.String())
 	}
-	return all
+	return addrs
 }
--- a/internal/processtest/standins.go
+++ b/internal/processtest/faketargets.go
@@ -15,10 +15,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/subscriber"
 )
 
-// serving is the status of a target that takes flows.
+// serving is the status of a target that accepts flows.
 var serving = subscriber.Status{State: controlpb.TargetState_TARGET_STATE_SERVING, Slots: 1}
 
-// client returns a link to the control hosts with an agent's keys.
+// client returns a link client with the given keys.
 func (c *Cluster) client(k *settingspb.Keys, control []string) *link.Client {
 	c.t.Helper()
 	creds, err := keys.FromSettings(k)
@@ -26,23 +26,22 @@
 	return link.NewClient(control, creds, link.ClientOptions{})
 }
 
-// announcer announces a target from the test's process. It waits for nothing.
+// announcer announces a target from the test process and does not wait.
 func (s *Service) announcer(client *link.Client, target, address string) *subscriber.Announcer {
 	return subscriber.StartAnnouncer(subscriber.AnnouncerOptions{
-		Client: client, Service: s.Name, Target: target, Process: []byte("stands in for " + target),
+		Client: client, Service: s.Name, Target: target, Process: []byte("fake process of " + target),
 		FailureDomain: target, Address: address, Started: time.Now(), Status: serving,
 	})
 }
 
-// AnnounceFakeTargets announces as many targets of the service as that until the
-// end of the test, over one link. There is nothing behind them. It returns
-// when control hosts have taken them all.
+// AnnounceFakeTargets announces targets without an agent or a backend server
+// until the end of the test, over one link. It returns when all are announced.
 func (s *Service) AnnounceFakeTargets(count int) {
 	c := s.cluster
 	c.t.Helper()
-	s.standIns++
-	name := fmt.Sprintf("%s-stand-ins-%d", s.Name, s.standIns)
-	client := c.client(c.issue(keys.RoleAgent, name, s.Name).Settings(), c.links())
+	s.fakeTargets++
+	name := fmt.Sprintf("%s-fake-%d", s.Name, s.fakeTargets)
+	client := c.client(c.issue(keys.RoleAgent, name, s.Name).Settings(), c.allLinkAddresses())
 	c.t.Cleanup(client.Close)
 	address := loopback.Address(c.t, loopback.Host(c.t)).String()
 	announcers := make([]*subscriber.Announcer, count)
@@ -56,20 +55,20 @@
 		}
 		closing.Wait()
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for _, a := range announcers {
 		c.must(a.WaitAnnounced(ctx))
 	}
 }
 
-// StartSubscribers subscribes as many entry hosts as that, which do nothing
-// else, until the end of the test.
+// StartSubscribers subscribes this many clients with keys of entry hosts until
+// the end of the test.
 func (c *Cluster) StartSubscribers(count int) {
 	c.t.Helper()
 	for i := range count {
 		name := fmt.Sprint("subscriber-", i)
-		client := c.client(c.issue(keys.RoleEntry, name, "").Settings(), c.links())
+		client := c.client(c.issue(keys.RoleEntry, name, "").Settings(), c.allLinkAddresses())
 		c.t.Cleanup(client.Close)
 		c.t.Cleanup(subscriber.Start(subscriber.Options{Client: client}).Close)
 	}
--- a/internal/processtest/flap.go
+++ b/internal/processtest/flap.go
@@ -2,24 +2,24 @@
 
 import "context"
 
-// Flap announces the target in place of its agent, which has ended, and lets
-// it turn ill and well as often as that, as fast as a control host takes it.
-func (t *Target) Flap(turns int) {
+// Flap announces the target in place of its stopped agent and switches between
+// healthy and unhealthy. It waits for each announcement.
+func (t *Target) Flap(transitions int) {
 	c := t.service.cluster
 	c.t.Helper()
 	client := c.client(t.settings.Keys, t.settings.Control.Addresses)
 	defer client.Close()
 	announcer := t.service.announcer(client, t.Name, t.FrameAddr.String())
 	defer announcer.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	select {
 	case <-announcer.Registered():
 	case <-ctx.Done():
-		c.t.Fatal("the flapping target is not registered")
+		c.t.Fatal("target is not registered")
 	}
 	status := serving
-	for range turns {
+	for range transitions {
 		c.must(announcer.WaitAnnounced(ctx))
 		status.Ill = !status.Ill
 		announcer.Update(status)
--- a/internal/processtest/freeze.go
+++ b/internal/processtest/freeze.go
@@ -11,23 +11,23 @@
 	"syscall"
 )
 
-// Freeze stops the process (SIGSTOP) until Thaw. When it returns, no thread of
-// it runs any more.
+// Freeze stops the process (SIGSTOP) until Thaw. It returns once all threads are
+// stopped.
 func (p *Process) Freeze() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	Eventually(p.t, p.Name+" stands still", func() bool { return !p.Running() || p.stopped() })
+	Eventually(p.t, p.Name+" is stopped", func() bool { return !p.Running() || p.isStopped() })
 }
 
-// stopped tells whether each thread of the process is stopped.
-func (p *Process) stopped() bool {
+// isStopped reports whether all threads of the process are stopped.
+func (p *Process) isStopped() bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil || len(threads) == 0 {
 		return false
 	}
 	for _, path := range threads {
 		stat, err := os.ReadFile(path)
-		// The state comes after the name, which stands in brackets.
+		// The state follows the name, which is in parentheses.
 		state := stat[bytes.LastIndexByte(stat, ')')+1:]
 		if err != nil || !bytes.HasPrefix(state, []byte(" T")) {
 			return false
@@ -36,8 +36,8 @@
 	return true
 }
 
-// ReceiveQueueBytes returns how much (in bytes, as the system counts it) waits in the
-// buffer of the newest agent's frame socket.
+// ReceiveQueueBytes returns the bytes queued at the frame socket of the latest
+// agent, including the kernel's overhead.
 func (t *Target) ReceiveQueueBytes() uint64 {
 	c := t.service.cluster
 	c.t.Helper()
@@ -46,7 +46,7 @@
 	for line := range strings.Lines(string(table)) {
 		// Number, local address, remote address, state, tx_queue:rx_queue.
 		fields := strings.Fields(line)
-		if len(fields) < 5 || fields[1] != procAddress(t.FrameAddr) {
+		if len(fields) < 5 || fields[1] != procNetAddress(t.FrameAddr) {
 			continue
 		}
 		_, queue, _ := strings.Cut(fields[4], ":")
@@ -58,9 +58,9 @@
 	return 0
 }
 
-// procAddress writes an IPv4 address and port as the tables of /proc/net do, on
-// a little-endian machine.
-func procAddress(a netip.AddrPort) string {
+// procNetAddress formats an IPv4 address and port as /proc/net does on a
+// little-endian machine.
+func procNetAddress(a netip.AddrPort) string {
 	ip := a.Addr().Unmap().As4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port())
 }
--- a/internal/processtest/garbage.go
+++ b/internal/processtest/garbage.go
@@ -13,12 +13,12 @@
 	garbageMaxBytes    = 1400
 )
 
-// badRequest starts the answer of a listener for plain HTTP to noise.
+// badRequest is the start of the expected response of a plain HTTP listener.
 var badRequest = []byte("HTTP/1.1 400 ")
 
-// SendGarbage sends random datagrams to every UDP listener of the deployment that
-// a stranger can reach, and random bytes to its TCP listeners. Those for plain
-// HTTP have to answer with an error; the others can only count.
+// SendGarbage sends random datagrams to every UDP listener of the cluster and
+// random bytes to its TCP listeners. Plain HTTP listeners must respond with an
+// error.
 func (c *Cluster) SendGarbage(targets ...*Target) {
 	c.t.Helper()
 	random := c.newRand()
@@ -29,42 +29,42 @@
 		c.garbageTCP(random, host.Operator)
 	}
 	for _, addr := range c.plainListeners(targets) {
-		if answer := c.garbageTCP(random, addr); !bytes.HasPrefix(answer, badRequest) {
-			c.t.Fatalf("noise to %v was answered with %q, not with an error", addr, answer)
+		if reply := c.garbageTCP(random, addr); !bytes.HasPrefix(reply, badRequest) {
+			c.t.Fatalf("%v replied to random bytes with %q, want an error", addr, reply)
 		}
 	}
 }
 
 func (c *Cluster) udpListeners(targets []*Target) []netip.AddrPort {
-	var all []netip.AddrPort
+	var addrs []netip.AddrPort
 	for _, host := range c.controls {
-		all = append(all, host.Link)
+		addrs = append(addrs, host.Link)
 	}
 	for _, e := range c.entries {
-		all = append(all, e.FrameAddr())
+		addrs = append(addrs, e.FrameAddr())
 		for _, s := range c.services {
-			all = append(all, e.PublicAddress(s))
+			addrs = append(addrs, e.PublicAddress(s))
 		}
 	}
 	for _, t := range targets {
-		all = append(all, t.FrameAddr)
+		addrs = append(addrs, t.FrameAddr)
 	}
-	return all
+	return addrs
 }
 
-// plainListeners are the listeners for plain HTTP.
+// plainListeners returns the addresses of the plain HTTP listeners.
 func (c *Cluster) plainListeners(targets []*Target) []netip.AddrPort {
-	var all []netip.AddrPort
+	var addrs []netip.AddrPort
 	for _, host := range c.controls {
-		all = append(all, host.metricsAddress())
+		addrs = append(addrs, host.metricsAddress())
 	}
 	for _, e := range c.entries {
-		all = append(all, e.metricsAddress())
+		addrs = append(addrs, e.metricsAddress())
 	}
 	for _, t := range targets {
-		all = append(all, t.Agent.metricsAddress(), netip.MustParseAddrPort(t.settings.Agent.AnnounceListen))
+		addrs = append(addrs, t.Agent.metricsAddress(), netip.MustParseAddrPort(t.settings.Agent.AnnounceListen))
 	}
-	return all
+	return addrs
 }
 
 func (c *Cluster) garbageUDP(random *rand.Rand, addr netip.AddrPort) {
@@ -72,30 +72,28 @@
 	c.must(err)
 	defer conn.Close()
 	for range garbagePerListener {
-		_, err := conn.Write(noise(random))
+		_, err := conn.Write(randomBytes(random))
 		c.must(err)
 	}
 }
 
-// garbageTCP sends noise over a connection and returns what comes back before
-// it ends.
+// garbageTCP sends random bytes over a connection and returns the reply.
 func (c *Cluster) garbageTCP(random *rand.Rand, addr netip.AddrPort) []byte {
 	conn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(addr))
 	c.must(err)
 	defer conn.Close()
-	_, err = conn.Write(append(noise(random), "\r\n\r\n"...))
+	_, err = conn.Write(append(randomBytes(random), "\r\n\r\n"...))
 	c.must(err)
-	// A listener may have closed by now without reading all of it, which resets
-	// the connection.
+	// A listener that closes before it has read everything resets the connection.
 	_ = conn.CloseWrite()
-	answer, _ := io.ReadAll(conn)
-	return answer
+	reply, _ := io.ReadAll(conn)
+	return reply
 }
 
-func noise(random *rand.Rand) []byte {
-	b := make([]byte, 1+random.IntN(garbageMaxBytes))
-	for i := range b {
-		b[i] = byte(random.Uint32())
+func randomBytes(random *rand.Rand) []byte {
+	data := make([]byte, 1+random.IntN(garbageMaxBytes))
+	for i := range data {
+		data[i] = byte(random.Uint32())
 	}
-	return b
+	return data
 }
--- a/internal/processtest/grants.go
+++ b/internal/processtest/grants.go
@@ -14,13 +14,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// callTimeout bounds one call of AskGrant.
-const callTimeout = 5 * time.Second
+// grantCallTimeout limits one attempt of SendGrantCommand.
+const grantCallTimeout = 5 * time.Second
 
-// grantGroup is the name of the replicated log of grants.
+// grantGroup is the name of the first grant group.
 const grantGroup = "grant"
 
-// GrantGroup names a group of grants, numbered from 0.
+// GrantGroup returns the name of a grant group. Indexes start at 0.
 func GrantGroup(index int) string {
 	if index == 0 {
 		return grantGroup
@@ -28,56 +28,54 @@
 	return fmt.Sprintf("%s-%d", grantGroup, index+1)
 }
 
-// GrantGroupLeader waits until one control host leads a group of grants and
-// returns it.
+// GrantGroupLeader waits until a control host leads a grant group and returns it.
 func (c *Cluster) GrantGroupLeader(index int) *Control {
 	c.t.Helper()
-	return c.leaderOf(GrantGroup(index))
+	return c.waitLeader(GrantGroup(index))
 }
 
-// WaitGrantLeadersBalanced waits until the groups of grants have a slot table and each is
-// led by another control host, as far as there are as many.
+// WaitGrantLeadersBalanced waits until the grant groups have a slot table and
+// each control host leads its share of them.
 func (c *Cluster) WaitGrantLeadersBalanced(groups int) {
 	c.t.Helper()
-	Eventually(c.t, "the leaders of the grants are spread", func() bool {
+	Eventually(c.t, "the leaders of the grant groups are balanced", func() bool {
 		led := 0
 		for _, host := range c.Status() {
-			mine, slots := 0, 0
+			hostLed, slots := 0, 0
 			for _, group := range host.Groups {
 				if group.Grants == nil {
 					continue
 				}
 				slots += group.Grants.Slots
-				if group.State == leads {
-					mine++
+				if group.State == stateLeader {
+					hostLed++
 				}
 			}
-			if slots != grant.Slots || mine < groups/len(c.controls) {
+			if slots != grant.Slots || hostLed < groups/len(c.controls) {
 				return false
 			}
-			led += mine
+			led += hostLed
 		}
 		return led == groups
 	})
 }
 
-// RemoveGroupDir removes what a host, whose process has ended, keeps of a group of
-// grants.
+// RemoveGroupDir removes the data of a grant group from a stopped host.
 func (h *Control) RemoveGroupDir(index int) {
 	h.cluster.t.Helper()
 	h.cluster.must(os.RemoveAll(filepath.Join(h.settings.Replica.DataFolder, GrantGroup(index))))
 }
 
-// SetGrantGroups changes the setting for the next launch.
+// SetGrantGroups sets the number of grant groups for the next launch.
 func (h *Control) SetGrantGroups(groups int) { h.settings.Replica.GrantGroups = uint32(groups) }
 
-// Refused counts the requests of peers that the host refused for a reason.
+// Refused returns the number of requests that the host refused for a reason.
 func (h *Control) Refused(reason string) float64 {
 	h.cluster.t.Helper()
 	return h.MetricValue("control_refusals", "reason", reason)
 }
 
-// SendGrantCommand sends a command to this host in the name of an agent of a service.
+// SendGrantCommand sends a command to this host as an agent of the service.
 func (h *Control) SendGrantCommand(service string, command *grantpb.Command) (*grantpb.Result, error) {
 	c := h.cluster
 	c.t.Helper()
@@ -87,7 +85,7 @@
 	defer client.Close()
 	var res *controlpb.Response
 	Eventually(c.t, h.name+" answers", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), grantCallTimeout)
 		defer cancel()
 		res, err = client.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Grant{Grant: command}})
 		return err == nil
@@ -98,8 +96,9 @@
 	return res.GetGrant(), nil
 }
 
-// GrantLeader waits until one control host leads the grants and returns it.
+// GrantLeader waits until a control host leads the first grant group and returns
+// it.
 func (c *Cluster) GrantLeader() *Control {
 	c.t.Helper()
-	return c.leaderOf(grantGroup)
+	return c.waitLeader(grantGroup)
 }
--- a/internal/processtest/observe.go
+++ b/internal/processtest/inspect.go
@@ -12,23 +12,24 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// actingMessage is the log message of a subscriber that goes to a version.
-const actingMessage = "configuration version in use"
+// activeVersionMessage is the log message of a subscriber that activates a
+// version.
+const activeVersionMessage = "configuration version in use"
 
-// SegmentPattern matches the segments of a log.
+// SegmentPattern matches the segment files of a replicated log.
 const SegmentPattern = "*.wal"
 
-// ActiveVersions returns the versions that the process has acted on, in order.
+// ActiveVersions returns the versions that the process has activated, in order.
 func (p *Process) ActiveVersions() []uint64 {
 	var versions []uint64
-	for _, line := range p.log.find(actingMessage) {
+	for _, line := range p.log.linesWith(activeVersionMessage) {
 		versions = append(versions, line.Version)
 	}
 	return versions
 }
 
-// Client returns a client of the operators' API at these addresses, or at
-// those of all control hosts if none is named.
+// Client returns a client of the operators' API at the given addresses, or at
+// those of all control hosts if none is given.
 func (c *Cluster) Client(control ...netip.AddrPort) *operator.Client {
 	c.t.Helper()
 	creds, err := keys.Load(c.operator)
@@ -48,7 +49,7 @@
 	return client
 }
 
-// OperatorRelay puts a relay in front of the host's operator address.
+// OperatorRelay starts a relay in front of the host's operator address.
 func (h *Control) OperatorRelay() *faultproxy.TCPRelay {
 	c := h.cluster
 	c.t.Helper()
@@ -58,23 +59,23 @@
 	return relay
 }
 
-// ConfigLogBytes returns how much log of the configuration the host has written.
+// ConfigLogBytes returns the size of the host's configuration log.
 func (h *Control) ConfigLogBytes() int64 {
 	c := h.cluster
 	c.t.Helper()
-	var sum int64
+	var total int64
 	for _, path := range h.ConfigFiles(SegmentPattern) {
 		info, err := os.Stat(path)
 		if os.IsNotExist(err) {
-			continue // removed behind a snapshot
+			continue // removed after a snapshot
 		}
 		c.must(err)
-		sum += info.Size()
+		total += info.Size()
 	}
-	return sum
+	return total
 }
 
-// Status asks this host for its view of itself; nil if it does not answer.
+// Status returns the status of this host, or nil if it does not respond.
 func (h *Control) Status() *operator.Status {
 	h.cluster.t.Helper()
 	for _, s := range h.cluster.Status() {
@@ -85,14 +86,14 @@
 	return nil
 }
 
-// LogCount returns how many log lines have the message.
+// LogCount returns the number of log lines with the message.
 func (p *Process) LogCount(message string) int { return p.log.count(message) }
 
-// Output returns all that the process has written.
-func (p *Process) Output() string { return p.log.text() }
+// Output returns the complete output of the process.
+func (p *Process) Output() string { return p.log.output() }
 
-// LimitFileSize lets every write of the process that would make a file longer
-// than this fail, as on a file system that is full.
+// LimitFileSize makes writes fail that extend a file beyond the limit, as on a
+// full file system.
 func (p *Process) LimitFileSize(bytes int64) {
 	p.t.Helper()
 	limit := unix.Rlimit{Cur: uint64(bytes), Max: unix.RLIM_INFINITY}
@@ -101,8 +102,8 @@
 	}
 }
 
-// ConfigFiles returns the paths of the files in the data folder of the configuration
-// that match the pattern.
+// ConfigFiles returns the paths of the files in the data directory of the
+// configuration group that match the pattern.
 func (h *Control) ConfigFiles(pattern string) []string {
 	c := h.cluster
 	c.t.Helper()
--- a/internal/processtest/logs.go
+++ b/internal/processtest/logs.go
@@ -7,21 +7,21 @@
 	"sync"
 )
 
-// logLine is what tests read of a JSON log line.
+// logLine holds the fields of a JSON log line that tests check.
 type logLine struct {
 	Message string `json:"msg"`
 	Version uint64 `json:"version"`
 	Yes     bool   `json:"yes"`
 }
 
-// processLog collects what a process writes. It is safe for concurrent use.
+// processLog collects the output of a process. It is safe for concurrent use.
 type processLog struct {
 	mu      sync.Mutex
 	partial []byte
 	lines   []string
 }
 
-// Write takes output of the process and splits it into lines.
+// Write appends output of the process and splits it into lines.
 func (l *processLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,11 +36,11 @@
 	}
 }
 
-// count returns how many lines have the message.
-func (l *processLog) count(message string) int { return len(l.find(message)) }
+// count returns the number of lines with the message.
+func (l *processLog) count(message string) int { return len(l.linesWith(message)) }
 
-// find returns the lines that have the message.
-func (l *processLog) find(message string) []logLine {
+// linesWith returns the lines with the message.
+func (l *processLog) linesWith(message string) []logLine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []logLine
@@ -53,8 +53,8 @@
 	return found
 }
 
-// field returns a field of the last line with the message, if it has it.
-func (l *processLog) field(message, name string) string {
+// lastField returns a string field of the last line with the message, or "".
+func (l *processLog) lastField(message, name string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	found := ""
@@ -68,8 +68,8 @@
 	return found
 }
 
-// text returns all that was written.
-func (l *processLog) text() string {
+// output returns the complete output.
+func (l *processLog) output() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Join(l.lines, "\n") + "\n" + string(l.partial)
--- a/internal/processtest/members.go
+++ b/internal/processtest/members.go
@@ -9,29 +9,29 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// configGroup is the name of the replicated log of the configuration.
+// configGroup is the name of the configuration group.
 const configGroup = "config"
 
 // States of a replica in its group.
 const (
-	leads   = "leads"
-	follows = "follows"
+	stateLeader   = "leads"
+	stateFollower = "follows"
 )
 
-// Leader waits until one control host leads the configuration and returns it.
+// Leader waits until a control host leads the configuration group and returns it.
 func (c *Cluster) Leader() *Control {
 	c.t.Helper()
-	return c.leaderOf(configGroup)
+	return c.waitLeader(configGroup)
 }
 
-func (c *Cluster) leaderOf(name string) *Control {
+func (c *Cluster) waitLeader(name string) *Control {
 	c.t.Helper()
 	var leader *Control
 	Eventually(c.t, "a control host leads "+name, func() bool {
 		leader = nil
 		for _, host := range c.Status() {
 			for _, group := range host.Groups {
-				if group.Group == name && group.State == leads {
+				if group.Group == name && group.State == stateLeader {
 					leader = c.controlNamed(host.Host)
 				}
 			}
@@ -50,14 +50,14 @@
 	return nil
 }
 
-// Others returns the control hosts besides this one.
+// Others returns the other control hosts.
 func (h *Control) Others() []*Control {
 	all := slices.Clone(h.cluster.controls)
 	return slices.DeleteFunc(all, func(o *Control) bool { return o == h })
 }
 
-// learns tells whether the host follows all groups and has a vote in none.
-func (h *Control) learns() bool {
+// isLearner reports whether the host is a learner and follower in all its groups.
+func (h *Control) isLearner() bool {
 	status := h.Status()
 	if status == nil {
 		return false
@@ -66,67 +66,66 @@
 		learner := slices.ContainsFunc(group.Members, func(m operator.MemberStatus) bool {
 			return m.Name == h.name && m.Learner
 		})
-		if !learner || group.State != follows {
+		if !learner || group.State != stateFollower {
 			return false
 		}
 	}
 	return len(status.Groups) > 0
 }
 
-// RemoveDataDir removes the data folder of a host whose process has ended.
+// RemoveDataDir removes the data directory of a stopped host.
 func (h *Control) RemoveDataDir() {
 	h.cluster.t.Helper()
 	h.cluster.must(os.RemoveAll(h.settings.Replica.DataFolder))
 }
 
-// Replace takes the host's former replicas out of all groups and gives its
-// new ones a vote, by the command line. The host's process runs on an empty
-// data folder.
+// Replace removes the host's previous replicas from all groups and adds its new
+// ones as voters. The process must run with an empty data directory.
 func (h *Control) Replace() {
 	h.cluster.t.Helper()
 	h.Remove()
 	h.Join()
 }
 
-// Remove takes the host's replicas out of all groups.
+// Remove removes the host's replicas from all groups.
 func (h *Control) Remove() {
 	h.cluster.t.Helper()
-	h.cluster.member("remove", h.name)
+	h.cluster.changeMembers("remove", h.name)
 }
 
-// Join gives the host's replicas a vote in all groups.
+// Join adds the host's replicas to all groups as voters.
 func (h *Control) Join() {
 	c := h.cluster
 	c.t.Helper()
-	c.member("add", h.peerAddress().String())
-	c.member("promote", h.name)
+	c.changeMembers("add", h.peerAddress().String())
+	c.changeMembers("promote", h.name)
 }
 
-// JoinUntil asks for the host to be added until it logs the message.
+// JoinUntil requests to add the host until it logs the message.
 func (h *Control) JoinUntil(message string) {
 	c := h.cluster
 	c.t.Helper()
-	Eventually(c.t, h.name+" says "+message, func() bool {
-		c.run(append([]string{"replica", "add", h.peerAddress().String()}, c.operatorFlags(nil)...))
+	Eventually(c.t, h.name+" logs "+message, func() bool {
+		c.runCommand(append([]string{"replica", "add", h.peerAddress().String()}, c.operatorFlags(nil)...))
 		return strings.Contains(h.Output(), message)
 	})
 }
 
-// member changes the members until the change is made; a change that could not
-// be made yet is safe to repeat.
-func (c *Cluster) member(change, argument string) {
+// changeMembers repeats a membership change until it succeeds. Changes are
+// idempotent.
+func (c *Cluster) changeMembers(change, argument string) {
 	c.t.Helper()
 	var output []byte
 	args := append([]string{"replica", change, argument}, c.operatorFlags(nil)...)
 	Eventually(c.t, fmt.Sprintf("replica %s %s", change, argument), func() bool {
-		stdout, stderr, status := c.run(args)
+		stdout, stderr, status := c.runCommand(args)
 		output = append(stdout, stderr...)
 		return status == 0
 	})
 	c.t.Logf("replica %s %s: %s", change, argument, output)
 }
 
-// SubmitUntilKnown submits a patch under one identifier until its outcome is known.
+// SubmitUntilKnown submits a patch with the same id until its outcome is known.
 func (c *Cluster) SubmitUntilKnown(base uint64, id string, sections ...string) Outcome {
 	c.t.Helper()
 	var o Outcome
--- a/internal/processtest/metrics.go
+++ b/internal/processtest/metrics.go
@@ -14,7 +14,7 @@
 	residentMemory = "process_resident_memory_bytes"
 )
 
-// Metrics asks the metrics listener that the ready line names.
+// Metrics returns the text of the metrics listener.
 func (p *Process) Metrics() string {
 	p.t.Helper()
 	resp, err := http.Get("http://" + p.metricsAddress().String() + "/metrics")
@@ -29,13 +29,14 @@
 	return string(text)
 }
 
-// metricsAddress is the metrics listener that the ready line names.
+// metricsAddress returns the address of the metrics listener, from the ready
+// line.
 func (p *Process) metricsAddress() netip.AddrPort {
-	return netip.MustParseAddrPort(p.log.field(readyMessage, "metrics"))
+	return netip.MustParseAddrPort(p.log.lastField(readyMessage, "metrics"))
 }
 
-// CounterSum returns the sum of the counters whose name ends with the given one,
-// over all their tags.
+// CounterSum returns the sum of all counters with this name suffix, over all
+// tags.
 func (p *Process) CounterSum(name string) float64 {
 	p.t.Helper()
 	sum := 0.0
@@ -54,8 +55,8 @@
 	return sum
 }
 
-// MetricValue returns one counter or gauge; with a value, the one whose tag has it.
-// One that was never counted is 0. Figures are up to a second old.
+// MetricValue returns a counter or gauge. If value is set, it is the one with
+// that value of the tag. A missing metric is 0. Values are up to a second old.
 func (p *Process) MetricValue(name, tag, value string) float64 {
 	p.t.Helper()
 	if name != residentMemory {
--- a/internal/processtest/migrate.go
+++ b/internal/processtest/migrate.go
@@ -8,8 +8,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Migrate moves the caller's newest connection to a fresh port of its own, as
-// a caller does whose old path went silent (RFC 9000, 9).
+// Migrate moves the caller's latest connection to a new local port (RFC 9000,
+// section 9).
 func (c *Caller) Migrate() {
 	c.t.Helper()
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.ip, 0)))
@@ -25,7 +25,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := path.Probe(ctx); err != nil {
 		c.t.Fatalf("probe of the new path: %v", err)
--- a/internal/processtest/operator.go
+++ b/internal/processtest/operator.go
@@ -13,13 +13,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// Verdicts of the command line about a patch.
+// Verdicts of a patch.
 const (
 	Accepted    = "accepted"
 	RefusedBase = "refused-base"
 	Unknown     = "unknown"
-	// NotApplied is no verdict of the command line: it printed none and said
-	// that nothing was submitted.
+	// NotApplied means that the command failed and printed no verdict: nothing
+	// was submitted.
 	NotApplied = "not-done"
 )
 
@@ -29,12 +29,12 @@
 	exitUnknown = 4
 )
 
-// Outcome is what the command line tells about a patch.
+// Outcome is the printed outcome of a patch.
 type Outcome struct {
 	Verdict      string `json:"verdict"`
 	Version      uint64 `json:"version"`
 	VersionPatch string `json:"version_patch"`
-	// Next is the command that tells an outcome that is not known.
+	// Next is the command that prints an outcome that is still unknown.
 	Next     string `json:"next"`
 	Findings []struct {
 		Place string `json:"place"`
@@ -42,24 +42,24 @@
 	} `json:"findings"`
 }
 
-// Submit submits the sections as a patch, by the command line, to the control
-// hosts with these operator addresses, or to all of them if none is named.
+// Submit submits the sections as a patch to the given operator addresses, or to
+// all control hosts if none is given.
 func (c *Cluster) Submit(base uint64, id string, sections []string, control ...netip.AddrPort) Outcome {
 	c.t.Helper()
 	args := append(c.SubmitArgs(base, id, sections...), "--json")
 	return c.outcome(append(args, c.operatorFlags(control)...))
 }
 
-// Show asks what became of a patch.
+// Show returns the outcome of a patch.
 func (c *Cluster) Show(id string, control ...netip.AddrPort) Outcome {
 	c.t.Helper()
 	return c.outcome(append([]string{"patch", "show", "--json", id}, c.operatorFlags(control)...))
 }
 
-// outcome runs a command that tells the outcome of a patch. It is safe for
+// outcome runs a command that prints the outcome of a patch. It is safe for
 // concurrent use.
 func (c *Cluster) outcome(args []string) Outcome {
-	stdout, stderr, status := c.run(args)
+	stdout, stderr, status := c.runCommand(args)
 	var o Outcome
 	if status == exitFailure && len(stdout) == 0 {
 		return Outcome{Verdict: NotApplied}
@@ -73,17 +73,17 @@
 	return o
 }
 
-func (c *Cluster) run(args []string) (stdout, stderr []byte, status int) {
-	var out, problems bytes.Buffer
+func (c *Cluster) runCommand(args []string) (stdout, stderr []byte, status int) {
+	var out, errOut bytes.Buffer
 	cmd := exec.Command(Binary(c.t), args...)
 	cmd.Stdout = &out
-	cmd.Stderr = &problems
+	cmd.Stderr = &errOut
 	err := cmd.Run()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
 		c.t.Errorf("%v: %v", args, err)
 	}
-	return out.Bytes(), problems.Bytes(), cmd.ProcessState.ExitCode()
+	return out.Bytes(), errOut.Bytes(), cmd.ProcessState.ExitCode()
 }
 
 func (c *Cluster) operatorFlags(control []netip.AddrPort) []string {
@@ -105,9 +105,9 @@
 	}
 }
 
-// Patch submits the sections against the newest version, again while no control
-// host leads, and fails the test unless they become the next one, which it
-// returns.
+// Patch submits the sections against the latest version and returns the new
+// version. It retries while no control host leads, and fails the test unless the
+// patch creates the next version.
 func (c *Cluster) Patch(sections ...string) uint64 {
 	c.t.Helper()
 	c.patches++
@@ -120,40 +120,40 @@
 	return o.Version
 }
 
-// HostStatus is what one control host says of itself.
+// HostStatus is the printed status of a control host.
 type HostStatus struct {
 	Address string           `json:"address"`
 	Status  *operator.Status `json:"status"`
 }
 
-// Status asks each control host for its view; those that do not answer are
-// left out.
+// Status returns the status of each control host that responds.
 func (c *Cluster) Status() []*operator.Status {
 	c.t.Helper()
-	stdout, _, _ := c.run(append([]string{"status", "--json"}, c.operatorFlags(nil)...))
+	stdout, _, _ := c.runCommand(append([]string{"status", "--json"}, c.operatorFlags(nil)...))
 	var hosts []HostStatus
 	c.must(json.Unmarshal(stdout, &hosts))
-	var all []*operator.Status
+	var statuses []*operator.Status
 	for _, h := range hosts {
 		if h.Status != nil {
-			all = append(all, h.Status)
+			statuses = append(statuses, h.Status)
 		}
 	}
-	return all
+	return statuses
 }
 
-// WaitActive waits until the named entry hosts and agents act on the version.
+// WaitActive waits until the named entry hosts and agents use the version or a
+// newer one.
 func (c *Cluster) WaitActive(version uint64, names ...string) {
 	c.t.Helper()
-	Eventually(c.t, fmt.Sprintf("version %d is in force on %v", version, names), func() bool {
-		acting := make(map[string]bool)
+	Eventually(c.t, fmt.Sprintf("version %d is active on %v", version, names), func() bool {
+		active := make(map[string]bool)
 		for _, host := range c.Status() {
 			for _, s := range host.Subscribers {
-				acting[s.Name] = acting[s.Name] || s.Version >= version
+				active[s.Name] = active[s.Name] || s.Version >= version
 			}
 		}
 		for _, name := range names {
-			if !acting[name] {
+			if !active[name] {
 				return false
 			}
 		}
--- a/internal/processtest/cutanswer.go
+++ b/internal/processtest/outcomedropper.go
@@ -14,16 +14,16 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// answerCutter passes patches on to control hosts and breaks the operator's
-// connection in place of their outcome. Questions are answered.
-type answerCutter struct {
-	operator.Handler // not called
+// outcomeDropper forwards patches to control hosts and aborts the response of
+// each. Outcome requests are answered.
+type outcomeDropper struct {
+	operator.Handler // other methods are not called
 	client           *operator.Client
 }
 
-// Submit implements operator.Handler. It returns no outcome, as the operator
-// must not learn it here.
-func (a *answerCutter) Submit(ctx context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
+// Submit implements operator.Handler. It aborts the response after the patch was
+// submitted.
+func (a *outcomeDropper) Submit(ctx context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
 	if _, err := a.client.Submit(ctx, p); err != nil {
 		return nil, errors.Wrap(operator.ErrNotApplied, err.Error())
 	}
@@ -31,25 +31,25 @@
 }
 
 // Outcome implements operator.Handler.
-func (a *answerCutter) Outcome(ctx context.Context, id string) (*configpb.Outcome, error) {
+func (a *outcomeDropper) Outcome(ctx context.Context, id string) (*configpb.Outcome, error) {
 	return a.client.Outcome(ctx, id)
 }
 
-// StartOutcomeDropper opens an operator address at which every patch reaches the control
-// hosts and no operator hears what became of it.
+// StartOutcomeDropper starts an operator API that forwards each patch to the
+// control hosts and aborts its response.
 func (c *Cluster) StartOutcomeDropper() netip.AddrPort {
 	c.t.Helper()
-	own, err := keys.Load(c.issue(keys.RoleControl, "control-cut", ""))
+	serverCreds, err := keys.Load(c.issue(keys.RoleControl, "control-cut", ""))
 	c.must(err)
-	asOperator, err := keys.Load(c.operator)
+	operatorCreds, err := keys.Load(c.operator)
 	c.must(err)
 	var addrs []string
 	for _, host := range c.controls {
 		addrs = append(addrs, host.Operator.String())
 	}
-	client := operator.NewClient(addrs, asOperator)
+	client := operator.NewClient(addrs, operatorCreds)
 	listen := netip.AddrPortFrom(c.ip, 0).String()
-	server, err := operator.Listen(listen, own, &answerCutter{client: client}, zap.NewNop(), tally.NoopScope)
+	server, err := operator.Listen(listen, serverCreds, &outcomeDropper{client: client}, zap.NewNop(), tally.NoopScope)
 	c.must(err)
 	c.t.Cleanup(func() {
 		_ = server.Shutdown(context.Background())
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -9,12 +9,12 @@
 	"github.com/sourcegraph/conc"
 )
 
-// readyMessage is the log message of a process that can do its work.
+// readyMessage is the log message of a process that is ready to serve.
 const readyMessage = "ready"
 
-// Process is one running process of the binary under test.
+// Process is a process of the binary under test.
 type Process struct {
-	// Name tells processes apart in the logs of a failed test.
+	// Name identifies the process in the logs of a failed test.
 	Name string
 
 	t    testing.TB
@@ -24,8 +24,8 @@
 	done chan struct{}
 }
 
-// Start starts the binary with the arguments. The process is killed at the
-// end of the test, or when the test process dies.
+// Start starts the binary with the arguments. The process is killed at the end
+// of the test or of the test process.
 func Start(t testing.TB, name string, args ...string) *Process {
 	t.Helper()
 	p := &Process{
@@ -52,11 +52,11 @@
 func (p *Process) cleanup() {
 	p.Kill()
 	if p.t.Failed() {
-		p.t.Logf("log of %s:\n%s", p.Name, p.log.text())
+		p.t.Logf("output of %s:\n%s", p.Name, p.log.output())
 	}
 }
 
-// WaitReady waits until the process says that it is ready.
+// WaitReady waits until the process logs that it is ready.
 func (p *Process) WaitReady() {
 	p.t.Helper()
 	p.WaitLog(readyMessage)
@@ -67,13 +67,13 @@
 	p.t.Helper()
 	Eventually(p.t, p.Name+" logs "+message, func() bool {
 		if !p.Running() && p.log.count(message) == 0 {
-			p.t.Fatalf("%s ended before it logged %q: %v", p.Name, message, p.cmd.ProcessState)
+			p.t.Fatalf("%s exited before it logged %q: %v", p.Name, message, p.cmd.ProcessState)
 		}
 		return p.log.count(message) > 0
 	})
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has not exited.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -83,24 +83,24 @@
 	}
 }
 
-// Kill ends the process at once (SIGKILL) and waits for its end.
+// Kill kills the process (SIGKILL) and waits until it has exited.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Terminate asks for a graceful shutdown (SIGTERM) and does not wait.
+// Terminate requests a graceful shutdown (SIGTERM) and does not wait.
 func (p *Process) Terminate() {
 	p.signal(syscall.SIGTERM)
 }
 
-// Thaw lets a frozen process go on (SIGCONT).
+// Thaw resumes a frozen process (SIGCONT).
 func (p *Process) Thaw() {
 	p.signal(syscall.SIGCONT)
 }
 
-// WaitCleanExit waits until the process ends by itself and checks that it reports
-// success.
+// WaitCleanExit waits until the process exits and fails the test unless its exit
+// code is 0.
 func (p *Process) WaitCleanExit() {
 	p.t.Helper()
 	if code := p.WaitExitCode(); code != 0 {
@@ -108,16 +108,16 @@
 	}
 }
 
-// WaitExitCode waits until the process ends by itself and returns its exit code.
+// WaitExitCode waits until the process exits and returns its exit code.
 func (p *Process) WaitExitCode() int {
 	p.t.Helper()
-	Eventually(p.t, p.Name+" ends", func() bool { return !p.Running() })
+	Eventually(p.t, p.Name+" exits", func() bool { return !p.Running() })
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// signal sends a signal to a process that has not ended.
+// signal sends a signal to the process if it is running.
 func (p *Process) signal(s os.Signal) {
 	if p.Running() {
-		_ = p.cmd.Process.Signal(s) // it may just have ended
+		_ = p.cmd.Process.Signal(s) // may have exited meanwhile
 	}
 }
--- a/internal/processtest/rotation.go
+++ b/internal/processtest/renewal.go
@@ -3,15 +3,14 @@
 import "eelgrasswharf.example/eelgrasswharf/internal/keys"
 
 const (
-	keysRenewed   = "keys renewed"
-	callerRenewed = "caller certificate renewed"
+	keysRenewedMessage   = "keys renewed"
+	callerRenewedMessage = "caller certificate renewed"
 )
 
-// KeyDir returns the folder with the keys of the deployment, from which all
-// its processes read.
+// KeyDir returns the directory with the keys of all processes.
 func (c *Cluster) KeyDir() string { return c.keyDir }
 
-// ReissueCertificates issues every certificate anew, under the same names.
+// ReissueCertificates issues every certificate again, with the same names.
 func (c *Cluster) ReissueCertificates() error {
 	for _, id := range c.issued {
 		if _, err := keys.Issue(c.keyDir, id.role, id.name, id.service, nil, keyValidity); err != nil {
@@ -21,19 +20,20 @@
 	return nil
 }
 
-// RenewKeys changes the keys, and waits until all these processes use the new ones.
+// RenewKeys changes the keys and waits until the processes use the new ones.
 func (c *Cluster) RenewKeys(change func() error, processes ...*Process) {
 	c.t.Helper()
-	c.renew(keysRenewed, change, processes)
+	c.changeKeys(keysRenewedMessage, change, processes)
 }
 
-// RenewCallerCertificate is Renew of the certificate that agents show to callers.
+// RenewCallerCertificate changes the certificate that agents present to callers
+// and waits until the agents use the new one.
 func (c *Cluster) RenewCallerCertificate(change func() error, agents ...*Process) {
 	c.t.Helper()
-	c.renew(callerRenewed, change, agents)
+	c.changeKeys(callerRenewedMessage, change, agents)
 }
 
-func (c *Cluster) renew(message string, change func() error, processes []*Process) {
+func (c *Cluster) changeKeys(message string, change func() error, processes []*Process) {
 	c.t.Helper()
 	before := make([]int, len(processes))
 	for i, p := range processes {
--- a/internal/processtest/service.go
+++ b/internal/processtest/service.go
@@ -11,23 +11,23 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/loopback"
 )
 
-// Service is a service with its stretch of the fabric.
+// Service is a service with its part of the fabric.
 type Service struct {
 	Name string
 	// Address is its public address in the configuration.
 	Address netip.AddrPort
-	// Fabric sprays the datagrams of its callers over the entry hosts.
+	// Fabric distributes the datagrams of its callers over the entry hosts.
 	Fabric *faultproxy.Relay
 
 	cluster *Cluster
 	caller  keys.Files
 	hosts   []netip.AddrPort
-	// standIns counts the calls of AnnounceStandIns.
-	standIns int
+	// fakeTargets counts the calls of AnnounceFakeTargets.
+	fakeTargets int
 }
 
-// NewService prepares a service: its public address, its stretch of the
-// fabric and its caller certificate. A patch brings it into force.
+// NewService creates a public address, a fabric relay and caller keys for a
+// service. A patch has to add the service to the configuration.
 func (c *Cluster) NewService(name string) *Service {
 	c.t.Helper()
 	s := &Service{
@@ -50,23 +50,23 @@
 	return s
 }
 
-// NewAddress returns a public address that nothing uses.
+// NewAddress returns an unused public address.
 func (c *Cluster) NewAddress() netip.AddrPort {
 	c.t.Helper()
 	return loopback.Address(c.t, c.ip)
 }
 
-// PutSection returns the section of a patch that creates or replaces the service,
-// with its own public address if none is named.
-func (s *Service) PutSection(public ...netip.AddrPort) string {
-	if len(public) == 0 {
-		public = []netip.AddrPort{s.Address}
+// PutSection returns the section of a patch that creates or replaces the service.
+// Without addresses it uses the public address of the service.
+func (s *Service) PutSection(addresses ...netip.AddrPort) string {
+	if len(addresses) == 0 {
+		addresses = []netip.AddrPort{s.Address}
 	}
-	var all []string
-	for _, addr := range public {
-		all = append(all, addr.String())
+	var addrs []string
+	for _, addr := range addresses {
+		addrs = append(addrs, addr.String())
 	}
-	return fmt.Sprintf("[service %s]\naddresses = %s\nslots = 4\n", s.Name, strings.Join(all, ", "))
+	return fmt.Sprintf("[service %s]\naddresses = %s\nslots = 4\n", s.Name, strings.Join(addrs, ", "))
 }
 
 // RemoveSection returns the section of a patch that removes the service.
--- a/internal/processtest/settingsfile.go
+++ b/internal/processtest/settingsfile.go
@@ -11,7 +11,7 @@
 
 const fileMode = 0o600
 
-// writeSettings writes a settings message as INI.
+// writeSettings writes settings as an INI file.
 func writeSettings(t testing.TB, path string, m proto.Message) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(settings.Format(m)), fileMode); err != nil {
--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// registeredMessage is the log message of an agent that control hosts
-	// have given its target's number.
+	// registeredMessage is the log message of an agent whose target has a number.
 	registeredMessage = "target registered"
-	// takingMessage is the log message of an agent that takes new flows from
-	// now on, or no more.
-	takingMessage = "accepting new flows"
+	// acceptingFlowsMessage is the log message of an agent that starts or stops
+	// accepting new flows.
+	acceptingFlowsMessage = "accepting new flows"
 
-	// backendAge is the gauge of the backend server's age.
+	// backendAge is the gauge of the backend server's age, in seconds.
 	backendAge = "backend_age"
 
 	targetPollMS = 200
 )
 
-// Target is a backend server with the agent beside it.
+// Target is a backend server and its agent.
 type Target struct {
-	// Name is unique in the deployment.
+	// Name is unique in the cluster.
 	Name string
 	// Backend is the process of the backend server.
 	Backend *Process
-	// Agent is the newest process of the agent.
+	// Agent is the latest process of the agent.
 	Agent *Process
 	// FrameAddr is the frame address of Agent.
 	FrameAddr netip.AddrPort
-	// FrameRelay is the relay that entry hosts send frames to, if one was asked for.
+	// FrameRelay relays the frames of entry hosts. Only set with
+	// TargetOptions.Relayed.
 	FrameRelay *faultproxy.Relay
 
 	service  *Service
@@ -49,19 +49,19 @@
 	settings *settingspb.AgentSettings
 }
 
-// TargetOptions tell how a target differs from an ordinary one.
+// TargetOptions configure a target.
 type TargetOptions struct {
-	// Control are the control hosts that the agent dials, all if empty.
+	// Control lists the addresses that the agent dials; all control hosts if empty.
 	Control []netip.AddrPort
-	// FaultFlags are flags of the backend server.
+	// FaultFlags are additional flags of the backend server.
 	FaultFlags []string
-	// Relayed puts a relay before the frame address of the first agent.
+	// Relayed starts a relay in front of the frame address of the first agent.
 	Relayed bool
 }
 
-// StartTarget starts a backend server and its agent and waits until the
-// target is registered. Without control addresses the agent dials the control
-// hosts directly.
+// StartTarget starts a backend server and its agent and waits until the target
+// is registered. Without control addresses the agent dials all control hosts
+// directly.
 func (s *Service) StartTarget(name string, control ...netip.AddrPort) *Target {
 	s.cluster.t.Helper()
 	return s.StartTargetWith(name, TargetOptions{Control: control})
@@ -75,21 +75,20 @@
 	return t
 }
 
-// LaunchTarget is StartTargetWith that does not wait, so that several targets
-// may start together.
+// LaunchTarget is StartTargetWith without waiting for the registration.
 func (s *Service) LaunchTarget(name string, options TargetOptions) *Target {
 	c := s.cluster
 	c.t.Helper()
 	name = s.Name + "-" + name
 	t := &Target{Name: name, service: s, ip: loopback.Host(c.t), options: options}
-	announce := loopback.Address(c.t, t.ip)
+	announceAddr := loopback.Address(c.t, t.ip)
 	t.settings = &settingspb.AgentSettings{
 		Host:    hostSettings(name, name),
 		Keys:    c.issue(keys.RoleAgent, name, s.Name).Settings(),
 		Metrics: metricsSettings(t.ip),
-		Control: &settingspb.ControlPeers{Addresses: c.linksOr(options.Control)},
+		Control: &settingspb.ControlPeers{Addresses: c.linkAddresses(options.Control)},
 		Agent: &settingspb.Agent{
-			AnnounceListen:    announce.String(),
+			AnnounceListen:    announceAddr.String(),
 			CallerCertificate: s.caller.Certificate,
 			CallerPrivateKey:  s.caller.PrivateKey,
 			PollMs:            targetPollMS,
@@ -101,8 +100,8 @@
 	return t
 }
 
-// LaunchBackend starts the process of the backend server, again after it ended.
-// Its run log outlives it, as a witness for the test: the system never sees it.
+// LaunchBackend starts the process of the backend server. Tests read run counts
+// from its run log, which is kept across restarts.
 func (t *Target) LaunchBackend() {
 	c := t.service.cluster
 	c.t.Helper()
@@ -114,8 +113,7 @@
 	t.Backend = Start(c.t, "backend-"+t.Name, append(args, t.options.FaultFlags...)...)
 }
 
-// RestartBackend kills the backend server and starts it again with other
-// faults.
+// RestartBackend kills the backend server and starts it with other fault flags.
 func (t *Target) RestartBackend(faults ...string) {
 	t.service.cluster.t.Helper()
 	t.Backend.Kill()
@@ -123,8 +121,8 @@
 	t.LaunchBackend()
 }
 
-// LaunchAgent starts another process of the agent, beside an older one that
-// may still be leaving. It takes another frame address.
+// LaunchAgent starts a new process of the agent with a new frame address. The
+// previous process may still be draining.
 func (t *Target) LaunchAgent() {
 	c := t.service.cluster
 	c.t.Helper()
@@ -141,41 +139,42 @@
 	t.Agent = Start(c.t, "agent-"+t.Name, "agent", "--settings", path)
 }
 
-// WaitRegistered waits until the newest agent takes flows.
+// WaitRegistered waits until the target of the latest agent is registered.
 func (t *Target) WaitRegistered() {
 	t.service.cluster.t.Helper()
 	t.Agent.WaitLog(registeredMessage)
 }
 
-// DrainAgent asks the agent to leave and waits until it takes no new flow.
+// DrainAgent starts a graceful shutdown of the agent and waits until it accepts
+// no new flows.
 func (t *Target) DrainAgent() {
 	t.service.cluster.t.Helper()
 	t.Agent.Terminate()
 	t.WaitNoNewFlows()
 }
 
-// WaitNoNewFlows waits until the newest agent takes no new flow.
+// WaitNoNewFlows waits until the latest agent accepts no new flows.
 func (t *Target) WaitNoNewFlows() {
 	c := t.service.cluster
 	c.t.Helper()
-	Eventually(c.t, t.Name+" takes no new flow", func() bool {
-		lines := t.Agent.log.find(takingMessage)
+	Eventually(c.t, t.Name+" accepts no new flows", func() bool {
+		lines := t.Agent.log.linesWith(acceptingFlowsMessage)
 		return len(lines) > 0 && !lines[len(lines)-1].Yes
 	})
 }
 
-// Served tells whether the target gave the answer.
-func (t *Target) Served(a *Response) bool {
-	return IsTarget(a.Target, t)
+// Served reports whether the response comes from the target.
+func (t *Target) Served(response *Response) bool {
+	return IsTarget(response.Target, t)
 }
 
-// IsTarget tells whether the value of a Target header names the target.
+// IsTarget reports whether the value of a Target header names the target.
 func IsTarget(header string, t *Target) bool {
 	return strings.HasPrefix(header, t.Name+"/")
 }
 
-// RunCount asks the backend server how often it ran a key, in its former lives as
-// well.
+// RunCount returns how often the backend server ran a key, including previous
+// instances.
 func (t *Target) RunCount(key string) int {
 	t.service.cluster.t.Helper()
 	count, err := strconv.Atoi(string(t.get("/runs?key=" + url.QueryEscape(key))))
@@ -183,7 +182,7 @@
 	return count
 }
 
-// Running asks the backend server how many requests it runs now.
+// Running returns the number of requests that the backend server is running.
 func (t *Target) Running() int {
 	t.service.cluster.t.Helper()
 	var load struct{ Running int }
@@ -202,23 +201,23 @@
 	return body
 }
 
-// CountByReason returns what the newest agent counted under a reason.
+// CountByReason returns a counter of the latest agent for a reason.
 func (t *Target) CountByReason(counter, reason string) float64 {
 	return t.Agent.MetricValue(counter, "reason", reason)
 }
 
-// BackendAge returns the age of the backend server, in seconds, as the newest
-// agent holds it.
+// BackendAge returns the age of the backend server in seconds, as reported by the
+// latest agent.
 func (t *Target) BackendAge() float64 {
 	return t.Agent.MetricValue(backendAge, "", "")
 }
 
-// ResidentMemory returns the memory of the newest agent, in bytes.
+// ResidentMemory returns the resident memory of the latest agent, in bytes.
 func (t *Target) ResidentMemory() float64 {
 	return t.Agent.MetricValue(residentMemory, "", "")
 }
 
-// BackendReady tells whether the backend server takes requests.
+// BackendReady reports whether the backend server accepts requests.
 func (t *Target) BackendReady() bool {
 	return t.Backend.Running() && t.Backend.log.count(readyMessage) > 0
 }
--- a/internal/processtest/traffic.go
+++ b/internal/processtest/traffic.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// trafficWorkMS is how long the backend server works on each request, so
-	// that some are in flight at any time.
+	// trafficWorkMS is the duration of each request, so that some are always in
+	// flight.
 	trafficWorkMS = 50
-	// progressAnswers is more than can be in flight.
-	progressAnswers = 20
+	// progressResponses exceeds the number of requests in flight.
+	progressResponses = 20
 )
 
-// Report is what became of the requests of a Traffic.
+// Report counts the results of the requests of a Traffic.
 type Report struct {
-	// Answered counts whole answers of the right service.
+	// Answered counts complete responses of the right service.
 	Answered int
-	// Refused counts requests that were said not to have been run.
+	// Refused counts requests with the outcome not-run.
 	Refused int
-	// Failures tells of each request with another fate: lost, cut short,
-	// misrouted, or of unknown outcome.
+	// Failures describes every other request: lost, incomplete, misrouted or with
+	// an unknown outcome.
 	Failures []string
 }
 
-// Traffic is a number of callers that each send one request after the other.
+// Traffic runs callers that each send one request at a time.
 type Traffic struct {
 	service *Service
 	cancel  context.CancelFunc
@@ -40,7 +40,7 @@
 	report Report
 }
 
-// StartTraffic starts callers with connections of their own.
+// StartTraffic starts callers with one connection each.
 func (s *Service) StartTraffic(callers int) *Traffic {
 	s.cluster.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -53,14 +53,14 @@
 	return traffic
 }
 
-// Stop ends the traffic after the requests in flight and reports.
+// Stop waits for the requests in flight and returns the report.
 func (t *Traffic) Stop() Report {
 	t.cancel()
 	t.workers.Wait()
 	return t.Report()
 }
 
-// Report tells what became of the requests so far.
+// Report returns the results so far.
 func (t *Traffic) Report() Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,47 +69,47 @@
 	return report
 }
 
-// WaitProgress waits for more answers than can be in flight, so that some of them
-// belong to requests sent after the call.
+// WaitProgress waits for enough responses that some of them belong to requests
+// sent after the call.
 func (t *Traffic) WaitProgress() {
 	c := t.service.cluster
 	c.t.Helper()
 	before := t.Report().Answered
 	Eventually(c.t, "requests of "+t.service.Name+" are answered", func() bool {
-		return t.Report().Answered >= before+progressAnswers
+		return t.Report().Answered >= before+progressResponses
 	})
 }
 
 func (t *Traffic) run(ctx context.Context, caller *Caller, worker int) {
 	for i := 0; ctx.Err() == nil; i++ {
-		t.one(caller, fmt.Sprintf("%s caller %d request %d", t.service.Name, worker, i))
+		t.sendRequest(caller, fmt.Sprintf("%s caller %d request %d", t.service.Name, worker, i))
 	}
 }
 
-// one sends a request and judges its fate.
-func (t *Traffic) one(caller *Caller, text string) {
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+// sendRequest sends a request and records its result.
+func (t *Traffic) sendRequest(caller *Caller, request string) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	path := fmt.Sprintf("/echo?ms=%d&text=%s", trafficWorkMS, url.QueryEscape(text))
-	answer, err := caller.Do(ctx, http.MethodGet, path, nil, nil)
+	path := fmt.Sprintf("/echo?ms=%d&text=%s", trafficWorkMS, url.QueryEscape(request))
+	response, err := caller.Do(ctx, http.MethodGet, path, nil, nil)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case err != nil:
-		t.wrongLocked(text, err.Error())
-	case answer.Outcome == OutcomeNotRun:
+		t.addFailureLocked(request, err.Error())
+	case response.Outcome == OutcomeNotRun:
 		t.report.Refused++
-	case answer.Outcome != OutcomeAnswered || answer.Status != http.StatusOK:
-		t.wrongLocked(text, fmt.Sprintf("status %d, outcome %s, reason %s", answer.Status, answer.Outcome, answer.Reason))
-	case !strings.HasPrefix(answer.Target, t.service.Name+"-"):
-		t.wrongLocked(text, "answered by "+answer.Target)
-	case string(answer.Body) != text:
-		t.wrongLocked(text, fmt.Sprintf("answered %q", answer.Body))
+	case response.Outcome != OutcomeAnswered || response.Status != http.StatusOK:
+		t.addFailureLocked(request, fmt.Sprintf("status %d, outcome %s, reason %s", response.Status, response.Outcome, response.Reason))
+	case !strings.HasPrefix(response.Target, t.service.Name+"-"):
+		t.addFailureLocked(request, "answered by "+response.Target)
+	case string(response.Body) != request:
+		t.addFailureLocked(request, fmt.Sprintf("answered %q", response.Body))
 	default:
 		t.report.Answered++
 	}
 }
 
-func (t *Traffic) wrongLocked(text, fate string) {
-	t.report.Failures = append(t.report.Failures, text+": "+fate)
+func (t *Traffic) addFailureLocked(request, result string) {
+	t.report.Failures = append(t.report.Failures, request+": "+result)
 }
--- a/internal/processtest/wait.go
+++ b/internal/processtest/wait.go
@@ -6,21 +6,20 @@
 )
 
 const (
-	// waitLimit only bounds how long a failing test takes; no test depends
-	// on a condition being met sooner.
-	waitLimit = 2 * time.Minute
-	pollEvery = 20 * time.Millisecond
+	// waitTimeout limits the duration of a failing test.
+	waitTimeout  = 2 * time.Minute
+	pollInterval = 20 * time.Millisecond
 )
 
-// Eventually polls the condition until it holds and fails the test when it
-// never does.
-func Eventually(t testing.TB, what string, condition func() bool) {
+// Eventually polls the condition until it holds and fails the test after a
+// timeout.
+func Eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	end := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
-		if time.Now().After(end) {
-			t.Fatalf("never came to pass: %s", what)
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met: %s", description)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/processtest/watch.go
+++ b/internal/processtest/watch.go
@@ -14,11 +14,11 @@
 
 const (
 	watchPath = "/watch?ms=20"
-	// advanceEvents is more than what delayed datagrams can hold.
-	advanceEvents = 10
+	// progressEvents exceeds the number of events in delayed datagrams.
+	progressEvents = 10
 )
 
-// Watch is an open session that receives numbered events.
+// Watch is an open session with a stream of numbered events.
 type Watch struct {
 	t      testing.TB
 	cancel context.CancelFunc
@@ -41,7 +41,7 @@
 	return w
 }
 
-// Close ends the session from the caller's side.
+// Close ends the session.
 func (w *Watch) Close() {
 	w.cancel()
 	w.worker.Wait()
@@ -51,7 +51,7 @@
 	err := w.read(ctx, c)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.err = errors.Wrapf(err, "watch of %s ended after %d events", c.service, w.events)
+	w.err = errors.Wrapf(err, "session with %s ended after %d events", c.service, w.events)
 }
 
 func (w *Watch) read(ctx context.Context, c *Caller) error {
@@ -68,15 +68,15 @@
 	w.mu.Unlock()
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
-		if err := w.take(lines.Text()); err != nil {
+		if err := w.handleEvent(lines.Text()); err != nil {
 			return err
 		}
 	}
 	return errors.Errorf("no more events: %v", lines.Err())
 }
 
-// take counts an event; a missing or doubled one is an error.
-func (w *Watch) take(line string) error {
+// handleEvent checks an event. A missing or duplicate one is an error.
+func (w *Watch) handleEvent(line string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var number int
@@ -90,31 +90,31 @@
 	return nil
 }
 
-// state returns the number of the last event, and why the session ended if it
-// did.
-func (w *Watch) state() (int, error) {
+// progress returns the number of the last event and the error that ended the
+// session.
+func (w *Watch) progress() (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.events, w.err
 }
 
-// Target names the target that the session is with.
+// Target returns the target of the session.
 func (w *Watch) Target() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.target
 }
 
-// WaitEvents waits for more events than can be under way, so that some of them
-// were sent after the call. A session that ended fails the test.
+// WaitEvents waits for enough events that some of them were sent after the call.
+// It fails the test if the session has ended.
 func (w *Watch) WaitEvents() {
 	w.t.Helper()
-	before, _ := w.state()
-	Eventually(w.t, "the watch advances", func() bool {
-		now, err := w.state()
+	before, _ := w.progress()
+	Eventually(w.t, "more events arrive", func() bool {
+		now, err := w.progress()
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		return now >= before+advanceEvents
+		return now >= before+progressEvents
 	})
 }
