--- a/internal/capacity/agent.go
+++ b/internal/capacity/agent.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	// dialers open flows at a time.
-	dialers = 16
-	// callers make requests at a time: the slots of the service, so that none
-	// is refused.
-	callers      = slots
-	callerSlots  = 64
-	callTimeout  = 20 * time.Second
-	callerWindow = 10 * time.Second // that of the agent's keep-alive
-	refusedPause = 20 * time.Millisecond
-	targetName   = "target"
+	// concurrentDials limits the flows that are opened at a time.
+	concurrentDials = 16
+	// concurrentCallers equals the slots of the service, so that no request is
+	// refused.
+	concurrentCallers = slots
+	callerSlots       = 64
+	callTimeout       = 20 * time.Second
+	idleWindow        = 10 * time.Second // keep-alive period of the agent
+	retryDelay        = 20 * time.Millisecond
+	targetName        = "target"
 )
 
-// errStatus tells that a request was not answered by the backend server.
-var errStatus = errors.New("request was not answered")
+// errNotAnswered reports a request that the backend server did not answer.
+var errNotAnswered = errors.New("request was not answered")
 
-// target is an agent with the entry host before it; callers and the backend
-// server behind it are played by this process.
+// target is an agent with an entry host. This process acts as its callers and
+// its backend server.
 type target struct {
 	*process
 	deployment *deployment
@@ -50,14 +50,14 @@
 	flows      []*http3.Transport
 }
 
-// measureAgent measures an agent: what configuration, flows, watches and
-// requests cost it.
-func measureAgent(ctx context.Context, l *lab, r *Report) error {
-	d, err := l.deploy(ctx, 1)
+// measureAgent measures the cost of configuration, flows, watches and requests
+// for an agent.
+func measureAgent(ctx context.Context, tb *testbed, r *Report) error {
+	d, err := tb.deploy(ctx, 1)
 	if err != nil {
 		return err
 	}
-	if err := d.put(ctx, service(0, 1)); err != nil {
+	if err := d.putServices(ctx, newService(0, 1)); err != nil {
 		return err
 	}
 	t, err := d.startTarget(ctx)
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	caller, err := keys.Issue(d.keysFolder(), keys.RoleCaller, "", name, nil, keyValidity)
+	callerKeys, err := keys.Issue(d.keysDir(), keys.RoleCaller, "", name, nil, keyValidity)
 	if err != nil {
 		return nil, err
 	}
@@ -89,22 +89,22 @@
 		return nil, err
 	}
 	public, _ := e.ready["public"].(map[string]any)
-	t := &target{deployment: d, roots: x509.NewCertPool(), address: fmt.Sprint(public[service(0, 1).GetAddresses()[0]])}
-	t.process, err = d.lab.launch(ctx, "agent", "agent", &settingspb.AgentSettings{
+	t := &target{deployment: d, roots: x509.NewCertPool(), address: fmt.Sprint(public[newService(0, 1).GetAddresses()[0]])}
+	t.process, err = d.testbed.launch(ctx, "agent", "agent", &settingspb.AgentSettings{
 		Host:    &settingspb.Host{Name: "agent", FailureDomain: "agent"},
 		Keys:    section,
 		Control: &settingspb.ControlPeers{Addresses: d.links()},
 		Agent: &settingspb.Agent{
 			FrameListen: freePort, AnnounceListen: freePort,
-			CallerCertificate: caller.Certificate, CallerPrivateKey: caller.PrivateKey,
+			CallerCertificate: callerKeys.Certificate, CallerPrivateKey: callerKeys.PrivateKey,
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	authority, err := os.ReadFile(caller.Authority)
+	authority, err := os.ReadFile(callerKeys.Authority)
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "read authority")
 	}
 	t.roots.AppendCertsFromPEM(authority)
 	t.backend, err = backend.Start(backend.Options{
@@ -114,8 +114,8 @@
 	if err != nil {
 		return nil, err
 	}
-	d.lab.onClose(t.close)
-	return t, await(ctx, "an answer of the target", func() bool { return t.open(ctx) == nil })
+	d.testbed.onClose(t.close)
+	return t, await(ctx, "response of the target", func() bool { return t.openFlow(ctx) == nil })
 }
 
 func (t *target) close() {
@@ -125,8 +125,8 @@
 	_ = t.backend.Close()
 }
 
-// open opens a flow by a first request.
-func (t *target) open(ctx context.Context) error {
+// openFlow opens a flow with a first request.
+func (t *target) openFlow(ctx context.Context) error {
 	flow, err := t.dial(ctx)
 	if err == nil {
 		t.flows = append(t.flows, flow)
@@ -148,18 +148,17 @@
 	return flow, nil
 }
 
-// request makes a request, with a key unless it is empty. One that the agent
-// has refused, which on a busy machine may come of a moment's queue, is made
-// again.
+// request sends a request, with an idempotency key unless key is empty. It
+// repeats a request that the agent refuses, such as for a full queue.
 func (t *target) request(ctx context.Context, flow *http3.Transport, method, path, key string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for {
 		err := t.requestOnce(ctx, flow, method, path, key)
-		if !errors.Is(err, errStatus) {
+		if !errors.Is(err, errNotAnswered) {
 			return err
 		}
-		if sleep.For(ctx, refusedPause) != nil {
+		if sleep.For(ctx, retryDelay) != nil {
 			return err
 		}
 	}
@@ -182,14 +181,14 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return errors.Wrapf(errStatus, "%s %s", res.Status, res.Header.Get("Request-Reason"))
+		return errors.Wrapf(errNotAnswered, "%s %s", res.Status, res.Header.Get("Request-Reason"))
 	}
 	return nil
 }
 
-// openTo opens flows until there are n.
-func (t *target) openTo(ctx context.Context, n int) error {
-	p := pool.NewWithResults[*http3.Transport]().WithErrors().WithMaxGoroutines(dialers)
+// openFlows opens flows until there are n.
+func (t *target) openFlows(ctx context.Context, n int) error {
+	p := pool.NewWithResults[*http3.Transport]().WithErrors().WithMaxGoroutines(concurrentDials)
 	for range n - len(t.flows) {
 		p.Go(func() (*http3.Transport, error) { return t.dial(ctx) })
 	}
@@ -199,15 +198,15 @@
 }
 
 func (t *target) measureConfig(ctx context.Context, r *Report) error {
-	memory, cpu, err := t.atRest(ctx, []int{1400, 2800, 4200, 5500}, func(n int) error {
-		return t.deployment.putInForce(ctx, servicesOf(wireServices, n)...)
+	memory, cpu, err := t.measureIdle(ctx, []int{1400, 2800, 4200, 5500}, func(n int) error {
+		return t.deployment.putAndActivate(ctx, newServices(designServices, n)...)
 	})
 	if err != nil {
 		return err
 	}
 	return r.addSlopes(
-		&series{name: "agent.address.memory", unit: Bytes, per: "address", count: DesignSize.Addresses, at: memory},
-		&series{name: "agent.rest.cpu", unit: MicroCore, per: "address", count: DesignSize.Addresses, at: cpu})
+		&series{name: "agent.address.memory", unit: Bytes, per: "address", count: DesignSize.Addresses, points: memory},
+		&series{name: "agent.rest.cpu", unit: MicroCore, per: "address", count: DesignSize.Addresses, points: cpu})
 }
 
 func (t *target) measureFlows(ctx context.Context, r *Report) error {
@@ -215,28 +214,28 @@
 	idle := &series{name: "agent.flow.cpu", unit: MicroCore, per: "idle flow", count: DesignSize.FlowsPerAgent()}
 	opening := &series{name: "agent.open.cpu", unit: Microseconds, per: "flow opened", count: DesignSize.NewFlowsPerAgent()}
 	for _, n := range []int{200, 400, 800, 1600} {
-		began := len(t.flows)
+		start := len(t.flows)
 		before, err := t.usage()
 		if err != nil {
 			return err
 		}
-		if err := t.openTo(ctx, n); err != nil {
+		if err := t.openFlows(ctx, n); err != nil {
 			return err
 		}
 		opened, err := t.usage()
 		if err != nil {
 			return err
 		}
-		opening.add(float64(n-began), micros(opened.cpu-before.cpu))
-		if err := sleep.For(ctx, callerWindow); err != nil {
+		opening.add(float64(n-start), micros(opened.cpu-before.cpu))
+		if err := sleep.For(ctx, idleWindow); err != nil {
 			return err
 		}
-		rested, err := t.usage()
+		idleAfter, err := t.usage()
 		if err != nil {
 			return err
 		}
-		memory.add(float64(n), rested.private)
-		idle.add(float64(n), load(opened, rested, callerWindow))
+		memory.add(float64(n), idleAfter.private)
+		idle.add(float64(n), cpuLoad(opened, idleAfter, idleWindow))
 	}
 	return r.addSlopes(memory, idle, opening)
 }
@@ -248,16 +247,16 @@
 	p := pool.New()
 	defer p.Wait()
 	defer cancel()
-	open := 0
+	opened := 0
 	for _, n := range []int{200, 400, 800, 1600} {
-		for ; open < n; open++ {
-			flow := t.flows[open]
+		for ; opened < n; opened++ {
+			flow := t.flows[opened]
 			p.Go(func() { t.watch(ctx, flow) })
 		}
 		if err := await(ctx, "open watches", func() bool { return t.backend.Watching() >= n }); err != nil {
 			return err
 		}
-		if err := sleep.For(ctx, settle); err != nil {
+		if err := sleep.For(ctx, settleTime); err != nil {
 			return err
 		}
 		u, err := t.usage()
@@ -294,40 +293,40 @@
 	return r.addSlopes(cpu)
 }
 
-// measureKeys makes requests that may not be repeated. The control host's part
-// of them is measured apart.
+// measureKeys sends requests with idempotency keys. measureGrants measures the
+// control host's part of them.
 func (t *target) measureKeys(ctx context.Context, r *Report) error {
 	cpu := &series{name: "agent.key.cpu", unit: Microseconds, per: "request with a key", count: 1}
-	made := 0
+	total := 0
 	err := t.measureCalls(ctx, cpu, func(flow *http3.Transport, i int) error {
-		return t.request(ctx, flow, http.MethodPost, "/run?ms=0", keyOf(made+i))
-	}, func(n int) { made += n })
+		return t.request(ctx, flow, http.MethodPost, "/run?ms=0", idempotencyKey(total+i))
+	}, func(n int) { total += n })
 	if err != nil {
 		return err
 	}
 	return r.addSlopes(cpu)
 }
 
-// measureCalls makes calls over several flows and counts the agent's time. It
-// calls after with the number of calls that were made.
+// measureCalls measures the agent's processor time for calls over several flows.
+// It calls after with the number of calls.
 func (t *target) measureCalls(ctx context.Context, cpu *series, call func(flow *http3.Transport, i int) error, after ...func(n int)) error {
 	for _, n := range []int{250, 500, 1000, 2000} {
-		began, err := t.usage()
+		startUsage, err := t.usage()
 		if err != nil {
 			return err
 		}
-		p := pool.New().WithErrors().WithMaxGoroutines(callers)
+		p := pool.New().WithErrors().WithMaxGoroutines(concurrentCallers)
 		for i := range n {
-			p.Go(func() error { return call(t.flows[i%callers], i) })
+			p.Go(func() error { return call(t.flows[i%concurrentCallers], i) })
 		}
 		if err := p.Wait(); err != nil {
 			return err
 		}
-		ended, err := t.usage()
+		endUsage, err := t.usage()
 		if err != nil {
 			return err
 		}
-		cpu.add(float64(n), micros(ended.cpu-began.cpu))
+		cpu.add(float64(n), micros(endUsage.cpu-startUsage.cpu))
 		for _, f := range after {
 			f(n)
 		}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -15,7 +15,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/settings"
 )
 
-func TestShares(t *testing.T) {
+func TestDesignSizeRatios(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		got  float64
@@ -29,7 +29,7 @@
 		{"targets of a failure domain", DesignSize.TargetsPerDomain(), 12_000.0 / 21},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			is.New(t).True(near(tc.got, tc.want))
+			is.New(t).True(almostEqual(tc.got, tc.want))
 		})
 	}
 }
@@ -38,14 +38,14 @@
 	for _, tc := range []struct{ services, addresses int }{{1000, 5500}, {100, 100}, {3, 10}} {
 		is := is.New(t)
 		total, seen := 0, map[string]bool{}
-		for _, s := range servicesOf(tc.services, tc.addresses) {
+		for _, s := range newServices(tc.services, tc.addresses) {
 			for _, a := range s.GetAddresses() {
 				seen[a] = true
 				total++
 			}
 		}
 		is.Equal(total, tc.addresses)
-		is.Equal(len(seen), tc.addresses) // none twice
+		is.Equal(len(seen), tc.addresses) // no duplicates
 	}
 }
 
@@ -55,7 +55,7 @@
 	for i := 100; i >= 0; i-- {
 		times = append(times, time.Duration(i)*time.Millisecond)
 	}
-	is.Equal(quantiles("q", 7, times), Quantiles{Name: "q", Size: 7, Samples: 101, P50: 50, P99: 99, Max: 100})
+	is.Equal(newQuantiles("q", 7, times), Quantiles{Name: "q", Size: 7, Samples: 101, P50: 50, P99: 99, Max: 100})
 }
 
 func TestParseProc(t *testing.T) {
@@ -69,9 +69,9 @@
 	_, err = parseMemory("RssAnon:\tmany\n", "RssAnon:")
 	is.True(errors.Is(err, ErrProcFormat))
 
-	spent, err := parseSchedstat("1500 20 3\n")
+	cpu, err := parseSchedstat("1500 20 3\n")
 	is.NoErr(err)
-	is.Equal(spent, 1500*time.Nanosecond)
+	is.Equal(cpu, 1500*time.Nanosecond)
 	for _, text := range []string{"", "x 1 2"} {
 		_, err := parseSchedstat(text)
 		is.True(errors.Is(err, ErrProcFormat))
@@ -80,15 +80,15 @@
 
 func TestOwnUsage(t *testing.T) {
 	is := is.New(t)
-	u, err := usageOf(ownPID)
+	u, err := processUsage(ownPID)
 	is.NoErr(err)
 	is.True(u.private > 0)
 	is.True(u.file > 0)
 	is.True(u.cpu > 0)
 }
 
-// The measurements without a daemon run anywhere.
-func TestRunMachines(t *testing.T) {
+// Runs the measurements that need no daemon.
+func TestRunStateMachines(t *testing.T) {
 	is := is.New(t)
 	r, err := Run(t.Context(), Options{Only: []string{"machines"}, Log: zap.NewNop()})
 	is.NoErr(err)
@@ -105,11 +105,11 @@
 	is.New(t).True(errors.Is(err, ErrUnknownMeasurement))
 }
 
-// What the lab writes for its daemons is a settings file that they accept.
+// The settings of the testbed's control hosts must be valid.
 func TestSettingsOfControlHost(t *testing.T) {
 	is := is.New(t)
-	l := &lab{folder: t.TempDir(), log: zap.NewNop()}
-	d, err := l.prepare(3)
+	tb := &testbed{dir: t.TempDir(), log: zap.NewNop()}
+	d, err := tb.prepare(3)
 	is.NoErr(err)
 	for _, c := range d.controls {
 		got := &settingspb.ControlSettings{}
@@ -120,15 +120,15 @@
 	}
 }
 
-// A made log is one that a replica takes to its end.
-func TestRestartOfMadeLogs(t *testing.T) {
+// A replica must apply a synthetic log completely.
+func TestRestartOfSyntheticLogs(t *testing.T) {
 	is := is.New(t)
-	few, err := versionsOf(service(0, 1), service(1, 2))
+	versions, err := versionsLog(newService(0, 1), newService(1, 2))
 	is.NoErr(err)
-	for name, log := range map[string]madeLog{"grants": grantsLog(), "versions": few} {
+	for name, log := range map[string]syntheticLog{"grants": grantsLog(), "versions": versions} {
 		const entries = entriesPerRecord + 20
-		took, err := timeRestart(filepath.Join(t.TempDir(), name), log, entries)
+		elapsed, err := timeRestart(filepath.Join(t.TempDir(), name), log, entries)
 		is.NoErr(err)
-		is.True(took > 0)
+		is.True(elapsed > 0)
 	}
 }
--- a/internal/capacity/deployment.go
+++ b/internal/capacity/deployment.go
@@ -23,39 +23,40 @@
 	loopbackNet = "127.0.0.0/8"
 	keyValidity = 24 * time.Hour
 	slots       = 4
-	dataFolder  = "data"
+	dataDirName = "data"
 	stateLeads  = "leads"
 )
 
-// errRefused tells that the control hosts refused a patch.
-var errRefused = errors.New("patch refused")
+// errPatchRefused reports a patch that was refused.
+var errPatchRefused = errors.New("patch refused")
 
 // control is a control host.
 type control struct {
 	*process
 	settings *settingspb.ControlSettings
-	// link is where peers and subscribers dial, operator where operators call.
+	// link is the address for peers and subscribers, operator that of the
+	// operators' API.
 	link, operator string
 }
 
-// deployment is a group of control hosts and the keys of all roles.
+// deployment holds control hosts and the keys of all roles.
 type deployment struct {
-	lab      *lab
+	testbed  *testbed
 	controls []*control
 	client   *operator.Client
-	// version is the newest one made here, by so many patches.
+	// version is the latest one created here, patches the number of patches.
 	version uint64
 	patches int
 }
 
-// deploy starts control hosts and waits until one leads.
-func (l *lab) deploy(ctx context.Context, hosts int) (*deployment, error) {
-	return l.deployGroups(ctx, hosts, 1)
+// deploy starts control hosts and waits for a leader.
+func (tb *testbed) deploy(ctx context.Context, hosts int) (*deployment, error) {
+	return tb.deployGroups(ctx, hosts, 1)
 }
 
-// deployGroups is deploy with so many groups of grants.
-func (l *lab) deployGroups(ctx context.Context, hosts, groups int) (*deployment, error) {
-	d, err := l.prepare(hosts)
+// deployGroups is deploy with the given number of grant groups.
+func (tb *testbed) deployGroups(ctx context.Context, hosts, groups int) (*deployment, error) {
+	d, err := tb.prepare(hosts)
 	if err != nil {
 		return nil, err
 	}
@@ -67,13 +68,13 @@
 			return nil, err
 		}
 	}
-	return d, await(ctx, "a leader", func() bool { return d.leader(ctx) != nil })
+	return d, await(ctx, "leader", func() bool { return d.leader(ctx) != nil })
 }
 
-// prepare makes keys and settings of a group that founds itself.
-func (l *lab) prepare(hosts int) (*deployment, error) {
-	d := &deployment{lab: l}
-	if err := keys.InitAuthority(d.keysFolder()); err != nil {
+// prepare creates the keys and the settings of initial control hosts.
+func (tb *testbed) prepare(hosts int) (*deployment, error) {
+	d := &deployment{testbed: tb}
+	if err := keys.InitAuthority(d.keysDir()); err != nil {
 		return nil, err
 	}
 	var voters, operators []string
@@ -96,11 +97,11 @@
 		return nil, err
 	}
 	d.client = operator.NewClient(operators, creds)
-	l.onClose(d.client.Close)
+	tb.onClose(d.client.Close)
 	return d, nil
 }
 
-func (d *deployment) keysFolder() string { return filepath.Join(d.lab.folder, "keys") }
+func (d *deployment) keysDir() string { return filepath.Join(d.testbed.dir, "keys") }
 
 func (d *deployment) newControl(name string) (*control, error) {
 	section, err := d.keySection(keys.RoleControl, name, "")
@@ -111,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	api, err := freeAddress()
+	operatorAddr, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -119,35 +120,34 @@
 		Host: &settingspb.Host{Name: name, FailureDomain: name},
 		Keys: section,
 		Replica: &settingspb.Replica{
-			DataFolder: filepath.Join(d.lab.folder, dataFolder, name), Listen: link, OperatorListen: api,
+			DataFolder: filepath.Join(d.testbed.dir, dataDirName, name), Listen: link, OperatorListen: operatorAddr,
 		},
 	}
-	return &control{settings: s, link: link, operator: api}, nil
+	return &control{settings: s, link: link, operator: operatorAddr}, nil
 }
 
 func (d *deployment) start(ctx context.Context, c *control) error {
-	p, err := d.lab.launch(ctx, "control", c.settings.GetHost().GetName(), c.settings)
+	p, err := d.testbed.launch(ctx, "control", c.settings.GetHost().GetName(), c.settings)
 	c.process = p
 	return err
 }
 
-// freeAddress returns an address that was free a moment ago, for UDP and TCP:
-// control hosts have to know each other's addresses before they start, and keep
-// them over a restart. It lies outside of the ports that the system gives to
-// those that ask for any.
+// freeAddress returns an address that is free for UDP and TCP. Control hosts need
+// their addresses before they start and keep them over a restart. The ports are
+// outside the ephemeral range, so that no other socket gets them.
 func freeAddress() (string, error) {
 	const first, ports, tries = 10_000, 20_000, 100
-	var last error
+	var lastErr error
 	for range tries {
 		address := net.JoinHostPort(loopback, strconv.Itoa(first+rand.IntN(ports)))
-		if last = probe(address); last == nil {
+		if lastErr = checkFree(address); lastErr == nil {
 			return address, nil
 		}
 	}
-	return "", errors.Wrap(last, "free port")
+	return "", errors.Wrap(lastErr, "find free port")
 }
 
-func probe(address string) error {
+func checkFree(address string) error {
 	conn, err := net.ListenPacket("udp4", address)
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 }
 
 func (d *deployment) keySection(role keys.Role, name, service string) (*settingspb.Keys, error) {
-	files, err := keys.Issue(d.keysFolder(), role, name, service, nil, keyValidity)
+	files, err := keys.Issue(d.keysDir(), role, name, service, nil, keyValidity)
 	if err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 	return all
 }
 
-// leader returns the host that leads the configuration group, or nil.
+// leader returns the leader of the configuration group, or nil.
 func (d *deployment) leader(ctx context.Context) *control {
 	for i, host := range d.client.Status(ctx) {
 		if host.Err != nil {
@@ -200,9 +200,9 @@
 	return nil
 }
 
-// put makes the next version of these services, however often it has to be
-// asked for: a patch never applies twice.
-func (d *deployment) put(ctx context.Context, services ...*configpb.Service) error {
+// putServices creates a version with these services. It repeats the patch until
+// its outcome is known; a patch never applies twice.
+func (d *deployment) putServices(ctx context.Context, services ...*configpb.Service) error {
 	d.patches++
 	patch := &configpb.Patch{Id: fmt.Sprintf("patch-%d", d.patches), BaseVersion: d.version}
 	for _, s := range services {
@@ -220,21 +220,21 @@
 		return err
 	}
 	if outcome.GetVerdict() != configpb.Verdict_VERDICT_ACCEPTED {
-		return errors.Wrapf(errRefused, "%v", outcome)
+		return errors.Wrapf(errPatchRefused, "%v", outcome)
 	}
 	d.version = outcome.GetVersion()
 	return nil
 }
 
-// change makes a version that differs in one service.
-func (d *deployment) change(ctx context.Context) error {
-	s := service(0, 1)
+// changeService creates a version that changes one service.
+func (d *deployment) changeService(ctx context.Context) error {
+	s := newService(0, 1)
 	s.Slots = slots + uint32(d.patches%2)
-	return d.put(ctx, s)
+	return d.putServices(ctx, s)
 }
 
-// service returns a service with so many public addresses.
-func service(number, addresses int) *configpb.Service {
+// newService returns a service with the given number of public addresses.
+func newService(number, addresses int) *configpb.Service {
 	s := &configpb.Service{Name: serviceName(number), Slots: slots}
 	for i := range addresses {
 		s.Addresses = append(s.Addresses, fmt.Sprintf("198.18.%d.%d:%d", number>>8, number&0xff, 443+i))
@@ -244,12 +244,11 @@
 
 func serviceName(number int) string { return fmt.Sprintf("service-%04d", number) }
 
-// servicesOf returns services with so many addresses in total, spread as
-// evenly as numbers allow.
-func servicesOf(services, addresses int) []*configpb.Service {
+// newServices returns services that share the addresses as evenly as possible.
+func newServices(services, addresses int) []*configpb.Service {
 	list := make([]*configpb.Service, services)
 	for i := range list {
-		list[i] = service(i, addresses*(i+1)/services-addresses*i/services)
+		list[i] = newService(i, addresses*(i+1)/services-addresses*i/services)
 	}
 	return list
 }
--- a/internal/capacity/directory.go
+++ b/internal/capacity/directory.go
@@ -8,37 +8,36 @@
 	"eelgrasswharf.example/eelgrasswharf/membership"
 )
 
-// renewal is the time between two announcements of an agent.
+// renewal is the period between the announcements of an agent.
 const renewal = membership.DefaultLease / 3
 
-// measureDirectory measures what announced targets cost control hosts: one
-// alone, which only hears agents, and three, which pass records on to each
-// other as well.
-func measureDirectory(ctx context.Context, l *lab, r *Report) error {
-	if err := measureHerd(ctx, l, r, 1, "control.announce"); err != nil {
+// measureDirectory measures the cost of announced targets for a single control
+// host and for three, which also replicate the records to each other.
+func measureDirectory(ctx context.Context, tb *testbed, r *Report) error {
+	if err := measureAnnouncements(ctx, tb, r, 1, "control.announce"); err != nil {
 		return err
 	}
-	l.close()
-	return inLab(l.binary, l.log, func(l *lab) error { return measureHerd(ctx, l, r, 3, "control.target") })
+	tb.close()
+	return withTestbed(tb.binary, tb.log, func(tb *testbed) error { return measureAnnouncements(ctx, tb, r, 3, "control.target") })
 }
 
-func measureHerd(ctx context.Context, l *lab, r *Report, hosts int, name string) error {
-	d, err := l.deploy(ctx, hosts)
+func measureAnnouncements(ctx context.Context, tb *testbed, r *Report, hosts int, name string) error {
+	d, err := tb.deploy(ctx, hosts)
 	if err != nil {
 		return err
 	}
-	if err := d.put(ctx, servicesOf(announcedServices, announcedServices)...); err != nil {
+	if err := d.putServices(ctx, newServices(announcedServices, announcedServices)...); err != nil {
 		return err
 	}
-	h, err := d.newHerd(ctx, renewal)
+	ap, err := d.newAnnouncerPool(ctx, renewal)
 	if err != nil {
 		return err
 	}
 	memory := &series{name: name + ".memory", unit: Bytes, per: "target", count: DesignSize.Targets}
 	cpu := &series{name: name + ".cpu", unit: MicroCore, per: "target and host", count: DesignSize.Targets}
-	wire := &series{name: name + ".bytes", unit: BytesPerSecond, per: "target", count: 1}
+	traffic := &series{name: name + ".bytes", unit: BytesPerSecond, per: "target", count: 1}
 	for _, n := range []int{750, 1500, 3000, 6000} {
-		h.grow(n)
+		ap.growTo(n)
 		if err := d.awaitTargets(ctx, n); err != nil {
 			return err
 		}
@@ -49,22 +48,22 @@
 		if err != nil {
 			return err
 		}
-		bytes := h.bytes()
+		bytes := ap.bytes()
 		if err := sleep.For(ctx, renewal); err != nil {
 			return err
 		}
-		wire.add(float64(n), (h.bytes()-bytes)/renewal.Seconds())
+		traffic.add(float64(n), (ap.bytes()-bytes)/renewal.Seconds())
 		after, err := d.meanUsage()
 		if err != nil {
 			return err
 		}
 		memory.add(float64(n), after.private)
-		cpu.add(float64(n), load(before, after, renewal))
+		cpu.add(float64(n), cpuLoad(before, after, renewal))
 	}
-	return r.addSlopes(memory, cpu, wire)
+	return r.addSlopes(memory, cpu, traffic)
 }
 
-// meanUsage returns the mean use of the control hosts.
+// meanUsage returns the mean usage of the control hosts.
 func (d *deployment) meanUsage() (usage, error) {
 	var sum usage
 	for _, c := range d.controls {
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -18,11 +18,11 @@
 	"eelgrasswharf.example/eelgrasswharf/membership"
 )
 
-// errLossy tells that too many datagrams did not arrive.
-var errLossy = errors.New("datagrams were lost")
+// errDatagramsLost reports that too many datagrams did not arrive.
+var errDatagramsLost = errors.New("datagrams were lost")
 
-// sinkBuffer takes up what arrives while the counting reader waits for its
-// turn, in bytes.
+// sinkBuffer is the receive buffer of the sink in bytes, for datagrams that
+// arrive while its reader is not scheduled.
 const sinkBuffer = 4 << 20
 
 // entry is an entry host of a deployment.
@@ -31,17 +31,17 @@
 	creds *keys.Credentials
 }
 
-// measureEntry measures an entry host: what targets, addresses and versions
-// cost it, and that a flow leaves nothing behind.
-func measureEntry(ctx context.Context, l *lab, r *Report) error {
-	d, err := l.deploy(ctx, 1)
+// measureEntry measures the cost of targets, addresses, versions and datagrams
+// for an entry host, and that flows take no memory.
+func measureEntry(ctx context.Context, tb *testbed, r *Report) error {
+	d, err := tb.deploy(ctx, 1)
 	if err != nil {
 		return err
 	}
-	if err := d.put(ctx, servicesOf(announcedServices, announcedServices)...); err != nil {
+	if err := d.putServices(ctx, newServices(announcedServices, announcedServices)...); err != nil {
 		return err
 	}
-	h, err := d.newHerd(ctx, 2*membership.DefaultLease/3)
+	ap, err := d.newAnnouncerPool(ctx, 2*membership.DefaultLease/3)
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 		return err
 	}
 	for _, step := range []func() error{
-		func() error { return e.measureTargets(ctx, d, h, r) },
+		func() error { return e.measureTargets(ctx, d, ap, r) },
 		func() error { return e.measureAddresses(ctx, d, r) },
 		func() error { return e.measureVersions(ctx, d, r) },
 		func() error { return e.measureFlows(ctx, r) },
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := d.lab.launch(ctx, "entry", "entry", &settingspb.EntrySettings{
+	p, err := d.testbed.launch(ctx, "entry", "entry", &settingspb.EntrySettings{
 		Host:    &settingspb.Host{Name: "entry", FailureDomain: "entry"},
 		Keys:    section,
 		Control: &settingspb.ControlPeers{Addresses: d.links()},
@@ -82,31 +82,30 @@
 	return &entry{process: p, creds: creds}, err
 }
 
-// rest returns the private memory and the load of a process that nothing is
-// asked of.
-func (p *process) rest(ctx context.Context) (private, core float64, err error) {
-	if err := sleep.For(ctx, settle); err != nil {
+// idle returns the private memory and the load of an idle process.
+func (p *process) idle(ctx context.Context) (private, core float64, err error) {
+	if err := sleep.For(ctx, settleTime); err != nil {
 		return 0, 0, err
 	}
 	before, err := p.usage()
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := sleep.For(ctx, window); err != nil {
+	if err := sleep.For(ctx, measureWindow); err != nil {
 		return 0, 0, err
 	}
 	after, err := p.usage()
-	return after.private, load(before, after, window), err
+	return after.private, cpuLoad(before, after, measureWindow), err
 }
 
-// atRest returns the private memory and the load of a process at rest at each of
-// the sizes, which reach brings about.
-func (p *process) atRest(ctx context.Context, sizes []int, reach func(n int) error) (memory, cpu []Point, err error) {
+// measureIdle calls reach for each size and returns the private memory and the
+// load of the process when idle.
+func (p *process) measureIdle(ctx context.Context, sizes []int, reach func(n int) error) (memory, cpu []Point, err error) {
 	for _, n := range sizes {
 		if err := reach(n); err != nil {
 			return nil, nil, err
 		}
-		private, core, err := p.rest(ctx)
+		private, core, err := p.idle(ctx)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -116,37 +115,37 @@
 	return memory, cpu, nil
 }
 
-func (e *entry) measureTargets(ctx context.Context, d *deployment, h *herd, r *Report) error {
-	memory, cpu, err := e.atRest(ctx, []int{1500, 3000, 6000, 12_000}, func(n int) error {
-		h.grow(n)
+func (e *entry) measureTargets(ctx context.Context, d *deployment, ap *announcerPool, r *Report) error {
+	memory, cpu, err := e.measureIdle(ctx, []int{1500, 3000, 6000, 12_000}, func(n int) error {
+		ap.growTo(n)
 		return d.awaitTargets(ctx, n)
 	})
 	if err != nil {
 		return err
 	}
 	return r.addSlopes(
-		&series{name: "entry.target.memory", unit: Bytes, per: "target", count: DesignSize.Targets, at: memory},
-		&series{name: "entry.target.cpu", unit: MicroCore, per: "target", count: DesignSize.Targets, at: cpu})
+		&series{name: "entry.target.memory", unit: Bytes, per: "target", count: DesignSize.Targets, points: memory},
+		&series{name: "entry.target.cpu", unit: MicroCore, per: "target", count: DesignSize.Targets, points: cpu})
 }
 
 func (e *entry) measureAddresses(ctx context.Context, d *deployment, r *Report) error {
-	memory, cpu, err := e.atRest(ctx, []int{700, 1400, 2800, 5500}, func(n int) error {
-		return d.putInForce(ctx, servicesOf(announcedServices, n)...)
+	memory, cpu, err := e.measureIdle(ctx, []int{700, 1400, 2800, 5500}, func(n int) error {
+		return d.putAndActivate(ctx, newServices(announcedServices, n)...)
 	})
 	if err != nil {
 		return err
 	}
 	return r.addSlopes(
-		&series{name: "entry.address.memory", unit: Bytes, per: "address", count: DesignSize.Addresses, at: memory},
-		&series{name: "entry.address.cpu", unit: MicroCore, per: "address", count: DesignSize.Addresses, at: cpu})
+		&series{name: "entry.address.memory", unit: Bytes, per: "address", count: DesignSize.Addresses, points: memory},
+		&series{name: "entry.address.cpu", unit: MicroCore, per: "address", count: DesignSize.Addresses, points: cpu})
 }
 
-// measureVersions counts the time that versions take to apply at full size,
-// less what the host spends at rest.
+// measureVersions measures the processor time to apply a version at full size,
+// without the idle load.
 func (e *entry) measureVersions(ctx context.Context, d *deployment, r *Report) error {
 	cpu := &series{name: "entry.version.cpu", unit: Microseconds, per: "version", count: DesignSize.ChangesPerSecond()}
 	memory := &series{name: "entry.version.memory", unit: Bytes, per: "version", count: 1}
-	_, rest, err := e.rest(ctx)
+	_, idle, err := e.idle(ctx)
 	if err != nil {
 		return err
 	}
@@ -156,22 +155,22 @@
 		if err != nil {
 			return err
 		}
-		began := time.Now()
+		start := time.Now()
 		for range n {
-			if err := d.change(ctx); err != nil {
+			if err := d.changeService(ctx); err != nil {
 				return err
 			}
-			if err := d.awaitInForce(ctx); err != nil {
+			if err := d.awaitActive(ctx); err != nil {
 				return err
 			}
 		}
-		took := time.Since(began)
+		elapsed := time.Since(start)
 		after, err := e.usage()
 		if err != nil {
 			return err
 		}
 		total += n
-		cpu.add(float64(n), micros(after.cpu-before.cpu)-rest*took.Seconds())
+		cpu.add(float64(n), micros(after.cpu-before.cpu)-idle*elapsed.Seconds())
 		memory.add(float64(total), after.private)
 	}
 	return r.addSlopes(cpu, memory)
@@ -181,21 +180,21 @@
 func (e *entry) measureFlows(ctx context.Context, r *Report) error {
 	sink, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return errors.Wrap(err, "sink")
+		return errors.Wrap(err, "open sink socket")
 	}
 	if err := sink.SetReadBuffer(sinkBuffer); err != nil {
-		return errors.Wrap(err, "sink")
+		return errors.Wrap(err, "open sink socket")
 	}
-	// Closed before the reader is waited for.
+	// The sink must be closed before waiting for the reader.
 	var reader conc.WaitGroup
 	defer reader.Wait()
 	defer sink.Close()
-	f, err := e.newFlood(sink)
+	ds, err := e.newDatagramSender(sink)
 	if err != nil {
 		return err
 	}
-	defer f.conn.Close()
-	reader.Go(func() { f.count(sink) })
+	defer ds.conn.Close()
+	reader.Go(func() { ds.count(sink) })
 	memory := &series{name: "entry.flow.memory", unit: Bytes, per: "flow", count: DesignSize.FlowsPerEntry()}
 	cpu := &series{name: "entry.datagram.cpu", unit: Microseconds, per: "datagram", count: 1}
 	flows := uint32(0)
@@ -204,7 +203,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.send(ctx, flows, flows+n); err != nil {
+		if err := ds.send(ctx, flows, flows+n); err != nil {
 			return err
 		}
 		after, err := e.usage()
@@ -218,36 +217,36 @@
 	return r.addSlopes(memory, cpu)
 }
 
-// flood sends datagrams of established flows to a public address and counts
-// those that reach the target.
-type flood struct {
+// datagramSender sends datagrams of established flows to a public address and
+// counts those that reach the target.
+type datagramSender struct {
 	conn    *net.UDPConn
 	codec   *connid.Codec
 	target  connid.Target
 	arrived atomic.Uint32
-	// lost is how many of the present run have not arrived.
+	// lost counts the datagrams of the current send that did not arrive.
 	lost uint32
 }
 
-// count counts what arrives until the socket is closed.
-func (f *flood) count(sink *net.UDPConn) {
+// count counts received datagrams until the socket is closed.
+func (ds *datagramSender) count(sink *net.UDPConn) {
 	buf := make([]byte, 1<<12)
 	for {
 		if _, _, err := sink.ReadFromUDPAddrPort(buf); err != nil {
 			return
 		}
-		f.arrived.Add(1)
+		ds.arrived.Add(1)
 	}
 }
 
-func (e *entry) newFlood(sink *net.UDPConn) (*flood, error) {
+func (e *entry) newDatagramSender(sink *net.UDPConn) (*datagramSender, error) {
 	public, ok := e.ready["public"].(map[string]any)
 	if !ok {
-		return nil, errors.New("entry host names no public address")
+		return nil, errors.New("entry host logs no public address")
 	}
-	address, err := netip.ParseAddrPort(fmt.Sprint(public[service(0, 1).GetAddresses()[0]]))
+	address, err := netip.ParseAddrPort(fmt.Sprint(public[newService(0, 1).GetAddresses()[0]]))
 	if err != nil {
-		return nil, errors.Wrap(err, "public address")
+		return nil, errors.Wrap(err, "parse public address")
 	}
 	var secrets []connid.Secret
 	for _, s := range e.creds.DataSecrets() {
@@ -259,52 +258,53 @@
 	}
 	conn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, errors.Wrap(err, "caller")
+		return nil, errors.Wrap(err, "open caller socket")
 	}
-	to := sink.LocalAddr().(*net.UDPAddr).AddrPort()
-	target := connid.Target{Address: netip.AddrPortFrom(to.Addr().Unmap(), to.Port()), Number: 1, Incarnation: 1}
-	return &flood{conn: conn, codec: codec, target: target}, nil
+	sinkAddr := sink.LocalAddr().(*net.UDPAddr).AddrPort()
+	target := connid.Target{Address: netip.AddrPortFrom(sinkAddr.Addr().Unmap(), sinkAddr.Port()), Number: 1, Incarnation: 1}
+	return &datagramSender{conn: conn, codec: codec, target: target}, nil
 }
 
-// send sends one datagram of 1,200 bytes for each flow, a few ahead of those
-// that have arrived. Datagrams may get lost on a busy machine, but not many.
-func (f *flood) send(ctx context.Context, from, to uint32) error {
-	const ahead, length, lossShare = 64, 1200, 20
-	base := f.arrived.Load()
-	packet := make([]byte, length)
+// send sends one datagram of 1,200 bytes for each flow, with a limit on those in
+// flight. It tolerates a small share of lost datagrams.
+func (ds *datagramSender) send(ctx context.Context, from, to uint32) error {
+	const maxInFlight, packetLength, maxLossFraction = 64, 1200, 20
+	base := ds.arrived.Load()
+	packet := make([]byte, packetLength)
 	packet[0] = 0x40
 	for i := from; i < to; i++ {
-		id := f.codec.Encode(f.target, i, 0)
+		id := ds.codec.Encode(ds.target, i, 0)
 		copy(packet[1:], id[:])
-		if _, err := f.conn.Write(packet); err != nil {
-			return errors.Wrap(err, "send")
+		if _, err := ds.conn.Write(packet); err != nil {
+			return errors.Wrap(err, "send datagram")
 		}
 		sent := i - from + 1
-		if sent%ahead != 0 && i != to-1 {
+		if sent%maxInFlight != 0 && i != to-1 {
 			continue
 		}
-		if err := f.await(ctx, base+sent-f.lost); err != nil {
+		if err := ds.awaitArrivals(ctx, base+sent-ds.lost); err != nil {
 			return err
 		}
-		f.lost = base + sent - f.arrived.Load()
+		ds.lost = base + sent - ds.arrived.Load()
 	}
-	if f.lost > (to-from)/lossShare {
-		return errors.Wrapf(errLossy, "%d of %d", f.lost, to-from)
+	if ds.lost > (to-from)/maxLossFraction {
+		return errors.Wrapf(errDatagramsLost, "%d of %d", ds.lost, to-from)
 	}
-	f.lost = 0
+	ds.lost = 0
 	return nil
 }
 
-// await waits until so many have arrived, or none has for a while.
-func (f *flood) await(ctx context.Context, count uint32) error {
-	const poll, stalled = 100 * time.Microsecond, 50 * time.Millisecond
-	seen, since := f.arrived.Load(), time.Now()
-	for seen < count && time.Since(since) < stalled {
+// awaitArrivals waits until count datagrams have arrived, or none arrives for
+// stallTimeout.
+func (ds *datagramSender) awaitArrivals(ctx context.Context, count uint32) error {
+	const poll, stallTimeout = 100 * time.Microsecond, 50 * time.Millisecond
+	lastCount, lastArrival := ds.arrived.Load(), time.Now()
+	for lastCount < count && time.Since(lastArrival) < stallTimeout {
 		if err := sleep.For(ctx, poll); err != nil {
 			return err
 		}
-		if now := f.arrived.Load(); now != seen {
-			seen, since = now, time.Now()
+		if now := ds.arrived.Load(); now != lastCount {
+			lastCount, lastArrival = now, time.Now()
 		}
 	}
 	return nil
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -6,17 +6,16 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrTooFewPoints tells that a line can't be fitted: fewer than three points, or all
-// of one size.
+// ErrTooFewPoints reports fewer than three points or points of only one size.
 var ErrTooFewPoints = errors.New("too few points for a fit")
 
-// Point is one measurement: a figure at a size.
+// Point is a measured value at a size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"figure"`
 }
 
-// Fit is the line through points by least squares.
+// Fit is a least-squares line.
 type Fit struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
@@ -24,9 +23,9 @@
 	StdErr float64 `json:"std_err"`
 }
 
-// NewFit fits a line. Errors: ErrPoints.
+// NewFit fits a line. Errors: ErrTooFewPoints.
 func NewFit(points []Point) (Fit, error) {
-	const least = 3 // two leave no residue to judge the error by
+	const least = 3 // with two points the standard error is undefined
 	n := float64(len(points))
 	if len(points) < least {
 		return Fit{}, errors.Wrapf(ErrTooFewPoints, "%d points", len(points))
@@ -42,18 +41,18 @@
 		sxy += (p.Size - meanX) * (p.Value - meanY)
 	}
 	if sxx == 0 {
-		return Fit{}, errors.Wrap(ErrTooFewPoints, "all of one size")
+		return Fit{}, errors.Wrap(ErrTooFewPoints, "all of the same size")
 	}
 	f := Fit{Slope: sxy / sxx}
 	f.Intercept = meanY - f.Slope*meanX
-	var residue float64
+	var residual float64
 	for _, p := range points {
 		d := p.Value - f.At(p.Size)
-		residue += d * d
+		residual += d * d
 	}
-	f.StdErr = math.Sqrt(residue / (n - 2) / sxx)
+	f.StdErr = math.Sqrt(residual / (n - 2) / sxx)
 	return f, nil
 }
 
-// At returns the figure that the line gives for a size.
+// At returns the value of the line at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
--- a/internal/capacity/grants.go
+++ b/internal/capacity/grants.go
@@ -20,17 +20,17 @@
 const (
 	grantLinks   = 6
 	grantWorkers = 128
-	// probeKeys are beyond the keys that are measured.
-	probeKeys = 10_000_000
+	// firstProbeKey is greater than all measured keys.
+	firstProbeKey = 10_000_000
 )
 
-// errNotGranted tells that a right was not given or not recorded.
+// errNotGranted reports a grant that was not given or not recorded.
 var errNotGranted = errors.New("not granted")
 
-// measureGrants measures acquire and complete against a group of three that
-// syncs, with many agents asking at a time.
-func measureGrants(ctx context.Context, l *lab, r *Report) error {
-	d, err := l.deploy(ctx, 3)
+// measureGrants measures acquire and complete with concurrent agents against a
+// group of three voters that syncs its log.
+func measureGrants(ctx context.Context, tb *testbed, r *Report) error {
+	d, err := tb.deploy(ctx, 3)
 	if err != nil {
 		return err
 	}
@@ -41,10 +41,10 @@
 	return d.measureGrantSeries(ctx, links, r)
 }
 
-// grantLinks makes a service and returns links of agents of it, each to another
-// control host in turn, once the first grant was had.
+// grantLinks creates a service and returns links of its agents, distributed over
+// the control hosts, after a first grant on each.
 func (d *deployment) grantLinks(ctx context.Context) ([]*link.Client, error) {
-	if err := d.put(ctx, service(0, 1)); err != nil {
+	if err := d.putServices(ctx, newService(0, 1)); err != nil {
 		return nil, err
 	}
 	creds, err := d.credentials(keys.RoleAgent, "agent", serviceName(0))
@@ -54,12 +54,12 @@
 	var links []*link.Client
 	for i := range grantLinks {
 		c := link.NewClient([]string{d.links()[i%len(d.controls)]}, creds, link.ClientOptions{})
-		d.lab.onClose(c.Close)
+		d.testbed.onClose(c.Close)
 		links = append(links, c)
 	}
 	for i, c := range links {
-		key := keyOf(probeKeys + i)
-		if err := await(ctx, "a first grant", func() bool { return grantOnce(ctx, c, key) == nil }); err != nil {
+		key := idempotencyKey(firstProbeKey + i)
+		if err := await(ctx, "first grant", func() bool { return runGrant(ctx, c, key) == nil }); err != nil {
 			return nil, err
 		}
 	}
@@ -67,13 +67,13 @@
 }
 
 func (d *deployment) measureGrantSeries(ctx context.Context, links []*link.Client, r *Report) error {
-	wall := &series{name: "grants.time", unit: Microseconds, per: "grant", count: 1}
+	wallTime := &series{name: "grants.time", unit: Microseconds, per: "grant", count: 1}
 	cpu := &series{name: "grants.cpu", unit: Microseconds, per: "grant and host", count: 1}
 	memory := &series{name: "grants.memory", unit: Bytes, per: "record", count: 200_000}
 	disk := &series{name: "grants.disk", unit: Bytes, per: "grant", count: 1}
-	made := 1
+	total := 1
 	for _, n := range []int{5000, 10_000, 20_000, 40_000} {
-		size, err := folderSize(d.controls[0].settings.GetReplica().GetDataFolder())
+		dirBefore, err := dirSize(d.controls[0].settings.GetReplica().GetDataFolder())
 		if err != nil {
 			return err
 		}
@@ -81,84 +81,84 @@
 		if err != nil {
 			return err
 		}
-		took, err := grantMany(ctx, links, made, n)
+		elapsed, err := runGrants(ctx, links, total, n)
 		if err != nil {
 			return err
 		}
-		wall.add(float64(n), micros(took))
+		wallTime.add(float64(n), micros(elapsed))
 		after, err := d.meanUsage()
 		if err != nil {
 			return err
 		}
-		grown, err := folderSize(d.controls[0].settings.GetReplica().GetDataFolder())
+		dirAfter, err := dirSize(d.controls[0].settings.GetReplica().GetDataFolder())
 		if err != nil {
 			return err
 		}
-		made += n
+		total += n
 		cpu.add(float64(n), micros(after.cpu-before.cpu))
-		memory.add(float64(made), after.private)
-		disk.add(float64(n), grown-size)
+		memory.add(float64(total), after.private)
+		disk.add(float64(n), dirAfter-dirBefore)
 	}
-	return r.addSlopes(wall, cpu, memory, disk)
+	return r.addSlopes(wallTime, cpu, memory, disk)
 }
 
-// grantMany makes grants of so many keys from the first one on, many at a time.
-func grantMany(ctx context.Context, links []*link.Client, first, count int) (time.Duration, error) {
-	began := time.Now()
+// runGrants runs grants of count keys from the first one on concurrently.
+func runGrants(ctx context.Context, links []*link.Client, first, count int) (time.Duration, error) {
+	start := time.Now()
 	p := pool.New().WithErrors().WithMaxGoroutines(grantWorkers)
 	for i := range count {
-		p.Go(func() error { return grantOnce(ctx, links[i%len(links)], keyOf(first+i)) })
+		p.Go(func() error { return runGrant(ctx, links[i%len(links)], idempotencyKey(first+i)) })
 	}
 	err := p.Wait()
-	return time.Since(began), err
+	return time.Since(start), err
 }
 
-// measureGrantGroups measures grants with more and more groups on three control
+// measureGrantGroups measures grants by the number of groups on three control
 // hosts.
-func measureGrantGroups(ctx context.Context, l *lab, r *Report) error {
+func measureGrantGroups(ctx context.Context, tb *testbed, r *Report) error {
 	rate := &series{name: "groups.rate", unit: PerSecond, per: "group"}
 	cpu := &series{name: "groups.cpu", unit: Microseconds, per: "group, a grant and host"}
-	rest := &series{name: "groups.rest.memory", unit: Bytes, per: "group"}
-	idle := &series{name: "groups.rest.cpu", unit: MicroCore, per: "group"}
+	idleMemory := &series{name: "groups.rest.memory", unit: Bytes, per: "group"}
+	idleCPU := &series{name: "groups.rest.cpu", unit: MicroCore, per: "group"}
 	for _, groups := range []int{1, 2, 4, 8} {
-		err := inLab(l.binary, l.log, func(l *lab) error {
-			d, err := l.deployGroups(ctx, 3, groups)
+		err := withTestbed(tb.binary, tb.log, func(tb *testbed) error {
+			d, err := tb.deployGroups(ctx, 3, groups)
 			if err != nil {
 				return err
 			}
-			return d.measureGroups(ctx, float64(groups), rate, cpu, rest, idle)
+			return d.measureGrantGroupsAt(ctx, float64(groups), rate, cpu, idleMemory, idleCPU)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	return r.addSlopes(rate, cpu, rest, idle)
+	return r.addSlopes(rate, cpu, idleMemory, idleCPU)
 }
 
-// measureGroups adds the points of one number of groups.
-func (d *deployment) measureGroups(ctx context.Context, groups float64, rate, cpu, rest, idle *series) error {
-	const grants, atRest = 8000, 3 * time.Second
+// measureGrantGroupsAt adds the points for one number of groups.
+func (d *deployment) measureGrantGroupsAt(ctx context.Context, groups float64, rate, cpu, idleMemory, idleCPU *series) error {
+	const grants, idleTime = 8000, 3 * time.Second
 	links, err := d.grantLinks(ctx)
 	if err != nil {
 		return err
 	}
-	if err := await(ctx, "leaders spread", func() bool { return d.spread(ctx) }); err != nil {
+	if err := await(ctx, "balanced leaders", func() bool { return d.leadersBalanced(ctx) }); err != nil {
 		return err
 	}
 	before, err := d.meanUsage()
 	if err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, atRest); err != nil {
+	if err := sleep.For(ctx, idleTime); err != nil {
 		return err
 	}
-	rested, err := d.meanUsage()
+	idleEnd, err := d.meanUsage()
 	if err != nil {
 		return err
 	}
-	rest.add(groups, rested.private)
-	idle.add(groups, load(before, rested, atRest))
-	took, err := grantMany(ctx, links, 1, grants)
+	idleMemory.add(groups, idleEnd.private)
+	idleCPU.add(groups, cpuLoad(before, idleEnd, idleTime))
+	elapsed, err := runGrants(ctx, links, 1, grants)
 	if err != nil {
 		return err
 	}
@@ -166,37 +166,37 @@
 	if err != nil {
 		return err
 	}
-	rate.add(groups, grants/took.Seconds())
-	cpu.add(groups, micros(after.cpu-rested.cpu)/grants)
+	rate.add(groups, grants/elapsed.Seconds())
+	cpu.add(groups, micros(after.cpu-idleEnd.cpu)/grants)
 	return nil
 }
 
-// spread reports whether each control host leads its share of the groups of
-// grants, which all have a leader.
-func (d *deployment) spread(ctx context.Context) bool {
-	led, groups, least := 0, 0, math.MaxInt
+// leadersBalanced reports whether all grant groups have a leader and each control
+// host leads its share of them.
+func (d *deployment) leadersBalanced(ctx context.Context) bool {
+	led, groups, minLed := 0, 0, math.MaxInt
 	for _, host := range d.client.Status(ctx) {
 		if host.Err != nil {
 			return false
 		}
-		mine, all := 0, 0
+		hostLed, hostGroups := 0, 0
 		for _, g := range host.Status.Groups {
 			if g.Grants == nil {
 				continue
 			}
-			all++
+			hostGroups++
 			if g.State == stateLeads {
-				mine++
+				hostLed++
 			}
 		}
-		led, groups, least = led+mine, max(groups, all), min(least, mine)
+		led, groups, minLed = led+hostLed, max(groups, hostGroups), min(minLed, hostLed)
 	}
-	return led == groups && least >= groups/len(d.controls)
+	return led == groups && minLed >= groups/len(d.controls)
 }
 
-// grantOnce acquires the right to run a key and records an answer.
-func grantOnce(ctx context.Context, c *link.Client, key string) error {
-	for _, command := range []*grantpb.Command{acquire(1, key), complete(1, key)} {
+// runGrant acquires the grant of a key and records a response.
+func runGrant(ctx context.Context, c *link.Client, key string) error {
+	for _, command := range []*grantpb.Command{acquireCommand(1, key), completeCommand(1, key)} {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		res, err := c.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Grant{Grant: command}})
 		cancel()
@@ -211,16 +211,16 @@
 	return nil
 }
 
-// folderSize returns the bytes of all files below a folder.
-func folderSize(folder string) (float64, error) {
+// dirSize returns the total size of all files below a directory, in bytes.
+func dirSize(root string) (float64, error) {
 	var sum int64
-	err := filepath.WalkDir(folder, func(_ string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(root, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
 		info, err := entry.Info()
 		if errors.Is(err, fs.ErrNotExist) {
-			// Removed in favour of a newer one.
+			// Replaced by a newer file meanwhile.
 			return nil
 		}
 		if err == nil {
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -17,53 +17,53 @@
 )
 
 const (
-	// groupVoters is how many members vote at most; the others are learners.
+	// groupVoters limits the number of voters; other members are learners.
 	groupVoters = 5
-	// groupWindow is how long a group is watched at rest. Counters of bytes are
-	// half a second old.
-	groupWindow   = 8 * time.Second
-	groupVersions = 40
-	counterAge    = time.Second
-	configGroup   = "config"
-	// peerBytes and linkBytes begin the names of the counters of bytes that a
-	// control host exchanged on links that it opened and that it took.
+	// groupMeasureWindow is the duration of a measurement of an idle group. Byte
+	// counters are up to half a second old.
+	groupMeasureWindow = 8 * time.Second
+	groupVersions      = 40
+	counterAge         = time.Second
+	configGroup        = "config"
+	// peerBytes and linkBytes are prefixes of the byte counters of links that a
+	// control host has opened and accepted.
 	peerBytes = "eelgrasswharf_control_peers_bytes_"
 	linkBytes = "eelgrasswharf_control_link_bytes_"
 )
 
-// errLeaderChanged tells that the leader did not lead for a whole measurement.
-var errLeaderChanged = errors.New("another host leads")
+// errLeaderChanged reports that the leader changed during a measurement.
+var errLeaderChanged = errors.New("leader changed during the measurement")
 
-// groupSeries are the slopes by the members of a group, at its leader.
+// groupSeries are the series of a group's leader by the number of members.
 type groupSeries struct {
-	restCPU, restBytes, versionCPU, versionBytes, applied *series
+	idleCPU, idleBytes, versionCPU, versionBytes, applied *series
 }
 
-// measureGroup measures what a group costs its leader by the number of members,
-// of which five at most vote, and how long after its acceptance the last member
-// has a version. The configuration has the letter's size.
-func measureGroup(ctx context.Context, l *lab, r *Report) error {
+// measureGroup measures, by the number of members, the cost of a group for its
+// leader and the time from the acceptance of a version until the last member has
+// it. The configuration has the design size.
+func measureGroup(ctx context.Context, tb *testbed, r *Report) error {
 	members := DesignSize.ControlHosts
 	s := groupSeries{
-		restCPU:      &series{name: "group.rest.cpu", unit: MicroCore, per: "member", count: members},
-		restBytes:    &series{name: "group.rest.bytes", unit: BytesPerSecond, per: "member", count: members},
+		idleCPU:      &series{name: "group.rest.cpu", unit: MicroCore, per: "member", count: members},
+		idleBytes:    &series{name: "group.rest.bytes", unit: BytesPerSecond, per: "member", count: members},
 		versionCPU:   &series{name: "group.version.cpu", unit: Microseconds, per: "member and version", count: members},
 		versionBytes: &series{name: "group.version.bytes", unit: Bytes, per: "member and version", count: members},
 		applied:      &series{name: "group.applied", unit: Microseconds, per: "member", count: members},
 	}
 	for _, n := range []int{3, 5, 9, 15} {
-		err := inLab(l.binary, l.log, func(own *lab) error { return own.measureMembers(ctx, n, &s, r) })
+		err := withTestbed(tb.binary, tb.log, func(inner *testbed) error { return inner.measureGroupSize(ctx, n, &s, r) })
 		if err != nil {
 			return errors.Wrapf(err, "%d members", n)
 		}
 	}
-	return r.addSlopes(s.restCPU, s.restBytes, s.versionCPU, s.versionBytes, s.applied)
+	return r.addSlopes(s.idleCPU, s.idleBytes, s.versionCPU, s.versionBytes, s.applied)
 }
 
-// deployMembers starts control hosts with learners beside the voters and so many
-// groups of grants, and waits until all are members of the configuration.
-func (l *lab) deployMembers(ctx context.Context, members, groups int) (*deployment, error) {
-	d, err := l.prepare(members)
+// deployMembers starts voters and learners with the given number of grant groups
+// and waits until all are members of the configuration group.
+func (tb *testbed) deployMembers(ctx context.Context, members, groups int) (*deployment, error) {
+	d, err := tb.prepare(members)
 	if err != nil {
 		return nil, err
 	}
@@ -81,10 +81,11 @@
 			return nil, err
 		}
 	}
-	return d, await(ctx, "all members", func() bool { return d.countMembers(ctx) == members })
+	return d, await(ctx, "members of the configuration group", func() bool { return d.countMembers(ctx) == members })
 }
 
-// countMembers returns how many members the leader of the configuration has.
+// countMembers returns the number of members that the leader of the configuration
+// group reports.
 func (d *deployment) countMembers(ctx context.Context) int {
 	for _, host := range d.client.Status(ctx) {
 		if host.Err != nil {
@@ -99,44 +100,44 @@
 	return 0
 }
 
-// reading is what a control host has used by a moment.
-type reading struct {
+// usageSample is the resource usage of a control host at one time.
+type usageSample struct {
 	at    time.Time
 	usage usage
 	bytes float64
 }
 
-func (c *control) read(ctx context.Context) (reading, error) {
+func (c *control) sample(ctx context.Context) (usageSample, error) {
 	u, err := c.usage()
 	if err != nil {
-		return reading{}, err
+		return usageSample{}, err
 	}
-	bytes, err := c.counted(ctx, peerBytes, linkBytes)
-	return reading{at: time.Now(), usage: u, bytes: bytes}, err
+	bytes, err := c.sumCounters(ctx, peerBytes, linkBytes)
+	return usageSample{at: time.Now(), usage: u, bytes: bytes}, err
 }
 
-// since returns processor time in microseconds and bytes, beyond so much of
-// them a second.
-func (after reading) since(before reading, cpuRate, byteRate float64) (cpu, bytes float64) {
+// since returns the processor time in microseconds and the bytes since before,
+// less the given rates per second.
+func (after usageSample) since(before usageSample, cpuRate, byteRate float64) (cpu, bytes float64) {
 	seconds := after.at.Sub(before.at).Seconds()
 	cpu = micros(after.usage.cpu-before.usage.cpu) - cpuRate*seconds
 	return cpu, after.bytes - before.bytes - byteRate*seconds
 }
 
-// counted returns the sum of the counters whose names begin so.
-func (c *control) counted(ctx context.Context, prefixes ...string) (float64, error) {
+// sumCounters returns the sum of the counters with these name prefixes.
+func (c *control) sumCounters(ctx context.Context, prefixes ...string) (float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.settings.GetMetrics().GetListen()+"/metrics", nil)
 	if err != nil {
-		return 0, errors.Wrap(err, "metrics")
+		return 0, errors.Wrap(err, "read metrics")
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, errors.Wrap(err, "metrics")
+		return 0, errors.Wrap(err, "read metrics")
 	}
 	defer func() { _ = res.Body.Close() }()
 	text, err := io.ReadAll(res.Body)
 	if err != nil {
-		return 0, errors.Wrap(err, "metrics")
+		return 0, errors.Wrap(err, "read metrics")
 	}
 	sum := 0.0
 	for line := range strings.Lines(string(text)) {
@@ -153,17 +154,17 @@
 	return sum, nil
 }
 
-// measureMembers adds a point for a group of so many members. Each of them has
-// one subscriber, which tells when it has a version.
-func (l *lab) measureMembers(ctx context.Context, n int, s *groupSeries, r *Report) error {
-	d, err := l.deployMembers(ctx, n, 1)
+// measureGroupSize adds the points for a group of n members. Each member has one
+// subscriber, which records when it has a version.
+func (tb *testbed) measureGroupSize(ctx context.Context, n int, s *groupSeries, r *Report) error {
+	d, err := tb.deployMembers(ctx, n, 1)
 	if err != nil {
 		return err
 	}
-	if err := d.put(ctx, servicesOf(wireServices, wireAddresses)...); err != nil {
+	if err := d.putServices(ctx, newServices(designServices, designAddresses)...); err != nil {
 		return err
 	}
-	watchers, err := d.watchers(ctx)
+	hostSubscribers, err := d.hostSubscribers(ctx)
 	if err != nil {
 		return err
 	}
@@ -171,80 +172,80 @@
 	if leader == nil {
 		return errLeaderChanged
 	}
-	if err := sleep.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settleTime); err != nil {
 		return err
 	}
-	began, err := leader.read(ctx)
+	start, err := leader.sample(ctx)
 	if err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, groupWindow); err != nil {
+	if err := sleep.For(ctx, groupMeasureWindow); err != nil {
 		return err
 	}
-	rested, err := leader.read(ctx)
+	idleEnd, err := leader.sample(ctx)
 	if err != nil {
 		return err
 	}
-	cpu, bytes := rested.since(began, 0, 0)
-	cpuRate, byteRate := cpu/groupWindow.Seconds(), bytes/groupWindow.Seconds()
-	s.restCPU.add(float64(n), cpuRate)
-	s.restBytes.add(float64(n), byteRate)
-	times, err := d.changeMembers(ctx, watchers)
+	cpu, bytes := idleEnd.since(start, 0, 0)
+	cpuRate, byteRate := cpu/groupMeasureWindow.Seconds(), bytes/groupMeasureWindow.Seconds()
+	s.idleCPU.add(float64(n), cpuRate)
+	s.idleBytes.add(float64(n), byteRate)
+	times, err := d.timeVersions(ctx, hostSubscribers)
 	if err != nil {
 		return err
 	}
-	ended, err := leader.read(ctx)
+	end, err := leader.sample(ctx)
 	if err != nil {
 		return err
 	}
 	if d.leader(ctx) != leader {
 		return errLeaderChanged
 	}
-	cpu, bytes = ended.since(rested, cpuRate, byteRate)
+	cpu, bytes = end.since(idleEnd, cpuRate, byteRate)
 	s.versionCPU.add(float64(n), cpu/groupVersions)
 	s.versionBytes.add(float64(n), bytes/groupVersions)
-	q := quantiles("group.applied", n, times)
+	q := newQuantiles("group.applied", n, times)
 	s.applied.add(float64(n), q.P50*float64(time.Millisecond/time.Microsecond))
 	r.Quantiles = append(r.Quantiles, q)
 	return nil
 }
 
-// watchers subscribes once to each control host, and waits for the newest
+// hostSubscribers subscribes once to each control host and waits for the latest
 // version.
-func (d *deployment) watchers(ctx context.Context) ([]*fleet, error) {
-	var all []*fleet
+func (d *deployment) hostSubscribers(ctx context.Context) ([]*subscriberPool, error) {
+	var all []*subscriberPool
 	for _, c := range d.controls {
-		f, err := d.newFleet()
+		sp, err := d.newSubscriberPool()
 		if err != nil {
 			return nil, err
 		}
-		f.addresses = []string{c.link}
-		if err := f.grow(ctx, 1, d.version); err != nil {
+		sp.addresses = []string{c.link}
+		if err := sp.growTo(ctx, 1, d.version); err != nil {
 			return nil, errors.Wrap(err, fmt.Sprint(c.settings.GetHost().GetName()))
 		}
-		all = append(all, f)
+		all = append(all, sp)
 	}
 	return all, nil
 }
 
-// changeMembers makes versions one after the other. It returns how long after
-// its acceptance the last member passed each of them on.
-func (d *deployment) changeMembers(ctx context.Context, watchers []*fleet) ([]time.Duration, error) {
+// timeVersions creates versions one at a time. It returns the times from the
+// acceptance of each until the last subscriber has it.
+func (d *deployment) timeVersions(ctx context.Context, hostSubscribers []*subscriberPool) ([]time.Duration, error) {
 	var times []time.Duration
 	for range groupVersions {
-		if err := d.change(ctx); err != nil {
+		if err := d.changeService(ctx); err != nil {
 			return nil, err
 		}
 		accepted := time.Now()
-		err := await(ctx, "the version on all members", func() bool {
-			return !slices.ContainsFunc(watchers, func(f *fleet) bool { return !f.have(d.version) })
+		err := await(ctx, "version on all members", func() bool {
+			return !slices.ContainsFunc(hostSubscribers, func(sp *subscriberPool) bool { return !sp.allHave(d.version) })
 		})
 		if err != nil {
 			return nil, err
 		}
 		last := time.Duration(0)
-		for _, f := range watchers {
-			last = max(last, f.members[0].inForceAt().Sub(accepted))
+		for _, sp := range hostSubscribers {
+			last = max(last, sp.subscribers[0].activeSince().Sub(accepted))
 		}
 		times = append(times, last)
 	}
--- a/internal/capacity/members.go
+++ b/internal/capacity/membergroups.go
@@ -9,22 +9,22 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/sleep"
 )
 
-// memberSeries are the slopes by the groups of grants, at the busiest of the
-// control hosts set aside.
-type memberSeries struct {
+// membershipSeries are the series of the busiest control host by the number of
+// grant groups.
+type membershipSeries struct {
 	cpu, bytes, memory *series
 }
 
-// measureMemberGroups measures what further groups of grants cost at rest where
-// all control hosts that the letter sets aside are members of each.
-func measureMemberGroups(ctx context.Context, l *lab, r *Report) error {
-	s := memberSeries{
+// measureGroupMembership measures the idle cost of grant groups that all control
+// hosts of the design size are members of.
+func measureGroupMembership(ctx context.Context, tb *testbed, r *Report) error {
+	s := membershipSeries{
 		cpu:    &series{name: "members.groups.cpu", unit: MicroCore, per: "group of grants, at the busiest host", count: grant.MaxGroups},
 		bytes:  &series{name: "members.groups.bytes", unit: BytesPerSecond, per: "group of grants, at the busiest host", count: grant.MaxGroups},
 		memory: &series{name: "members.groups.memory", unit: Bytes, per: "group of grants, at the largest host", count: grant.MaxGroups},
 	}
 	for _, groups := range []int{1, 4, 8, grant.MaxGroups} {
-		err := inLab(l.binary, l.log, func(own *lab) error { return own.measureGroupsOfMembers(ctx, groups, s) })
+		err := withTestbed(tb.binary, tb.log, func(inner *testbed) error { return inner.measureMembershipAt(ctx, groups, s) })
 		if err != nil {
 			return errors.Wrapf(err, "%d groups", groups)
 		}
@@ -32,37 +32,37 @@
 	return r.addSlopes(s.cpu, s.bytes, s.memory)
 }
 
-// measureGroupsOfMembers adds the points of one number of groups.
-func (l *lab) measureGroupsOfMembers(ctx context.Context, groups int, s memberSeries) error {
+// measureMembershipAt adds the points for one number of groups.
+func (tb *testbed) measureMembershipAt(ctx context.Context, groups int, s membershipSeries) error {
 	hosts := int(DesignSize.ControlHosts)
-	d, err := l.deployMembers(ctx, hosts, groups)
+	d, err := tb.deployMembers(ctx, hosts, groups)
 	if err != nil {
 		return err
 	}
-	// The configuration has a group of its own.
-	err = await(ctx, "members of all groups", func() bool { return d.countWhole(ctx, hosts) == groups+1 })
+	// One more group is that of the configuration.
+	err = await(ctx, "members of all groups", func() bool { return d.countCompleteGroups(ctx, hosts) == groups+1 })
 	if err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settleTime); err != nil {
 		return err
 	}
-	before, err := d.readAll(ctx)
+	before, err := d.sampleAll(ctx)
 	if err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, groupWindow); err != nil {
+	if err := sleep.For(ctx, groupMeasureWindow); err != nil {
 		return err
 	}
-	after, err := d.readAll(ctx)
+	after, err := d.sampleAll(ctx)
 	if err != nil {
 		return err
 	}
 	var mostCPU, mostBytes, mostMemory float64
 	for i := range after {
 		cpu, bytes := after[i].since(before[i], 0, 0)
-		mostCPU = max(mostCPU, cpu/groupWindow.Seconds())
-		mostBytes = max(mostBytes, bytes/groupWindow.Seconds())
+		mostCPU = max(mostCPU, cpu/groupMeasureWindow.Seconds())
+		mostBytes = max(mostBytes, bytes/groupMeasureWindow.Seconds())
 		mostMemory = max(mostMemory, after[i].usage.private)
 	}
 	s.cpu.add(float64(groups), mostCPU)
@@ -71,8 +71,9 @@
 	return nil
 }
 
-// countWhole returns how many groups have a leader that counts so many members.
-func (d *deployment) countWhole(ctx context.Context, members int) int {
+// countCompleteGroups returns the number of groups whose leader reports this many
+// members.
+func (d *deployment) countCompleteGroups(ctx context.Context, members int) int {
 	whole := 0
 	for _, host := range d.client.Status(ctx) {
 		if host.Err != nil {
@@ -87,11 +88,11 @@
 	return whole
 }
 
-// readAll reads all control hosts.
-func (d *deployment) readAll(ctx context.Context) ([]reading, error) {
-	all := make([]reading, 0, len(d.controls))
+// sampleAll samples all control hosts.
+func (d *deployment) sampleAll(ctx context.Context) ([]usageSample, error) {
+	all := make([]usageSample, 0, len(d.controls))
 	for _, c := range d.controls {
-		r, err := c.read(ctx)
+		r, err := c.sample(ctx)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -19,76 +19,77 @@
 )
 
 const (
-	// noSnapshot is more entries than are made here.
+	// noSnapshot exceeds the number of entries of any log, so that no snapshot is
+	// taken.
 	noSnapshot = 1 << 30
-	// entriesPerRecord is how many entries one record of a made log holds.
+	// entriesPerRecord is the number of entries in a record of a synthetic log.
 	entriesPerRecord = 500
 
 	replicaName = "replica"
 )
 
-// errNotReplayed tells that a replica did not come back with its whole log.
-var errNotReplayed = errors.New("the log was not applied to its end")
+// errNotReplayed reports a replica that did not apply its complete log.
+var errNotReplayed = errors.New("log not completely applied")
 
-// madeLog is a data folder to open: a snapshot and the commands behind it.
-type madeLog struct {
+// syntheticLog generates a data directory: a snapshot and the commands after it.
+type syntheticLog struct {
 	group    controlpb.Group
 	machine  func() replica.StateMachine
 	snapshot []byte
 	command  func(i int) proto.Message
 }
 
-// measureRestart measures how long a replica takes to open a data folder by
-// the entries behind its snapshot: grants, versions of a configuration of one
-// service, and versions of one of the letter's size.
-func measureRestart(_ context.Context, l *lab, r *Report) error {
-	few, err := versionsOf(service(0, 1))
+// measureRestart measures the time to open a replica by the number of entries
+// after its snapshot: grants, versions of a configuration with one service, and
+// versions of one with the design size.
+func measureRestart(_ context.Context, tb *testbed, r *Report) error {
+	oneService, err := versionsLog(newService(0, 1))
 	if err != nil {
 		return err
 	}
-	full, err := versionsOf(servicesOf(wireServices, wireAddresses)...)
+	fullSize, err := versionsLog(newServices(designServices, designAddresses)...)
 	if err != nil {
 		return err
 	}
-	for _, what := range []struct {
+	for _, spec := range []struct {
 		name, per string
-		log       madeLog
+		log       syntheticLog
 	}{
 		{"restart.time", "entry behind the snapshot", grantsLog()},
-		{"restart.version.time", "version behind the snapshot, one service", few},
-		{"restart.version.time.full", "version behind the snapshot, full size", full},
+		{"restart.version.time", "version behind the snapshot, one service", oneService},
+		{"restart.version.time.full", "version behind the snapshot, full size", fullSize},
 	} {
-		open := &series{name: what.name, unit: Microseconds, per: what.per, count: replica.DefaultSnapshotEntries}
+		duration := &series{name: spec.name, unit: Microseconds, per: spec.per, count: replica.DefaultSnapshotEntries}
 		for _, n := range []int{1000, 10_000, 30_000, 100_000} {
-			took, err := timeRestart(filepath.Join(l.folder, fmt.Sprint(what.name, "-", n)), what.log, n)
+			elapsed, err := timeRestart(filepath.Join(tb.dir, fmt.Sprint(spec.name, "-", n)), spec.log, n)
 			if err != nil {
 				return err
 			}
-			open.add(float64(n), micros(took))
+			duration.add(float64(n), micros(elapsed))
 		}
-		if err := r.addSlopes(open); err != nil {
+		if err := r.addSlopes(duration); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func grantsLog() madeLog {
-	return madeLog{
+func grantsLog() syntheticLog {
+	return syntheticLog{
 		group:   controlpb.Group_GROUP_GRANT,
 		machine: func() replica.StateMachine { return grant.New() },
-		command: func(i int) proto.Message { return acquire(1, keyOf(i)) },
+		command: func(i int) proto.Message { return acquireCommand(1, idempotencyKey(i)) },
 	}
 }
 
-// versionsOf is a log of versions that each change one of these services.
-func versionsOf(services ...*configpb.Service) (madeLog, error) {
+// versionsLog returns a log of versions that each change one of the services.
+func versionsLog(services ...*configpb.Service) (syntheticLog, error) {
 	m := config.New()
-	if err := apply(m, services...); err != nil {
-		return madeLog{}, err
+	if err := applyPatch(m, services...); err != nil {
+		return syntheticLog{}, err
 	}
 	snapshot, err := m.Snapshot()
-	return madeLog{
+	return syntheticLog{
 		group:    controlpb.Group_GROUP_CONFIG,
 		machine:  func() replica.StateMachine { return config.New() },
 		snapshot: snapshot,
@@ -102,18 +103,18 @@
 	}, err
 }
 
-// timeRestart makes a log of n entries and opens it as a restarted replica
-// does, until the last one is applied.
-func timeRestart(folder string, what madeLog, n int) (time.Duration, error) {
-	if err := what.write(folder, n); err != nil {
+// timeRestart writes a log of n entries and returns the time to open a replica
+// on it.
+func timeRestart(dir string, log syntheticLog, n int) (time.Duration, error) {
+	if err := log.write(dir, n); err != nil {
 		return 0, err
 	}
-	machine := what.machine()
-	began := time.Now()
+	machine := log.machine()
+	start := time.Now()
 	opened, err := replica.Open(replica.Options{
-		DataDir: folder, Name: replicaName, Group: what.group, StateMachine: machine, SnapshotEntries: noSnapshot,
+		DataDir: dir, Name: replicaName, Group: log.group, StateMachine: machine, SnapshotEntries: noSnapshot,
 	})
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	if err != nil {
 		return 0, err
 	}
@@ -121,15 +122,15 @@
 	if err := opened.Close(); err != nil {
 		return 0, err
 	}
-	// The replica leads at once, as the only voter, and adds an entry of its own.
-	if applied < uint64(n+1) || !what.replayed(machine, n) {
+	// As the only voter the replica leads at once and appends one entry.
+	if applied < uint64(n+1) || !log.allApplied(machine, n) {
 		return 0, errors.Wrapf(errNotReplayed, "%d of %d", applied, n)
 	}
-	return took, nil
+	return elapsed, nil
 }
 
-// replayed tells whether each of n commands took.
-func (w *madeLog) replayed(machine replica.StateMachine, n int) bool {
+// allApplied reports whether all n commands were applied.
+func (w *syntheticLog) allApplied(machine replica.StateMachine, n int) bool {
 	switch m := machine.(type) {
 	case *config.Machine:
 		return m.Current().GetVersion() == uint64(n+1)
@@ -140,9 +141,9 @@
 	return false
 }
 
-// write makes the data folder of a group of one, as a replica leaves it.
-func (w *madeLog) write(folder string, n int) error {
-	log, state, err := wal.Open(folder, wal.Options{Name: replicaName})
+// write writes the data directory of a group with one member.
+func (w *syntheticLog) write(dir string, n int) error {
+	log, state, err := wal.Open(dir, wal.Options{Name: replicaName})
 	if err != nil {
 		return err
 	}
@@ -152,9 +153,9 @@
 			return err
 		}
 	}
-	founders := &raftpb.Membership{Members: []*raftpb.Member{{Id: state.Self}}}
+	initial := &raftpb.Membership{Members: []*raftpb.Member{{Id: state.Self}}}
 	batch := wal.Batch{
-		Snapshot:  &raftpb.Snapshot{Index: 1, Term: 1, Membership: founders, Data: data},
+		Snapshot:  &raftpb.Snapshot{Index: 1, Term: 1, Membership: initial, Data: data},
 		HardState: &raftpb.HardState{Term: 1, Commit: 1},
 	}
 	for i := range n {
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -7,38 +7,38 @@
 	"text/tabwriter"
 )
 
-// Unit is what a figure counts.
+// Unit is the unit of a measured value.
 type Unit string
 
-// Units of figures.
+// Units of measured values.
 const (
 	Bytes          Unit = "B"
 	BytesPerSecond Unit = "B/s"
 	Microseconds   Unit = "us"
-	// MicroCore is a millionth of one core, kept busy.
+	// MicroCore is a millionth of the processor time of one core.
 	MicroCore    Unit = "ucore"
 	Milliseconds Unit = "ms"
 	PerSecond    Unit = "1/s"
 )
 
-// Slope is one measured slope and what it comes to at the size of the letter.
+// Slope is a measured slope with its count at the design size.
 type Slope struct {
-	// Name is unique; the page refers to it.
+	// Name is unique; docs/CAPACITY.md refers to it.
 	Name string `json:"name"`
 	Unit Unit   `json:"unit"`
-	// Per names what the sizes count.
+	// Per is the item that the sizes count.
 	Per    string  `json:"per"`
 	Points []Point `json:"points"`
 	Fit    Fit     `json:"fit"`
-	// Count is how many of Per a role has at the size of the letter, 0 if
-	// that has no meaning.
+	// Count is the number of items of a role at the design size, 0 if there is no
+	// such number.
 	Count float64 `json:"count"`
 }
 
-// AtSize returns slope times count, without the intercept.
+// AtSize returns the slope times the count, without the intercept.
 func (s *Slope) AtSize() float64 { return s.Fit.Slope * s.Count }
 
-// Quantiles is a distribution of times that has no slope, in milliseconds.
+// Quantiles describes a distribution of times, in milliseconds.
 type Quantiles struct {
 	Name    string  `json:"name"`
 	Size    int     `json:"size"`
@@ -48,7 +48,7 @@
 	Max     float64 `json:"max_ms"`
 }
 
-// Report is what a run measured.
+// Report holds the results of a run.
 type Report struct {
 	Slopes    []Slope     `json:"slopes"`
 	Quantiles []Quantiles `json:"quantiles"`
@@ -82,26 +82,28 @@
 	return strings.Join(parts, " ")
 }
 
-// series collects the points of one slope.
+// series collects the points of a slope.
 type series struct {
-	name  string
-	unit  Unit
-	per   string
-	count float64
-	at    []Point
+	name   string
+	unit   Unit
+	per    string
+	count  float64
+	points []Point
 }
 
-func (s *series) add(size, figure float64) { s.at = append(s.at, Point{Size: size, Value: figure}) }
+func (s *series) add(size, figure float64) {
+	s.points = append(s.points, Point{Size: size, Value: figure})
+}
 
-// addSlopes fits each series and adds it to the report.
+// addSlopes fits each series and adds its slope to the report.
 func (r *Report) addSlopes(all ...*series) error {
 	for _, s := range all {
-		fit, err := NewFit(s.at)
+		fit, err := NewFit(s.points)
 		if err != nil {
 			return err
 		}
 		r.Slopes = append(r.Slopes, Slope{
-			Name: s.name, Unit: s.unit, Per: s.per, Points: s.at, Fit: fit, Count: s.count,
+			Name: s.name, Unit: s.unit, Per: s.per, Points: s.points, Fit: fit, Count: s.count,
 		})
 	}
 	return nil
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -11,22 +11,22 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrProcFormat tells that a file of /proc doesn't look as expected.
-var ErrProcFormat = errors.New("unexpected contents of /proc")
+// ErrProcFormat reports a file in /proc with an unexpected format.
+var ErrProcFormat = errors.New("unexpected format of a file in /proc")
 
-// usage is what a process has used so far.
+// usage is the resource usage of a process.
 type usage struct {
-	// private is its resident memory now, in bytes, without file, the pages of
-	// its binary, which processes on one host share.
+	// private is the resident anonymous memory and file the resident mapped files,
+	// which processes share, both in bytes.
 	private, file float64
 	cpu           time.Duration
 }
 
-func usageOf(pid int) (usage, error) {
+func processUsage(pid int) (usage, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	status, err := os.ReadFile(filepath.Join(dir, "status"))
 	if err != nil {
-		return usage{}, errors.Wrap(err, "memory of process")
+		return usage{}, errors.Wrap(err, "read process memory")
 	}
 	u := usage{}
 	if u.private, err = parseMemory(string(status), "RssAnon:"); err != nil {
@@ -35,11 +35,11 @@
 	if u.file, err = parseMemory(string(status), "RssFile:"); err != nil {
 		return usage{}, err
 	}
-	u.cpu, err = cpuOf(filepath.Join(dir, "task"))
+	u.cpu, err = cpuTime(filepath.Join(dir, "task"))
 	return u, err
 }
 
-// parseMemory reads a figure of a status file, in bytes.
+// parseMemory returns a field of a status file, in bytes.
 func parseMemory(status, field string) (float64, error) {
 	for line := range strings.Lines(status) {
 		rest, ok := strings.CutPrefix(line, field)
@@ -55,13 +55,13 @@
 	return 0, errors.Wrap(ErrProcFormat, "no "+field)
 }
 
-// cpuOf adds up the processor time of all threads, whose clock is finer than
-// the ticks that the process as a whole is shown with. Go hardly ever ends a
-// thread, so none is lost.
-func cpuOf(tasks string) (time.Duration, error) {
+// cpuTime returns the sum of the processor time of all threads, which is more
+// precise than the ticks of the process. Exited threads do not count; Go rarely
+// ends threads.
+func cpuTime(tasks string) (time.Duration, error) {
 	threads, err := os.ReadDir(tasks)
 	if err != nil {
-		return 0, errors.Wrap(err, "threads of process")
+		return 0, errors.Wrap(err, "list process threads")
 	}
 	var sum time.Duration
 	for _, thread := range threads {
@@ -70,18 +70,18 @@
 			continue
 		}
 		if err != nil {
-			return 0, errors.Wrap(err, "processor time of thread")
+			return 0, errors.Wrap(err, "read thread processor time")
 		}
-		spent, err := parseSchedstat(string(text))
+		threadTime, err := parseSchedstat(string(text))
 		if err != nil {
 			return 0, err
 		}
-		sum += spent
+		sum += threadTime
 	}
 	return sum, nil
 }
 
-// parseSchedstat reads the time that a thread has run.
+// parseSchedstat returns the processor time of a thread.
 func parseSchedstat(text string) (time.Duration, error) {
 	fields := strings.Fields(text)
 	if len(fields) == 0 {
@@ -94,8 +94,9 @@
 	return time.Duration(ns), nil
 }
 
-// heap returns the live heap and stacks of this process, in bytes.
-func heap() float64 {
+// liveHeap returns the size of the live heap and the stacks of this process, in
+// bytes.
+func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -108,7 +109,7 @@
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// load returns the part of a core that was kept busy, in millionths.
-func load(before, after usage, over time.Duration) float64 {
+// cpuLoad returns the used share of a core, in millionths.
+func cpuLoad(before, after usage, over time.Duration) float64 {
 	return micros(after.cpu-before.cpu) / over.Seconds()
 }
