--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,31 +1,29 @@
-// Package experiment measures a whole deployment under load and faults.
+// Package experiment measures a deployment under load and faults.
 //
-// A Site is what is deployed, read from a settings file. A Scenario is a
-// sequence of events while callers make load. A policy is how entry hosts
-// choose the target of a new flow. A Cell is one run of a scenario under a
-// policy with one seed; a Result holds the cells of several.
+// A Site describes the deployment and is read from a settings file. A Scenario is
+// a sequence of events under load. A Policy is how entry hosts choose the target
+// of a new flow. A RunResult is the result of one scenario under one policy with
+// one seed; a Result holds those of several runs.
 //
-// Everything runs in this process: hosts on loopback with proxies between them
-// that stand in for the fabric and for the distance between failure domains,
-// and callers with the measures of package loadgen.
+// All hosts run in this process on loopback. Proxies between them simulate the
+// fabric and the delay between failure domains. Package loadgen provides the
+// callers and their measurements.
 //
 // # Imbalance
 //
-// Targets come and go in a run, so a window of two seconds counts the targets
-// that were in service for the whole of it, and no others: the imbalance of a
-// window is the greatest number of answers of one of them over their mean. A
-// target that starts cold is in service from its
-// registration, one that drains until its drain begins, one on a lost host
-// until the loss. Windows in which no target was in service throughout, or
-// with fewer than loadgen.MinPerTarget answers a target, are left out.
+// The imbalance of a window is the greatest number of responses of a target over
+// the mean of all targets. A window of two seconds only counts targets that were
+// in service for all of it. A target is in service from its registration until
+// its drain begins or its host fails. Windows without such a target, or with
+// fewer than loadgen.MinPerTarget responses per target, are left out.
 //
-// The weights of a policy decide only while a target is cold, and in those
-// windows it is often not yet counted. So imbalance is told once more over
-// windows that begin with the first cold start of the run.
+// The weights of a policy only matter while a target is cold, and windows often
+// do not count such a target yet. Imbalance is therefore also reported over
+// windows that start with the first cold start of the run.
 //
 // # Correctness
 //
-// Doubled, misrouted and falsely "not run" must be 0 in every cell. They are
-// found from the backend servers' own counts of runs, which are kept across
-// crashes.
+// The numbers of doubled, misrouted and falsely "not run" requests must be 0.
+// They are computed from the run counts of the backend servers, which are kept
+// across crashes.
 package experiment
--- a/internal/experiment/markdown.go
+++ b/internal/experiment/markdown.go
@@ -7,38 +7,38 @@
 	"strings"
 )
 
-// row is the cells of one service that differ in their seed only.
-type row struct {
+// resultRow holds the results of a service that only differ in the seed.
+type resultRow struct {
 	site, scenario, policy, service string
-	cells                           []*ServiceResult
+	results                         []*ServiceResult
 }
 
-// rows groups the cells, in the order in which they ran.
-func (r *Result) rows() []*row {
-	var rows []*row
-	for _, c := range r.Runs {
-		for i := range c.Services {
-			s := &c.Services[i]
-			key := row{site: c.Site, scenario: c.Scenario, policy: c.Policy, service: s.Service}
-			at := slices.IndexFunc(rows, func(x *row) bool { return x.same(&key) })
-			if at < 0 {
-				at = len(rows)
-				rows = append(rows, &key)
+// tableRows groups the results into rows, in the order of the runs.
+func (r *Result) tableRows() []*resultRow {
+	var tableRows []*resultRow
+	for _, run := range r.Runs {
+		for i := range run.Services {
+			s := &run.Services[i]
+			key := resultRow{site: run.Site, scenario: run.Scenario, policy: run.Policy, service: s.Service}
+			index := slices.IndexFunc(tableRows, func(row *resultRow) bool { return row.same(&key) })
+			if index < 0 {
+				index = len(tableRows)
+				tableRows = append(tableRows, &key)
 			}
-			rows[at].cells = append(rows[at].cells, s)
+			tableRows[index].results = append(tableRows[index].results, s)
 		}
 	}
-	return rows
+	return tableRows
 }
 
-func (r *row) same(other *row) bool {
+func (r *resultRow) same(other *resultRow) bool {
 	return r.site == other.site && r.scenario == other.scenario && r.policy == other.policy && r.service == other.service
 }
 
-// columns of the table, after the names.
+// columns are the columns of values in the table.
 var columns = []struct {
 	title string
-	// digits after the point.
+	// digits is the number of decimals.
 	digits int
 	value  func(*ServiceResult) float64
 }{
@@ -58,19 +58,19 @@
 	{"p99 ms", 1, func(c *ServiceResult) float64 { return c.P99 }},
 }
 
-// WriteMarkdown writes a table for each site. A field is the median over the
-// seeds, followed by the least and the greatest value where they differ.
+// WriteMarkdown writes a table for each site. A cell has the median over the
+// seeds and, if the values differ, the lowest and highest one.
 func (r *Result) WriteMarkdown(w io.Writer) error {
 	var b strings.Builder
 	site := ""
-	for _, x := range r.rows() {
-		if x.site != site {
-			site = x.site
-			writeHead(&b, site)
+	for _, row := range r.tableRows() {
+		if row.site != site {
+			site = row.site
+			writeTableHead(&b, site)
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s |", x.scenario, x.policy, x.service)
+		fmt.Fprintf(&b, "| %s | %s | %s |", row.scenario, row.policy, row.service)
 		for _, c := range columns {
-			fmt.Fprintf(&b, " %s |", field(x.cells, c.digits, c.value))
+			fmt.Fprintf(&b, " %s |", formatRange(row.results, c.digits, c.value))
 		}
 		b.WriteByte('\n')
 	}
@@ -78,7 +78,7 @@
 	return err
 }
 
-func writeHead(b *strings.Builder, site string) {
+func writeTableHead(b *strings.Builder, site string) {
 	if b.Len() > 0 {
 		b.WriteByte('\n')
 	}
@@ -91,24 +91,24 @@
 	b.WriteByte('\n')
 }
 
-// field is the median of a value over cells, with its range.
-func field(cells []*ServiceResult, digits int, value func(*ServiceResult) float64) string {
+// formatRange formats the median and the range of a value.
+func formatRange(results []*ServiceResult, digits int, value func(*ServiceResult) float64) string {
 	var values []float64
-	for _, c := range cells {
+	for _, c := range results {
 		values = append(values, value(c))
 	}
 	slices.Sort(values)
-	least, greatest := format(values[0], digits), format(values[len(values)-1], digits)
-	text := format(median(values), digits)
-	if least == greatest {
+	lowest, highest := formatValue(values[0], digits), formatValue(values[len(values)-1], digits)
+	text := formatValue(median(values), digits)
+	if lowest == highest {
 		return text
 	}
-	return fmt.Sprintf("%s (%s–%s)", text, least, greatest)
+	return fmt.Sprintf("%s (%s–%s)", text, lowest, highest)
 }
 
-func format(v float64, digits int) string { return fmt.Sprintf("%.*f", digits, v) }
+func formatValue(v float64, digits int) string { return fmt.Sprintf("%.*f", digits, v) }
 
-// median of sorted values; of an even number, the mean of the middle two.
+// median returns the median of sorted values.
 func median(sorted []float64) float64 {
 	middle := len(sorted) / 2
 	if len(sorted)%2 == 1 {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -6,25 +6,25 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/loadgen"
 )
 
-// ErrNothingToPlot reports a result without cells.
+// ErrNothingToPlot reports a result without runs.
 var ErrNothingToPlot = errors.New("nothing to plot")
 
-// Plot draws what the callers of the main service saw over time in the last
-// cell, with a mark for each event. The ending of the file name chooses the
-// format, see loadgen.CheckPlotFile.
+// Plot draws the responses of the main service over time in the last run, with a
+// mark for each event. The extension of the file selects the format, see
+// loadgen.CheckPlotFile.
 func (r *Result) Plot(file string) error {
 	if len(r.Runs) == 0 {
 		return ErrNothingToPlot
 	}
-	c := r.Runs[len(r.Runs)-1]
-	s := c.Services[0]
+	run := r.Runs[len(r.Runs)-1]
+	service := run.Services[0]
 	var marks []loadgen.Mark
-	for _, e := range c.Events {
+	for _, e := range run.Events {
 		marks = append(marks, loadgen.Mark{Seconds: e.Seconds, Text: e.Text})
 	}
 	chart := loadgen.Chart{
-		Title: c.Site + ", " + c.Scenario + ", " + c.Policy + ": " + s.Service, Window: step,
-		Answers: s.windows, Moments: s.moments, Imbalance: s.ratios, Marks: marks,
+		Title: run.Site + ", " + run.Scenario + ", " + run.Policy + ": " + service.Service, Window: stepLength,
+		Answers: service.windows, Moments: service.stats, Imbalance: service.imbalances, Marks: marks,
 	}
 	return chart.Save(file)
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -11,48 +11,48 @@
 
 // Errors of Run.
 var (
-	// ErrInvalidOptions reports options that name nothing to run.
-	ErrInvalidOptions = errors.New("bad options of the experiment")
-	// ErrViolations reports cells with outcomes that must never happen.
+	// ErrInvalidOptions reports missing options or unknown names.
+	ErrInvalidOptions = errors.New("invalid options of the experiment")
+	// ErrViolations reports runs with outcomes that must never happen.
 	ErrViolations = errors.New("outcomes that must never happen")
 )
 
-// Options name the cells to run: every site, scenario, policy and seed.
+// Options select the runs: every combination of site, scenario, policy and seed.
 type Options struct {
 	Sites []*Site
-	// OnlySites names the sites to run; none means all. The others lend their
-	// weights.
+	// OnlySites are the names of the sites to run; none means all. The weights of
+	// the other sites are still used by "weighted as SITE".
 	OnlySites []string
-	// Scenarios by name; none means all.
+	// Scenarios are names of scenarios; none means all.
 	Scenarios []string
-	// Policies by name; none means all. "weighted as SITE" is the policy in
-	// use with the weights of another of the sites; it runs by itself in the
-	// scenario unsteady-start only, unless named.
+	// Policies are names of policies; none means all. "weighted as SITE" is the
+	// weighted policy with the weights of another site. If not named, it only runs
+	// in the scenario unsteady-start.
 	Policies []string
 	Seeds    []uint64
 	Log      *zap.Logger
-	// Progress, if set, is told of each cell when it is done.
+	// Progress, if set, is called after each run.
 	Progress func(*RunResult)
 }
 
-// plan is one cell to run.
-type plan struct {
+// runSpec describes one run.
+type runSpec struct {
 	site     *Site
 	scenario Scenario
 	policy   Policy
 	seed     uint64
 }
 
-// Result holds cells in the order in which they ran.
+// Result holds the results of runs in their order.
 type Result struct {
 	Runs []*RunResult `json:"cells"`
 }
 
-// Run runs the cells one after the other. It returns ErrOptions for unknown
-// names. With ErrFaults, or when some cells could not be run, it returns the
-// result of the others too; the error names the cells.
+// Run runs all combinations one at a time. It returns ErrInvalidOptions for
+// unknown names. If runs fail or have violations, the error names them, and the
+// result holds the completed runs.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	plans, err := o.plans()
+	runSpecs, err := o.runSpecs()
 	if err != nil {
 		return nil, err
 	}
@@ -63,34 +63,34 @@
 	defer closing.Wait()
 	result := &Result{}
 	var failed []error
-	for _, p := range plans {
+	for _, p := range runSpecs {
 		if ctx.Err() != nil {
 			failed = append(failed, ctx.Err())
 			break
 		}
-		cell, err := runCell(ctx, p, o.Log, &closing)
+		runResult, err := runOne(ctx, p, o.Log, &closing)
 		if err != nil {
 			failed = append(failed, errors.Wrapf(err, "%s, %s, %s, seed %d",
 				p.site.Name(), p.scenario.Name, p.policy.Name, p.seed))
 			continue
 		}
-		result.Runs = append(result.Runs, cell)
+		result.Runs = append(result.Runs, runResult)
 		if o.Progress != nil {
-			o.Progress(cell)
+			o.Progress(runResult)
 		}
 	}
-	return result, errors.Join(append(failed, result.check())...)
+	return result, errors.Join(append(failed, result.checkCorrect())...)
 }
 
-// plans lists the cells by site, scenario, policy and seed.
-func (o *Options) plans() ([]plan, error) {
+// runSpecs returns the runs by site, scenario, policy and seed.
+func (o *Options) runSpecs() ([]runSpec, error) {
 	if len(o.Sites) == 0 || len(o.Seeds) == 0 {
 		return nil, errors.Wrap(ErrInvalidOptions, "no site or no seed")
 	}
 	if err := o.checkNames(); err != nil {
 		return nil, err
 	}
-	var plans []plan
+	var runSpecs []runSpec
 	for _, site := range o.Sites {
 		if len(o.OnlySites) > 0 && !slices.Contains(o.OnlySites, site.Name()) {
 			continue
@@ -99,29 +99,29 @@
 			if len(o.Scenarios) > 0 && !slices.Contains(o.Scenarios, sc.Name) {
 				continue
 			}
-			for _, p := range o.policies(site, sc) {
+			for _, p := range o.policiesFor(site, sc) {
 				for _, seed := range o.Seeds {
-					plans = append(plans, plan{site, sc, p, seed})
+					runSpecs = append(runSpecs, runSpec{site, sc, p, seed})
 				}
 			}
 		}
 	}
-	return plans, nil
+	return runSpecs, nil
 }
 
-// policies are those that run on a site in a scenario.
-func (o *Options) policies(site *Site, sc Scenario) []Policy {
-	all := Policies()
+// policiesFor returns the policies for a site and a scenario.
+func (o *Options) policiesFor(site *Site, sc Scenario) []Policy {
+	policies := Policies()
 	for _, other := range o.Sites {
 		named := slices.Contains(o.Policies, WeightedAs(other).Name)
 		if other != site && (named || sc.Name == UnsteadyStart) {
-			all = append(all, WeightedAs(other))
+			policies = append(policies, WeightedAs(other))
 		}
 	}
 	if len(o.Policies) == 0 {
-		return all
+		return policies
 	}
-	return slices.DeleteFunc(all, func(p Policy) bool { return !slices.Contains(o.Policies, p.Name) })
+	return slices.DeleteFunc(policies, func(p Policy) bool { return !slices.Contains(o.Policies, p.Name) })
 }
 
 func (o *Options) checkNames() error {
@@ -154,8 +154,9 @@
 	return nil
 }
 
-// check returns ErrFaults for cells with outcomes that must never happen.
-func (r *Result) check() error {
+// checkCorrect returns ErrViolations for runs with outcomes that must never
+// happen.
+func (r *Result) checkCorrect() error {
 	var findings []error
 	for _, c := range r.Runs {
 		for _, s := range c.Services {
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -17,19 +17,18 @@
 
 const percent = 100
 
-// ErrInvalidSite reports settings and a patch that do not fit together.
-var ErrInvalidSite = errors.New("the settings of the experiment do not fit together")
+// ErrInvalidSite reports settings that do not match the patch.
+var ErrInvalidSite = errors.New("experiment settings do not match the patch")
 
 // Site is a deployment to measure.
 type Site struct {
 	settings *settingspb.ExperimentSettings
-	// services in the order of the settings; the first is the main one.
+	// services are in the order of the settings; the first is the main one.
 	services []dev.Service
 }
 
-// LoadSite reads the settings file of an experiment and the patch that it
-// names. The error is settings.Findings, ErrSite, or what kept a file from
-// being read.
+// LoadSite reads the settings file of an experiment and its patch. Errors:
+// settings.Findings, ErrInvalidSite, or that of reading a file.
 func LoadSite(path string) (*Site, error) {
 	s := &settingspb.ExperimentSettings{}
 	if err := settings.Load(path, s); err != nil {
@@ -43,20 +42,20 @@
 }
 
 func newSite(s *settingspb.ExperimentSettings, patch *configpb.Patch) (*Site, error) {
-	put := map[string]*configpb.Service{}
+	inPatch := map[string]*configpb.Service{}
 	for _, op := range patch.GetOperations() {
 		if service := op.GetPutService(); service != nil {
-			put[service.GetName()] = service
+			inPatch[service.GetName()] = service
 		}
 	}
 	site := &Site{settings: s}
-	for _, text := range s.GetSite().GetTargets() {
-		name, number, _ := strings.Cut(text, "=")
+	for _, spec := range s.GetSite().GetTargets() {
+		name, number, _ := strings.Cut(spec, "=")
 		count, err := strconv.Atoi(number)
 		if err != nil {
-			return nil, errors.Wrapf(ErrInvalidSite, "targets %q", text)
+			return nil, errors.Wrapf(ErrInvalidSite, "targets %q", spec)
 		}
-		service := put[name]
+		service := inPatch[name]
 		if service == nil {
 			return nil, errors.Wrapf(ErrInvalidSite, "the patch creates no service %q", name)
 		}
@@ -70,22 +69,22 @@
 	return site, nil
 }
 
-// Name of the site.
+// Name returns the name of the site.
 func (s *Site) Name() string { return s.settings.GetSite().GetName() }
 
-// weights are those of the main service.
+// weights returns the policy of the main service.
 func (s *Site) weights() *configpb.Policy { return s.services[0].Policy }
 
-// domains are the names of the failure domains.
+// domains returns the names of the failure domains.
 func (s *Site) domains() []string { return s.settings.GetSite().GetFailureDomains() }
 
-// options describe the deployment under a policy.
-func (s *Site) options(p Policy, seed uint64) dev.Options {
-	o := dev.Options{
+// deploymentOptions returns the options of a deployment with the policy.
+func (s *Site) deploymentOptions(p Policy, seed uint64) dev.Options {
+	options := dev.Options{
 		Domains:  s.domains(),
 		Entries:  int(s.settings.GetSite().GetEntryHosts()),
 		Controls: int(s.settings.GetSite().GetControlHosts()),
-		// In keeping with the scale of the callers.
+		// Must suit the load of the callers.
 		FlowCapacity: s.settings.GetCallers().GetFlowCapacity(),
 		Network: &dev.Network{
 			BetweenDomains: microseconds(s.settings.GetDistance().GetBetweenDomainsUs()),
@@ -95,12 +94,12 @@
 	}
 	for _, service := range s.services {
 		service.Policy = p.apply(service.Policy)
-		o.Services = append(o.Services, service)
+		options.Services = append(options.Services, service)
 	}
-	return o
+	return options
 }
 
-// load describes the callers of a service.
+// load returns the options for the callers of a service.
 func (s *Site) load(service dev.Service, length time.Duration, seed uint64) loadgen.Options {
 	c := s.settings.GetCallers()
 	return loadgen.Options{
@@ -108,18 +107,18 @@
 		Connections:     int(c.GetConnections()),
 		RequestsPerFlow: int(c.GetRequestsPerFlow()),
 		Sessions:        int(c.GetSessions()),
-		SessionRamp:     time.Duration(sessionShare * float64(length)),
+		SessionRamp:     time.Duration(sessionRampShare * float64(length)),
 		WatchPeriod:     milliseconds(c.GetWatchMs()),
 		NonRepeatable:   float64(c.GetNonRepeatablePercent()) / percent,
 		Work:            milliseconds(c.GetWorkMs()),
 		Deadline:        milliseconds(c.GetDeadlineMs()),
 		Duration:        length,
 		Seed:            seed,
-		Window:          step,
+		Window:          stepLength,
 	}
 }
 
-// ramp is the longest ramp of the services.
+// ramp returns the longest ramp of the services.
 func (s *Site) ramp() time.Duration {
 	longest := time.Duration(0)
 	for _, service := range s.services {
@@ -130,7 +129,7 @@
 
 // Policy is how entry hosts choose the target of a new flow.
 type Policy struct {
-	// Name in reports.
+	// Name is shown in reports.
 	Name     string
 	strategy configpb.Strategy
 	// weights replace those of the site's patch, if set.
@@ -144,7 +143,8 @@
 	Hash       = "hash"
 )
 
-// Policies are the one in use, with the site's own weights, and the baselines.
+// Policies returns the weighted policy with the site's own weights, and the
+// policies to compare it with.
 func Policies() []Policy {
 	return []Policy{
 		{Name: Weighted},
@@ -153,23 +153,23 @@
 	}
 }
 
-// WeightedAs is the policy in use, with the weights of another site.
+// WeightedAs returns the weighted policy with the weights of another site.
 func WeightedAs(other *Site) Policy {
 	return Policy{Name: Weighted + " as " + other.Name(), weights: other.weights()}
 }
 
 // apply returns a copy of a service's policy with the strategy and weights.
-func (p Policy) apply(own *configpb.Policy) *configpb.Policy {
-	out := &configpb.Policy{}
-	if own != nil {
-		out = proto.CloneOf(own)
+func (p Policy) apply(base *configpb.Policy) *configpb.Policy {
+	policy := &configpb.Policy{}
+	if base != nil {
+		policy = proto.CloneOf(base)
 	}
-	out.Strategy = p.strategy
+	policy.Strategy = p.strategy
 	if p.weights != nil {
-		out.BrokenFlowWeight = p.weights.GetBrokenFlowWeight()
-		out.ImbalanceWeight = p.weights.GetImbalanceWeight()
+		policy.BrokenFlowWeight = p.weights.GetBrokenFlowWeight()
+		policy.ImbalanceWeight = p.weights.GetImbalanceWeight()
 	}
-	return out
+	return policy
 }
 
 func microseconds(n uint32) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/experiment/site_test.go
+++ b/internal/experiment/site_test.go
@@ -12,7 +12,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/settings"
 )
 
-func site(t *testing.T, name string, broken, imbalance float64) *Site {
+func newTestSite(t *testing.T, name string, broken, imbalance float64) *Site {
 	t.Helper()
 	s := &settingspb.ExperimentSettings{Site: &settingspb.Site{
 		Name: name, FailureDomains: []string{"one", "two"}, Targets: []string{"main=2", "second=1"},
@@ -26,25 +26,25 @@
 			}},
 		}})
 	}
-	out, err := newSite(s, patch)
+	site, err := newSite(s, patch)
 	is.New(t).NoErr(err)
-	return out
+	return site
 }
 
-func TestSiteFollowsSettingsAndPatch(t *testing.T) {
+func TestSiteFromSettingsAndPatch(t *testing.T) {
 	is := is.New(t)
-	s := site(t, "x", 4, 1)
-	is.Equal(s.services[0].Name, "main") // the order of the settings
+	s := newTestSite(t, "x", 4, 1)
+	is.Equal(s.services[0].Name, "main") // order of the settings
 	is.Equal(s.services[0].Targets, 2)
 	is.Equal(s.services[0].Slots, uint32(3))
 	is.Equal(s.ramp(), 10*time.Millisecond)
-	o := s.options(Policies()[0], 7)
+	o := s.deploymentOptions(Policies()[0], 7)
 	is.Equal(o.Services[1].Policy.GetBrokenFlowWeight(), 4.0)
 	is.Equal(o.Network.BetweenDomains, time.Millisecond)
 	is.Equal(o.Network.Seed, uint64(7))
 }
 
-func TestSiteWithoutService(t *testing.T) {
+func TestInvalidSite(t *testing.T) {
 	s := &settingspb.ExperimentSettings{Site: &settingspb.Site{Targets: []string{"main=2"}}}
 	_, err := newSite(s, &configpb.Patch{})
 	is.New(t).True(errors.Is(err, ErrInvalidSite))
@@ -52,10 +52,10 @@
 	is.New(t).True(errors.Is(err, ErrInvalidSite))
 }
 
-func TestPoliciesChangeOnlyWhatTheyName(t *testing.T) {
+func TestPolicyChangesOnlyItsFields(t *testing.T) {
 	is := is.New(t)
-	x, y := site(t, "x", 4, 1), site(t, "y", 1, 4)
-	own := x.weights()
+	x, y := newTestSite(t, "x", 4, 1), newTestSite(t, "y", 1, 4)
+	base := x.weights()
 	for _, tt := range []struct {
 		policy            Policy
 		strategy          configpb.Strategy
@@ -66,17 +66,17 @@
 		{Policies()[2], configpb.Strategy_STRATEGY_HASH, 4, 1},
 		{WeightedAs(y), configpb.Strategy_STRATEGY_WEIGHTED, 1, 4},
 	} {
-		got := tt.policy.apply(own)
+		got := tt.policy.apply(base)
 		is.Equal(got.GetStrategy(), tt.strategy)
 		is.Equal(got.GetBrokenFlowWeight(), tt.broken)
 		is.Equal(got.GetImbalanceWeight(), tt.imbalance)
 		is.Equal(got.GetRampMs(), uint32(10))
 	}
-	is.Equal(own.GetStrategy(), configpb.Strategy_STRATEGY_WEIGHTED) // left as it was
+	is.Equal(base.GetStrategy(), configpb.Strategy_STRATEGY_WEIGHTED) // not modified
 }
 
-func TestPlans(t *testing.T) {
-	sites := []*Site{site(t, "x", 4, 1), site(t, "y", 1, 4)}
+func TestRunSpecs(t *testing.T) {
+	sites := []*Site{newTestSite(t, "x", 4, 1), newTestSite(t, "y", 1, 4)}
 	for _, tt := range []struct {
 		name string
 		o    Options
@@ -85,20 +85,20 @@
 		{"all", Options{Seeds: []uint64{1}}, 2 * (len(Scenarios())*len(Policies()) + 1)},
 		{"one site", Options{Seeds: []uint64{1}, OnlySites: []string{"x"}}, len(Scenarios())*len(Policies()) + 1},
 		{"seeds", Options{Seeds: []uint64{1, 2}, Scenarios: []string{Calm}, Policies: []string{Hash}}, 4},
-		{"weights of the other", Options{Seeds: []uint64{1}, Scenarios: []string{Calm}, Policies: []string{"weighted as y"}}, 1},
+		{"weights of another site", Options{Seeds: []uint64{1}, Scenarios: []string{Calm}, Policies: []string{"weighted as y"}}, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			tt.o.Sites = sites
-			plans, err := tt.o.plans()
+			runSpecs, err := tt.o.runSpecs()
 			is.NoErr(err)
-			is.Equal(len(plans), tt.want)
+			is.Equal(len(runSpecs), tt.want)
 		})
 	}
 }
 
-func TestUnknownNamesAreRefused(t *testing.T) {
-	sites := []*Site{site(t, "x", 4, 1)}
+func TestInvalidOptions(t *testing.T) {
+	sites := []*Site{newTestSite(t, "x", 4, 1)}
 	for _, o := range []Options{
 		{Seeds: []uint64{1}},
 		{Sites: sites},
