--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -81,9 +81,9 @@
 // deploymentOptions returns the options of a deployment with the policy.
 func (s *Site) deploymentOptions(p Policy, seed uint64) dev.Options {
 	options := dev.Options{
-		Domains:    s.domains(),
-		EntryHosts: int(s.settings.GetSite().GetEntryHosts()),
-		Controls:   int(s.settings.GetSite().GetControlHosts()),
+		Domains:      s.domains(),
+		EntryHosts:   int(s.settings.GetSite().GetEntryHosts()),
+		ControlHosts: int(s.settings.GetSite().GetControlHosts()),
 		// Must suit the load of the callers.
 		FlowCapacity: s.settings.GetCallers().GetFlowCapacity(),
 		Network: &dev.Network{
