--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -70,7 +70,7 @@
 		}
 	}
 	_ = sleep.For(ctx, settleTime)
-	for i := range a.d.Entries() {
+	for i := range a.d.EntryHosts() {
 		a.recordEvent(fmt.Sprintf("entry-%d restarts", i+1))
 		if err := a.d.RestartEntry(ctx, i); err != nil {
 			return err
