--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -63,7 +63,7 @@
 	if err := a.waitUntil(ctx, firstEvent); err != nil {
 		return err
 	}
-	for i := range a.d.Controls() {
+	for i := range a.d.ControlHosts() {
 		a.recordEvent(fmt.Sprintf("control-%d restarts", i+1))
 		if err := a.d.RestartControl(ctx, i); err != nil {
 			return err
