--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -162,7 +162,7 @@
 			a.targetLost(service.Name, target)
 		}
 	}
-	return a.d.LoseDomain(ctx, domain)
+	return a.d.IsolateDomain(ctx, domain)
 }
 
 // unsteadyStart adds a cold target to the main service. Its backend server crashes
