--- a/internal/experiment/imbalance.go
+++ b/internal/experiment/imbalance.go
@@ -147,7 +147,7 @@
 		highest = max(highest, window[target])
 		total += window[target]
 	}
-	if total < loadgen.MinPerTarget*max(len(targets), 1) {
+	if total < loadgen.MinAnsweredPerTarget*max(len(targets), 1) {
 		return 0, false
 	}
 	return float64(highest) * float64(len(targets)) / float64(total), true
