--- a/internal/experiment/activerun.go
+++ b/internal/experiment/activerun.go
@@ -128,7 +128,7 @@
 	for i, service := range a.site.services {
 		o := a.site.load(service, length, seed)
 		o.Duration = maxLoad
-		o.Enough = func(*loadgen.Report) bool { return isClosed(stop) }
+		o.StopWhen = func(*loadgen.Report) bool { return isClosed(stop) }
 		o.HostFailed = a.hostFailed
 		workers.Go(func(ctx context.Context) error {
 			r, err := a.d.Load(ctx, service.Name, o)
