--- a/internal/experiment/runresult.go
+++ b/internal/experiment/runresult.go
@@ -67,7 +67,7 @@
 
 	// windows, stats and imbalances have an element for each step.
 	windows    []map[string]int
-	stats      []loadgen.Moment
+	stats      []loadgen.WindowStats
 	imbalances []float64
 }
 
