--- a/internal/experiment/runresult.go
+++ b/internal/experiment/runresult.go
@@ -87,7 +87,7 @@
 		Misrouted: report.Misrouted, WrongAnswers: report.WrongAnswers,
 		P50: report.LatencyMS.P50, P99: report.LatencyMS.P99,
 		Outcomes: report.Outcomes, RetriesBy: report.Retries, BrokenBy: report.BrokenBy,
-		windows: report.Windows, stats: report.Moments, imbalances: stepImbalances(windows, spans),
+		windows: report.Windows, stats: report.Stats, imbalances: stepImbalances(windows, spans),
 	}
 	if first, ok := spans.firstColdStart(); ok && first < len(report.Windows) {
 		afterStart := imbalance(sumWindows(report.Windows[first:]), windowLength, spans.since(time.Duration(first)*stepLength))
