--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -24,7 +24,7 @@
 	}
 	chart := loadgen.Chart{
 		Title: run.Site + ", " + run.Scenario + ", " + run.Policy + ": " + service.Service, Window: stepLength,
-		Answers: service.windows, Moments: service.stats, Imbalance: service.imbalances, Marks: marks,
+		Answers: service.windows, Stats: service.stats, Imbalance: service.imbalances, Marks: marks,
 	}
 	return chart.Save(file)
 }
