--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -112,12 +112,12 @@
 func (d *Daemon) standByLoop() {
 	address := d.memberAddress(voter{name: d.name, address: d.settings.GetReplica().GetListen()})
 	client := link.NewClient(d.initialAddresses(), d.creds, link.ClientOptions{
-		Scope:            d.scope.SubScope("standby"),
-		Log:              d.log,
-		DialTimeout:      standbyDialTimeout,
-		HeartbeatPeriod:  peerHeartbeat,
-		HeartbeatTimeout: peerHeartbeatTimeout,
-		BackoffMax:       foundRetry,
+		Scope:             d.scope.SubScope("standby"),
+		Log:               d.log,
+		DialTimeout:       standbyDialTimeout,
+		HeartbeatInterval: peerHeartbeat,
+		HeartbeatTimeout:  peerHeartbeatTimeout,
+		BackoffMax:        foundRetry,
 	})
 	d.standby.setClient(client)
 	defer client.Close()
