--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -159,7 +159,7 @@
 	if len(hosts) == 0 {
 		return foundRetry // it becomes a member
 	}
-	client.Learn(hosts)
+	client.SetLearnedAddresses(hosts)
 	if !slices.Contains(hosts, client.Address()) {
 		client.Move(drawn(hosts))
 		return foundRetry
@@ -179,7 +179,7 @@
 		d.peers.keepUsed(nil, 0)
 		d.log.Info("standing by", zap.Strings("serving", hosts))
 	}
-	client.Learn(hosts)
+	client.SetLearnedAddresses(hosts)
 	if at := client.Address(); at != "" && !slices.Contains(hosts, at) {
 		client.Move(drawn(hosts))
 	}
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -130,7 +130,7 @@
 		return u.GetMove() != nil
 	})
 	is.Equal(len(hosts), 3)
-	c.Learn(hosts)
+	c.SetLearnedAddresses(hosts)
 	c.Move(hosts[0])
 	eventually(t, "the link to a host that serves", func() bool { return c.Address() == hosts[0] })
 	d.subscribe(c, &controlpb.Subscribe{}).awaitVersion(1)
