--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -147,7 +147,7 @@
 	join := &controlpb.Join{Address: address, Transient: true, StandBy: true}
 	res, err := client.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Join{Join: join}})
 	if err == nil {
-		err = link.FaultOf(res)
+		err = link.ResponseError(res)
 	}
 	if err != nil {
 		// The next host may know more.
