--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -125,8 +125,8 @@
 		isolation: isolation{changed: newHub()},
 		standby:   newStandby(),
 	}
-	d.replacements = d.scope.Histogram("replacement_seconds", metrics.Durations)
-	d.inForce = d.scope.Histogram("in_force_seconds", metrics.Durations)
+	d.replacements = d.scope.Histogram("replacement_seconds", metrics.DurationBuckets)
+	d.inForce = d.scope.Histogram("in_force_seconds", metrics.DurationBuckets)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.subscribers = d.directory.subscribers
 	d.peers = newPeers(creds, voters, d.directory, log, d.scope)
