--- a/internal/controld/daemon_test.go
+++ b/internal/controld/daemon_test.go
@@ -23,7 +23,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-const patience = unittest.Patience
+const patience = unittest.Timeout
 
 // deployment is a set of control hosts in this process.
 type deployment struct {
