--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -15,7 +15,7 @@
 // the mean of all targets. A window of two seconds only counts targets that were
 // in service for all of it. A target is in service from its registration until
 // its drain begins or its host fails. Windows without such a target, or with
-// fewer than loadgen.MinPerTarget responses per target, are left out.
+// fewer than loadgen.MinAnsweredPerTarget responses per target, are left out.
 //
 // The weights of a policy only matter while a target is cold, and windows often
 // do not count such a target yet. Imbalance is therefore also reported over
--- a/internal/processtest/renewal.go
+++ b/internal/processtest/renewal.go
@@ -3,8 +3,8 @@
 import "eelgrasswharf.example/eelgrasswharf/internal/keys"
 
 const (
-	keysRenewedMessage   = "keys renewed"
-	callerRenewedMessage = "caller certificate renewed"
+	keysRenewedMessage   = "keys reloaded"
+	callerRenewedMessage = "caller certificate reloaded"
 )
 
 // KeyDir returns the directory with the keys of all processes.
