--- a/internal/controld/bootstrap.go
+++ b/internal/controld/bootstrap.go
@@ -257,7 +257,7 @@
 func (d *Daemon) queryReplicas(address string) (*controlpb.ReplicaReply, error) {
 	p := d.peers.get(address)
 	if p == nil {
-		return nil, errors.New("the daemon is stopping")
+		return nil, errors.New("the daemon stops")
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, replicaQueryTimeout)
 	defer cancel()
@@ -267,7 +267,7 @@
 		return nil, err
 	}
 	if res.GetReplicas() == nil {
-		return nil, errors.Errorf("unexpected reply: %s", res.GetFault().GetText())
+		return nil, errors.Errorf("unfit answer: %s", res.GetFault().GetText())
 	}
 	return res.GetReplicas(), nil
 }
--- a/internal/controld/evacuation.go
+++ b/internal/controld/evacuation.go
@@ -17,7 +17,7 @@
 )
 
 // errCallerCanceled means that the caller of an order no longer waits for its outcome.
-var errCallerCanceled = errors.New("the caller canceled the request")
+var errCallerCanceled = errors.New("the caller has gone")
 
 // Evacuate proposes an order to evacuate a failure domain. Errors are those of
 // ReplaceRouteTable.
@@ -62,7 +62,7 @@
 	}
 	var result configpb.Result
 	if err := proto.Unmarshal(data, &result); err != nil || result.GetEvacuated() == nil {
-		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "cannot decode the result")
+		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "the result cannot be read")
 	}
 	out := result.GetEvacuated()
 	d.log.Info("evacuation order committed", zap.String("failure_domain", o.GetFailureDomain()), zap.Bool("ends", o.GetEnd()),
--- a/internal/controld/operators.go
+++ b/internal/controld/operators.go
@@ -39,7 +39,7 @@
 	}
 	var result configpb.Result
 	if err := proto.Unmarshal(data, &result); err != nil || result.GetOutcome() == nil {
-		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "cannot decode the result")
+		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "the result cannot be read")
 	}
 	return result.GetOutcome(), nil
 }
@@ -159,7 +159,7 @@
 	}
 	reply, err := (*Daemon)(h).queryReplicas(address)
 	if err != nil {
-		return errors.Wrapf(operator.ErrNotApplied, "the host at %s cannot be reached: %v", address, err)
+		return errors.Wrapf(operator.ErrNotApplied, "the host at %s does not answer: %v", address, err)
 	}
 	var first error
 	for _, info := range reply.GetReplicas() {
--- a/internal/controld/peers.go
+++ b/internal/controld/peers.go
@@ -197,7 +197,7 @@
 		return nil, err
 	}
 	if res.GetPropose() == nil {
-		return nil, errors.Errorf("unexpected reply of the leader: %s", res.GetFault().GetText())
+		return nil, errors.Errorf("the leader answered %s", res.GetFault().GetText())
 	}
 	return res.GetPropose(), nil
 }
--- a/internal/controld/routetable.go
+++ b/internal/controld/routetable.go
@@ -13,7 +13,7 @@
 )
 
 // errTooFewVoters means that the group cannot survive the required number of losses yet.
-var errTooFewVoters = errors.New("the group does not have enough voters yet")
+var errTooFewVoters = errors.New("the group has too few voters yet")
 
 // ReplaceRouteTable proposes a replacement of the route table. operator.ErrNotApplied means
 // that it has no effect; after any other error the outcome is unknown. On a standby the
@@ -37,7 +37,7 @@
 	}
 	var result configpb.Result
 	if err := proto.Unmarshal(data, &result); err != nil || result.GetReplaced() == nil {
-		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "cannot decode the result")
+		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "the result cannot be read")
 	}
 	return result.GetReplaced(), nil
 }
--- a/internal/controld/slottable.go
+++ b/internal/controld/slottable.go
@@ -89,7 +89,7 @@
 		Held:     time.Duration(r.Held) * time.Second,
 	}
 	if !keep.Valid() {
-		return errors.Wrapf(operator.ErrNotApplied, "the retention of answered keys must be from %v to %v, that of held keys from %v to %v",
+		return errors.Wrapf(operator.ErrNotApplied, "answers are kept from %v to %v, keys without an answer from %v to %v",
 			grant.MinAnsweredRetention, grant.AnsweredRetention, grant.MinHeldRetention, grant.HeldRetention)
 	}
 	var first error
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -30,9 +30,9 @@
 // Error implements error.
 func (e *StandbyError) Error() string {
 	if e.ServingAddress == "" {
-		return ErrStandby.Error() + " and knows no serving host"
+		return ErrStandby.Error() + " and knows no host that serves"
 	}
-	return ErrStandby.Error() + ": " + e.ServingAddress + " is serving"
+	return ErrStandby.Error() + ", " + e.ServingAddress + " serves"
 }
 
 // Unwrap implements the interface that errors.Is uses.
--- a/internal/link/inflight.go
+++ b/internal/link/inflight.go
@@ -7,7 +7,7 @@
 )
 
 // errDrained is the cause of a call on a connection that is drained.
-var errDrained = errors.New("connection is drained")
+var errDrained = errors.New("connection was left")
 
 // inflight counts the calls of a connection so that it can be closed once they have ended.
 type inflight struct {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -126,7 +126,7 @@
 	if text := r.URL.Query().Get("version"); text != "" {
 		var err error
 		if version, err = strconv.ParseUint(text, 10, 64); err != nil {
-			s.writeError(w, errors.Wrap(ErrNotApplied, "version is not a number"))
+			s.writeError(w, errors.Wrap(ErrNotApplied, "version is no number"))
 			return
 		}
 	}
@@ -231,7 +231,7 @@
 	if err == nil {
 		return true
 	}
-	s.writeError(w, errors.Wrapf(ErrNotApplied, "invalid request body: %v", err))
+	s.writeError(w, errors.Wrapf(ErrNotApplied, "unreadable call: %v", err))
 	return false
 }
 
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -8,7 +8,7 @@
 	ErrNoLeader = errors.New("no leader")
 	// ErrBusy: the command was not replicated, because too many proposals are
 	// pending.
-	ErrBusy = errors.New("too many pending proposals")
+	ErrBusy = errors.New("too many proposals wait")
 	// ErrUnknown: the command may have been replicated or may yet be.
 	ErrUnknown = errors.New("outcome of the proposal is unknown")
 	// ErrClosed: the command was not replicated, because the replica was closed
@@ -16,7 +16,7 @@
 	ErrClosed = errors.New("replica is closed")
 	// ErrInvalidCommand: the command was not replicated, because it is empty or
 	// too large.
-	ErrInvalidCommand = errors.New("invalid command")
+	ErrInvalidCommand = errors.New("command refused")
 	// ErrAlreadyBootstrapped: the data directory already holds the state of a
 	// group.
 	ErrAlreadyBootstrapped = errors.New("replica already belongs to a group")
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -84,7 +84,7 @@
 			return nil
 		}
 		if !present.GetLearner() {
-			return errors.Wrap(ErrMembership, "member is a voter")
+			return errors.Wrap(ErrMembership, "is a voter")
 		}
 		present.Address = learner.GetAddress()
 		return nil
