--- a/internal/controld/bootstrap.go
+++ b/internal/controld/bootstrap.go
@@ -307,6 +307,8 @@
 	})
 }
 
+// bootstrapNew bootstraps a group if this host is the first initial voter with a durable
+// log and knows the replica IDs of all others.
 func (d *Daemon) bootstrapNew(group controlpb.Group, self *raftpb.ReplicaID, infos map[string]*controlpb.ReplicaInfo) {
 	m := &raftpb.Membership{}
 	for _, v := range d.initialVoters {
--- a/internal/controld/bounds.go
+++ b/internal/controld/bounds.go
@@ -9,20 +9,22 @@
 	barrierTimeout = time.Second
 	// confirmRetry is the interval between attempts to confirm a version.
 	confirmRetry = time.Second
-	// confirmPendingRetry is the same while a new version waits to be sent. After
-	// confirmTimeout it is sent although no quorum has replied.
+	// confirmPendingRetry is that interval while a new version waits to be sent. After
+	// confirmTimeout the version is sent although no quorum has replied.
 	confirmPendingRetry = 50 * time.Millisecond
 	confirmTimeout      = 5 * time.Second
 	// raftTimeout bounds the delivery of Raft messages, snapshotTimeout that of a batch
 	// with a snapshot.
 	raftTimeout     = 2 * time.Second
 	snapshotTimeout = time.Minute
-	// Shorter than for other links, since replication depends on the links between control
-	// hosts.
+	// peerHeartbeat, peerHeartbeatTimeout and peerDialTimeout are the timing of links between
+	// control hosts. They are shorter than for other links, since replication depends on them.
 	peerHeartbeat        = time.Second
 	peerHeartbeatTimeout = time.Second
 	peerDialTimeout      = 500 * time.Millisecond
-	// peerHedge exceeds a round trip between regions plus a handshake on a slow host.
+	// peerHedge is the time without a reply after which another attempt to connect starts.
+	// It exceeds a round trip between regions plus a handshake on a slow host. peerBackoff
+	// bounds the delay between attempts.
 	peerHedge   = 150 * time.Millisecond
 	peerBackoff = 300 * time.Millisecond
 	// unusedPeerTimeout is how long an unused link to a host that is no member stays open.
@@ -74,7 +76,7 @@
 	// leaderRetry is the interval between attempts while a command waits for a leader.
 	leaderRetry = 20 * time.Millisecond
 	// isolationPeriod is the interval between checks for a known leader. isolationDelay is
-	// how long there may be none before subscribers are told: longer than an election, and
+	// how long there may be none before subscribers are notified: longer than an election, and
 	// short enough that a version accepted by the others is active within 3 s.
 	isolationPeriod = 100 * time.Millisecond
 	isolationDelay  = time.Second
@@ -85,7 +87,7 @@
 	// servingHostsMaxAge is how long a standby relies on the last list of serving hosts.
 	servingHostsMaxAge = 5 * time.Second
 	// notifySeedsPeriod is the interval between notifications of seed hosts that are no
-	// members. It bounds how long processes wait that only know such hosts.
+	// members. A process that only knows such hosts waits at most this long.
 	notifySeedsPeriod = time.Second
 	// shortageDelay is how long serving members must be short before a standby is added. It
 	// exceeds a start and an election.
--- a/internal/controld/evacuation.go
+++ b/internal/controld/evacuation.go
@@ -16,7 +16,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// errCallerCanceled means that the caller of an order no longer waits for its outcome.
+// errCallerCanceled means that the sender of an order no longer waits for its outcome.
 var errCallerCanceled = errors.New("the caller has gone")
 
 // Evacuate proposes an order to evacuate a failure domain. Errors are those of
@@ -38,12 +38,12 @@
 	if err := d.readBarrier.wait(ctx); err != nil {
 		return nil, errors.Wrapf(operator.ErrNotApplied, "no quorum confirms the state: %v", err)
 	}
-	// While this host was stalled, the caller may have sent the order to another host and
+	// While this host was stalled, the operator may have sent the order to another host and
 	// then ended the evacuation. Applying the order now would start it again.
 	if ctx.Err() != nil {
 		return nil, errors.Wrap(operator.ErrNotApplied, errCallerCanceled.Error())
 	}
-	if out := d.configs.alreadyEvacuated(o); out != nil {
+	if out := d.configs.unchangedOutcome(o); out != nil {
 		return out, nil
 	}
 	return d.proposeEvacuation(ctx, o)
--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -159,7 +159,7 @@
 	if h.leadsAnyGroup() {
 		err = (*operatorHandler)(h).addLearner(ctx, j.GetAddress(), name)
 	}
-	if err != nil && h.shouldFound(peer, j) {
+	if err != nil && h.shouldBootstrap(peer, j) {
 		return &controlpb.Response{Body: &controlpb.Response_Found{Found: &controlpb.Found{}}}
 	}
 	if err != nil && int(j.GetHops()) < maxJoinHops {
@@ -178,8 +178,8 @@
 	return slices.ContainsFunc(h.groups, (*Daemon)(h).isLeader)
 }
 
-// shouldFound reports whether a joining host has to bootstrap the groups.
-func (h *handler) shouldFound(peer link.Peer, j *controlpb.Join) bool {
+// shouldBootstrap reports whether a joining host has to bootstrap the groups.
+func (h *handler) shouldBootstrap(peer link.Peer, j *controlpb.Join) bool {
 	if j.GetTransient() || j.GetHops() > 0 || (*Daemon)(h).bootstrapped() {
 		return false
 	}
--- a/internal/controld/hostrequests_test.go
+++ b/internal/controld/hostrequests_test.go
@@ -12,22 +12,22 @@
 	is := is.New(t)
 	unblock := make(chan struct{})
 	sent := make(chan string)
-	a := newHostRequests(func(address string) {
+	r := newHostRequests(func(address string) {
 		sent <- address
 		if address == "lost" {
 			<-unblock
 		}
 	})
-	a.start("lost")
+	r.start("lost")
 	is.Equal(<-sent, "lost")
 	for range 3 {
-		a.start("lost") // still pending
+		r.start("lost") // still pending
 		unittest.Eventually(t, "the reply of the other host", func() bool {
-			a.mu.Lock()
-			defer a.mu.Unlock()
-			return !a.pending["there"]
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			return !r.pending["there"]
 		})
-		a.start("there")
+		r.start("there")
 		is.Equal(<-sent, "there")
 	}
 	close(unblock)
--- a/internal/controld/internal_test.go
+++ b/internal/controld/internal_test.go
@@ -60,15 +60,15 @@
 
 func TestNotifierCoalescesWakeUps(t *testing.T) {
 	is := is.New(t)
-	h := newNotifier()
-	c := h.subscribe()
+	n := newNotifier()
+	c := n.subscribe()
 	for range 10 {
-		h.notify()
+		n.notify()
 	}
 	is.Equal(len(c), 1)
-	h.unsubscribe(c)
+	n.unsubscribe(c)
 	<-c
-	h.notify()
+	n.notify()
 	is.Equal(len(c), 0)
 }
 
--- a/internal/controld/isolation.go
+++ b/internal/controld/isolation.go
@@ -9,10 +9,11 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// isolation is set while this host has known no leader for isolationDelay. Subscribers of a
-// partitioned host would otherwise keep an old version.
+// isolation is the isolation state of this host, which is active while no leader has been
+// known for isolationDelay. It is sent to subscribers, which would otherwise stay on the old
+// version of a partitioned host.
 type isolation struct {
-	now     atomic.Bool
+	active  atomic.Bool
 	changed *notifier
 }
 
@@ -25,7 +26,7 @@
 			lastLeader = time.Now()
 		}
 		isolated := time.Since(lastLeader) >= isolationDelay
-		if d.isolation.now.Swap(isolated) == isolated {
+		if d.isolation.active.Swap(isolated) == isolated {
 			return
 		}
 		d.log.Info("isolation state changed", zap.Bool("isolated", isolated), zap.Duration("without_leader", time.Since(lastLeader)))
--- a/internal/controld/loops.go
+++ b/internal/controld/loops.go
@@ -117,7 +117,7 @@
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, proposeTimeout)
 	defer cancel()
-	// A failed step is not repeated: records only live longer.
+	// A failed step is not repeated: records are only kept longer.
 	if _, err := d.replicas[group].ProposeLocal(ctx, command); err != nil {
 		scope.Counter("failed_advances").Inc(1)
 	}
--- a/internal/controld/members.go
+++ b/internal/controld/members.go
@@ -104,10 +104,10 @@
 	return out
 }
 
-// directoryComplete reports whether the directory has all targets: either it has listened
-// for a whole lease, or a quorum has confirmed the local state and each registered target
-// is in the directory. The second condition is met sooner after a start of all hosts. It
-// never is while a target is registered that vanished without unregistering.
+// directoryComplete reports whether the directory has all targets: either a lease has passed
+// since the start, or a quorum has confirmed the local state and each registered target is
+// in the directory. The second condition is met sooner after a start of all hosts, but never
+// while a target is registered that vanished without unregistering.
 func (d *Daemon) directoryComplete() bool {
 	if d.directory.complete() {
 		return true
--- a/internal/controld/operators.go
+++ b/internal/controld/operators.go
@@ -187,8 +187,8 @@
 }
 
 // firstError returns the first error of a change that is made in each group, except that
-// the refusal of a leader takes precedence. Groups may have different leaders: the caller
-// asks the next host for the groups that are left.
+// the refusal of a leader takes precedence. Groups may have different leaders: the client
+// calls the next host for the remaining groups.
 func firstError(first, next error) error {
 	if next == nil {
 		return first
--- a/internal/controld/peers.go
+++ b/internal/controld/peers.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// counterDelta returns the increase of a connection's counter. A smaller value than before
-// belongs to a new connection.
+// counterDelta returns the increase of a connection's counter since the last value. A
+// smaller value than before belongs to a new connection.
 func counterDelta(last *uint64, now uint64) int64 {
 	if now < *last {
 		*last = 0
@@ -274,11 +274,11 @@
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	all := queueKeys(owner.groups)
-	for _, l := range all {
-		p.wake[l] = make(chan struct{}, 1)
+	for _, key := range all {
+		p.wake[key] = make(chan struct{}, 1)
 	}
-	for _, l := range all {
-		p.wg.Go(func() { p.loop(p.wake[l], func() { p.sendMessages(l) }) })
+	for _, key := range all {
+		p.wg.Go(func() { p.loop(p.wake[key], func() { p.sendMessages(key) }) })
 	}
 	p.wg.Go(func() { p.loop(p.sync, p.sendDirectory) })
 	return p
--- a/internal/controld/reconnect_bench_test.go
+++ b/internal/controld/reconnect_bench_test.go
@@ -133,9 +133,8 @@
 	}
 }
 
-// BenchmarkFailureDomainReconnect connects 600 agents and 100 entry hosts to three control
-// hosts at once, first with no targets registered and then with all of them. It prints the
-// cost of that, of the idle links and of a change of one service.
+// BenchmarkFailureDomainReconnect connects all processes of a failure domain at once, before
+// and after their registration, and prints the cost, also of idle links and of a change.
 func BenchmarkFailureDomainReconnect(b *testing.B) {
 	d := newDeployment(b, "c1", "c2", "c3")
 	d.startAll("c1", "c2", "c3")
--- a/internal/controld/rejoin.go
+++ b/internal/controld/rejoin.go
@@ -6,9 +6,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// rejoinLoop asks the known members to add this host again while it knows no leader: it may
-// have been removed, and a removed member receives no messages. The request has no effect
-// if it still is a member.
+// rejoinLoop asks the known members to add this host again while it knows no leader. The
+// host may have been removed, and a removed member receives no messages. The request has no
+// effect if the host still is a member.
 func (d *Daemon) rejoinLoop() {
 	if !d.settings.GetReplica().GetAutomaticMembers() {
 		return
--- a/internal/controld/seeds.go
+++ b/internal/controld/seeds.go
@@ -9,9 +9,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/link"
 )
 
-// notifySeedsLoop sends the list of serving hosts to the seed hosts that are no members.
-// Without it, processes that only know standbys would find no serving host after a restart
-// of all hosts, since a standby stores nothing.
+// notifySeedsLoop sends the list of serving hosts to the seed hosts that are no members. A
+// standby stores nothing: after a restart of all hosts, processes that only know standbys
+// would find no serving host.
 func (d *Daemon) notifySeedsLoop() {
 	if !d.settings.GetReplica().GetAutomaticMembers() {
 		return
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -53,7 +53,7 @@
 func newStandby() *standby { return &standby{changed: newNotifier()} }
 
 // servingHosts returns the link addresses of the serving hosts, none if the list is older
-// than servingHostsMaxAge: standbys would otherwise pass an outdated list on to each other
+// than servingHostsMaxAge. Otherwise standbys could send each other an outdated list
 // forever.
 func (s *standby) servingHosts() []string {
 	s.mu.Lock()
@@ -191,7 +191,7 @@
 func randomHost(hosts []string) string { return hosts[rand.IntN(len(hosts))] }
 
 // standbyResponse returns the reply that keeps a joining host in standby, or nil if it is
-// needed or this host cannot tell.
+// needed as a member or this host does not know.
 func (h *handler) standbyResponse(j *controlpb.Join) *controlpb.Response {
 	if !j.GetStandBy() {
 		return nil
@@ -210,8 +210,9 @@
 	return &controlpb.Response{Body: &controlpb.Response_StandBy{StandBy: &controlpb.ControlHosts{Addresses: hosts}}}
 }
 
-// shortage records since when the group has too few serving members. Hosts with a durable
-// log take precedence over standbys, since they join within seconds of a start.
+// shortage records since when the group has too few serving members. A standby is added
+// only after shortageDelay, so that hosts with a durable log, which join within seconds of
+// a start, take precedence.
 type shortage struct {
 	mu      sync.Mutex
 	since   time.Time
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Transient hosts stand by whichever hosts are the seeds: only durable hosts are members,
-// and each standby names a serving host.
+// For any choice of seeds only durable hosts are members, and each transient host is a
+// standby that names a serving host.
 func TestTransientHostsStandBy(t *testing.T) {
 	for name, seeds := range map[string][]string{
 		"durable seeds":      {"d1", "d2", "d3"},
--- a/internal/controld/state.go
+++ b/internal/controld/state.go
@@ -162,9 +162,9 @@
 	return config.IsEvacuated(c, failureDomain)
 }
 
-// alreadyEvacuated returns the outcome of an order without an identifier that changes
-// nothing, nil if the order has to be replicated.
-func (s *configState) alreadyEvacuated(o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
+// unchangedOutcome returns the outcome of an order that changes nothing and has no
+// identifier, nil if the order has to be replicated.
+func (s *configState) unchangedOutcome(o *configpb.EvacuationOrder) *configpb.EvacuationOutcome {
 	c, _ := s.current()
 	if o.GetId() != "" || config.IsEvacuated(c, o.GetFailureDomain()) == o.GetEnd() {
 		return nil
--- a/internal/controld/subscription.go
+++ b/internal/controld/subscription.go
@@ -252,7 +252,7 @@
 	if err := s.sendHosts(); err != nil {
 		return err
 	}
-	isolated := s.daemon.isolation.now.Load()
+	isolated := s.daemon.isolation.active.Load()
 	if isolated != s.isolated || time.Since(s.messageSentAt) >= heartbeatPeriod {
 		s.isolated = isolated
 		if !s.complete {
