--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -56,8 +56,8 @@
 	Status() *Status
 	// Membership changes apply to all groups, which may have different leaders.
 	// ErrPartiallyApplied means that some groups were not changed. Changes are
-	// idempotent. Promote and Remove return ErrNotFound for a member that a quorum does
-	// not know.
+	// idempotent. Promote and Remove return ErrNotFound if a quorum has confirmed that
+	// there is no such member.
 
 	// AddLearner adds the control host at a link address (ip:port) to all groups as a
 	// learner. Errors: ErrNotApplied, ErrOutcomeUnknown.
@@ -126,7 +126,7 @@
 // GroupStatus is the state of one replicated log.
 type GroupStatus struct {
 	Group string `json:"group"`
-	// State is "leads", "follows", "no leader" or "not founded".
+	// State is "leads", "follows", "no leader", "not founded" or "stands by".
 	State   string         `json:"state"`
 	Leader  string         `json:"leader,omitempty"`
 	Term    uint64         `json:"term"`
@@ -139,9 +139,9 @@
 
 // Retention is how long keys are kept, in seconds.
 type Retention struct {
-	// Answered is the time from the answer.
+	// Answered is the time from the recorded response.
 	Answered int `json:"answered_for_seconds"`
-	// Held is the time from the grant, for a key without an answer.
+	// Held is the time from the grant, for a key without a recorded response.
 	Held int `json:"held_for_seconds"`
 }
 
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -64,26 +64,26 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrNotApplied, err.Error())
 	}
-	var a outcomeResponse
-	if err := c.callAny(ctx, request{http.MethodPost, "/v1/patches", body}, &a); err != nil {
+	var response outcomeResponse
+	if err := c.callAny(ctx, request{http.MethodPost, "/v1/patches", body}, &response); err != nil {
 		return nil, err
 	}
-	return decodeOutcome(&a)
+	return decodeOutcome(&response)
 }
 
 // Outcome returns the outcome of a patch. Errors: ErrNotApplied without a reply of a
 // quorum, ErrNotFound if a quorum has no such patch.
 func (c *Client) Outcome(ctx context.Context, id string) (*configpb.Outcome, error) {
-	var a outcomeResponse
-	if err := c.callAny(ctx, getRequest("/v1/patches/"+url.PathEscape(id)), &a); err != nil {
+	var response outcomeResponse
+	if err := c.callAny(ctx, getRequest("/v1/patches/"+url.PathEscape(id)), &response); err != nil {
 		return nil, err
 	}
-	return decodeOutcome(&a)
+	return decodeOutcome(&response)
 }
 
-func decodeOutcome(a *outcomeResponse) (*configpb.Outcome, error) {
+func decodeOutcome(response *outcomeResponse) (*configpb.Outcome, error) {
 	out := new(configpb.Outcome)
-	if err := protojson.Unmarshal(a.Outcome, out); err != nil {
+	if err := protojson.Unmarshal(response.Outcome, out); err != nil {
 		return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return out, nil
@@ -97,12 +97,12 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrNotApplied, err.Error())
 	}
-	var a outcomeResponse
-	if err := c.callAny(ctx, request{http.MethodPost, "/v1/evacuations", body}, &a); err != nil {
+	var response outcomeResponse
+	if err := c.callAny(ctx, request{http.MethodPost, "/v1/evacuations", body}, &response); err != nil {
 		return nil, err
 	}
 	out := new(configpb.EvacuationOutcome)
-	if err := protojson.Unmarshal(a.Outcome, out); err != nil {
+	if err := protojson.Unmarshal(response.Outcome, out); err != nil {
 		return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return out, nil
@@ -115,15 +115,15 @@
 	if version != 0 {
 		path += "?version=" + strconv.FormatUint(version, 10)
 	}
-	var a configResponse
-	if err := c.callAny(ctx, getRequest(path), &a); err != nil {
+	var response configResponse
+	if err := c.callAny(ctx, getRequest(path), &response); err != nil {
 		return nil, false, err
 	}
 	cfg := new(configpb.Configuration)
-	if err := protojson.Unmarshal(a.Config, cfg); err != nil {
+	if err := protojson.Unmarshal(response.Config, cfg); err != nil {
 		return nil, false, errors.Wrap(ErrNotApplied, err.Error())
 	}
-	return cfg, a.Confirmed, nil
+	return cfg, response.Confirmed, nil
 }
 
 // HostStatus is the response of one control host.
@@ -299,19 +299,19 @@
 
 // responseError converts a response with an error status.
 func responseError(addr string, data []byte) error {
-	var f errorResponse
-	if err := json.Unmarshal(data, &f); err != nil {
+	var response errorResponse
+	if err := json.Unmarshal(data, &response); err != nil {
 		return errors.Wrapf(ErrOutcomeUnknown, "%s: invalid response", addr)
 	}
-	switch f.Kind {
+	switch response.Kind {
 	case errorPartiallyApplied:
-		return errors.Wrapf(ErrPartiallyApplied, "%s: %s", addr, f.Reason)
+		return errors.Wrapf(ErrPartiallyApplied, "%s: %s", addr, response.Reason)
 	case errorRefused:
-		return errors.Wrapf(ErrRefused, "%s: %s", addr, f.Reason)
+		return errors.Wrapf(ErrRefused, "%s: %s", addr, response.Reason)
 	case errorNotApplied:
-		return errors.Wrapf(ErrNotApplied, "%s: %s", addr, f.Reason)
+		return errors.Wrapf(ErrNotApplied, "%s: %s", addr, response.Reason)
 	case errorNotFound:
-		return errors.Wrapf(ErrNotFound, "%s: %s", addr, f.Reason)
+		return errors.Wrapf(ErrNotFound, "%s: %s", addr, response.Reason)
 	}
-	return errors.Wrapf(ErrOutcomeUnknown, "%s: %s", addr, f.Reason)
+	return errors.Wrapf(ErrOutcomeUnknown, "%s: %s", addr, response.Reason)
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -190,8 +190,8 @@
 	is.Equal(second.calls[1], "add 192.0.2.1:7000")
 }
 
-// Each host leads one group and removes the member from it, so none makes the whole
-// change and afterwards none knows the member.
+// Each host leads one group and removes the member from it, so no host makes the change
+// in all groups and afterwards the member is unknown to all.
 func TestGroupsWithDifferentLeaders(t *testing.T) {
 	is := is.New(t)
 	s := newDeployment(t)
