--- a/config/bounds.go
+++ b/config/bounds.go
@@ -39,8 +39,8 @@
 	MaxProcessLength = 64
 	// MaxOperations bounds the operations of one patch.
 	MaxOperations = 10_000
-	// MaxFindings bounds the findings kept with an outcome. One more has the number of
-	// omitted ones.
+	// MaxFindings bounds the findings kept with an outcome. A further finding has the number
+	// of omitted ones.
 	MaxFindings = 200
 	// MaxSlots bounds the slots of one target.
 	MaxSlots = 1 << 20
--- a/config/conflicts.go
+++ b/config/conflicts.go
@@ -10,9 +10,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// checkConflicts checks the draft as a whole: the number of services, and addresses that
-// belong to two services. It runs after all operations, so that an address may move between
-// services within a patch. A conflict is reported where the patch names the address.
+// checkConflicts checks the number of services, and that no address belongs to two of them.
+// It runs after all operations, so that an address may move between services within a
+// patch. A conflict is reported where the patch names the address.
 func (d *draft) checkConflicts() {
 	if d.count() > MaxServices {
 		d.addFinding(PatchPlace, "the configuration would have more than %d services", MaxServices)
@@ -49,6 +49,8 @@
 	return slices.SortedFunc(maps.Keys(d.putOperation), func(a, b string) int { return cmp.Compare(d.putOperation[a], d.putOperation[b]) })
 }
 
+// claimAddresses records a service as the owner of its addresses and reports those that
+// belong to another one.
 func (d *draft) claimAddresses(owner map[netip.AddrPort]string, name string) {
 	for _, text := range d.services[name].GetAddresses() {
 		addr, problem := parsePublicAddress(text)
--- a/config/doc.go
+++ b/config/doc.go
@@ -2,9 +2,9 @@
 // into numbered versions, keeps the outcome of each patch and assigns the numbers of
 // services and targets.
 //
-// A patch names its base version and has an identifier. It is applied as a whole, as the
-// next version, or not at all. A patch that is sent again gets its first outcome. All
-// operations are deterministic: the same commands lead to the same state on every replica.
+// A patch names its base version and has an identifier. All its operations become the next
+// version, or none. A patch that is sent again gets its first outcome. The machine is
+// deterministic: the same commands lead to the same state on every replica.
 //
 // Evacuation orders create versions too, unless they change nothing. An order with an
 // identifier is applied once: a late duplicate gets the first outcome and cannot undo a
--- a/config/evacuation_test.go
+++ b/config/evacuation_test.go
@@ -187,9 +187,8 @@
 	is.True(config.IsEvacuated(merged, "a"))
 }
 
-// TestEvacuationProperties applies random orders, duplicates and snapshots. The evacuated
-// failure domains match a model, versions only increase, deltas lead to the newest version,
-// and a restored replica behaves alike.
+// TestEvacuationProperties applies random orders and duplicates, and compares the evacuated
+// failure domains with a model, deltas with versions, and a restored replica.
 func TestEvacuationProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := config.New()
--- a/config/machine.go
+++ b/config/machine.go
@@ -151,7 +151,7 @@
 			number = m.lastService
 		}
 		warmup := findService(m.current, name).GetWarmup()
-		d.services[name] = normalise(d.services[name], number)
+		d.services[name] = canonicalService(d.services[name], number)
 		d.services[name].Warmup = warmup
 	}
 	m.publish(assemble(m.current, m.current.GetVersion()+1, d.services, d.removed, d.retired), id)
@@ -160,8 +160,8 @@
 	}
 }
 
-// normalise returns a copy of a service with its number and canonical addresses.
-func normalise(s *configpb.Service, number uint32) *configpb.Service {
+// canonicalService returns a copy of a service with its number and canonical addresses.
+func canonicalService(s *configpb.Service, number uint32) *configpb.Service {
 	out := proto.CloneOf(s)
 	out.Number = number
 	for i, text := range out.GetAddresses() {
--- a/config/retired.go
+++ b/config/retired.go
@@ -7,7 +7,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// release releases a retired address.
+// release applies an operation that releases a retired address.
 func (d *draft) release(i int, text string) {
 	place := d.place(i, "", "release")
 	addr, problem := parsePublicAddress(text)
--- a/config/routes.go
+++ b/config/routes.go
@@ -15,9 +15,9 @@
 // ValidateReplacement lists all findings of a replacement of the route table. It needs no
 // state.
 func ValidateReplacement(r *configpb.Replacement) []*configpb.Finding {
-	c := &tableValidator{services: map[string]bool{}, routeByAddress: map[netip.AddrPort]string{}}
-	c.table(r)
-	return limitFindings(c.findings)
+	v := &tableValidator{services: map[string]bool{}, routeByAddress: map[netip.AddrPort]string{}}
+	v.table(r)
+	return limitFindings(v.findings)
 }
 
 // tableValidator collects the findings of one route table.
@@ -28,27 +28,27 @@
 	findings       []*configpb.Finding
 }
 
-func (c *tableValidator) addFinding(place, format string, args ...any) {
-	c.findings = append(c.findings, &configpb.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
+func (v *tableValidator) addFinding(place, format string, args ...any) {
+	v.findings = append(v.findings, &configpb.Finding{Place: place, Text: fmt.Sprintf(format, args...)})
 }
 
-func (c *tableValidator) table(r *configpb.Replacement) {
+func (v *tableValidator) table(r *configpb.Replacement) {
 	table := r.GetTable()
 	if table.GetRevision() == 0 {
-		c.addFinding("revision", "must be at least 1")
+		v.addFinding("revision", "must be at least 1")
 	}
 	if count := len(table.GetRoutes()); count > MaxRoutes {
-		c.addFinding("routes", "there are %d, at most %d", count, MaxRoutes)
+		v.addFinding("routes", "there are %d, at most %d", count, MaxRoutes)
 		return
 	}
 	for i, name := range r.GetServices() {
-		c.service(i, name)
+		v.service(i, name)
 	}
 	for i, w := range r.GetWarmups() {
-		c.warmup(fmt.Sprintf("warm-up %d %q", i+1, w.GetService()), w)
+		v.warmup(fmt.Sprintf("warm-up %d %q", i+1, w.GetService()), w)
 	}
 	for i, route := range table.GetRoutes() {
-		c.route(routePlace(i, route), route)
+		v.route(routePlace(i, route), route)
 	}
 }
 
@@ -56,27 +56,27 @@
 	return fmt.Sprintf("route %d %q", i+1, r.GetName())
 }
 
-func (c *tableValidator) service(i int, name string) {
+func (v *tableValidator) service(i int, name string) {
 	place := fmt.Sprintf("service %d %q", i+1, name)
 	if problem := tableNameProblem(name); problem != "" {
-		c.addFinding(place, "%s", problem)
+		v.addFinding(place, "%s", problem)
 	}
-	if c.services[name] {
-		c.addFinding(place, "is listed twice")
+	if v.services[name] {
+		v.addFinding(place, "is listed twice")
 	}
-	c.services[name] = true
+	v.services[name] = true
 }
 
-func (c *tableValidator) warmup(place string, w *configpb.ServiceWarmup) {
-	if !c.services[w.GetService()] {
-		c.addFinding(place, "there is no such service")
+func (v *tableValidator) warmup(place string, w *configpb.ServiceWarmup) {
+	if !v.services[w.GetService()] {
+		v.addFinding(place, "there is no such service")
 	}
 	if w.GetWarmup().GetDurationMs() > MaxRampMS {
-		c.addFinding(place, "the duration is longer than %d ms", MaxRampMS)
+		v.addFinding(place, "the duration is longer than %d ms", MaxRampMS)
 	}
 	// False also for NaN.
 	if rate := w.GetWarmup().GetRequestsPerSecond(); !(rate >= 0 && rate <= MaxWarmupRate) {
-		c.addFinding(place, "%v requests a second are not from 0 to %d", rate, MaxWarmupRate)
+		v.addFinding(place, "%v requests a second are not from 0 to %d", rate, MaxWarmupRate)
 	}
 }
 
@@ -92,27 +92,27 @@
 	return ""
 }
 
-func (c *tableValidator) route(place string, r *configpb.Route) {
+func (v *tableValidator) route(place string, r *configpb.Route) {
 	address, problem := parsePublicAddress(r.GetAddress())
 	if problem != "" {
-		c.addFinding(place, "address %q: %s", r.GetAddress(), problem)
-	} else if other, found := c.routeByAddress[address]; found {
-		c.addFinding(place, "the address %s is that of route %q", address, other)
+		v.addFinding(place, "address %q: %s", r.GetAddress(), problem)
+	} else if other, found := v.routeByAddress[address]; found {
+		v.addFinding(place, "the address %s is that of route %q", address, other)
 	} else {
-		c.routeByAddress[address] = r.GetName()
+		v.routeByAddress[address] = r.GetName()
 	}
 	if r.GetTimeoutMs() == 0 {
-		c.addFinding(place, "the timeout must not be 0")
+		v.addFinding(place, "the timeout must not be 0")
 	}
 	var sum uint64
 	for _, s := range r.GetServices() {
 		sum += uint64(s.GetWeight())
-		if !c.services[s.GetService()] {
-			c.addFinding(place, "there is no service %q", s.GetService())
+		if !v.services[s.GetService()] {
+			v.addFinding(place, "there is no service %q", s.GetService())
 		}
 	}
 	if sum == 0 {
-		c.addFinding(place, "the weights of its services add up to 0")
+		v.addFinding(place, "the weights of its services add up to 0")
 	}
 }
 
--- a/config/targets.go
+++ b/config/targets.go
@@ -17,6 +17,7 @@
 	RefusalNumbers = "all target numbers have been assigned"
 )
 
+// targetKey identifies a target by its service number and name.
 type targetKey struct {
 	service uint32
 	name    string
--- a/config/validate.go
+++ b/config/validate.go
@@ -8,7 +8,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// PatchPlace is the place of findings on a patch as a whole.
+// PatchPlace is the place of findings that concern no single operation of a patch.
 const PatchPlace = "patch"
 
 // ValidatePatch lists all findings of a patch against cfg. It does not check the base
