--- a/grant/bounds.go
+++ b/grant/bounds.go
@@ -7,8 +7,7 @@
 const (
 	// MaxRecords bounds the keys of a group.
 	MaxRecords = 200_000
-	// MaxBytes bounds the memory of keys and recorded bodies of a group, in
-	// bytes.
+	// MaxBytes bounds the memory of the records of a group, in bytes.
 	MaxBytes = 64 << 20
 	// MaxBodyLength bounds the recorded body of a response, in bytes. Of longer ones only
 	// status and content type are recorded.
@@ -24,14 +23,14 @@
 	// AnsweredRetention is the default and maximum retention of a recorded response, in
 	// logical time.
 	AnsweredRetention = 24 * time.Hour
-	// MinAnsweredRetention is the minimum of AnsweredRetention. It exceeds the time in
-	// which a caller retries, and that in which a command is repeated or in transit.
+	// MinAnsweredRetention is the minimum retention of a recorded response. It exceeds the
+	// time in which a caller retries, and that in which a command is repeated or in transit.
 	MinAnsweredRetention = 10 * time.Minute
 	// HeldRetention is the default and maximum retention of a record without a response, in
 	// logical time.
 	HeldRetention = 7 * 24 * time.Hour
-	// MinHeldRetention is the minimum of HeldRetention. It far exceeds the duration of any
-	// request.
+	// MinHeldRetention is the minimum retention of a record without a response. It far
+	// exceeds the duration of any request.
 	MinHeldRetention = 24 * time.Hour
 	// MaxReleased bounds the released attempts. The oldest is evicted first.
 	MaxReleased = 4096
--- a/grant/machine.go
+++ b/grant/machine.go
@@ -16,12 +16,14 @@
 	// table is nil until one is agreed on.
 	table     *SlotTable
 	retention Retention
-	now       uint64
-	records   map[recordKey]*record
+	// now is the logical time, in milliseconds.
+	now     uint64
+	records map[recordKey]*record
 	// held and answered have the records of each kind, oldest change first.
 	held, answered recordList
-	bytes          int
-	released       *releasedAttempts
+	// bytes is the estimated memory of the records.
+	bytes    int
+	released *releasedAttempts
 }
 
 // New returns the machine of the first group. Without a slot table it owns every key.
--- a/grant/record.go
+++ b/grant/record.go
@@ -77,7 +77,8 @@
 	}
 }
 
-func (r *record) name() recordKey { return recordKey{service: r.service, key: r.key()} }
+// mapKey returns the key of the record in Machine.records.
+func (r *record) mapKey() recordKey { return recordKey{service: r.service, key: r.key()} }
 
 func (r *record) key() string { return r.data[:r.keyLength] }
 
--- a/grant/released_test.go
+++ b/grant/released_test.go
@@ -36,9 +36,8 @@
 	is.Equal(apply(t, m, release("", "one")).GetTaken(), false)
 }
 
-// TestReleasedAttemptNeverHolds delivers the commands of several attempts in any order,
-// partly twice. A released attempt must not get the grant, and a new attempt gets it unless
-// another one holds it.
+// TestReleasedAttemptNeverHolds delivers the commands of several attempts in any order, with
+// duplicates. A released attempt must not get the grant or keep it from a new attempt.
 func TestReleasedAttemptNeverHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var commands []*grantpb.Command
--- a/grant/slottable.go
+++ b/grant/slottable.go
@@ -34,7 +34,7 @@
 	for slot := range t.owners {
 		t.owners[slot] = uint8(slot * t.groups / Slots)
 	}
-	t.digest = t.sum()
+	t.digest = t.computeDigest()
 	return t
 }
 
@@ -51,7 +51,7 @@
 		}
 		t.owners[slot] = owner
 	}
-	t.digest = t.sum()
+	t.digest = t.computeDigest()
 	return t, nil
 }
 
@@ -101,7 +101,7 @@
 	return sum ^ sum>>33
 }
 
-func (t *SlotTable) sum() uint64 {
+func (t *SlotTable) computeDigest() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte{uint8(t.groups)})
 	_, _ = h.Write(t.owners[:])
--- a/grant/records.go
+++ b/grant/snapshot.go
@@ -24,14 +24,14 @@
 }
 
 func (m *Machine) add(r *record) {
-	m.records[r.name()] = r
+	m.records[r.mapKey()] = r
 	m.recordList(r).push(r)
 	m.bytes += r.size()
 }
 
 func (m *Machine) remove(r *record) {
 	m.recordList(r).remove(r)
-	delete(m.records, r.name())
+	delete(m.records, r.mapKey())
 	m.bytes -= r.size()
 }
 
