--- a/internal/operator/errorlog_test.go
+++ b/internal/operator/errorlog_test.go
@@ -18,10 +18,10 @@
 // Failed handshakes are counted and not logged, as a port scan would fill the log.
 func TestFailedHandshakesAreCounted(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
+	d := newDeployment(t)
 	scope := tally.NewTestScope("", nil)
 	core, lines := observer.New(zap.DebugLevel)
-	server, err := operator.Listen("127.0.0.1:0", s.credentials(keys.RoleControl, "c1"), &fakeHandler{}, zap.New(core), scope)
+	server, err := operator.Listen("127.0.0.1:0", d.credentials(keys.RoleControl, "c1"), &fakeHandler{}, zap.New(core), scope)
 	is.NoErr(err)
 	defer func() { _ = server.Shutdown(t.Context()) }()
 
--- a/internal/operator/fuzz_test.go
+++ b/internal/operator/fuzz_test.go
@@ -45,8 +45,8 @@
 	f.Add(3, `{"name":"c1","unknown":1}`)
 	f.Add(3, `[`)
 	f.Fuzz(func(t *testing.T, which int, body string) {
-		b := &recordingHandler{}
-		s := &Server{handler: b, scope: tally.NoopScope}
+		h := &recordingHandler{}
+		s := &Server{handler: h, scope: tally.NoopScope}
 		path := paths[uint(which)%uint(len(paths))]
 		w := httptest.NewRecorder()
 		s.routes().ServeHTTP(w, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
@@ -58,8 +58,8 @@
 		}
 		var patch configpb.Patch
 		readable := protojson.Unmarshal([]byte(body), &patch) == nil
-		if readable != (b.patch != nil) || readable && !proto.Equal(&patch, b.patch) {
-			t.Fatalf("readable %t, received %v", readable, b.patch)
+		if readable != (h.patch != nil) || readable && !proto.Equal(&patch, h.patch) {
+			t.Fatalf("readable %t, received %v", readable, h.patch)
 		}
 	})
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -85,28 +85,28 @@
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	s := &deployment{t: t, keys: unittest.NewKeyDir(t)}
-	return s
+	d := &deployment{t: t, keys: unittest.NewKeyDir(t)}
+	return d
 }
 
-func (s *deployment) credentials(role keys.Role, name string) *keys.Credentials {
-	s.t.Helper()
-	return s.keys.Credentials(role, name, "")
+func (d *deployment) credentials(role keys.Role, name string) *keys.Credentials {
+	d.t.Helper()
+	return d.keys.Credentials(role, name, "")
 }
 
-func (s *deployment) serve(f *fakeHandler) *operator.Server {
-	s.t.Helper()
-	server, err := operator.Listen("127.0.0.1:0", s.credentials(keys.RoleControl, "c1"), f, zap.NewNop(), tally.NoopScope)
+func (d *deployment) serve(f *fakeHandler) *operator.Server {
+	d.t.Helper()
+	server, err := operator.Listen("127.0.0.1:0", d.credentials(keys.RoleControl, "c1"), f, zap.NewNop(), tally.NoopScope)
 	if err != nil {
-		s.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = server.Shutdown(context.Background()) })
+	d.t.Cleanup(func() { _ = server.Shutdown(context.Background()) })
 	return server
 }
 
-func (s *deployment) client(addrs ...string) *operator.Client {
-	c := operator.NewClient(addrs, s.credentials(keys.RoleOperator, "ada"))
-	s.t.Cleanup(c.Close)
+func (d *deployment) client(addrs ...string) *operator.Client {
+	c := operator.NewClient(addrs, d.credentials(keys.RoleOperator, "ada"))
+	d.t.Cleanup(c.Close)
 	return c
 }
 
@@ -133,8 +133,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newDeployment(t)
-			c := s.client(s.serve(submitHandler(test.out, test.err)).Addr().String())
+			d := newDeployment(t)
+			c := d.client(d.serve(submitHandler(test.out, test.err)).Addr().String())
 			out, err := c.Submit(context.Background(), &configpb.Patch{Id: "p"})
 			if test.want != nil {
 				is.True(errors.Is(err, test.want))
@@ -162,10 +162,10 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newDeployment(t)
-			a := s.serve(submitHandler(nil, test.first))
-			b := s.serve(submitHandler(accepted, test.second))
-			_, err := s.client(a.Addr().String(), b.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
+			d := newDeployment(t)
+			a := d.serve(submitHandler(nil, test.first))
+			b := d.serve(submitHandler(accepted, test.second))
+			_, err := d.client(a.Addr().String(), b.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
 			is.True(errors.Is(err, test.want) || (err == nil && test.want == nil))
 		})
 	}
@@ -173,10 +173,10 @@
 
 func TestMembershipChangeStopsAtUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
+	d := newDeployment(t)
 	first := &fakeHandler{changeErr: operator.ErrOutcomeUnknown}
 	second := &fakeHandler{}
-	c := s.client(s.serve(first).Addr().String(), s.serve(second).Addr().String())
+	c := d.client(d.serve(first).Addr().String(), d.serve(second).Addr().String())
 	_, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrOutcomeUnknown))
 	is.Equal(len(second.calls), 0)
@@ -194,10 +194,10 @@
 // in all groups and afterwards the member is unknown to all.
 func TestGroupsWithDifferentLeaders(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
+	d := newDeployment(t)
 	first := &fakeHandler{changeErrs: []error{operator.ErrPartiallyApplied}, changeErr: operator.ErrNotFound}
 	second := &fakeHandler{changeErrs: []error{operator.ErrPartiallyApplied}, changeErr: operator.ErrNotFound}
-	c := s.client(s.serve(first).Addr().String(), s.serve(second).Addr().String(), "127.0.0.1:1")
+	c := d.client(d.serve(first).Addr().String(), d.serve(second).Addr().String(), "127.0.0.1:1")
 	status, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.NoErr(err)
 	is.Equal(status.Host, "c1")
@@ -211,9 +211,9 @@
 // A change that is never fully applied returns ErrNotApplied after some retries.
 func TestChangeGivesUp(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
+	d := newDeployment(t)
 	f := &fakeHandler{changeErr: operator.ErrPartiallyApplied}
-	c := s.client(s.serve(f).Addr().String())
+	c := d.client(d.serve(f).Addr().String())
 	_, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrNotApplied))
 	is.True(len(f.calls) > 1)
@@ -221,27 +221,27 @@
 
 func TestUnreachableHostIsNotApplied(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
-	server := s.serve(&fakeHandler{})
+	d := newDeployment(t)
+	server := d.serve(&fakeHandler{})
 	addr := server.Addr().String()
 	is.NoErr(server.Shutdown(context.Background()))
-	_, err := s.client(addr).Submit(context.Background(), &configpb.Patch{Id: "p"})
+	_, err := d.client(addr).Submit(context.Background(), &configpb.Patch{Id: "p"})
 	is.True(errors.Is(err, operator.ErrNotApplied))
-	_, err = s.client().Submit(context.Background(), &configpb.Patch{Id: "p"})
+	_, err = d.client().Submit(context.Background(), &configpb.Patch{Id: "p"})
 	is.True(errors.Is(err, operator.ErrNotApplied))
-	is.True(s.client(addr).Status(context.Background())[0].Err != nil)
+	is.True(d.client(addr).Status(context.Background())[0].Err != nil)
 }
 
 func TestShutdownWaitsForCall(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
+	d := newDeployment(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
-	server := s.serve(&fakeHandler{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) {
+	server := d.serve(&fakeHandler{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) {
 		close(entered)
 		<-leave
 		return &configpb.Outcome{Verdict: configpb.Verdict_VERDICT_ACCEPTED}, nil
 	}})
-	c := s.client(server.Addr().String())
+	c := d.client(server.Addr().String())
 	var out *configpb.Outcome
 	var callErr, stopErr error
 	var call, stop conc.WaitGroup
@@ -258,21 +258,21 @@
 
 func TestHandlerDeadline(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
+	d := newDeployment(t)
 	var left time.Duration
-	server := s.serve(&fakeHandler{submit: func(ctx context.Context, _ *configpb.Patch) (*configpb.Outcome, error) {
+	server := d.serve(&fakeHandler{submit: func(ctx context.Context, _ *configpb.Patch) (*configpb.Outcome, error) {
 		deadline, _ := ctx.Deadline()
 		left = time.Until(deadline)
 		return nil, operator.ErrOutcomeUnknown
 	}})
-	_, _ = s.client(server.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
+	_, _ = d.client(server.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
 	is.True(left > 0 && left <= operator.SubmitTimeout)
 }
 
 func TestConfigVersionParameter(t *testing.T) {
 	is := is.New(t)
-	s := newDeployment(t)
-	c := s.client(s.serve(&fakeHandler{}).Addr().String())
+	d := newDeployment(t)
+	c := d.client(d.serve(&fakeHandler{}).Addr().String())
 	cfg, confirmed, err := c.Config(context.Background(), 1<<60)
 	is.NoErr(err)
 	is.Equal(cfg.GetVersion(), uint64(1<<60))
