--- a/grant/property_test.go
+++ b/grant/property_test.go
@@ -19,14 +19,14 @@
 	since  map[string]uint64
 }
 
-func (o *exclusivityChecker) granted(t *rapid.T, key, attempt string, now uint64) {
-	holder, held := o.holder[key]
-	expired := now-o.since[key] >= uint64(grant.AnsweredRetention.Milliseconds())
+func (c *exclusivityChecker) granted(t *rapid.T, key, attempt string, now uint64) {
+	holder, held := c.holder[key]
+	expired := now-c.since[key] >= uint64(grant.AnsweredRetention.Milliseconds())
 	if held && holder != attempt && !expired {
 		t.Fatalf("key %s granted to %s and to %s", key, holder, attempt)
 	}
-	o.holder[key] = attempt
-	o.since[key] = now
+	c.holder[key] = attempt
+	c.since[key] = now
 }
 
 func drawCommand(t *rapid.T) *grantpb.Command {
