--- a/internal/controld/grants.go
+++ b/internal/controld/grants.go
@@ -59,10 +59,10 @@
 	return s.machine.Restore(snapshot)
 }
 
-// grantView is a snapshot of the figures and settings of a grant group.
+// grantView is a copy of the counts and settings of a grant group at one time.
 type grantView struct {
 	held, answered int
-	// records and bytes are the usage of the bounds, in percent.
+	// records and bytes are the usage of grant.MaxRecords and grant.MaxBytes, in percent.
 	records, bytes int
 	// table is nil until a slot table is agreed on.
 	table     *grant.SlotTable
@@ -83,9 +83,9 @@
 // grantGroups has the state of each grant group. It is constant once the replicas are open.
 type grantGroups struct {
 	states []*grantState
-	// fixed caches the table once it is final, so that requests take no lock of the first
+	// finalTable caches the table once it is final, so that requests take no lock of the first
 	// group.
-	fixed atomic.Pointer[grant.SlotTable]
+	finalTable atomic.Pointer[grant.SlotTable]
 }
 
 func newGrantGroups() *grantGroups { return &grantGroups{} }
@@ -102,7 +102,7 @@
 // yet. A stale table is harmless: a group refuses commands that were routed by any other
 // table than the agreed one.
 func (g *grantGroups) table() *grant.SlotTable {
-	if table := g.fixed.Load(); table != nil {
+	if table := g.finalTable.Load(); table != nil {
 		return table
 	}
 	first := g.at(0).view()
@@ -111,7 +111,7 @@
 		table = onlyGroup
 	}
 	if table != nil {
-		g.fixed.Store(table)
+		g.finalTable.Store(table)
 		return table
 	}
 	if g.count() == 1 {
--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -56,8 +56,8 @@
 // handler serves the requests of peers.
 type handler Daemon
 
-// allowed returns the roles that may send a request.
-func allowed(req *controlpb.Request) []keys.Role {
+// allowedRoles returns the roles that may send a request.
+func allowedRoles(req *controlpb.Request) []keys.Role {
 	switch req.GetBody().(type) {
 	case *controlpb.Request_Raft, *controlpb.Request_Propose, *controlpb.Request_DirectorySync, *controlpb.Request_Replicas,
 		*controlpb.Request_Join, *controlpb.Request_TakeOver, *controlpb.Request_Serving:
@@ -72,7 +72,7 @@
 
 // Call implements link.Handler.
 func (h *handler) Call(ctx context.Context, peer link.Peer, req *controlpb.Request) *controlpb.Response {
-	roles := allowed(req)
+	roles := allowedRoles(req)
 	if roles == nil {
 		return h.fault(refusedRequest, controlpb.FaultKind_FAULT_NOT_DONE, "no such request")
 	}
--- a/internal/controld/members_test.go
+++ b/internal/controld/members_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// TestLearnerServes uses each function of a control host on a learner, also after a restart
-// of it and after the loss of the leader.
+// TestLearnerServes uses each function of a control host on a learner, also after its
+// restart and after the loss of the leader.
 func TestLearnerServes(t *testing.T) {
 	d := newGroupWithLearner(t)
 	checkServes(t, d, "c4", 1)
--- a/internal/controld/rebalance.go
+++ b/internal/controld/rebalance.go
@@ -22,7 +22,8 @@
 // hostLoad is the last subscriber count reported by another control host.
 type hostLoad struct {
 	subscribers int
-	receivedAt  time.Duration
+	// receivedAt is the time of receipt, since the start of the directory.
+	receivedAt time.Duration
 }
 
 // recordLoad stores the subscriber count of another host. A host that reports none takes no
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -247,8 +247,8 @@
 	return true
 }
 
-// updateShortage checks whether the members can serve all subscribers. Only the leader has
-// the figures.
+// updateShortage checks whether the members can serve all subscribers. It is called on the
+// leader, which knows the active members.
 func (d *Daemon) updateShortage(members []voters.Member) {
 	short, reason := voters.NeedsServingMember(d.servingLoad(members), d.servingLimits())
 	if d.shortage.update(short, time.Now()) {
--- a/internal/controld/subscription.go
+++ b/internal/controld/subscription.go
@@ -27,7 +27,7 @@
 type subscription struct {
 	daemon *Daemon
 	stream *link.ServerStream
-	info   *subscriber
+	remote *subscriber
 	// reports receives a value after each report of the subscriber.
 	reports chan struct{}
 	// sent is the version that the subscriber has or was sent.
@@ -75,7 +75,7 @@
 	sub := &subscription{
 		daemon:        d,
 		stream:        s,
-		info:          newSubscriber(peer, req),
+		remote:        newSubscriber(peer, req),
 		reports:       make(chan struct{}, 1),
 		sent:          req.GetVersion(),
 		dirSubscriber: membership.NewSubscriber(positionOf(req), membership.NewScope(req.GetServices(), req.GetFailureDomains()...)),
@@ -86,8 +86,8 @@
 			sub.scope[number] = true
 		}
 	}
-	d.subscribers.add(sub.info)
-	defer d.subscribers.remove(sub.info)
+	d.subscribers.add(sub.remote)
+	defer d.subscribers.remove(sub.remote)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// receiveReports returns when the stream ends, soon after this method has returned.
@@ -115,7 +115,7 @@
 		if err != nil {
 			return
 		}
-		if s.info.recordReport(heartbeat.GetVersion()) {
+		if s.remote.recordReport(heartbeat.GetVersion()) {
 			s.daemon.recordActivation(heartbeat.GetVersion())
 		}
 		select {
@@ -140,7 +140,7 @@
 	defer timer.Stop()
 	s.directoryPending = true
 	for ctx.Err() == nil {
-		if s.info.inactiveFor() > subscriberTimeout {
+		if s.remote.inactiveFor() > subscriberTimeout {
 			s.daemon.scope.Counter("silent_subscribers").Inc(1)
 			return nil
 		}
@@ -150,7 +150,7 @@
 		timer.Reset(s.untilNextStep())
 		select {
 		case <-ctx.Done():
-		case address := <-s.info.moveTo:
+		case address := <-s.remote.moveTo:
 			if err := s.send(&controlpb.SubscribeUpdate{Move: &controlpb.Move{Address: address}}); err != nil {
 				return err
 			}
@@ -217,7 +217,7 @@
 	if s.daemon.configs.version() <= s.sent {
 		return false
 	}
-	active := s.info.reported.Load()
+	active := s.remote.reported.Load()
 	return active == 0 || active >= s.sent
 }
 
@@ -294,7 +294,7 @@
 	s.aheadLogged = true
 	s.daemon.scope.Counter("subscribers_ahead").Inc(1)
 	s.daemon.log.Error("a subscriber has a version newer than that of the group",
-		zap.String("subscriber", s.info.name), zap.Uint64("subscriber_version", s.sent),
+		zap.String("subscriber", s.remote.name), zap.Uint64("subscriber_version", s.sent),
 		zap.Uint64("version", current.GetVersion()))
 }
 
