--- a/test/flight_test.go
+++ b/test/flight_test.go
@@ -68,7 +68,7 @@
 func (d *deployment) servedBy(t *testing.T, callers int) map[string]int {
 	t.Helper()
 	is := is.New(t)
-	answers, errs := make([]*processtest.Answer, callers), make([]error, callers)
+	answers, errs := make([]*processtest.Response, callers), make([]error, callers)
 	all := pool.New().WithMaxGoroutines(slots) // more are refused when one target has them all
 	for i := range callers {
 		caller := d.lodgement.NewCaller()
--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -46,9 +46,9 @@
 // resendThroughLoss sends a key until its answer comes. While no quorum can be
 // asked, the outcome is unknown with a time to come back: it must not say that
 // the request was not run.
-func (d *deployment) resendThroughLoss(t *testing.T, caller *processtest.Caller, key string) *processtest.Answer {
+func (d *deployment) resendThroughLoss(t *testing.T, caller *processtest.Caller, key string) *processtest.Response {
 	t.Helper()
-	var last *processtest.Answer
+	var last *processtest.Response
 	processtest.Eventually(t, key+" is answered", func() bool {
 		answer, err := runKey(caller, key)
 		is.New(t).NoErr(err)
@@ -63,7 +63,7 @@
 
 // checkMayComeBack holds an answer to be unknown because an earlier attempt
 // could not be asked about or still runs.
-func checkMayComeBack(t *testing.T, answer *processtest.Answer) {
+func checkMayComeBack(t *testing.T, answer *processtest.Response) {
 	t.Helper()
 	is := is.New(t)
 	is.Equal(answer.Outcome, processtest.OutcomeUnknown)
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -87,7 +87,7 @@
 	}
 	processtest.Eventually(t, "all slots are taken", func() bool { return target.Running() == slots })
 
-	answers := make([]*processtest.Answer, more)
+	answers := make([]*processtest.Response, more)
 	var refused conc.WaitGroup
 	for i := range more {
 		header := timeoutHeader(farDeadline)
--- a/test/stalled_test.go
+++ b/test/stalled_test.go
@@ -36,14 +36,14 @@
 	processtest.Eventually(t, "all slots are taken", func() bool { return second.Running() == slots })
 
 	const key = "in the buffer"
-	send := func(caller *processtest.Caller) (*processtest.Answer, error) {
+	send := func(caller *processtest.Caller) (*processtest.Response, error) {
 		header := timeoutHeader(farDeadline)
 		header.Set(processtest.HeaderKey, key)
 		return caller.Do(ctx, http.MethodPost, processtest.RunPath(0), header, []byte(key))
 	}
 	first.Agent.Freeze()
 	began, waiting := time.Now(), first.Waiting()
-	var early *processtest.Answer
+	var early *processtest.Response
 	var attempt conc.WaitGroup
 	attempt.Go(func() { early, _ = send(caller) })
 	processtest.Eventually(t, "the request is in the buffer", func() bool { return first.Waiting() > waiting })
