--- a/test/lying_test.go
+++ b/test/lying_test.go
@@ -61,7 +61,7 @@
 	broken := func() int {
 		n := 0
 		for i := range flows {
-			if liar.Answered(d.lodgement.NewCaller().Echo(fmt.Sprint(i))) {
+			if liar.Served(d.lodgement.NewCaller().Echo(fmt.Sprint(i))) {
 				n++
 			}
 		}
