--- a/test/role_test.go
+++ b/test/role_test.go
@@ -72,7 +72,7 @@
 
 	o := d.Submit(1, "cut-json", []string{d.lodgement.Put()}, cut)
 	is.Equal(o.Verdict, processtest.Unknown) // Submit holds it to exit status 4
-	told := d.Paste(o.Next)
+	told := d.RunShell(o.Next)
 	is.Equal(told.Status, exitAccepted)
 	is.True(strings.Contains(told.Stdout, "patch cut-json: accepted as version 2"))
 
@@ -80,7 +80,7 @@
 	is.Equal(printed.Status, exitUnknown)
 	_, next, found := strings.Cut(printed.Stdout, "To learn it run:\n  ")
 	is.True(found)
-	told = d.Paste(next)
+	told = d.RunShell(next)
 	is.Equal(told.Status, exitRefused)
 	is.True(strings.Contains(told.Stdout, "the current version is 2, made by patch cut-json"))
 }
