--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -132,7 +132,7 @@
 func TestFullControlHostsSendProcessesOn(t *testing.T) {
 	const places = 3
 	d := deployAs(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
-		return c.StartBoundedControls(3, places)
+		return c.StartControlsWithMaxLinks(3, places)
 	})
 	// served waits until each has a place and acts on a new version.
 	served := func(names []string) {
