--- a/test/history_test.go
+++ b/test/history_test.go
@@ -77,9 +77,9 @@
 
 func cutOff(host *processtest.Control, ways ...faultproxy.Direction) func() {
 	for _, way := range ways {
-		host.Peers.SetFaults(way, faultproxy.Faults{Cut: true})
+		host.PeerRelay.SetFaults(way, faultproxy.Faults{Cut: true})
 	}
-	return host.Peers.Heal
+	return host.PeerRelay.Heal
 }
 
 var troubles = []trouble{
--- a/test/points_test.go
+++ b/test/points_test.go
@@ -104,7 +104,7 @@
 			call.Wait()
 			is.True(first != nil) // the answer is lost
 			for _, host := range a.d.controls {
-				host.Peers.Heal()
+				host.PeerRelay.Heal()
 			}
 			a.checkOnce(t)
 		})
