--- a/test/role_test.go
+++ b/test/role_test.go
@@ -68,7 +68,7 @@
 func TestOperatorLearnsLostOutcome(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
-	cut := d.CutAnswers()
+	cut := d.StartOutcomeDropper()
 
 	o := d.Submit(1, "cut-json", []string{d.lodgement.Put()}, cut)
 	is.Equal(o.Verdict, processtest.Unknown) // Submit holds it to exit status 4
