--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -76,7 +76,7 @@
 	entry := d.entries[0]
 	// The failure domain of a target bears its name.
 	inside := []*processtest.Target{d.targets[d.lodgement][0], d.targets[d.certificates][0]}
-	entry.Restrict(inside[0].Name, inside[1].Name)
+	entry.RestartWithDomains(inside[0].Name, inside[1].Name)
 	processtest.Eventually(t, "the targets inside", func() bool {
 		return entry.Reading("subscriber_targets", "", "") == float64(len(inside))
 	})
