--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -159,7 +159,7 @@
 	lost.Launch()
 	lost.WaitReady()
 	late.WaitReady()
-	late.Join()
+	late.AddToFabric()
 	served(append(all, late.Host))
 }
 
--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -69,7 +69,7 @@
 	for _, e := range d.entries {
 		e.Kill() // the fabric goes on sending two of three packets there
 	}
-	fresh.Join()
+	fresh.AddToFabric()
 	// The agent hears of the new entry host by another flow. That one may need more
 	// than one try, as two of three of its packets are lost.
 	processtest.Eventually(t, "another flow reaches "+target.Name, func() bool {
