--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -80,7 +80,7 @@
 	processtest.Eventually(t, "the targets inside", func() bool {
 		return entry.Reading("subscriber_targets", "", "") == float64(len(inside))
 	})
-	d.entries[1].Leave()
+	d.entries[1].RemoveFromFabric()
 	for _, f := range flows {
 		answer := f.caller.Echo("goes on")
 		is.Equal(answer.Outcome, processtest.OutcomeAnswered)
--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -65,7 +65,7 @@
 	watch := d.lodgement.NewCaller().Watch()
 	target, _ := d.holder(t, watch)
 	fresh := d.StartEntry()
-	fresh.Leave()
+	fresh.RemoveFromFabric()
 	for _, e := range d.entries {
 		e.Kill() // the fabric goes on sending two of three packets there
 	}
