--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -88,10 +88,10 @@
 	for range 3 {
 		sendAll(t, entry.Public(d.lodgement), forged(packets, packetForgery))
 		sendAll(t, entry.FrameAddr(), forged(replies, frameForgery))
-		sendAll(t, target.Frames, forged(frames, frameForgery))
+		sendAll(t, target.FrameAddr, forged(frames, frameForgery))
 		sendAll(t, entry.Public(d.lodgement), packets)
 		sendAll(t, entry.FrameAddr(), replies)
-		sendAll(t, target.Frames, frames)
+		sendAll(t, target.FrameAddr, frames)
 		watch.Advance()
 		checkEcho(t, d.lodgement, caller, "after forgeries")
 	}
--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -46,7 +46,7 @@
 			for _, way := range ways {
 				// An agent that hears nothing through an entry host may not
 				// try it: with both ways cut one of them may lose nothing.
-				lost += holder.Path.Counts(holder.Frames, way).Lost
+				lost += holder.Path.Counts(holder.FrameAddr, way).Lost
 			}
 			is.New(t).True(lost > 0)
 			d.StartEntry()
