--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -38,7 +38,7 @@
 			d := deployWith(t, 1, processtest.TargetOptions{Relayed: true})
 			load := d.startLoad(t)
 			for _, target := range d.all() {
-				target.Path.CutExistingOf(d.entries[0].FrameAddr(), ways...)
+				target.FrameRelay.CutExistingOf(d.entries[0].FrameAddr(), ways...)
 			}
 			load.progress()
 			holder, _ := d.holder(t, load.watch)
@@ -46,7 +46,7 @@
 			for _, way := range ways {
 				// An agent that hears nothing through an entry host may not
 				// try it: with both ways cut one of them may lose nothing.
-				lost += holder.Path.Counts(holder.FrameAddr, way).Lost
+				lost += holder.FrameRelay.Counts(holder.FrameAddr, way).Lost
 			}
 			is.New(t).True(lost > 0)
 			d.StartEntry()
