--- a/test/stalled_test.go
+++ b/test/stalled_test.go
@@ -42,11 +42,11 @@
 		return caller.Do(ctx, http.MethodPost, processtest.RunPath(0), header, []byte(key))
 	}
 	first.Agent.Freeze()
-	began, waiting := time.Now(), first.Waiting()
+	began, waiting := time.Now(), first.ReceiveQueueBytes()
 	var early *processtest.Response
 	var attempt conc.WaitGroup
 	attempt.Go(func() { early, _ = send(caller) })
-	processtest.Eventually(t, "the request is in the buffer", func() bool { return first.Waiting() > waiting })
+	processtest.Eventually(t, "the request is in the buffer", func() bool { return first.ReceiveQueueBytes() > waiting })
 	told, err := send(other)
 	is.NoErr(err)
 	is.Equal(told.Outcome, processtest.OutcomeNotRun)
