--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -79,7 +79,7 @@
 // and of that one, and gets the answers of all.
 func TestLeaderOfOneGroupKilled(t *testing.T) {
 	d, other, attempts := deployRunning(t)
-	lost := d.LeaderOfGrants(1)
+	lost := d.GrantGroupLeader(1)
 	lost.Kill()
 	d.checkRun(t, other, keyOf(2, "beside"), keyOf(0, "beside"), keyOf(1, "after"))
 	d.checkRun(t, other, append(keysOf("ended"), keysOf("running")...)...)
@@ -113,7 +113,7 @@
 // the repair.
 func TestGroupsOutliveTwoLosses(t *testing.T) {
 	d, other, attempts := deployRunning(t)
-	lost := d.LeaderOfGrants(2)
+	lost := d.GrantGroupLeader(2)
 	lost.Kill()
 	lost.LoseDisk()
 	d.checkRun(t, other, keysOf("ended")...)
