--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -22,7 +22,7 @@
 	d := deployAs(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
 		return c.StartControlsWithGrantGroups(3, grantGroups)
 	})
-	d.SpreadGrants(grantGroups)
+	d.WaitGrantLeadersBalanced(grantGroups)
 	return d
 }
 
@@ -85,7 +85,7 @@
 	d.checkRun(t, other, append(keysOf("ended"), keysOf("running")...)...)
 	attempts.giveUp()
 	lost.Relaunch()
-	d.SpreadGrants(grantGroups) // it leads again what it should
+	d.WaitGrantLeadersBalanced(grantGroups) // it leads again what it should
 	d.checkRun(t, other, keysOf("back")...)
 }
 
@@ -133,7 +133,7 @@
 	caller, other := d.callers(t)
 	d.checkRun(t, caller, keysOf("first")...)
 	for _, host := range d.controls {
-		d.SpreadGrants(grantGroups)
+		d.WaitGrantLeadersBalanced(grantGroups)
 		before, led := host.Logged(handedOverMessage), leads(host)
 		host.Terminate()
 		host.WaitExit()
@@ -216,7 +216,7 @@
 
 	host.SetGrantGroups(2)
 	host.Restart()
-	d.SpreadGrants(grantGroups) // it took the agreed number
+	d.WaitGrantLeadersBalanced(grantGroups) // it took the agreed number
 	host.Kill()
 	host.LoseDisk()
 	host.Relaunch()
@@ -226,7 +226,7 @@
 	d.checkRun(t, d.callerOf(t, d.targets[d.lodgement][1]), keysOf("without it")...)
 	host.Relaunch()
 	host.Join()
-	d.SpreadGrants(grantGroups)
+	d.WaitGrantLeadersBalanced(grantGroups)
 }
 
 // TestFormerDataFolder opens the folder of a deployment with one group under
