--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -174,7 +174,7 @@
 	d.checkRun(t, caller, keysOf("before")...)
 	for _, host := range d.controls[1:] {
 		host.Kill()
-		host.LoseGroup(lost)
+		host.RemoveGroupDir(lost)
 		host.Relaunch()
 	}
 	for group := range grantGroups {
