--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -25,7 +25,7 @@
 
 	lost := d.GrantLeader()
 	lost.Kill()
-	lost.LoseDisk()
+	lost.RemoveDataDir()
 	d.resendThroughLoss(t, other, "ended before")
 	lost.Launch()
 	lost.WaitReady()
--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -115,7 +115,7 @@
 	d, other, attempts := deployRunning(t)
 	lost := d.GrantGroupLeader(2)
 	lost.Kill()
-	lost.LoseDisk()
+	lost.RemoveDataDir()
 	d.checkRun(t, other, keysOf("ended")...)
 	lost.Relaunch()
 	lost.Replace()
@@ -218,7 +218,7 @@
 	host.Restart()
 	d.WaitGrantLeadersBalanced(grantGroups) // it took the agreed number
 	host.Kill()
-	host.LoseDisk()
+	host.RemoveDataDir()
 	host.Relaunch()
 	host.Remove()
 	host.JoinUntil("invalid number of grant groups")
--- a/test/loss_test.go
+++ b/test/loss_test.go
@@ -12,7 +12,7 @@
 // loseDisk kills the host and brings it back with an empty data folder.
 func loseDisk(host *processtest.Control) {
 	host.Kill()
-	host.LoseDisk()
+	host.RemoveDataDir()
 	host.Launch()
 	host.WaitReady()
 }
