--- a/test/control_test.go
+++ b/test/control_test.go
@@ -34,7 +34,7 @@
 		leader := d.Leader()
 		var loss conc.WaitGroup
 		for i := range patches {
-			known := d.Settle(version, fmt.Sprint("to-", version+1), d.lodgement.Put())
+			known := d.SubmitUntilKnown(version, fmt.Sprint("to-", version+1), d.lodgement.Put())
 			is.Equal(known.Verdict, processtest.Accepted)
 			is.Equal(known.Version, version+1)
 			version++
@@ -88,13 +88,13 @@
 	lost := d.Leader()
 	lost.Kill()
 	lost.RemoveDataDir()
-	is.Equal(d.Settle(1, "without-the-host", d.lodgement.Put()).Version, uint64(2))
+	is.Equal(d.SubmitUntilKnown(1, "without-the-host", d.lodgement.Put()).Version, uint64(2))
 	lost.Launch()
 	lost.WaitReady()
 	lost.Replace()
-	is.Equal(d.Settle(2, "with-the-new-replica", d.lodgement.Put()).Version, uint64(3))
+	is.Equal(d.SubmitUntilKnown(2, "with-the-new-replica", d.lodgement.Put()).Version, uint64(3))
 	lost.Others()[0].Kill()
-	is.Equal(d.Settle(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
+	is.Equal(d.SubmitUntilKnown(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
 	is.Equal(d.Show("without-the-host").Version, uint64(2))
 	is.Equal(d.Show("with-the-new-replica").Version, uint64(3))
 	d.InForce(4, d.entryNames()...)
@@ -164,7 +164,7 @@
 		host.Launch()
 		host.WaitReady()
 	}
-	is.Equal(d.Settle(1, "minority", d.lodgement.Put()).Version, uint64(2)) // once, whatever was answered
+	is.Equal(d.SubmitUntilKnown(1, "minority", d.lodgement.Put()).Version, uint64(2)) // once, whatever was answered
 	d.InForce(2, d.entryNames()...)
 	load.stop()
 }
@@ -192,7 +192,7 @@
 		return o.Verdict != processtest.Unknown
 	})
 	is.Equal(o.Version, uint64(2))
-	is.Equal(d.Settle(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
+	is.Equal(d.SubmitUntilKnown(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
 	d.InForce(2, d.entryNames()...)
 	load.progress()
 	load.stop()
--- a/test/loss_test.go
+++ b/test/loss_test.go
@@ -71,7 +71,7 @@
 	second.WaitReady()
 	d.checkOutcomes(t, version)
 	empty.Replace()
-	version = d.Settle(version, "in-between", d.lodgement.Put()).Version
+	version = d.SubmitUntilKnown(version, "in-between", d.lodgement.Put()).Version
 	for _, host := range d.controls {
 		d.checkHolds(t, host, version)
 	}
