--- a/test/history_test.go
+++ b/test/history_test.go
@@ -48,7 +48,7 @@
 	}
 	d.InForce(newest, names...)
 	for _, p := range followers {
-		checkNeverBack(t, p.ActedOn(), newest)
+		checkNeverBack(t, p.ActiveVersions(), newest)
 	}
 }
 
--- a/test/stale_test.go
+++ b/test/stale_test.go
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	d, stale, undo, newest := staleDeployment(t)
 	beside := d.StartEntry(stale.Link) // acts on what no quorum confirmed, after a while
-	is.Equal(beside.ActedOn(), []uint64{1})
+	is.Equal(beside.ActiveVersions(), []uint64{1})
 	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
 	defer cancel()
 	cfg, confirmed, err := d.Client(stale.Operator).Config(ctx, 0)
@@ -69,9 +69,9 @@
 	undo()
 	d.InForce(newest, beside.Host)
 	d.checkHolds(t, stale, newest)
-	is.Equal(beside.ActedOn(), []uint64{1, newest}) // no version in between
+	is.Equal(beside.ActiveVersions(), []uint64{1, newest}) // no version in between
 	for _, e := range d.entries {
-		checkNeverBack(t, e.ActedOn(), newest)
+		checkNeverBack(t, e.ActiveVersions(), newest)
 	}
 }
 
@@ -87,7 +87,7 @@
 	for ; moved < moves && starts < most; starts++ {
 		e.WaitReady()
 		d.InForce(newest, e.Host)
-		is.Equal(e.ActedOn(), []uint64{newest})
+		is.Equal(e.ActiveVersions(), []uint64{newest})
 		moved += min(e.Logged(movingMessage)+e.Logged(leavingMessage), 1)
 		e.Kill()
 		e.Launch()
@@ -108,7 +108,7 @@
 	newest := d.manyVersions(t, 1, d.controls...)
 	link.Heal()
 	d.InForce(newest, e.Host)
-	acted := e.ActedOn()
+	acted := e.ActiveVersions()
 	checkNeverBack(t, acted, newest)
 	is.Equal(acted[0], uint64(1))
 	is.True(len(acted) <= 3)
