--- a/test/points_test.go
+++ b/test/points_test.go
@@ -25,7 +25,7 @@
 
 // wrote tells whether the host's log has grown since before the patch.
 func (a *attempt) wrote(host *processtest.Control) bool {
-	return host.LogBytes() > a.written[host]
+	return host.ConfigLogBytes() > a.written[host]
 }
 
 // point is how far a patch has come when its leader is killed.
@@ -93,7 +93,7 @@
 			is.NoErr(err)
 			p.hold(a)
 			for _, host := range a.d.controls {
-				a.written[host] = host.LogBytes()
+				a.written[host] = host.ConfigLogBytes()
 			}
 			var first error
 			var call conc.WaitGroup
