--- a/test/damage_test.go
+++ b/test/damage_test.go
@@ -41,7 +41,7 @@
 	d := threeControls(t)
 	host := d.Leader()
 	host.Kill()
-	segment := newest(host.Files(processtest.SegmentFiles))
+	segment := newest(host.ConfigFiles(processtest.SegmentFiles))
 	data, err := os.ReadFile(segment)
 	is.NoErr(err)
 	const torn = 40 // more than a header, less than a record
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			host.Kill()
-			path := newest(host.Files(test.pattern))
+			path := newest(host.ConfigFiles(test.pattern))
 			restore := flip(t, path, test.part)
 			host.Launch()
 			is.Equal(host.WaitEnd(), 1)
