--- a/test/damage_test.go
+++ b/test/damage_test.go
@@ -41,7 +41,7 @@
 	d := threeControls(t)
 	host := d.Leader()
 	host.Kill()
-	segment := newest(host.ConfigFiles(processtest.SegmentFiles))
+	segment := newest(host.ConfigFiles(processtest.SegmentPattern))
 	data, err := os.ReadFile(segment)
 	is.NoErr(err)
 	const torn = 40 // more than a header, less than a record
@@ -65,8 +65,8 @@
 		// part of the file's length at which the byte stands.
 		part float64
 	}{
-		"middle of a log segment": {processtest.SegmentFiles, 0.5},
-		"start of a log segment":  {processtest.SegmentFiles, 0},
+		"middle of a log segment": {processtest.SegmentPattern, 0.5},
+		"start of a log segment":  {processtest.SegmentPattern, 0},
 		"snapshot":                {"*.snap", 0.7},
 		"identity":                {"identity", 0.7},
 	} {
