--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -134,11 +134,11 @@
 	d.checkRun(t, caller, keysOf("first")...)
 	for _, host := range d.controls {
 		d.WaitGrantLeadersBalanced(grantGroups)
-		before, led := host.Logged(handedOverMessage), leads(host)
+		before, led := host.LogCount(handedOverMessage), leads(host)
 		host.Terminate()
 		host.WaitExit()
 		is.True(led > 0)
-		is.True(host.Logged(handedOverMessage) >= before+led) // of every group
+		is.True(host.LogCount(handedOverMessage) >= before+led) // of every group
 		host.Relaunch()
 	}
 	d.checkRun(t, other, append(keysOf("first"), keysOf("second")...)...)
--- a/test/handover_test.go
+++ b/test/handover_test.go
@@ -97,7 +97,7 @@
 		var gap time.Duration
 		version, gap = s.end()
 		gaps = append(gaps, gap.Round(time.Millisecond))
-		handedOver += min(leader.Logged(handedOverMessage), 1)
+		handedOver += min(leader.LogCount(handedOverMessage), 1)
 		leader.Launch()
 		leader.WaitReady()
 	}
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -154,7 +154,7 @@
 			return host.Reading("control_link_server_refused_connections", "reason", "capacity") > 0
 		})
 	}
-	is.New(t).Equal(late.Logged("ready"), 0)
+	is.New(t).Equal(late.LogCount("ready"), 0)
 	served(all) // they keep their places
 	lost.Launch()
 	lost.WaitReady()
