--- a/test/silence_test.go
+++ b/test/silence_test.go
@@ -36,7 +36,7 @@
 		is.Equal(d.beginFlows(1), nil)
 		silent := 0.0
 		for _, e := range d.entries {
-			silent += e.Reading("entry_first_forwarded", "reason", "silent")
+			silent += e.MetricValue("entry_first_forwarded", "reason", "silent")
 		}
 		return silent > 0
 	})
