--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -112,14 +112,14 @@
 		return sum(target, "requests_refused", "slots-full", "queue-full", "wait-too-long") == more
 	})
 	// The agent itself kept to the slots; the backend server refused nothing.
-	is.Equal(target.Counted("requests_refused", "backend-refused"), 0.0)
+	is.Equal(target.CountByReason("requests_refused", "backend-refused"), 0.0)
 }
 
 // sum adds up what an agent counted under several reasons.
 func sum(target *processtest.Target, counter string, reasons ...string) float64 {
 	total := 0.0
 	for _, reason := range reasons {
-		total += target.Counted(counter, reason)
+		total += target.CountByReason(counter, reason)
 	}
 	return total
 }
@@ -137,9 +137,9 @@
 	is.True(answer.Header.Get("Retry-After") != "")
 	processtest.Eventually(t, "retries are counted, and once why there was no other", func() bool {
 		ends := sum(target, "retries", "attempts-spent", "budget-spent", "deadline-too-close")
-		return target.Counted("retries", "connect") > 0 && ends == 1
+		return target.CountByReason("retries", "connect") > 0 && ends == 1
 	})
-	is.Equal(target.Counted("requests_refused", "backend-unreachable"), 1.0)
+	is.Equal(target.CountByReason("requests_refused", "backend-unreachable"), 1.0)
 
 	target.LaunchBackend()
 	processtest.Eventually(t, "the backend server is used again", func() bool {
--- a/test/stalled_test.go
+++ b/test/stalled_test.go
@@ -61,7 +61,7 @@
 	is.Equal(early.Reason, "agent-stalled")
 	is.True(early.Header.Get(processtest.HeaderRetryAfter) != "")
 	processtest.Eventually(t, "the refusal is counted", func() bool {
-		return first.Counted("requests_unknown", "agent-stalled") == 1
+		return first.CountByReason("requests_unknown", "agent-stalled") == 1
 	})
 
 	// Who comes after the thaw is served.
