--- a/test/address_test.go
+++ b/test/address_test.go
@@ -27,7 +27,7 @@
 
 	link.Cut()
 	version := d.passAddress()
-	d.InForce(version, d.entries[0].Host)
+	d.WaitActive(version, d.entries[0].Host)
 
 	for i := range 20 {
 		d.checkNeverOf(t, established, d.certificates, fmt.Sprint("established ", i))
@@ -35,7 +35,7 @@
 		d.checkNeverOf(t, d.lodgement.NewCallerAs(d.certificates.Name), d.lodgement, fmt.Sprint("certificates ", i))
 	}
 	link.Heal()
-	d.InForce(version, behind.Host)
+	d.WaitActive(version, behind.Host)
 	caller := d.lodgement.NewCallerAs(d.certificates.Name)
 	checkEcho(t, d.certificates, caller, "the address stands for certificates")
 }
@@ -63,7 +63,7 @@
 			d := deploy(t, 1)
 			watch := d.lodgement.NewCaller().Watch()
 			version := change(d)
-			d.InForce(version, d.entries[0].Host, d.entries[1].Host)
+			d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
 			watch.Advance()
 		})
 	}
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -46,7 +46,7 @@
 		leader.Launch()
 		leader.WaitReady()
 	}
-	d.InForce(version, d.entryNames()...)
+	d.WaitActive(version, d.entryNames()...)
 	for v := uint64(2); v <= version; v++ {
 		is.Equal(d.Show(fmt.Sprint("to-", v)).Version, v) // no outcome was lost
 	}
@@ -74,7 +74,7 @@
 	for i := range d.inFlight {
 		is.Equal(d.runs(fmt.Sprint("in flight ", i+1)), 1)
 	}
-	d.InForce(d.Patch(d.lodgement.Put()), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.Put()), d.entryNames()...)
 	load.progress()
 	load.stop()
 }
@@ -97,7 +97,7 @@
 	is.Equal(d.SubmitUntilKnown(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
 	is.Equal(d.Show("without-the-host").Version, uint64(2))
 	is.Equal(d.Show("with-the-new-replica").Version, uint64(3))
-	d.InForce(4, d.entryNames()...)
+	d.WaitActive(4, d.entryNames()...)
 	load.progress()
 	load.stop()
 }
@@ -137,7 +137,7 @@
 		}
 		base++
 	}
-	d.InForce(base, d.entryNames()...)
+	d.WaitActive(base, d.entryNames()...)
 }
 
 // TestMinorityRefuses leaves one of three control hosts: it accepts nothing
@@ -165,7 +165,7 @@
 		host.WaitReady()
 	}
 	is.Equal(d.SubmitUntilKnown(1, "minority", d.lodgement.Put()).Version, uint64(2)) // once, whatever was answered
-	d.InForce(2, d.entryNames()...)
+	d.WaitActive(2, d.entryNames()...)
 	load.stop()
 }
 
@@ -193,7 +193,7 @@
 	})
 	is.Equal(o.Version, uint64(2))
 	is.Equal(d.SubmitUntilKnown(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
-	d.InForce(2, d.entryNames()...)
+	d.WaitActive(2, d.entryNames()...)
 	load.progress()
 	load.stop()
 }
--- a/test/history_test.go
+++ b/test/history_test.go
@@ -46,7 +46,7 @@
 		names = append(names, target.Name)
 		followers = append(followers, target.Agent)
 	}
-	d.InForce(newest, names...)
+	d.WaitActive(newest, names...)
 	for _, p := range followers {
 		checkNeverBack(t, p.ActiveVersions(), newest)
 	}
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -53,7 +53,7 @@
 	is.Equal(o.Version, base+1)
 	is.Equal(d.Show(id, learner.Operator).Version, base+1)
 	d.checkHolds(t, learner, base+1)
-	d.InForce(base+1, d.subscribers()...)
+	d.WaitActive(base+1, d.subscribers()...)
 	is.Equal(len(learner.Status().Subscribers), len(d.subscribers())) // all of them here
 	d.checkRun(t, d.lodgement.NewCaller(), id)
 }
@@ -138,7 +138,7 @@
 	served := func(names []string) {
 		t.Helper()
 		version := d.Patch(d.lodgement.Put())
-		d.InForce(version, names...)
+		d.WaitActive(version, names...)
 		processtest.Eventually(t, "each at one host", func() bool { return d.places(t, places) == len(names) })
 		d.checkEchoes(t, fmt.Sprint("version ", version), 1)
 	}
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -30,7 +30,7 @@
 			load := d.startLoad(t)
 			link.CutExisting(ways...)
 			version := d.Patch(d.lodgement.Put())
-			d.InForce(version, entry.Host, "lodgement-a", "certificates-a")
+			d.WaitActive(version, entry.Host, "lodgement-a", "certificates-a")
 			load.progress()
 			load.stop()
 		})
--- a/test/stale_test.go
+++ b/test/stale_test.go
@@ -67,7 +67,7 @@
 	is.True(stale.Status().Groups[0].Term <= stale.Others()[0].Status().Groups[0].Term)
 
 	undo()
-	d.InForce(newest, beside.Host)
+	d.WaitActive(newest, beside.Host)
 	d.checkHolds(t, stale, newest)
 	is.Equal(beside.ActiveVersions(), []uint64{1, newest}) // no version in between
 	for _, e := range d.entries {
@@ -86,7 +86,7 @@
 	moved, starts := 0, 0
 	for ; moved < moves && starts < most; starts++ {
 		e.WaitReady()
-		d.InForce(newest, e.Host)
+		d.WaitActive(newest, e.Host)
 		is.Equal(e.ActiveVersions(), []uint64{newest})
 		moved += min(e.LogCount(movingMessage)+e.LogCount(leavingMessage), 1)
 		e.Kill()
@@ -107,7 +107,7 @@
 	link.Cut()
 	newest := d.manyVersions(t, 1, d.controls...)
 	link.Heal()
-	d.InForce(newest, e.Host)
+	d.WaitActive(newest, e.Host)
 	acted := e.ActiveVersions()
 	checkNeverBack(t, acted, newest)
 	is.Equal(acted[0], uint64(1))
