--- a/test/control_test.go
+++ b/test/control_test.go
@@ -64,7 +64,7 @@
 	for _, host := range d.controls {
 		inFlight := d.startRequests(t, target, 2)
 		host.Terminate()
-		host.WaitExit()
+		host.WaitCleanExit()
 		for _, fate := range inFlight.wait() {
 			is.Equal(fate, whole)
 		}
--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -136,7 +136,7 @@
 		d.WaitGrantLeadersBalanced(grantGroups)
 		before, led := host.LogCount(handedOverMessage), leads(host)
 		host.Terminate()
-		host.WaitExit()
+		host.WaitCleanExit()
 		is.True(led > 0)
 		is.True(host.LogCount(handedOverMessage) >= before+led) // of every group
 		host.Relaunch()
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -72,7 +72,7 @@
 		is.Equal(len(voter.Status().Subscribers), 0)
 	}
 	learner.Terminate()
-	learner.WaitExit()
+	learner.WaitCleanExit()
 	learner.Launch()
 	d.learnerServes(t, learner, 2)
 	learner.Kill()
--- a/test/minutes_test.go
+++ b/test/minutes_test.go
@@ -38,7 +38,7 @@
 	is.Equal(between.Outcome, processtest.OutcomeAnswered)
 	control := d.controls[0]
 	control.Terminate()
-	control.WaitExit()
+	control.WaitCleanExit()
 	control.Launch()
 	control.WaitReady()
 	time.Sleep(resendAfter - time.Since(since))
--- a/test/rotation_test.go
+++ b/test/rotation_test.go
@@ -50,7 +50,7 @@
 	load.progress()
 
 	d.controls[0].Terminate() // its links are made anew
-	d.controls[0].WaitExit()
+	d.controls[0].WaitCleanExit()
 	d.controls[0].Relaunch()
 	d.StartEntry()
 	d.Patch(d.lodgement.Put())
