--- a/test/groups_test.go
+++ b/test/groups_test.go
@@ -222,7 +222,7 @@
 	host.Relaunch()
 	host.Remove()
 	host.JoinUntil("invalid number of grant groups")
-	is.Equal(host.WaitEnd(), 1)
+	is.Equal(host.WaitExitCode(), 1)
 	d.checkRun(t, d.callerOf(t, d.targets[d.lodgement][1]), keysOf("without it")...)
 	host.Relaunch()
 	host.Join()
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -60,7 +60,7 @@
 	watch.Advance()
 	is.True(target.Agent.Running())
 	target.Agent.Terminate()
-	is.Equal(target.Agent.WaitEnd(), exitForced)
+	is.Equal(target.Agent.WaitExitCode(), exitForced)
 }
 
 // TestOperatorLearnsLostOutcome cuts the answer to a patch that was accepted,
