--- a/test/rotation_test.go
+++ b/test/rotation_test.go
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
-	folder := d.KeyFolder()
+	folder := d.KeyDir()
 	d.Renew(func() error { return keys.AddAuthority(folder) }, d.holders()...)
 	load.progress()
 	is.NoErr(keys.PreferAuthority(folder))
@@ -65,7 +65,7 @@
 	is := is.New(t)
 	d := deploy(t, 1)
 	former := d.startLoad(t)
-	folder := d.KeyFolder()
+	folder := d.KeyDir()
 	var added uint8
 	d.Renew(func() (err error) {
 		added, err = keys.AddDataSecret(folder)
