--- a/test/rotation_test.go
+++ b/test/rotation_test.go
@@ -42,7 +42,7 @@
 	load.progress()
 	is.NoErr(keys.PreferAuthority(folder))
 	d.RenewCallerCertificate(func() error {
-		d.Renew(d.IssueAgain, d.holders()...)
+		d.Renew(d.ReissueCertificates, d.holders()...)
 		return nil
 	}, d.agents()...)
 	load.progress()
