--- a/test/rotation_test.go
+++ b/test/rotation_test.go
@@ -38,15 +38,15 @@
 	d := deploy(t, 3)
 	load := d.startLoad(t)
 	folder := d.KeyDir()
-	d.Renew(func() error { return keys.AddAuthority(folder) }, d.holders()...)
+	d.RenewKeys(func() error { return keys.AddAuthority(folder) }, d.holders()...)
 	load.progress()
 	is.NoErr(keys.PreferAuthority(folder))
 	d.RenewCallerCertificate(func() error {
-		d.Renew(d.ReissueCertificates, d.holders()...)
+		d.RenewKeys(d.ReissueCertificates, d.holders()...)
 		return nil
 	}, d.agents()...)
 	load.progress()
-	d.Renew(func() error { return keys.RemoveAuthority(folder) }, d.holders()...)
+	d.RenewKeys(func() error { return keys.RemoveAuthority(folder) }, d.holders()...)
 	load.progress()
 
 	d.controls[0].Terminate() // its links are made anew
@@ -67,17 +67,17 @@
 	former := d.startLoad(t)
 	folder := d.KeyDir()
 	var added uint8
-	d.Renew(func() (err error) {
+	d.RenewKeys(func() (err error) {
 		added, err = keys.AddDataSecret(folder)
 		return err
 	}, d.holders()...)
 	former.progress()
 	is.True(added != 0)
-	d.Renew(func() error { return keys.PreferDataSecret(folder, added) }, d.holders()...)
+	d.RenewKeys(func() error { return keys.PreferDataSecret(folder, added) }, d.holders()...)
 	former.progress()
 	later := d.startLoad(t)
 	former.stop()
-	d.Renew(func() error { return keys.RemoveDataSecret(folder, 0) }, d.holders()...)
+	d.RenewKeys(func() error { return keys.RemoveDataSecret(folder, 0) }, d.holders()...)
 	later.progress()
 	d.checkEchoes(t, "by the new secret", 3)
 	later.stop()
