--- a/test/address_test.go
+++ b/test/address_test.go
@@ -44,8 +44,8 @@
 // certificates.
 func (d *deployment) passAddress() uint64 {
 	return d.Patch(
-		d.lodgement.Put(d.NewAddress()),
-		d.certificates.Put(d.certificates.Address, d.lodgement.Address),
+		d.lodgement.PutSection(d.NewAddress()),
+		d.certificates.PutSection(d.certificates.Address, d.lodgement.Address),
 	)
 }
 
@@ -56,7 +56,7 @@
 	for name, change := range map[string]func(*deployment) uint64{
 		"address passes to another service": (*deployment).passAddress,
 		"address is replaced by another one": func(d *deployment) uint64 {
-			return d.Patch(d.lodgement.Put(d.NewAddress()))
+			return d.Patch(d.lodgement.PutSection(d.NewAddress()))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/test/damage_test.go
+++ b/test/damage_test.go
@@ -20,7 +20,7 @@
 	d.controls = d.StartControls(3)
 	d.lodgement = d.NewService("lodgement")
 	for range versions {
-		d.Patch(d.lodgement.Put())
+		d.Patch(d.lodgement.PutSection())
 	}
 	return d
 }
@@ -48,7 +48,7 @@
 	is.NoErr(os.WriteFile(segment, append(data, data[:torn]...), 0o600))
 	host.Launch()
 	host.WaitReady()
-	version := d.Patch(d.lodgement.Put())
+	version := d.Patch(d.lodgement.PutSection())
 	d.checkHolds(t, host, version)
 }
 
@@ -80,7 +80,7 @@
 			output := host.Output()
 			is.True(strings.Contains(output, "data directory is corrupted"))
 			is.True(strings.Contains(output, filepath.Base(path)+", offset "))
-			version := d.Patch(d.lodgement.Put())
+			version := d.Patch(d.lodgement.PutSection())
 			restore()
 			host.Launch()
 			host.WaitReady()
@@ -117,10 +117,10 @@
 			d := threeControls(t)
 			host := pick(d)
 			host.LimitFileSize(host.ConfigLogBytes() + 10)
-			d.Patch(d.lodgement.Put())
+			d.Patch(d.lodgement.PutSection())
 			is.Equal(host.WaitExitCode(), 1)
 			is.True(strings.Contains(host.Output(), "no space left for the data directory"))
-			version := d.Patch(d.lodgement.Put())
+			version := d.Patch(d.lodgement.PutSection())
 			host.Launch()
 			host.WaitReady()
 			d.checkHolds(t, host, version)
--- a/test/flight_test.go
+++ b/test/flight_test.go
@@ -29,7 +29,7 @@
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(1)
 	d.lodgement = d.NewService("lodgement")
-	d.Patch(d.lodgement.Put())
+	d.Patch(d.lodgement.PutSection())
 	link := d.controls[0].Relay()
 	d.entries = append(d.entries, d.StartEntry())
 	deaf := d.StartEntry(link.Addr())
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -18,7 +18,7 @@
 	d := &deployment{Cluster: processtest.New(t), targets: make(map[*processtest.Service][]*processtest.Target)}
 	d.controls = d.StartControls(3)
 	d.lodgement = d.NewService("lodgement")
-	d.Patch(d.lodgement.Put())
+	d.Patch(d.lodgement.PutSection())
 	learner := d.StartLearner()
 	d.entries = append(d.entries, d.StartEntry(learner.Link))
 	for _, name := range []string{"a", "b", "c"} {
@@ -47,7 +47,7 @@
 	id := fmt.Sprint("through-the-learner-", base)
 	var o processtest.Outcome
 	processtest.Eventually(t, id+" is accepted", func() bool {
-		o = d.Submit(base, id, []string{d.lodgement.Put()}, learner.Operator)
+		o = d.Submit(base, id, []string{d.lodgement.PutSection()}, learner.Operator)
 		return o.Verdict == processtest.Accepted
 	})
 	is.Equal(o.Version, base+1)
@@ -109,7 +109,7 @@
 	t.Helper()
 	is := is.New(t)
 	const noLeader = "no leader: not done"
-	patch := d.RunOperator(d.SubmitArgs(4, "alone", d.lodgement.Put()), learner.Operator)
+	patch := d.RunOperator(d.SubmitArgs(4, "alone", d.lodgement.PutSection()), learner.Operator)
 	is.Equal(patch.Status, 1)
 	is.True(strings.Contains(patch.Stderr, noLeader))
 	outcome := d.RunOperator([]string{"patch", "show", "alone"}, learner.Operator)
@@ -137,7 +137,7 @@
 	// served waits until each has a place and acts on a new version.
 	served := func(names []string) {
 		t.Helper()
-		version := d.Patch(d.lodgement.Put())
+		version := d.Patch(d.lodgement.PutSection())
 		d.WaitActive(version, names...)
 		processtest.Eventually(t, "each at one host", func() bool { return d.places(t, places) == len(names) })
 		d.checkEchoes(t, fmt.Sprint("version ", version), 1)
--- a/test/loss_test.go
+++ b/test/loss_test.go
@@ -41,7 +41,7 @@
 	for _, host := range hosts {
 		loseDisk(host)
 		host.Replace()
-		version = d.Patch(d.lodgement.Put())
+		version = d.Patch(d.lodgement.PutSection())
 		d.checkOutcomes(t, version)
 	}
 	for _, host := range d.controls {
@@ -59,19 +59,19 @@
 	second := empty.Others()[0]
 	last := empty.Others()[1]
 	loseDisk(empty)
-	version := d.Patch(d.lodgement.Put()) // the two others go on
+	version := d.Patch(d.lodgement.PutSection()) // the two others go on
 	second.Kill()
 	processtest.Eventually(t, "the last host knows that it is alone", func() bool {
 		s := last.Status()
 		return s != nil && s.Groups[0].Leader == ""
 	})
-	o := d.Submit(version, "in-between", []string{d.lodgement.Put()}, last.Operator, empty.Operator)
+	o := d.Submit(version, "in-between", []string{d.lodgement.PutSection()}, last.Operator, empty.Operator)
 	is.True(o.Verdict == processtest.NotApplied || o.Verdict == processtest.Unknown)
 	second.Launch()
 	second.WaitReady()
 	d.checkOutcomes(t, version)
 	empty.Replace()
-	version = d.SubmitUntilKnown(version, "in-between", d.lodgement.Put()).Version
+	version = d.SubmitUntilKnown(version, "in-between", d.lodgement.PutSection()).Version
 	for _, host := range d.controls {
 		d.checkHolds(t, host, version)
 	}
--- a/test/rotation_test.go
+++ b/test/rotation_test.go
@@ -53,7 +53,7 @@
 	d.controls[0].WaitCleanExit()
 	d.controls[0].Relaunch()
 	d.StartEntry()
-	d.Patch(d.lodgement.Put())
+	d.Patch(d.lodgement.PutSection())
 	d.checkEchoes(t, "by the new authority", 3)
 	load.stop()
 }
