--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -31,7 +31,7 @@
 	is := is.New(t)
 	const standIns = 300
 	d := deploy(t, 3)
-	d.lodgement.AnnounceStandIns(standIns)
+	d.lodgement.AnnounceFakeTargets(standIns)
 	entry := d.StartEntry()
 	known := func(targets int) func() bool {
 		return func() bool { return entry.MetricValue("subscriber_targets", "", "") == float64(targets) }
@@ -43,7 +43,7 @@
 	lost := d.controlOf(entry.Host)
 	lost.Kill()
 	processtest.Eventually(t, "another control host", func() bool { return d.controlOf(entry.Host) != nil })
-	d.lodgement.AnnounceStandIns(1)
+	d.lodgement.AnnounceFakeTargets(1)
 	processtest.Eventually(t, "a target announced since", known(total+1))
 	processtest.Eventually(t, "its record in the counters", func() bool { return received() > float64(total) })
 	t.Logf("%v records received in all, %d targets", received(), total)
