--- a/test/answers_test.go
+++ b/test/answers_test.go
@@ -31,7 +31,7 @@
 func TestBadAnswersReachNobody(t *testing.T) {
 	is := is.New(t)
 	const workers, requests = 8, 40
-	d := deployWith(t, 1, processtest.TargetOptions{Faults: badAnswers})
+	d := deployWith(t, 1, processtest.TargetOptions{FaultFlags: badAnswers})
 	fates := make([]map[string]int, workers)
 	var senders conc.WaitGroup
 	for worker := range workers {
--- a/test/lying_test.go
+++ b/test/lying_test.go
@@ -20,7 +20,7 @@
 		"frozen health, always full": {"--fault-health=frozen", "--fault-load=full"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := deployWith(t, 1, processtest.TargetOptions{Faults: faults})
+			d := deployWith(t, 1, processtest.TargetOptions{FaultFlags: faults})
 			load := d.startLoad(t)
 			for i := range 10 {
 				d.checkEchoes(t, fmt.Sprint("lying ", i), 2)
@@ -38,14 +38,14 @@
 	t.Run("broken, claims to be well and idle", func(t *testing.T) {
 		d := deploy(t, 1)
 		liar := d.lodgement.StartTargetWith("liar", processtest.TargetOptions{
-			Faults: []string{"--fault-broken", "--fault-health=well", "--fault-load=idle"},
+			FaultFlags: []string{"--fault-broken", "--fault-health=well", "--fault-load=idle"},
 		})
 		d.avoidsLiar(t, liar)
 	})
 	t.Run("working, claims to be ill and full", func(t *testing.T) {
 		d := deploy(t, 1)
 		liar := d.lodgement.StartTargetWith("liar", processtest.TargetOptions{
-			Faults: []string{"--fault-health=ill", "--fault-load=full"},
+			FaultFlags: []string{"--fault-health=ill", "--fault-load=full"},
 		})
 		load := d.startLoad(t)
 		d.callerOf(t, liar)
@@ -78,7 +78,7 @@
 func TestRampFollowsTheBackendServer(t *testing.T) {
 	const hour = 3600
 	d := deploy(t, 1)
-	target := d.lodgement.StartTargetWith("old", processtest.TargetOptions{Faults: []string{"--fault-age=24h"}})
+	target := d.lodgement.StartTargetWith("old", processtest.TargetOptions{FaultFlags: []string{"--fault-age=24h"}})
 	old := func() bool { return target.BackendAge() >= 23*hour }
 	processtest.Eventually(t, "the agent takes its server for old", old)
 	target.StopAgent()
