--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -31,7 +31,7 @@
 	target, _ := d.holder(t, load.watch)
 	old := target.Agent
 	inFlight := d.startRequests(t, target, 2)
-	target.StopAgent()
+	target.DrainAgent()
 	target.LaunchAgent()
 	target.WaitRegistered()
 	for _, answer := range inFlight.wait() {
@@ -97,7 +97,7 @@
 	load := d.startLoad(t)
 	target, _ := d.holder(t, load.watch)
 	link.Cut()
-	target.StopAgent()
+	target.DrainAgent()
 	d.avoids(t, target)
 	load.progress()
 	load.stop()
--- a/test/lying_test.go
+++ b/test/lying_test.go
@@ -81,7 +81,7 @@
 	target := d.lodgement.StartTargetWith("old", processtest.TargetOptions{FaultFlags: []string{"--fault-age=24h"}})
 	old := func() bool { return target.BackendAge() >= 23*hour }
 	processtest.Eventually(t, "the agent takes its server for old", old)
-	target.StopAgent()
+	target.DrainAgent()
 	target.LaunchAgent()
 	target.WaitRegistered()
 	processtest.Eventually(t, "the next agent does as well", old)
--- a/test/ramp_test.go
+++ b/test/ramp_test.go
@@ -30,7 +30,7 @@
 		d.candidates(t, len(d.all())+1)
 		first := d.reaching(cold, flows)
 		if time.Since(launched) > ramp/4 {
-			cold.StopAgent() // too old by now
+			cold.DrainAgent() // too old by now
 			d.candidates(t, len(d.all()))
 			continue
 		}
