--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -167,7 +167,7 @@
 	runs := 0
 	for _, target := range d.targets[d.lodgement] {
 		processtest.Eventually(t, "the backend server is ready", target.Ready)
-		runs += target.Runs(name)
+		runs += target.RunCount(name)
 	}
 	right := runs <= 1
 	switch fate {
