--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -166,7 +166,7 @@
 	t.Helper()
 	runs := 0
 	for _, target := range d.targets[d.lodgement] {
-		processtest.Eventually(t, "the backend server is ready", target.Ready)
+		processtest.Eventually(t, "the backend server is ready", target.BackendReady)
 		runs += target.RunCount(name)
 	}
 	right := runs <= 1
