--- a/test/address_test.go
+++ b/test/address_test.go
@@ -64,7 +64,7 @@
 			watch := d.lodgement.NewCaller().Watch()
 			version := change(d)
 			d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
-			watch.Advance()
+			watch.WaitEvents()
 		})
 	}
 }
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -33,11 +33,11 @@
 		processtest.Eventually(t, "the lease ends", func() bool { return d.controls[0].Status().Targets == 1 })
 		d.candidates(t, 1)
 		d.avoids(t, target)
-		watch.Advance()
+		watch.WaitEvents()
 		links[i].Heal()
 		d.candidates(t, len(targets))
 		d.callerOf(t, target) // takes new flows again
-		watch.Advance()
+		watch.WaitEvents()
 	}
 }
 
@@ -58,10 +58,10 @@
 		})
 	}
 	is.True(flapping.Agent.Running())
-	watch.Advance() // the other target's flows are not touched
+	watch.WaitEvents() // the other target's flows are not touched
 	processtest.Eventually(t, "the damping ends", func() bool { return !d.damped() })
 	d.callerOf(t, flapping)
-	watch.Advance()
+	watch.WaitEvents()
 }
 
 // damped tells whether the control host damps a target.
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -33,11 +33,11 @@
 	first.Agent.Kill()
 	first.Backend.Kill()
 	expectRefusals(t, d.lodgement) // its lease has ended
-	watch.Advance()
+	watch.WaitEvents()
 
 	d.lodgement.StartTarget("b")
 	checkEcho(t, d.lodgement, servedCaller(t, d.lodgement), "served again")
-	watch.Advance()
+	watch.WaitEvents()
 	processtest.Eventually(t, "refusals are counted", func() bool {
 		sent, noTarget := 0.0, 0.0
 		for _, e := range d.entries {
