--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -72,12 +72,12 @@
 // ends by the clock, so that on a slow machine there may be few.
 func (d *deployment) avoidsDamped(t *testing.T, flapping *processtest.Target, most int) int {
 	t.Helper()
-	d.onEntries(t, "no damping", func(e *processtest.Entry) bool { return e.Damped() == 0 })
+	d.onEntries(t, "no damping", func(e *processtest.Entry) bool { return e.DampedTargets() == 0 })
 	flapping.Agent.Kill()
 	flapping.Flap(6)
 	flapping.LaunchAgent()
 	flapping.WaitRegistered()
-	d.onEntries(t, "damping", func(e *processtest.Entry) bool { return e.Damped() == 1 || !d.damped() })
+	d.onEntries(t, "damping", func(e *processtest.Entry) bool { return e.DampedTargets() == 1 || !d.damped() })
 	for flows := range most {
 		taken := d.reaching(flapping, 1)
 		if !d.damped() { // the flow may have come after the end
