--- a/test/silent_test.go
+++ b/test/silent_test.go
@@ -38,7 +38,7 @@
 			d := deployWith(t, 1, processtest.TargetOptions{Relayed: true})
 			load := d.startLoad(t)
 			for _, target := range d.all() {
-				target.FrameRelay.CutExistingOf(d.entries[0].FrameAddr(), ways...)
+				target.FrameRelay.CutFlow(d.entries[0].FrameAddr(), ways...)
 			}
 			load.progress()
 			holder, _ := d.holder(t, load.watch)
