--- a/test/flight_test.go
+++ b/test/flight_test.go
@@ -50,7 +50,7 @@
 	is.Equal(deaf.Candidates(), 2)
 
 	fabric := d.lodgement.Fabric
-	fabric.SendInTurn()
+	fabric.UseRoundRobin()
 	fabric.SetFaults(faultproxy.ToHost, faultproxy.Faults{Delay: wayBack, Drop: 0.03, Duplicate: 0.2})
 	fabric.SetFaults(faultproxy.ToCaller, faultproxy.Faults{Delay: wayBack, Drop: 0.05})
 	before := d.begun(t, targets)
