--- a/internal/controld/bootstrap.go
+++ b/internal/controld/bootstrap.go
@@ -257,7 +257,7 @@
 func (d *Daemon) queryReplicas(address string) (*controlpb.ReplicaReply, error) {
 	p := d.peers.get(address)
 	if p == nil {
-		return nil, errors.New("the daemon is stopping")
+		return nil, errors.New("the daemon stops")
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, replicaQueryTimeout)
 	defer cancel()
@@ -267,7 +267,7 @@
 		return nil, err
 	}
 	if res.GetReplicas() == nil {
-		return nil, errors.Errorf("unexpected reply: %s", res.GetFault().GetText())
+		return nil, errors.Errorf("unfit answer: %s", res.GetFault().GetText())
 	}
 	return res.GetReplicas(), nil
 }
@@ -307,6 +307,8 @@
 	})
 }
 
+// bootstrapNew bootstraps a group if this host is the first initial voter with a durable
+// log and knows the replica IDs of all others.
 func (d *Daemon) bootstrapNew(group controlpb.Group, self *raftpb.ReplicaID, infos map[string]*controlpb.ReplicaInfo) {
 	m := &raftpb.Membership{}
 	for _, v := range d.initialVoters {
--- a/internal/controld/evacuation.go
+++ b/internal/controld/evacuation.go
@@ -16,8 +16,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// errCallerCanceled means that the caller of an order no longer waits for its outcome.
-var errCallerCanceled = errors.New("the caller canceled the request")
+// errCallerCanceled means that the sender of an order no longer waits for its outcome.
+var errCallerCanceled = errors.New("the caller has gone")
 
 // Evacuate proposes an order to evacuate a failure domain. Errors are those of
 // ReplaceRouteTable.
@@ -38,12 +38,12 @@
 	if err := d.readBarrier.wait(ctx); err != nil {
 		return nil, errors.Wrapf(operator.ErrNotApplied, "no quorum confirms the state: %v", err)
 	}
-	// While this host was stalled, the caller may have sent the order to another host and
+	// While this host was stalled, the operator may have sent the order to another host and
 	// then ended the evacuation. Applying the order now would start it again.
 	if ctx.Err() != nil {
 		return nil, errors.Wrap(operator.ErrNotApplied, errCallerCanceled.Error())
 	}
-	if out := d.configs.alreadyEvacuated(o); out != nil {
+	if out := d.configs.unchangedOutcome(o); out != nil {
 		return out, nil
 	}
 	return d.proposeEvacuation(ctx, o)
@@ -62,7 +62,7 @@
 	}
 	var result configpb.Result
 	if err := proto.Unmarshal(data, &result); err != nil || result.GetEvacuated() == nil {
-		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "cannot decode the result")
+		return nil, errors.Wrap(operator.ErrOutcomeUnknown, "the result cannot be read")
 	}
 	out := result.GetEvacuated()
 	d.log.Info("evacuation order committed", zap.String("failure_domain", o.GetFailureDomain()), zap.Bool("ends", o.GetEnd()),
--- a/internal/controld/handler.go
+++ b/internal/controld/handler.go
@@ -56,8 +56,8 @@
 // handler serves the requests of peers.
 type handler Daemon
 
-// allowed returns the roles that may send a request.
-func allowed(req *controlpb.Request) []keys.Role {
+// allowedRoles returns the roles that may send a request.
+func allowedRoles(req *controlpb.Request) []keys.Role {
 	switch req.GetBody().(type) {
 	case *controlpb.Request_Raft, *controlpb.Request_Propose, *controlpb.Request_DirectorySync, *controlpb.Request_Replicas,
 		*controlpb.Request_Join, *controlpb.Request_TakeOver, *controlpb.Request_Serving:
@@ -72,7 +72,7 @@
 
 // Call implements link.Handler.
 func (h *handler) Call(ctx context.Context, peer link.Peer, req *controlpb.Request) *controlpb.Response {
-	roles := allowed(req)
+	roles := allowedRoles(req)
 	if roles == nil {
 		return h.fault(refusedRequest, controlpb.FaultKind_FAULT_NOT_DONE, "no such request")
 	}
@@ -159,7 +159,7 @@
 	if h.leadsAnyGroup() {
 		err = (*operatorHandler)(h).addLearner(ctx, j.GetAddress(), name)
 	}
-	if err != nil && h.shouldFound(peer, j) {
+	if err != nil && h.shouldBootstrap(peer, j) {
 		return &controlpb.Response{Body: &controlpb.Response_Found{Found: &controlpb.Found{}}}
 	}
 	if err != nil && int(j.GetHops()) < maxJoinHops {
@@ -178,8 +178,8 @@
 	return slices.ContainsFunc(h.groups, (*Daemon)(h).isLeader)
 }
 
-// shouldFound reports whether a joining host has to bootstrap the groups.
-func (h *handler) shouldFound(peer link.Peer, j *controlpb.Join) bool {
+// shouldBootstrap reports whether a joining host has to bootstrap the groups.
+func (h *handler) shouldBootstrap(peer link.Peer, j *controlpb.Join) bool {
 	if j.GetTransient() || j.GetHops() > 0 || (*Daemon)(h).bootstrapped() {
 		return false
 	}
