--- a/soak/internal/mutants/defects.go
+++ b/soak/internal/mutants/defects.go
@@ -17,7 +17,7 @@
 	{"older version accepted", "config/routes.go",
 		"if r.GetTable().GetRevision() <= activeRevision {", "if r.GetTable().GetRevision() == activeRevision {"},
 	{"invalid configuration accepted", "config/routes.go",
-		"if !c.services[s.GetService()] {", "if len(s.GetService()) == 0 {"},
+		"if !v.services[s.GetService()] {", "if len(s.GetService()) == 0 {"},
 	{"commit without a quorum", "raft/membership.go",
 		"return count > countVoters(m)/2", "return count > 0"},
 	{"drain acknowledged but not enforced", "internal/flowd/backendserver.go",
