--- a/raft/clusterevents_test.go
+++ b/raft/clusterevents_test.go
@@ -14,7 +14,7 @@
 func (c *cluster) injectFault(s *server) {
 	n := c.rng.IntN(c.faultInterval)
 	if s.node.role != RoleFollower {
-		n /= 8 // faults of leaders and during elections find most errors
+		n /= 8 // more faults of leaders and during elections
 	}
 	switch {
 	case n < 10:
@@ -41,7 +41,8 @@
 	c.counts.Crashes++
 }
 
-// wipeDisk loses the disk of a server, if each membership in use keeps a quorum.
+// wipeDisk crashes a server and drops its disk, if each membership in use keeps a
+// quorum. The server restarts with a new incarnation.
 func (c *cluster) wipeDisk(s *server) {
 	kept := func(k replicaKey) bool { return !c.lost[k] && k != keyOf(s.id()) }
 	for _, o := range c.servers {
--- a/raft/log.go
+++ b/raft/log.go
@@ -25,7 +25,7 @@
 	stable uint64
 	// commit is the last index known to be committed.
 	commit uint64
-	// applied is the last index handed out in an advanced batch.
+	// applied is the last index of an advanced batch or a restored snapshot.
 	applied uint64
 }
 
@@ -97,7 +97,7 @@
 }
 
 // stableTo records that the entry with this index and term was synced. If it was
-// overwritten meanwhile, the terms differ and the new entry is handed out again.
+// overwritten meanwhile, the terms differ and the next batch has the new entry.
 func (l *entryLog) stableTo(index, term uint64) {
 	if l.matches(index, term) {
 		l.stable = max(l.stable, index)
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -10,8 +10,8 @@
 )
 
 // MaxVoters is the maximum number of voters. Each commit waits for more than
-// half of them; further members can serve as learners. It leaves room to replace
-// two of five voters before they are removed.
+// half of them; further members can serve as learners. With five voters, two
+// replacements can be promoted before the voters that they replace are removed.
 const MaxVoters = 7
 
 // replicaKey is a comparable ReplicaID.
--- a/raft/node.go
+++ b/raft/node.go
@@ -117,9 +117,9 @@
 	n.log.reset(s.GetIndex(), s.GetTerm())
 	n.memberships = []membershipRecord{{index: s.GetIndex(), membership: s.GetMembership()}}
 	if s.GetTerm() > n.term {
-		// A crash after the snapshot was synced and before the hard state of
-		// its batch was. No message of this term was sent, so this replica has
-		// not voted in it.
+		// The process crashed after the snapshot was synced and before the hard
+		// state of its batch was. No message of this term was sent, so this
+		// replica has not voted in it.
 		n.term = s.GetTerm()
 		n.vote = nil
 	}
@@ -147,9 +147,9 @@
 		return entries, nil
 	}
 	if last < offset || entries[offset-first].GetTerm() != n.log.offsetTerm {
-		// A crash after a snapshot that replaces the log was synced and before
-		// the old log was dropped. The first batch contains the snapshot again,
-		// so that the log is dropped before entries are written.
+		// The process crashed after a snapshot that replaces the log was synced
+		// and before the old log was dropped. The first batch contains the
+		// snapshot again, so that the log is dropped before entries are written.
 		n.unsavedSnapshot = n.snapshot
 		return nil, nil
 	}
--- a/voters/candidate_test.go
+++ b/voters/candidate_test.go
@@ -21,7 +21,7 @@
 	return voters.Change{Kind: voters.Promote, Replica: voters.Replica{Name: name, Incarnation: 1}, Reason: voters.ReasonCaughtUp}
 }
 
-func TestPromotionSpreadsVotes(t *testing.T) {
+func TestPromotionAcrossFailureDomains(t *testing.T) {
 	for name, tt := range map[string]struct {
 		members []voters.Member
 		want    voters.Change
@@ -51,9 +51,8 @@
 	}
 }
 
-// TestPromotionProperties promotes hosts in random failure domains until nothing changes.
-// There must be enough voters if there are enough hosts, and no single domain may take the
-// quorum if there are three or more and none has half of the hosts.
+// Promotions over random failure domains must give enough voters, and no domain may take
+// the quorum if there are three or more domains and none has half of the hosts.
 func TestPromotionProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := voters.Limits{VoterLimit: 7, MinActiveVoters: rapid.SampledFrom([]int{3, 5}).Draw(t, "minimum")}
--- a/voters/voters.go
+++ b/voters/voters.go
@@ -77,7 +77,7 @@
 	// VoterLimit is the maximum number of voters.
 	VoterLimit int
 	// MinActiveVoters is the number of active voters that the group needs for its fault
-	// tolerance. An inactive voter is removed only if there are so many.
+	// tolerance. An inactive voter is removed only if at least this many others are active.
 	MinActiveVoters int
 	// RemoveAfter is the time after which an inactive member is removed.
 	RemoveAfter time.Duration
