--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -86,13 +86,13 @@
 	leader, scope := benchGroup(b, size)
 	before := counterValue(scope, "log_syncs")
 	command := make([]byte, 256)
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	done := make(chan error, callers)
 	b.ResetTimer()
 	for range callers {
 		go func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				if _, err := leader.Propose(b.Context(), command); err != nil {
 					done <- err
 					return
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -20,7 +20,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// testTimeout bounds each wait of a test, also on a busy machine.
+// testTimeout bounds each wait of a test.
 const testTimeout = 60 * time.Second
 
 // defaultTestTick is long enough that short stalls of a busy machine cause no election.
@@ -399,8 +399,8 @@
 // backoff waits before a retry, until the status changes or a short time has passed.
 // It returns false if ctx ends.
 func backoff(ctx context.Context, changed <-chan struct{}) bool {
-	const pause = 10 * time.Millisecond
-	timer := time.NewTimer(pause)
+	const interval = 10 * time.Millisecond
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/internal/replica/diskfull.go
+++ b/internal/replica/diskfull.go
@@ -14,8 +14,8 @@
 const diskSpaceRetryInterval = 250 * time.Millisecond
 
 // canRetryDiskFull reports whether the replica may continue once its disk has space: a
-// write failed because it was full. It may not after a failed sync, since lost data may
-// still be readable until the host loses power.
+// write failed because it was full. After a failed sync it must not: data that is not on
+// the disk may still be readable until the host loses power.
 func (r *Replica) canRetryDiskFull() bool {
 	return r.opts.WaitForDiskSpace && errors.Is(r.failure, wal.ErrNoSpace) && !errors.Is(r.failure, wal.ErrSync)
 }
@@ -33,7 +33,7 @@
 	ticker := time.NewTicker(diskSpaceRetryInterval)
 	defer ticker.Stop()
 	for {
-		r.refuseQueued()
+		r.failPending()
 		select {
 		case <-r.stop:
 			return false
@@ -62,8 +62,8 @@
 	}
 }
 
-// refuseQueued fails all requests and drops the queued messages.
-func (r *Replica) refuseQueued() {
+// failPending fails all requests and drops the queued messages.
+func (r *Replica) failPending() {
 	requests, _ := r.inbox.take()
 	for _, q := range requests {
 		if q.transition(requestQueued, requestStarted) {
@@ -73,9 +73,9 @@
 		r.inbox.release(q)
 	}
 	r.failStarted()
-	for _, a := range r.responses {
-		r.inbox.release(a.request)
-		a.request.done <- a.outcome
+	for _, resp := range r.responses {
+		r.inbox.release(resp.request)
+		resp.request.done <- resp.outcome
 	}
 	clear(r.responses)
 	r.responses = r.responses[:0]
--- a/internal/replica/diskfull_test.go
+++ b/internal/replica/diskfull_test.go
@@ -19,10 +19,10 @@
 	_, err := old.replica.Propose(ctx, []byte("refused"))
 	is.True(err != nil)
 	is.True(old.replica.Err() == nil) // it did not fail
-	others := c.leader(old)
-	c.propose(others, "while full")
+	next := c.leader(old)
+	c.propose(next, "while full")
 	old.disk.fill(false)
-	c.propose(others, "after")
+	c.propose(next, "after")
 	c.converge("after")
 	is.NoErr(old.replica.ReadBarrier(ctx))
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -11,8 +11,8 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// A group starts with a snapshot that contains its members and is equal on all of
-// them, so that replicas that join later receive them like any other snapshot.
+// Index and term of the first snapshot of a group. It contains the initial members
+// and is equal on all of them; replicas that join later receive it like any other.
 const (
 	bootstrapIndex uint64 = 1
 	bootstrapTerm  uint64 = 1
@@ -20,7 +20,7 @@
 
 // Bootstrap makes the replica an initial member of a new group. It must be called on
 // every member with the same list. No member may have belonged to a group before;
-// ErrAlreadyBootstrapped: this one has.
+// if this one has, the error is ErrAlreadyBootstrapped.
 func (r *Replica) Bootstrap(ctx context.Context, members *raftpb.Membership) error {
 	members = proto.CloneOf(members)
 	_, err := r.do(ctx, newRequest(0, func(q *request) { r.startBootstrap(q, members) }))
--- a/internal/replica/outcome_test.go
+++ b/internal/replica/outcome_test.go
@@ -89,9 +89,8 @@
 	}
 }
 
-// Proposers run on all hosts while hosts are isolated, killed and frozen in turn.
-// Accepted commands must be in every journal exactly once and in the same order,
-// refused commands in none.
+// While hosts are isolated, killed and frozen in turn, accepted commands must reach
+// every journal exactly once and in the same order, refused commands none.
 func TestOutcomesAreAccurate(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -119,7 +119,7 @@
 		HardState:          state.HardState,
 		Snapshot:           state.Snapshot,
 		Entries:            state.Entries,
-		// That of the snapshot, so that it is validated.
+		// raft.New validates this membership, but not that of the snapshot.
 		Membership:    state.Snapshot.GetMembership(),
 		RetainEntries: r.opts.retainEntries(),
 	})
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -83,9 +83,9 @@
 // a response sees a status at least as new.
 func (r *Replica) flush() {
 	r.publish()
-	for _, a := range r.responses {
-		r.inbox.release(a.request)
-		a.request.done <- a.outcome
+	for _, resp := range r.responses {
+		r.inbox.release(resp.request)
+		resp.request.done <- resp.outcome
 	}
 	clear(r.responses)
 	r.responses = r.responses[:0]
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -86,7 +86,8 @@
 	return p.status, p.changed
 }
 
-// WaitForLeader waits until a leader is known and reports whether there is one.
+// WaitForLeader waits until a leader is known. It returns false if ctx ends or the
+// replica stops first.
 func (r *Replica) WaitForLeader(ctx context.Context) bool {
 	for {
 		status, changed := r.Watch()
--- a/internal/replica/transfer_test.go
+++ b/internal/replica/transfer_test.go
@@ -11,21 +11,20 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-// A leader that is closed asks a follower to take over, which is elected in the next
-// term and has all accepted commands. Ticks are long, so that stalls of a busy machine
-// cause no other election.
+// Close transfers the leadership to a follower that has all accepted commands. Ticks are
+// long, so that stalls of a busy machine cause no other election.
 func TestCloseTransfersLeadership(t *testing.T) {
 	is := is.New(t)
 	c, old := newLedCluster(t, 3, Options{TickInterval: 200 * time.Millisecond})
 	c.propose(old, "before")
 	term := old.replica.Status().Term
 	var mu sync.Mutex
-	asked := ""
+	successor := ""
 	c.setOnDeliver(func(_, to string, m *raftpb.Message) {
 		mu.Lock()
 		defer mu.Unlock()
 		if m.GetKind() == raftpb.MessageKind_MESSAGE_TAKE_OVER {
-			asked = to
+			successor = to
 		}
 	})
 	closing := old.replica
@@ -34,7 +33,7 @@
 	is.Equal(old.counter("leaderships_handed_over"), int64(1))
 	next := c.leader()
 	mu.Lock()
-	is.Equal(next.name, asked)
+	is.Equal(next.name, successor)
 	mu.Unlock()
 	is.Equal(next.replica.Status().Term, term+1)
 	c.propose(next, "after")
