--- a/internal/wal/fault_test.go
+++ b/internal/wal/fault_test.go
@@ -15,7 +15,7 @@
 	"eelgrasswharf.example/eelgrasswharf/api/raftpb"
 )
 
-func TestFailedWriteOrSyncIsFinal(t *testing.T) {
+func TestLogFailsAfterWriteOrSyncError(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(*faultFS)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestFailedSnapshotIsFinal(t *testing.T) {
+func TestLogFailsAfterSnapshotError(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault faultFS
@@ -310,9 +310,8 @@
 	return Options{Name: "a", FS: fs, SegmentBytes: 150}
 }
 
-// TestCrashAtEveryCall crashes at every call to the file system, with none, part or
-// all of the unsynced bytes and names on the disk. All acknowledged steps must
-// survive, and a step must be there completely or not at all.
+// A crash at any call to the file system, with any part of the unsynced bytes and names
+// on the disk, must keep all acknowledged steps and the next one completely or not at all.
 func TestCrashAtEveryCall(t *testing.T) {
 	want := statesAfterSteps(t)
 	for _, short := range []bool{false, true} {
--- a/internal/wal/fuzz_test.go
+++ b/internal/wal/fuzz_test.go
@@ -12,12 +12,12 @@
 // FuzzRecord decodes arbitrary bytes and checks that a valid record encodes to the
 // same bytes.
 func FuzzRecord(f *testing.F) {
-	it := &logRecord{
+	rec := &logRecord{
 		snapshotMeta: &raftpb.Snapshot{Index: 3, Term: 1},
 		hardState:    &raftpb.HardState{Term: 2, Vote: &raftpb.ReplicaID{Name: "b", Incarnation: 7}, Commit: 3},
 		entries:      entries(2, 4, 6),
 	}
-	payload, err := it.encode(nil)
+	payload, err := rec.encode(nil)
 	must(f, err)
 	record := appendRecord(nil, fuzzSalt, 5, payload)
 	f.Add(record)
@@ -32,8 +32,8 @@
 		if s, _, rest, ok := parseFirstRecord(data); ok {
 			checkRecord(t, rest, s)
 		}
-		if it, err := decodeLogRecord(data); err == nil {
-			checkLogRecord(t, it)
+		if rec, err := decodeLogRecord(data); err == nil {
+			checkLogRecord(t, rec)
 		}
 	})
 }
@@ -47,13 +47,13 @@
 	if !bytes.HasPrefix(data, again) {
 		t.Fatalf("record does not encode to itself: %x", data)
 	}
-	if it, err := decodeLogRecord(payload); err == nil {
-		checkLogRecord(t, it)
+	if rec, err := decodeLogRecord(payload); err == nil {
+		checkLogRecord(t, rec)
 	}
 }
 
-func checkLogRecord(t *testing.T, it *logRecord) {
-	encoded, err := it.encode(nil)
+func checkLogRecord(t *testing.T, rec *logRecord) {
+	encoded, err := rec.encode(nil)
 	if err != nil {
 		return // a string that is not UTF-8 does not encode
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatalf("record does not decode again: %v", err)
 	}
-	if len(again.entries) != len(it.entries) {
-		t.Fatalf("%d entries became %d", len(it.entries), len(again.entries))
+	if len(again.entries) != len(rec.entries) {
+		t.Fatalf("%d entries became %d", len(rec.entries), len(again.entries))
 	}
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -89,18 +89,18 @@
 // ErrTooLarge leave the log unchanged; after any other error the log must be
 // reopened.
 func (l *Log) Save(b Batch) error {
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	if b.empty() {
 		return nil
 	}
-	it := &logRecord{hardState: b.HardState, entries: b.Entries}
+	rec := &logRecord{hardState: b.HardState, entries: b.Entries}
 	if b.Snapshot != nil {
-		it.snapshotMeta = &raftpb.Snapshot{Index: b.Snapshot.Index, Term: b.Snapshot.Term}
-		it.reset = !l.termIndex.holds(b.Snapshot.Index, b.Snapshot.Term)
+		rec.snapshotMeta = &raftpb.Snapshot{Index: b.Snapshot.Index, Term: b.Snapshot.Term}
+		rec.reset = !l.termIndex.holds(b.Snapshot.Index, b.Snapshot.Term)
 	}
-	if err := l.checkOrder(it); err != nil {
+	if err := l.checkOrder(rec); err != nil {
 		return err
 	}
 	// The snapshot must be durable before the record that refers to it.
@@ -109,7 +109,7 @@
 			return l.fail(err)
 		}
 	}
-	if err := l.append(it); err != nil {
+	if err := l.append(rec); err != nil {
 		return err
 	}
 	if b.Snapshot == nil {
@@ -122,7 +122,7 @@
 // snapshots that it replaces. A snapshot that is not newer than the current one is
 // ignored. Errors are those of Save.
 func (l *Log) Compact(s *raftpb.Snapshot) error {
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	if s.Index <= l.snapshotMeta.GetIndex() {
@@ -161,7 +161,7 @@
 	return errors.Join(err, l.file.Close(), l.lock.Close())
 }
 
-func (l *Log) usable() error {
+func (l *Log) checkUsable() error {
 	if l.closed {
 		return ErrClosed
 	}
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// fail makes the log fail with err, because the state of the disk is unknown. It does
-// not for ErrTooLarge.
+// fail records err, after which the content of the disk is unknown, and returns it with
+// ErrFailed. ErrTooLarge does not make the log fail.
 func (l *Log) fail(err error) error {
 	if errors.Is(err, ErrTooLarge) {
 		// Detected before anything was written.
@@ -182,18 +182,18 @@
 	return errors.Join(ErrFailed, err)
 }
 
-func (l *Log) checkOrder(it *logRecord) error {
+func (l *Log) checkOrder(rec *logRecord) error {
 	floor, last := l.snapshotMeta.GetIndex(), l.termIndex.last
-	if it.snapshotMeta != nil {
-		if it.snapshotMeta.Index <= floor {
-			return errors.Wrapf(ErrNotContiguous, "snapshot at %d, have one at %d", it.snapshotMeta.Index, floor)
+	if rec.snapshotMeta != nil {
+		if rec.snapshotMeta.Index <= floor {
+			return errors.Wrapf(ErrNotContiguous, "snapshot at %d, have one at %d", rec.snapshotMeta.Index, floor)
 		}
-		floor = it.snapshotMeta.Index
-		if it.reset {
+		floor = rec.snapshotMeta.Index
+		if rec.reset {
 			last = floor
 		}
 	}
-	for _, e := range it.entries {
+	for _, e := range rec.entries {
 		if e.Index <= floor || e.Index > last+1 {
 			return errors.Wrapf(ErrNotContiguous, "entry %d, snapshot at %d, last entry %d", e.Index, floor, last)
 		}
@@ -203,8 +203,8 @@
 }
 
 // append writes and syncs one record and applies it to the state in memory.
-func (l *Log) append(it *logRecord) error {
-	payload, err := it.encode(l.buffer[:0])
+func (l *Log) append(rec *logRecord) error {
+	payload, err := rec.encode(l.buffer[:0])
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 	}
 	l.sequence++
 	l.size += len(record)
-	l.applyRecord(it)
+	l.applyRecord(rec)
 	return nil
 }
 
@@ -239,16 +239,16 @@
 	}
 }
 
-func (l *Log) applyRecord(it *logRecord) {
-	if it.hardState != nil {
-		l.hardState = proto.CloneOf(it.hardState)
+func (l *Log) applyRecord(rec *logRecord) {
+	if rec.hardState != nil {
+		l.hardState = proto.CloneOf(rec.hardState)
 	}
-	if it.snapshotMeta != nil {
-		l.snapshotMeta = it.snapshotMeta
-		l.termIndex.drop(it.snapshotMeta, it.reset)
+	if rec.snapshotMeta != nil {
+		l.snapshotMeta = rec.snapshotMeta
+		l.termIndex.drop(rec.snapshotMeta, rec.reset)
 	}
 	newest := &l.segments[len(l.segments)-1]
-	for _, e := range it.entries {
+	for _, e := range rec.entries {
 		l.termIndex.append(e.Index, e.Term)
 		newest.lastIndex = max(newest.lastIndex, e.Index)
 	}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -109,14 +109,14 @@
 	is.NoErr(l.Compact(&raftpb.Snapshot{Index: 3, Term: 1}))
 	is.True(errors.Is(l.Save(Batch{Entries: entries(1, 3, 3)}), ErrNotContiguous)) // covered by the snapshot
 	is.True(errors.Is(l.Save(Batch{Snapshot: &raftpb.Snapshot{Index: 3, Term: 1}}), ErrNotContiguous))
-	is.NoErr(l.Save(Batch{Entries: entries(1, 6, 6)})) // a refused batch is not final
+	is.NoErr(l.Save(Batch{Entries: entries(1, 6, 6)})) // the log stays usable after a refused batch
 }
 
 func TestReceivedSnapshotReplacesLog(t *testing.T) {
 	cases := []struct {
-		name     string
-		snapshot *raftpb.Snapshot
-		left     int
+		name      string
+		snapshot  *raftpb.Snapshot
+		remaining int
 	}{
 		{"log agrees", &raftpb.Snapshot{Index: 3, Term: 1, Data: []byte("state")}, 2},
 		{"log differs", &raftpb.Snapshot{Index: 3, Term: 2, Data: []byte("state")}, 0},
@@ -129,12 +129,12 @@
 			l, _ := mustOpen(t, dir, testOptions())
 			is.NoErr(l.Save(Batch{Entries: entries(1, 1, 5)}))
 			is.NoErr(l.Save(Batch{Snapshot: c.snapshot}))
-			next := c.snapshot.Index + uint64(c.left) + 1
+			next := c.snapshot.Index + uint64(c.remaining) + 1
 			is.NoErr(l.Save(Batch{Entries: entries(2, next, next)}))
 			is.NoErr(l.Close())
 			l, s := mustOpen(t, dir, testOptions())
 			is.True(proto.Equal(s.Snapshot, c.snapshot))
-			is.Equal(len(s.Entries), c.left+1)
+			is.Equal(len(s.Entries), c.remaining+1)
 			is.Equal(s.Entries[0].Index, c.snapshot.Index+1)
 			is.NoErr(l.Close())
 		})
@@ -182,7 +182,7 @@
 	is.NoErr(l.Close())
 }
 
-func TestTooLargeBatchIsNotFinal(t *testing.T) {
+func TestLogUsableAfterTooLargeBatch(t *testing.T) {
 	is := is.New(t)
 	l, _ := mustOpen(t, "/dir", Options{Name: "a", FS: newCrashFS()})
 	large := &raftpb.Entry{Index: 1, Term: 1, Data: make([]byte, maxPayload)}
--- a/internal/wal/logrecord.go
+++ b/internal/wal/logrecord.go
@@ -14,7 +14,7 @@
 	entryField     protowire.Number = 2
 	// snapshotField holds index and term of the current snapshot.
 	snapshotField protowire.Number = 3
-	// resetField is snapshotField of a snapshot that replaces all entries before it.
+	// resetField replaces snapshotField if the snapshot replaces all entries before it.
 	resetField protowire.Number = 4
 )
 
@@ -40,23 +40,23 @@
 	return dst, nil
 }
 
-func (it *logRecord) encode(dst []byte) ([]byte, error) {
+func (rec *logRecord) encode(dst []byte) ([]byte, error) {
 	var err error
-	if it.snapshotMeta != nil {
+	if rec.snapshotMeta != nil {
 		field := snapshotField
-		if it.reset {
+		if rec.reset {
 			field = resetField
 		}
-		if dst, err = appendMessage(dst, field, it.snapshotMeta); err != nil {
+		if dst, err = appendMessage(dst, field, rec.snapshotMeta); err != nil {
 			return nil, err
 		}
 	}
-	if it.hardState != nil {
-		if dst, err = appendMessage(dst, hardStateField, it.hardState); err != nil {
+	if rec.hardState != nil {
+		if dst, err = appendMessage(dst, hardStateField, rec.hardState); err != nil {
 			return nil, err
 		}
 	}
-	for _, e := range it.entries {
+	for _, e := range rec.entries {
 		if dst, err = appendMessage(dst, entryField, e); err != nil {
 			return nil, err
 		}
@@ -65,7 +65,7 @@
 }
 
 func decodeLogRecord(payload []byte) (*logRecord, error) {
-	it := &logRecord{}
+	rec := &logRecord{}
 	for len(payload) > 0 {
 		field, kind, n := protowire.ConsumeTag(payload)
 		if n < 0 || kind != protowire.BytesType {
@@ -77,26 +77,26 @@
 			return nil, errMalformedPayload
 		}
 		payload = payload[n:]
-		if err := it.decodeField(field, value); err != nil {
+		if err := rec.decodeField(field, value); err != nil {
 			return nil, err
 		}
 	}
-	return it, nil
+	return rec, nil
 }
 
-func (it *logRecord) decodeField(field protowire.Number, value []byte) error {
+func (rec *logRecord) decodeField(field protowire.Number, value []byte) error {
 	switch field {
 	case hardStateField:
-		it.hardState = &raftpb.HardState{}
-		return proto.Unmarshal(value, it.hardState)
+		rec.hardState = &raftpb.HardState{}
+		return proto.Unmarshal(value, rec.hardState)
 	case entryField:
 		e := &raftpb.Entry{}
-		it.entries = append(it.entries, e)
+		rec.entries = append(rec.entries, e)
 		return proto.Unmarshal(value, e)
 	case snapshotField, resetField:
-		it.snapshotMeta = &raftpb.Snapshot{}
-		it.reset = field == resetField
-		return proto.Unmarshal(value, it.snapshotMeta)
+		rec.snapshotMeta = &raftpb.Snapshot{}
+		rec.reset = field == resetField
+		return proto.Unmarshal(value, rec.snapshotMeta)
 	default:
 		// Fields of a newer version must not be ignored.
 		return errors.Wrapf(errMalformedPayload, "unknown field %d", field)
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -100,19 +100,19 @@
 	if sequence != r.log.sequence {
 		return 0, corrupted(path, int64(at), fmt.Sprintf("record %d, want %d", sequence, r.log.sequence))
 	}
-	it, err := decodeLogRecord(payload)
+	rec, err := decodeLogRecord(payload)
 	if err != nil {
 		return 0, corrupted(path, int64(at), err.Error())
 	}
-	if it.hardState != nil {
-		r.log.hardState = it.hardState
+	if rec.hardState != nil {
+		r.log.hardState = rec.hardState
 	}
-	if it.snapshotMeta != nil {
-		r.log.snapshotMeta = it.snapshotMeta
-		r.drop(it.snapshotMeta.Index, it.reset)
+	if rec.snapshotMeta != nil {
+		r.log.snapshotMeta = rec.snapshotMeta
+		r.drop(rec.snapshotMeta.Index, rec.reset)
 	}
 	newest := &r.log.segments[len(r.log.segments)-1]
-	for _, e := range it.entries {
+	for _, e := range rec.entries {
 		if !r.append(e) {
 			return 0, corrupted(path, int64(at), fmt.Sprintf("entry %d leaves a gap", e.Index))
 		}
