--- a/internal/entryd/counters.go
+++ b/internal/entryd/counters.go
@@ -12,7 +12,8 @@
 	reasonTag = "reason"
 )
 
-// counters are created once, as a lookup per datagram would allocate.
+// counters holds the metrics of a Forwarder. They are created once, as a lookup per
+// datagram would allocate.
 type counters struct {
 	forwarded tally.Counter
 	replied   tally.Counter
--- a/internal/entryd/daemon.go
+++ b/internal/entryd/daemon.go
@@ -29,7 +29,7 @@
 	scope     tally.Scope
 	creds     *keys.Credentials
 	forwarder *Forwarder
-	// keysReloadInterval is changed by tests.
+	// keysReloadInterval is the time between two checks of the key files. Tests shorten it.
 	keysReloadInterval time.Duration
 }
 
--- a/internal/entryd/decide.go
+++ b/internal/entryd/decide.go
@@ -12,7 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// codecs are created from one list of secrets and replaced together.
+// codecs holds the codecs and the hasher of one list of secrets. They are replaced
+// together.
 type codecs struct {
 	ids    *connid.Codec
 	frames *frame.Codec
--- a/internal/entryd/forwarder.go
+++ b/internal/entryd/forwarder.go
@@ -37,7 +37,7 @@
 	// started is the origin of the forwarder's clock.
 	started time.Time
 
-	// Read by workers, replaced as a whole.
+	// codecs and tables are read by workers. They are replaced, not modified.
 	codecs atomic.Pointer[codecs]
 	tables atomic.Pointer[tables]
 
@@ -276,13 +276,13 @@
 // refreshTables updates tables with load reports and drops those that must be rebuilt.
 func (f *Forwarder) refreshTables() {
 	now := f.now()
-	for number, b := range f.serviceCache {
-		table, ok := b.service.table.Refresh(now)
+	for number, cached := range f.serviceCache {
+		table, ok := cached.service.table.Refresh(now)
 		switch {
 		case !ok:
 			delete(f.serviceCache, number)
-		case table != b.service.table:
-			f.serviceCache[number] = cachedService{b.policy, &service{number: number, table: table}}
+		case table != cached.service.table:
+			f.serviceCache[number] = cachedService{cached.policy, &service{number: number, table: table}}
 		}
 	}
 }
@@ -300,8 +300,8 @@
 // updateGauges updates the gauges of candidates and damped targets.
 func (f *Forwarder) updateGauges() {
 	sum := 0
-	for _, b := range f.serviceCache {
-		sum += b.service.table.Len()
+	for _, cached := range f.serviceCache {
+		sum += cached.service.table.Len()
 	}
 	f.counters.candidates.Update(float64(sum))
 	f.counters.damped.Update(float64(f.directory.damped()))
@@ -321,8 +321,8 @@
 	f.updateGauges()
 }
 
-// markIncomplete tells workers that the target list may be incomplete. It is called
-// before the list is activated, as workers read the flag after they found no target.
+// markIncomplete marks the target list as possibly incomplete. It is called before the
+// list is activated, as workers read the flag after they found no target.
 func (f *Forwarder) markIncomplete() {
 	t := *f.tables.Load()
 	t.complete = false
@@ -347,12 +347,12 @@
 // service returns the cached service of a policy and builds its table if there is none
 // or the policy has changed.
 func (f *Forwarder) service(policy *servicePolicy, now time.Duration) *service {
-	b, ok := f.serviceCache[policy.number]
-	if !ok || b.policy != policy.policy {
-		b = cachedService{policy.policy, &service{number: policy.number, table: f.directory.table(policy, now)}}
-		f.serviceCache[policy.number] = b
+	cached, ok := f.serviceCache[policy.number]
+	if !ok || cached.policy != policy.policy {
+		cached = cachedService{policy.policy, &service{number: policy.number, table: f.directory.table(policy, now)}}
+		f.serviceCache[policy.number] = cached
 	}
-	return b.service
+	return cached.service
 }
 
 func (f *Forwarder) usable(address netip.AddrPort) bool {
--- a/internal/entryd/refuser.go
+++ b/internal/entryd/refuser.go
@@ -179,18 +179,18 @@
 )
 
 // allow reports whether one more refusal is within the limit at now.
-func (b *refusalLimiter) allow(now time.Duration) bool {
+func (l *refusalLimiter) allow(now time.Duration) bool {
 	second := uint64(now / time.Second)
 	for {
-		state := b.state.Load()
+		state := l.state.Load()
 		used := state & limiterMask
 		if state>>limiterShift != second {
 			used = 0
 		}
-		if used >= b.perSecond {
+		if used >= l.perSecond {
 			return false
 		}
-		if b.state.CompareAndSwap(state, second<<limiterShift|used+1) {
+		if l.state.CompareAndSwap(state, second<<limiterShift|used+1) {
 			return true
 		}
 	}
--- a/internal/entryd/refuser_test.go
+++ b/internal/entryd/refuser_test.go
@@ -70,7 +70,7 @@
 
 // An entry host whose view may be incomplete sends no refusal: the caller retransmits
 // and may reach an entry host that knows a target.
-func TestIncompleteViewRefusesNobody(t *testing.T) {
+func TestIncompleteViewSendsNoRefusal(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	r.apply(view(1, services(serviceAt(lodgement, publicOne))))
@@ -118,7 +118,7 @@
 
 func TestRefusalLimiter(t *testing.T) {
 	is := is.New(t)
-	b := refusalLimiter{perSecond: 2}
+	l := refusalLimiter{perSecond: 2}
 	for _, tt := range []struct {
 		at   time.Duration
 		want bool
@@ -127,7 +127,7 @@
 		{time.Second, true}, {time.Second, true}, {1999 * time.Millisecond, false},
 		{time.Hour, true},
 	} {
-		is.Equal(b.allow(tt.at), tt.want)
+		is.Equal(l.allow(tt.at), tt.want)
 	}
 }
 
