--- a/internal/subscriber/announcer.go
+++ b/internal/subscriber/announcer.go
@@ -24,7 +24,7 @@
 	DefaultLease = 9 * time.Second
 	// DefaultCallTimeout bounds one registration or announcement.
 	DefaultCallTimeout = 3 * time.Second
-	// renewalsPerLease allows two renewals in a row to be lost.
+	// renewalsPerLease is the number of renewals in one lease. Two in a row may be lost.
 	renewalsPerLease = 3
 )
 
--- a/internal/subscriber/announcer_test.go
+++ b/internal/subscriber/announcer_test.go
@@ -155,10 +155,10 @@
 			return yes
 		}
 	}
-	former, next := newHost(), newHost()
-	server := d.listen(anyPort, former)
+	previous, next := newHost(), newHost()
+	server := d.listen(anyPort, previous)
 	startAnnouncer(t, d.client(server))
-	eventually(t, "announced", announcedTo(former))
+	eventually(t, "announced", announcedTo(previous))
 	is.NoErr(server.Close())
 	d.listen(server.Addr().String(), next)
 	eventually(t, "announced to the next host", announcedTo(next))
--- a/internal/subscriber/initialversion.go
+++ b/internal/subscriber/initialversion.go
@@ -63,14 +63,14 @@
 	s.counters.queryRounds.Inc(1)
 	req := &controlpb.Request{Body: &controlpb.Request_Version{Version: &controlpb.VersionQuery{}}}
 	var reported []hostVersion
-	for _, a := range s.opts.Client.CallEach(ctx, req) {
-		reply := a.Response.GetVersion()
-		if a.Err != nil || reply == nil {
+	for _, result := range s.opts.Client.CallEach(ctx, req) {
+		reply := result.Response.GetVersion()
+		if result.Err != nil || reply == nil {
 			s.counters.unansweredQueries.Inc(1)
 			continue
 		}
 		reported = append(reported, hostVersion{
-			address:   a.Address,
+			address:   result.Address,
 			version:   reply.GetVersion(),
 			confirmed: reply.GetConfirmed(),
 		})
--- a/internal/subscriber/subscriber_test.go
+++ b/internal/subscriber/subscriber_test.go
@@ -109,7 +109,7 @@
 	is.Equal(v.active.GetVersion(), uint64(9))
 }
 
-// A connected control host restarts with an older state.
+// A control host that restarts with an older state must not revert the active version.
 func TestStaleControlHostNeverReverts(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
@@ -134,7 +134,7 @@
 	rec.requireMonotonic(t)
 }
 
-func TestLaggingControlHostIsLeft(t *testing.T) {
+func TestMovesFromLaggingControlHost(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	one, two := newControlHost(configuration(9), true), newControlHost(configuration(9), true)
@@ -145,15 +145,15 @@
 	awaitReady(t, s)
 	first := c.Address()
 	hosts[first].set(func() { hosts[first].config = configuration(7) })
-	eventually(t, "left", func() bool { return count(scope, metricEndedSubscriptions, "behind") == 1 })
+	eventually(t, "subscription ended", func() bool { return count(scope, metricEndedSubscriptions, "behind") == 1 })
 	eventually(t, "connected to the other host", func() bool { return s.View().Connected && c.Address() != first })
 	is.Equal(s.View().Config.GetVersion(), uint64(9))
 	rec.requireMonotonic(t)
 }
 
-// Subscribers leave a control host that is partitioned from the others, but do not
-// cycle among hosts that all are.
-func TestIsolatedControlHostIsLeft(t *testing.T) {
+// Subscribers move away from a control host that is partitioned from the others, but do
+// not cycle among hosts that all are.
+func TestMovesFromIsolatedControlHost(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 	one, two := newControlHost(configuration(9), true), newControlHost(configuration(9), true)
@@ -165,7 +165,7 @@
 	isolated := &controlpb.SubscribeUpdate{Heartbeat: &controlpb.Heartbeat{Version: 9, Isolated: true}}
 	first := c.Address()
 	hosts[first].raw <- isolated
-	eventually(t, "left", func() bool { return count(scope, metricEndedSubscriptions, "isolated") == 1 })
+	eventually(t, "subscription ended", func() bool { return count(scope, metricEndedSubscriptions, "isolated") == 1 })
 	eventually(t, "connected to the other host", func() bool { return s.View().Connected && c.Address() != first })
 	second := c.Address()
 	hosts[second].raw <- isolated
--- a/internal/subscriber/versions.go
+++ b/internal/subscriber/versions.go
@@ -104,13 +104,13 @@
 		return false, ""
 	}
 	best := v.latest().GetVersion()
-	for _, a := range reported {
+	for _, host := range reported {
 		v.queried = true
-		v.minVersion = max(v.minVersion, a.version)
-		if a.version > best {
-			best, newer = a.version, a.address
+		v.minVersion = max(v.minVersion, host.version)
+		if host.version > best {
+			best, newer = host.version, host.address
 		}
-		if a.confirmed && v.candidate != nil && a.version == v.candidate.GetVersion() {
+		if host.confirmed && v.candidate != nil && host.version == v.candidate.GetVersion() {
 			v.confirmed = true
 		}
 	}
