--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -44,7 +44,7 @@
 	Log   *zap.Logger
 	// Allowed lists the roles that a server may have; by default control.
 	Allowed []keys.Role
-	// LocalIP is the IP number that sockets are opened on; by default any.
+	// LocalIP is the IP address that sockets are opened on; by default any.
 	LocalIP netip.Addr
 	// DialTimeout is the time without a reply after which the next server is tried. An
 	// attempt is a handshake and a first heartbeat.
@@ -90,8 +90,8 @@
 	return o
 }
 
-// Client keeps one connection to one out of several servers. All methods may
-// be called concurrently.
+// Client keeps one connection to one of several servers. All methods may be called
+// concurrently.
 type Client struct {
 	// addrs is written only by the goroutine of run, with mu held.
 	addrs  []string
@@ -110,15 +110,15 @@
 	ready chan struct{}
 	// reconnected is closed and replaced when a connection is established.
 	reconnected chan struct{}
-	// configured was set by the caller, learned was named by servers. If addressesStale is set
-	// both replace addrs before the next attempt.
+	// configured holds the addresses set by the caller, learned those named by servers. If
+	// addressesStale is set, both replace addrs before the next attempt.
 	configured, learned []string
 	addressesStale      bool
 	// addressesChanged is closed and replaced when configured or learned changes.
 	addressesChanged chan struct{}
 	// moveTo is the address to move to; empty means any other server.
 	moveTo string
-	// moveRequested signals the client to leave the current connection.
+	// moveRequested signals the client to replace the current connection.
 	moveRequested chan struct{}
 }
 
@@ -176,7 +176,8 @@
 	c.notifyAddresses()
 }
 
-// applyAddresses takes over the addresses last set.
+// applyAddresses rebuilds addrs if the learned or configured addresses have changed. Learned
+// ones come first.
 func (c *Client) applyAddresses(state *dialState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/link/hedge_test.go
+++ b/internal/link/hedge_test.go
@@ -29,10 +29,10 @@
 func TestHedgedAttemptsTimeOut(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
-	silent := startUnresponsive(t)
+	unresponsive := startUnresponsive(t)
 	opts := fastOptions()
 	opts.HedgeAfter = 20 * time.Millisecond
-	c, scope := startClient(t, d.credentials(keys.RoleControl, "c2"), opts, silent)
+	c, scope := startClient(t, d.credentials(keys.RoleControl, "c2"), opts, unresponsive)
 	eventually(t, "attempt failed", func() bool { return count(scope, metricDialFailures, "timeout") > 0 })
 	c.Close()
 	is.Equal(c.Address(), "")
--- a/internal/link/idle_test.go
+++ b/internal/link/idle_test.go
@@ -24,8 +24,8 @@
 	idleChildEnv = "LINK_IDLE_CHILD"
 	idleAddrEnv  = "LINK_IDLE_ADDR"
 	idleDirEnv   = "LINK_IDLE_KEYS"
-	// idleSettle is the time for heartbeats before memory is read.
-	idleSettle = 3 * DefaultHeartbeatInterval
+	// idleDuration is the time for heartbeats before memory is read.
+	idleDuration = 3 * DefaultHeartbeatInterval
 )
 
 // residentKB returns the resident memory of this process.
@@ -125,9 +125,9 @@
 	})
 	is.NoErr(err)
 	var clients []*Client
-	asked := bufio.NewScanner(os.Stdin)
-	for asked.Scan() {
-		n, err := strconv.Atoi(asked.Text())
+	input := bufio.NewScanner(os.Stdin)
+	for input.Scan() {
+		n, err := strconv.Atoi(input.Text())
 		is.NoErr(err)
 		for len(clients) < n {
 			c, _ := startClient(t, creds, ClientOptions{
@@ -138,13 +138,13 @@
 			is.NoErr(err)
 			clients = append(clients, c)
 		}
-		time.Sleep(idleSettle)
+		time.Sleep(idleDuration)
 		before := transferred(clients)
-		time.Sleep(idleSettle)
+		time.Sleep(idleDuration)
 		bytes := transferred(clients) - before
 		rss, err := residentKB()
 		is.NoErr(err)
-		fmt.Printf("idle %d %g\n", rss, float64(bytes)/idleSettle.Seconds()/float64(n))
+		fmt.Printf("idle %d %g\n", rss, float64(bytes)/idleDuration.Seconds()/float64(n))
 	}
 }
 
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -142,9 +142,9 @@
 	is.True(errors.Is(err, ErrNotSent)) // refused before it is read
 	is.Equal(count(scope, metricRefusedConnections, "closing") > 0, true)
 	close(finish)
-	a := <-results
-	is.NoErr(a.Err)
-	is.Equal(a.Response.GetVersion().GetVersion(), uint64(42))
+	got := <-results
+	is.NoErr(got.Err)
+	is.Equal(got.Response.GetVersion().GetVersion(), uint64(42))
 	is.NoErr(<-closed)
 	is.Equal(count(scope, "link_server_drains_cut", ""), int64(0))
 }
@@ -220,11 +220,11 @@
 	results := c.CallEach(timeoutContext(t), versionQuery())
 	is.Equal(len(results), 3)
 	versions := make(map[string]uint64)
-	for _, a := range results {
-		if a.Err == nil {
-			versions[a.Address] = a.Response.GetVersion().GetVersion()
+	for _, result := range results {
+		if result.Err == nil {
+			versions[result.Address] = result.Response.GetVersion().GetVersion()
 		} else {
-			is.True(errors.Is(a.Err, ErrNotSent))
+			is.True(errors.Is(result.Err, ErrNotSent))
 		}
 	}
 	is.Equal(versions, map[string]uint64{addrs[0]: 1, addrs[1]: 2})
--- a/internal/link/reconnect.go
+++ b/internal/link/reconnect.go
@@ -85,15 +85,17 @@
 	reasonCounter(c.opts.Scope, metricLostConnections, reason).Inc(1)
 	c.opts.Log.Info("control link lost", zap.String("address", conn.addr), zap.String("reason", reason))
 	if reason == reasonMoved {
-		// A server may just have named the one to move to.
+		// The address to move to may have been learned just before the move.
 		c.applyAddresses(state)
 		state.index = c.moveIndex(state.index)
 		return
 	}
-	// Also if the server is unresponsive: retrying one that is down costs a whole dial timeout.
+	// The next server comes first, also after an unresponsive one: an attempt to a server that
+	// is down costs a whole dial timeout.
 	state.index = (state.index + 1) % len(c.addrs)
 	if time.Since(established) < c.opts.BackoffMax {
-		// Treats a server that accepts and soon drops connections like one that refuses them.
+		// A server that drops connections soon after it accepts them is treated like one that
+		// refuses them.
 		_ = sleep.For(c.ctx, c.jitter(c.opts.BackoffMin))
 	}
 }
@@ -149,7 +151,8 @@
 	return max(d, c.earliestAvailable(state, now))
 }
 
-// earliestAvailable selects the busy server with the earliest retry time.
+// earliestAvailable selects the busy server with the earliest retry time and returns the
+// delay until then.
 func (c *Client) earliestAvailable(state *dialState, now time.Time) time.Duration {
 	for i, addr := range c.addrs {
 		if state.notBefore[addr].Before(state.notBefore[c.addrs[state.index]]) {
--- a/internal/link/search_test.go
+++ b/internal/link/search_test.go
@@ -81,10 +81,10 @@
 	opts := fastOptions()
 	opts.DialTimeout = 10 * time.Millisecond
 	opts.AttemptTimeout = time.Hour
-	var silent []string
+	var unresponsive []string
 	for range 2 * maxAttempts {
-		silent = append(silent, startUnresponsive(t))
+		unresponsive = append(unresponsive, startUnresponsive(t))
 	}
-	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, silent...)
+	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, unresponsive...)
 	c.Close()
 }
--- a/internal/link/serve.go
+++ b/internal/link/serve.go
@@ -15,8 +15,8 @@
 
 func (s *Server) acceptLoop() {
 	for {
-		// Not the server's context: during a graceful shutdown new connections are accepted and
-		// refused with a reason.
+		// The server's context would end this loop too early: during a graceful shutdown new
+		// connections are accepted and refused with a reason.
 		conn, err := s.listener.Accept(context.Background())
 		if err != nil {
 			return
@@ -29,7 +29,7 @@
 func (s *Server) serveConnection(conn *quic.Conn) {
 	id, err := keys.IdentityOf(conn.ConnectionState().TLS.PeerCertificates[0])
 	if err != nil {
-		// The handshake has already verified it.
+		// Not reached: the handshake has verified the identity.
 		_ = conn.CloseWithError(codeNone, "identity")
 		return
 	}
@@ -90,7 +90,7 @@
 	s.mu.Lock()
 	closing := s.closing
 	if !closing {
-		// Holding the lock makes Close wait for all streams.
+		// Started with mu held, so that Close waits for every stream that it does not refuse.
 		s.streams.Go(func() { s.serveWithRecovery(peer, stream) })
 	}
 	s.mu.Unlock()
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -109,7 +109,7 @@
 	return o
 }
 
-// Server accepts control links.
+// Server accepts control links and passes their requests to a Handler.
 type Server struct {
 	opts      ServerOptions
 	creds     *keys.Credentials
@@ -121,7 +121,7 @@
 	transport *quic.Transport
 	listener  *quic.Listener
 
-	// ctx ends subscriptions.
+	// ctx is canceled by Close, which ends the subscriptions.
 	ctx    context.Context
 	cancel context.CancelFunc
 	// loops are the goroutines of connections, streams those of their streams.
