--- a/raft/log.go
+++ b/raft/log.go
@@ -25,7 +25,7 @@
 	stable uint64
 	// commit is the last index known to be committed.
 	commit uint64
-	// applied is the last index of an advanced batch or a restored snapshot.
+	// applied is the last applied index, or that of a snapshot to restore.
 	applied uint64
 }
 
