--- a/voters/candidate.go
+++ b/voters/candidate.go
@@ -8,23 +8,23 @@
 }
 
 func countVotes(members []Member) voteCount {
-	t := voteCount{byDomain: map[string]int{}}
+	votes := voteCount{byDomain: map[string]int{}}
 	for _, m := range members {
 		if m.Learner {
 			continue
 		}
-		t.total++
+		votes.total++
 		if m.Active {
-			t.add(m)
+			votes.add(m)
 		}
 	}
-	return t
+	return votes
 }
 
 // add counts the vote of an active member.
-func (t *voteCount) add(m Member) {
-	t.active++
-	t.byDomain[m.domain()]++
+func (v *voteCount) add(m Member) {
+	v.active++
+	v.byDomain[m.domain()]++
 }
 
 // domain returns the failure domain of a member. A member without one is its own domain.
@@ -37,13 +37,13 @@
 
 // survivesDomainLoss reports whether a quorum remains active after the loss of any one
 // failure domain.
-func (t *voteCount) survivesDomainLoss() bool {
-	for _, votes := range t.byDomain {
-		if t.active-votes < t.total/2+1 {
+func (v *voteCount) survivesDomainLoss() bool {
+	for _, votes := range v.byDomain {
+		if v.active-votes < v.total/2+1 {
 			return false
 		}
 	}
-	return t.active > 0
+	return v.active > 0
 }
 
 // selectCandidate returns a candidate of the failure domain with the fewest votes. It
