--- a/internal/subscriber/announcer.go
+++ b/internal/subscriber/announcer.go
@@ -173,8 +173,9 @@
 }
 
 // Unregister stops announcing and removes the registration. It retries until a control
-// host accepts the call or ctx ends: after a restart of all control hosts, callers of
-// lost flows wait for the leases of targets that are still registered.
+// host accepts the call or ctx ends. After a restart of all control hosts the directory
+// is complete only when each registered target has announced itself or a lease has
+// passed, and callers of lost flows wait until then.
 func (a *Announcer) Unregister(ctx context.Context) error {
 	a.Close()
 	reg := a.Registration()
