--- a/flow/agent.go
+++ b/flow/agent.go
@@ -9,7 +9,7 @@
 	// MaxAgentFlows bounds the flows of an agent.
 	MaxAgentFlows = 16_384
 	// incompleteFor is how long after its start an agent may not know all flows that
-	// its target holds. It learns them from their next packet.
+	// its target holds. It learns of each from its next packet.
 	incompleteFor = 60 * time.Second
 	// notHeldFor is how long an agent remembers that its target does not hold a
 	// flow. It exceeds the longest retransmission interval, 1.6 s.
@@ -54,15 +54,16 @@
 	// completeAt is when the agent knows all flows that its target holds.
 	completeAt time.Duration
 	server     Server
-	// peers are the agents of other serving targets of the service. all are the agents
-	// of all its targets, including self. listVersion changes with all.
-	peers, all  []Endpoint
-	self        Endpoint
-	listVersion uint32
-	registry    registry
-	queue       queue
-	warmup      warmup
-	lookups     lookups
+	// peers are the agents of the other targets of the service that take new flows.
+	// serviceAgents are those of all its targets, including self. listVersion counts
+	// the changes of serviceAgents.
+	peers, serviceAgents []Endpoint
+	self                 Endpoint
+	listVersion          uint32
+	registry             registry
+	queue                queue
+	warmup               warmup
+	lookups              lookups
 	// due and registrarScratch are reused between calls.
 	due              []Registration
 	registrarScratch []Endpoint
@@ -83,8 +84,8 @@
 	stageOffered stage = iota
 	// stageAnswered: the target has accepted the opening.
 	stageAnswered
-	// stageOpened: the caller has acknowledged that, or later packets of the target
-	// show it.
+	// stageOpened: the caller has acknowledged the target's reply, or later packets of
+	// the target show that it has.
 	stageOpened
 	// stageUncertain: a later packet was delivered, but the target may not hold the flow.
 	stageUncertain
@@ -107,9 +108,9 @@
 	entry     Endpoint
 	alternate Endpoint
 	hops      uint8
-	// requested is when the request in progress arrived, zero if there is none.
-	requested time.Duration
-	running   bool
+	// requestedAt is when the request in progress arrived, valid if running.
+	requestedAt time.Duration
+	running     bool
 	// nextSeq is the sequence number after the caller's last byte, valid if dataSeen.
 	nextSeq  uint32
 	dataSeen bool
@@ -148,10 +149,10 @@
 
 // SetPeers sets the agents that openings may be forwarded to, and the agents of all
 // targets of the service including this one, self. The agent keeps the slices.
-func (a *Agent) SetPeers(peers, all []Endpoint, self Endpoint) {
+func (a *Agent) SetPeers(peers, serviceAgents []Endpoint, self Endpoint) {
 	a.peers, a.self = peers, self
-	if !slices.Equal(a.all, all) {
-		a.all = all
+	if !slices.Equal(a.serviceAgents, serviceAgents) {
+		a.serviceAgents = serviceAgents
 		a.listVersion++
 	}
 }
@@ -237,7 +238,7 @@
 // handleOpening handles an opening packet.
 func (a *Agent) handleOpening(f *agentFlow, m Frame, p Packet, now time.Duration) Verdict {
 	if f != nil && (f.stage == stageOffered || f.stage == stageAnswered || f.stage == stageOpened) {
-		// A retransmission or a reused caller port: the target tells them apart.
+		// A retransmission or a reused caller port: the target distinguishes them.
 		return Verdict{Action: Deliver, Reason: ReasonHeld}
 	}
 	if a.refusalReason(m) != "" {
@@ -356,7 +357,7 @@
 	case p.Flags.Has(SYN|ACK) && f.stage == stageOffered:
 		return now - f.createdAt, true
 	case p.Length > 0 && f.running:
-		return now - f.requested, false
+		return now - f.requestedAt, false
 	}
 	return 0, false
 }
@@ -454,7 +455,7 @@
 			a.removeFlow(key, f)
 			continue
 		}
-		if f.running && now-f.requested > requestTimeout {
+		if f.running && now-f.requestedAt > requestTimeout {
 			a.endRequest(f)
 		}
 		if f.stage != stageNotHeld && !f.callerDone && !f.targetDone {
--- a/flow/agent_test.go
+++ b/flow/agent_test.go
@@ -179,7 +179,7 @@
 	is.Equal(v.Frame.Entry, entryA)
 }
 
-// The target held the flow and no longer does, so nobody does.
+// A flow that its target has lost, as after a restart, is reset.
 func TestFlowLostByTarget(t *testing.T) {
 	is := is.New(t)
 	a := agentWithOpenFlow(t, 1, wellAfterStart)
--- a/flow/budget_test.go
+++ b/flow/budget_test.go
@@ -104,8 +104,8 @@
 
 // retryLostFlow retransmits a request of a lost flow, and starts over after a timeout.
 func (n *narrowLink) retryLostFlow(port uint16) {
-	for _, pause := range []time.Duration{0, 200, 600, 1400} {
-		n.after(pause*time.Millisecond, func() { n.packet(port, func() {}) })
+	for _, delay := range []time.Duration{0, 200, 600, 1400} {
+		n.after(delay*time.Millisecond, func() { n.packet(port, func() {}) })
 	}
 	n.after(3*time.Second, func() { n.retryLostFlow(port) })
 }
@@ -132,7 +132,7 @@
 	return n
 }
 
-// Searches use what open flows leave of a narrow link, and no more.
+// Searches get only the part of a narrow link that open flows do not use.
 func TestSearchesYieldToOpenFlows(t *testing.T) {
 	for _, bitsPerSecond := range []float64{0.5e6, 1e6, 2.1e6} {
 		t.Run(fmt.Sprint(bitsPerSecond), func(t *testing.T) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Without a known rate the searches fill the link.
+// Without a known rate the searches fill the link, so that open flows are late.
 func TestSearchesWithUnknownLinkRate(t *testing.T) {
 	n := afterPowerLoss(1e6, false)
 	is.New(t).True(float64(n.inTime) < 0.5*float64(n.requests))
--- a/flow/entry.go
+++ b/flow/entry.go
@@ -21,7 +21,7 @@
 	// probeTimeout is how long an agent with an expired lease has to reply. It is above
 	// an inter-region round trip (80 ms) and below the first retransmission (200 ms).
 	probeTimeout = 150 * time.Millisecond
-	// maxLastSeen bounds the agents whose last contact is remembered.
+	// maxLastSeen bounds the agents whose last frame is remembered.
 	maxLastSeen = 32_768
 	// maxBroadcast is the largest service whose agents are all sent a search. In larger
 	// services the copies would fill the link that the replies have to come through.
@@ -41,7 +41,7 @@
 // Placer chooses targets.
 type Placer interface {
 	// Place chooses a target, other than avoid if possible, for a new flow to a public
-	// address. Without a target the reason tells why.
+	// address. Without a target the reason is why none was chosen.
 	Place(key Key, avoid Endpoint, now time.Duration) (Placement, Reason)
 	// Holders appends the agents whose targets may hold a flow to that public
 	// address, none if the address has no route. all reports that no other agent
@@ -69,7 +69,8 @@
 	// self is the address for replies of agents.
 	self  Endpoint
 	flows map[Key]*entryFlow
-	all   []Endpoint
+	// all is scratch space for the receivers of a packet.
+	all []Endpoint
 	// serviceAgents and covered are scratch space of resetIfHeldByNone.
 	serviceAgents []Endpoint
 	covered       map[Endpoint]bool
@@ -98,7 +99,7 @@
 	confirmed   bool
 	searchCount uint8
 	searchedAt  time.Duration
-	// confirmSince is when the candidates were first asked to confirm.
+	// confirmSince is when a packet was first sent to the candidates to confirm, 0 if none was.
 	confirmSince time.Duration
 	// probedAt is when an agent with an expired lease was probed, 0 if its lease is valid.
 	probedAt time.Duration
@@ -108,20 +109,20 @@
 	lastAck uint32
 	// heldByNone has the agents that reported that no target of their service holds it.
 	heldByNone []Endpoint
-	// searchRound counts the rounds of a staged search. askedRegistrars are the
-	// registrars asked in the first one, nil afterwards.
-	searchRound     uint8
-	roundStart      time.Duration
-	askedRegistrars []Endpoint
-	lastSeen        time.Duration
-	createdAt       time.Duration
+	// searchRound counts the rounds of a staged search. searchedRegistrars are the
+	// registrars that the first round was sent to, nil afterwards.
+	searchRound        uint8
+	roundStart         time.Duration
+	searchedRegistrars []Endpoint
+	lastSeen           time.Duration
+	createdAt          time.Duration
 }
 
 // candidate is a target that may hold a flow.
 type candidate struct {
 	agent   Endpoint
 	service uint64
-	// answered: the target has answered the opening with the initial sequence number
+	// answered: the target has accepted the opening, with the initial sequence number
 	// first.
 	answered bool
 	first    uint32
@@ -169,10 +170,11 @@
 }
 
 // unconfirmed handles a packet of an opened flow without a confirmed candidate: the
-// Held frame is under way, or the flow was opened through another entry host. It asks
-// the candidates first, and searches only after they have denied the flow or timed out,
-// since delayed Held frames on a full link would otherwise cause more searches. No
-// candidate is assumed to hold the flow: if it were gone the caller would be reset.
+// Held frame has not arrived yet, or the flow was opened through another entry host. The
+// packet goes to the candidates first. It is searched with only after they have denied
+// the flow or timed out, since delayed Held frames on a full link would otherwise cause
+// more searches. No candidate is assumed to hold the flow: if it were gone the caller
+// would be reset.
 func (e *Entry) unconfirmed(f *entryFlow, p Packet, now time.Duration) Verdict {
 	if f.confirmSince == 0 {
 		f.confirmSince = max(now, 1)
@@ -233,7 +235,7 @@
 	if f == nil || f.count > 0 {
 		return
 	}
-	f.lastSeen, f.askedRegistrars = now, nil
+	f.lastSeen, f.searchedRegistrars = now, nil
 	f.candidates[0], f.count, f.confirmed = candidate{agent: m.Alternate}, 1, true
 	f.probedAt = max(now, 1)
 }
@@ -319,7 +321,7 @@
 		e.flows[m.Key] = f
 	}
 	f.lastSeen = now
-	f.denied, f.heldByNone, f.searchRound, f.askedRegistrars = nil, nil, 0, nil
+	f.denied, f.heldByNone, f.searchRound, f.searchedRegistrars = nil, nil, 0, nil
 	c := candidate{agent: from, service: m.Service, answered: true, first: m.First}
 	if m.Opened {
 		// The caller has selected this target.
@@ -374,8 +376,8 @@
 	return v
 }
 
-// handleRefused handles an opening that a target had no room for. The flow is reset
-// unless another target was offered it or holds it.
+// handleRefused handles an opening that expired in the queue of an agent. The flow is
+// reset unless another target was offered it or holds it.
 func (e *Entry) handleRefused(f *entryFlow, p Packet, from Endpoint) Verdict {
 	if f == nil || f.confirmed || f.openingSeq != p.Seq {
 		return Verdict{Action: Drop, Reason: ReasonKnown}
--- a/flow/entry_test.go
+++ b/flow/entry_test.go
@@ -277,8 +277,8 @@
 	is.Equal(e.Packet(request(1, firstB), time.Second+200*time.Millisecond).Action, flow.SendAll)
 }
 
-// A Held frame delayed by a full link must not cause searches: only the candidates are
-// asked.
+// A Held frame delayed by a full link must not cause searches: packets go only to the
+// candidates.
 func TestLateHeldFrameCausesNoSearch(t *testing.T) {
 	is := is.New(t)
 	all := agents(40)
@@ -293,7 +293,7 @@
 	is.Equal(e.Packet(request(1, firstA), time.Second).To, target)
 }
 
-// After all candidates have denied the flow the next packet is searched with at once.
+// After all candidates have denied the flow the next packet starts a search at once.
 func TestDenyingCandidatesAreDropped(t *testing.T) {
 	is := is.New(t)
 	e := flow.NewEntry(&fixedPlacer{agents: agents(40)}, entryA)
--- a/flow/frame.go
+++ b/flow/frame.go
@@ -92,12 +92,13 @@
 	// Digest identifies the list of agents that were queried, in HeldByNone.
 	Digest uint64
 
-	// The rest is set in Held and Load only, but for the key.
-
 	// Key of the flow, in Held, Denied, Located and HeldByNone.
 	Key Key
-	// First is the initial sequence number of the target, in Held. Known tells
-	// whether the agent saw it.
+
+	// The fields below are set in Held and Load only.
+
+	// First is the initial sequence number of the target, in Held. Known reports
+	// whether the agent has seen it.
 	First uint32
 	Known bool
 	// Opened: the caller has acknowledged First.
@@ -112,12 +113,12 @@
 
 // Lengths of the headers in bytes.
 const (
-	packetHeader  = 22
-	loadLength    = 12
-	heldLength    = loadLength + 24
-	deniedLength  = 14
-	hintedLength  = deniedLength + 6
-	clearedLength = deniedLength + 8
+	packetHeader     = 22
+	loadLength       = 12
+	heldLength       = loadLength + 24
+	deniedLength     = 14
+	locatedLength    = deniedLength + 6
+	heldByNoneLength = deniedLength + 8
 )
 
 // HopsLookup in a search asks the receiver to look the flow up among all agents of its
@@ -129,7 +130,7 @@
 	bitKnown = 1 << iota
 	bitOpened
 	bitDraining
-	bitIll
+	bitUnhealthy
 )
 
 // Append encodes the frame, without the packet that follows.
@@ -163,7 +164,7 @@
 	for _, set := range []struct {
 		on  bool
 		bit byte
-	}{{f.Known, bitKnown}, {f.Opened, bitOpened}, {f.Draining, bitDraining}, {f.Unhealthy, bitIll}} {
+	}{{f.Known, bitKnown}, {f.Opened, bitOpened}, {f.Draining, bitDraining}, {f.Unhealthy, bitUnhealthy}} {
 		if set.on {
 			bits |= set.bit
 		}
@@ -215,14 +216,14 @@
 		f.Key = Key{Caller: parseEndpoint(b[2:8]), Public: parseEndpoint(b[8:14])}
 		return f, nil, nil
 	case Located:
-		if len(b) != hintedLength {
+		if len(b) != locatedLength {
 			return Frame{}, nil, ErrFrame
 		}
 		f.Key = Key{Caller: parseEndpoint(b[2:8]), Public: parseEndpoint(b[8:14])}
 		f.Alternate = parseEndpoint(b[14:20])
 		return f, nil, nil
 	case HeldByNone:
-		if len(b) != clearedLength {
+		if len(b) != heldByNoneLength {
 			return Frame{}, nil, ErrFrame
 		}
 		f.Key = Key{Caller: parseEndpoint(b[2:8]), Public: parseEndpoint(b[8:14])}
@@ -244,7 +245,7 @@
 	}
 	bits := b[1]
 	f.Known, f.Opened = bits&bitKnown != 0, bits&bitOpened != 0
-	f.Draining, f.Unhealthy = bits&bitDraining != 0, bits&bitIll != 0
+	f.Draining, f.Unhealthy = bits&bitDraining != 0, bits&bitUnhealthy != 0
 	f.Number = binary.BigEndian.Uint32(b[2:6])
 	f.Incarnation = binary.BigEndian.Uint32(b[6:10])
 	f.LoadPermille = binary.BigEndian.Uint16(b[10:12])
--- a/flow/load.go
+++ b/flow/load.go
@@ -32,7 +32,7 @@
 		return
 	}
 	a.updateAverage(now)
-	f.running, f.requested = true, now
+	f.running, f.requestedAt = true, now
 	a.running++
 }
 
--- a/flow/lookup.go
+++ b/flow/lookup.go
@@ -106,7 +106,7 @@
 	}
 	l.entry, l.lastSeen, l.reported = entry, now, false
 	if len(l.notHeld) == 0 || l.listVersion != a.listVersion {
-		l.reset(len(a.all), a.listVersion)
+		l.reset(len(a.serviceAgents), a.listVersion)
 	}
 	if l.pending > 0 && l.holder.IsZero() {
 		a.lookups.due = true
@@ -134,7 +134,7 @@
 		return append(out, Notice{Key: key, To: l.entry, Frame: Frame{Kind: Located, Key: key, Alternate: l.holder}})
 	case l.pending == 0 && len(l.notHeld) > 0:
 		l.reported = true
-		return append(out, Notice{Key: key, To: l.entry, Frame: Frame{Kind: HeldByNone, Key: key, Digest: Digest(a.all)}})
+		return append(out, Notice{Key: key, To: l.entry, Frame: Frame{Kind: HeldByNone, Key: key, Digest: Digest(a.serviceAgents)}})
 	}
 	return out
 }
@@ -148,7 +148,7 @@
 	if a.lookups.queriedAt == 0 {
 		return 0, true
 	}
-	interval := max(queryInterval, time.Duration(len(a.all))*queryIntervalPerAgent)
+	interval := max(queryInterval, time.Duration(len(a.serviceAgents))*queryIntervalPerAgent)
 	return max(a.lookups.queriedAt+interval-now, 0), true
 }
 
@@ -163,7 +163,7 @@
 			continue
 		}
 		l.queriedAt = max(now, 1)
-		for i, agent := range a.all {
+		for i, agent := range a.serviceAgents {
 			if agent != a.self && l.needsQuery(i, agent) {
 				a.addKey(index, agent, key)
 			}
@@ -173,7 +173,8 @@
 }
 
 // AnswerQuery splits the queried flows into those that the target does not hold and
-// those that it may hold, which only a packet of the flow can tell.
+// those that it may hold. Only the target's reply to a packet of such a flow shows
+// whether it does.
 func (a *Agent) AnswerQuery(keys []Key, now time.Duration) (notHeld, mayHold []Key) {
 	for _, key := range keys {
 		f := a.flows[key]
@@ -215,7 +216,7 @@
 
 // applyReply applies an agent's reply to the lookups of these flows.
 func (a *Agent) applyReply(keys []Key, from Endpoint, apply func([]Notice, *lookup, int, Key) []Notice) []Notice {
-	index := slices.Index(a.all, from)
+	index := slices.Index(a.serviceAgents, from)
 	if index < 0 {
 		return nil
 	}
--- a/flow/lookup_test.go
+++ b/flow/lookup_test.go
@@ -159,10 +159,10 @@
 			if f.unreachable[q.To] {
 				continue
 			}
-			lacks, open := f.agents[q.To].AnswerQuery(q.Keys, f.now)
+			notHeld, mayHold := f.agents[q.To].AnswerQuery(q.Keys, f.now)
 			f.betweenAgents++
-			f.sendNotices(at, a.HandleNotHeld(lacks, q.To))
-			f.sendNotices(at, a.HandleMayHold(open, q.To))
+			f.sendNotices(at, a.HandleNotHeld(notHeld, q.To))
+			f.sendNotices(at, a.HandleMayHold(mayHold, q.To))
 		}
 	}
 }
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -155,15 +155,15 @@
 	}
 }
 
-// TestBurst simulates 60 openings at once at a target that takes 50 ms for a request, then
-// 40 a second, half of its capacity.
+// With the queue, requests after a burst are served in time: 60 openings arrive at once,
+// then 40 a second, half of the target's capacity.
 func TestBurst(t *testing.T) {
 	is := is.New(t)
-	arrival := newBurst(0).simulate()
+	unqueued := newBurst(0).simulate()
 	queued := newBurst(4).simulate()
 	t.Logf("of %d new requests in time: %d without the queue, %d with it; of the burst: %d, %d",
-		queued.fresh, arrival.inTime, queued.inTime, arrival.late, queued.late)
-	is.True(arrival.inTime*2 < arrival.fresh)        // most are late without the queue
+		queued.fresh, unqueued.inTime, queued.inTime, unqueued.late, queued.late)
+	is.True(unqueued.inTime*2 < unqueued.fresh)      // most are late without the queue
 	is.True(queued.inTime*10 >= queued.fresh*9)      // and hardly any with it
 	is.True(queued.longest < 450*millisecond+2*tick) // refused in time
 	is.Equal(queued.late+queued.refused, burstSize)  // none is left without a reply
--- a/flow/registry.go
+++ b/flow/registry.go
@@ -40,7 +40,7 @@
 	return to
 }
 
-// salt returns a number for Key.Hash.
+// salt returns the endpoint as a salt for Key.Hash.
 func (e Endpoint) salt() uint64 {
 	n := uint64(e.IP[0])<<40 | uint64(e.IP[1])<<32 | uint64(e.IP[2])<<24 | uint64(e.IP[3])<<16 | uint64(e.Port)
 	return n * 0x9e3779b97f4a7c15
@@ -107,7 +107,7 @@
 			continue
 		}
 		f.registeredAt, f.registeredVersion = max(now, 1), a.listVersion
-		a.registrarScratch = AppendRegistrars(a.registrarScratch[:0], key, a.all)
+		a.registrarScratch = AppendRegistrars(a.registrarScratch[:0], key, a.serviceAgents)
 		for _, to := range a.registrarScratch {
 			if to != a.self {
 				a.addKey(index, to, key)
--- a/flow/registry_test.go
+++ b/flow/registry_test.go
@@ -109,18 +109,18 @@
 	is.Equal(v.Action, flow.SendAll)
 	is.Equal(len(v.All), 2)
 	is.True(v.KeepCopy)
-	asked := append([]flow.Endpoint{}, v.All...)
-	v, _ = e.Denied(key(1), asked[0], 0)
+	searched := append([]flow.Endpoint{}, v.All...)
+	v, _ = e.Denied(key(1), searched[0], 0)
 	is.Equal(v.Action, flow.Drop)
-	v, p := e.Denied(key(1), asked[1], 0)
+	v, p := e.Denied(key(1), searched[1], 0)
 	is.Equal(v.Action, flow.SendAll)
 	is.True(v.UseCopy)
 	is.Equal(p.Key, key(1))
-	is.Equal(v.All, asked[:1]) // the coordinator
+	is.Equal(v.All, searched[:1]) // the coordinator
 	is.Equal(v.Frame.Hops, uint8(flow.HopsLookup))
 	var rest []flow.Endpoint
 	for _, agent := range all {
-		if agent != asked[0] && agent != asked[1] {
+		if agent != searched[0] && agent != searched[1] {
 			rest = append(rest, agent)
 		}
 	}
--- a/flow/responsetime_test.go
+++ b/flow/responsetime_test.go
@@ -33,5 +33,5 @@
 	is.Equal(took, 30*time.Millisecond)
 	is.True(!opening)
 	took, _ = responseTime(response(port, firstA), 41*time.Millisecond)
-	is.Equal(took, time.Duration(0)) // the rest of the answer
+	is.Equal(took, time.Duration(0)) // the rest of the response
 }
--- a/flow/search.go
+++ b/flow/search.go
@@ -11,7 +11,7 @@
 // search handles a packet of a flow without a known holder.
 func (e *Entry) search(f *entryFlow, p Packet, now time.Duration) Verdict {
 	if p.Flags.Has(RST) {
-		// The holder can do without the packet, and nobody waits for a reply.
+		// The holder does not need the packet, and the caller expects no reply.
 		return Verdict{Action: Drop, Reason: ReasonUnknown}
 	}
 	e.all, _ = e.placer.Holders(e.all[:0], p.Key.Public)
@@ -19,7 +19,7 @@
 		return Verdict{Action: Drop, Reason: ReasonNoRoute}
 	}
 	if e.budget.exhausted(now) {
-		// Open flows come first, and the caller retransmits the packet.
+		// Open flows have priority, and the caller retransmits the packet.
 		return Verdict{Action: Drop, Reason: ReasonLinkFull}
 	}
 	if f == nil {
@@ -62,10 +62,10 @@
 	}
 	if f.searchRound == 1 {
 		e.all = e.placer.Registrars(e.all[:0], p.Key)
-		f.askedRegistrars = append(f.askedRegistrars[:0], e.all...)
+		f.searchedRegistrars = append(f.searchedRegistrars[:0], e.all...)
 		return Verdict{Action: SendAll, Reason: ReasonRegistered, All: e.all, Frame: Frame{Kind: Search, Entry: e.self}, KeepCopy: true}
 	}
-	f.askedRegistrars = nil
+	f.searchedRegistrars = nil
 	attempt := int(f.searchRound) - firstLookupRound
 	e.all = e.placer.Coordinators(e.all[:0], p.Key, attempt/registrars)
 	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: pickFromPairs(e.all, attempt%registrars), Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}}
@@ -80,9 +80,9 @@
 	return out
 }
 
-// Denied handles a Denied frame. Once no agent can hold the flow it is reset. The packet
-// stands for the caller's last one. Denials are ignored while the list of agents may be
-// outdated.
+// Denied handles a Denied frame. Once no agent can hold the flow it is reset. The returned
+// packet has the key and, for a reset, the last acknowledgement of the caller. Denials are
+// ignored while the list of agents may be outdated.
 func (e *Entry) Denied(key Key, from Endpoint, now time.Duration) (Verdict, Packet) {
 	f := e.flows[key]
 	if !e.MayReset(now) {
@@ -92,11 +92,11 @@
 		return Verdict{Action: Drop, Reason: ReasonStalled}, Packet{}
 	}
 	if f != nil && f.count == 1 && f.candidates[0].agent == from && (f.probedAt != 0 || !f.candidates[0].answered) {
-		// It was located there or probed, and is not held there.
+		// The flow was located or probed at this agent, which does not hold it.
 		f.count, f.confirmed = 0, false
 	}
 	if f != nil && !f.confirmed && f.confirmSince != 0 {
-		// It was asked to confirm that it holds the flow.
+		// The agent was a candidate that had to confirm that it holds the flow.
 		f.removeCandidate(from)
 	}
 	if f == nil || f.count > 0 {
@@ -105,7 +105,7 @@
 	if !contains(f.denied, from) && len(f.denied) < maxDenials {
 		f.denied = append(f.denied, from)
 	}
-	if f.askedRegistrars != nil {
+	if f.searchedRegistrars != nil {
 		return e.startLookup(f, key)
 	}
 	return e.resetIfHeldByNone(f, key)
@@ -125,7 +125,7 @@
 	if len(e.serviceAgents) == 0 || Digest(e.serviceAgents) != m.Digest {
 		return Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}
 	}
-	f.askedRegistrars = nil
+	f.searchedRegistrars = nil
 	if !contains(f.heldByNone, from) {
 		f.heldByNone = append(f.heldByNone, from)
 	}
@@ -163,13 +163,13 @@
 // startLookup continues the search at the coordinators once all registrars have denied
 // the flow.
 func (e *Entry) startLookup(f *entryFlow, key Key) (Verdict, Packet) {
-	for _, agent := range f.askedRegistrars {
+	for _, agent := range f.searchedRegistrars {
 		if !contains(f.denied, agent) {
 			return Verdict{Action: Drop, Reason: ReasonNotHeld}, Packet{}
 		}
 	}
 	e.all = pickFromPairs(e.placer.Coordinators(e.all[:0], key, 0), 0)
-	f.askedRegistrars = nil
+	f.searchedRegistrars = nil
 	f.searchRound = max(f.searchRound, firstLookupRound)
 	f.roundStart = f.searchedAt
 	return Verdict{Action: SendAll, Reason: ReasonUnknown, All: e.all, Frame: Frame{Kind: Search, Hops: HopsLookup, Entry: e.self}, UseCopy: true}, Packet{Key: key}
--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -13,7 +13,7 @@
 	Send
 	// SendAll sends the packet to several agents.
 	SendAll
-	// Reset tells the caller that the flow is gone or was never opened.
+	// Reset the flow at the caller: it is gone or was never opened.
 	Reset
 	// Deliver the packet to the own target.
 	Deliver
@@ -24,7 +24,7 @@
 	// Deny reports to the entry host that the target does not hold the flow.
 	Deny
 	// Wait buffers the packet: on an entry host until it is ready or has caught up after a
-	// stall, at an agent until its target has room.
+	// stall, at an agent until its target can take the flow.
 	Wait
 )
 
--- a/flow/warmup.go
+++ b/flow/warmup.go
@@ -31,7 +31,7 @@
 	admitted []admitted
 	// checkedAt is when the limit was last checked.
 	checkedAt time.Duration
-	// incompleteUntil is when the count covers a whole window after the agent's start.
+	// incompleteUntil is when the count covers a full window since the agent's start.
 	incompleteUntil time.Duration
 }
 
@@ -39,15 +39,15 @@
 type admitted struct {
 	flow       *agentFlow
 	admittedAt time.Duration
-	// requested is when its first request arrived, 0 if none has.
-	requested time.Duration
+	// requestedAt is when its first request arrived, 0 if none has.
+	requestedAt time.Duration
 }
 
 // expired reports whether the flow no longer counts.
 func (f *admitted) expired(now time.Duration) bool {
 	switch {
-	case f.requested != 0:
-		return now-f.requested > warmupWindow
+	case f.requestedAt != 0:
+		return now-f.requestedAt > warmupWindow
 	case f.flow.stage == stageNotHeld || f.flow.callerDone:
 		return now-f.admittedAt > warmupWindow
 	}
@@ -69,7 +69,7 @@
 func (w *warmup) startRequest(f *agentFlow, now time.Duration) {
 	i := slices.IndexFunc(w.admitted, func(one admitted) bool { return one.flow == f })
 	if i >= 0 {
-		w.admitted[i].requested = now
+		w.admitted[i].requestedAt = now
 	}
 }
 
