--- a/internal/flowd/agent.go
+++ b/internal/flowd/agent.go
@@ -28,13 +28,14 @@
 	// Placement ignores reports older than a second.
 	loadReportInterval = 250 * time.Millisecond
 	// missedReports is the number of report periods without a report after which the
-	// backend server is unhealthy.
+	// backend server counts as unhealthy.
 	missedReports = 2.5
-	// rewarmMargin is how much the announced end of the warmup has to move for a new cold
-	// start. It covers the delay of reports.
+	// rewarmMargin is how much later the reported end of the warmup has to be to count as
+	// a new cold start. It covers the delay of reports.
 	rewarmMargin = time.Second
-	// maxInitialSequence is the highest sequence number in the first report of a backend
-	// server that has just started. It counts attempts that fail until the agent listens.
+	// maxInitialSequence is the highest sequence number in the first report that arrives
+	// from a backend server that has just started: reports sent before the agent listens
+	// are lost.
 	maxInitialSequence = 3
 	// maxReportedEntries bounds the entry hosts whose last load report is remembered.
 	maxReportedEntries = 4096
@@ -46,7 +47,7 @@
 	Log   *zap.Logger
 	Scope tally.Scope
 	Creds *keys.Credentials
-	// Service and Target are names, FailureDomain is that of the target.
+	// Service, Target and FailureDomain are the names for the target's registration.
 	Service, Target, FailureDomain string
 	// Control has the link addresses (ip:port) of control hosts.
 	Control []string
@@ -87,8 +88,8 @@
 	// mu guards the fields below.
 	mu    sync.Mutex
 	flows *flow.Agent
-	// queued has the packets of queued openings, admitScheduled is set while a check is
-	// scheduled.
+	// queued has the packets of queued openings, admitScheduled is set while the next
+	// check of them is scheduled.
 	queued         flow.PacketBuffer
 	admitScheduled bool
 	// lookupPackets has the packets of flows that are looked up, queryScheduled is set
@@ -152,7 +153,7 @@
 // SetControl replaces the link addresses of the control hosts.
 func (a *Agent) SetControl(addresses []string) { a.client.SetAddresses(addresses) }
 
-// Run serves until the context ends.
+// Run forwards packets until the context ends.
 func (a *Agent) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, a.cancel)
 	defer stop()
--- a/internal/flowd/agentpackets.go
+++ b/internal/flowd/agentpackets.go
@@ -9,7 +9,7 @@
 )
 
 func (a *Agent) handleFrame(b []byte, from flow.Endpoint) {
-	a.frames.in.frame(b)
+	a.frames.in.countFrame(b)
 	m, packet, err := flow.ParseFrame(b)
 	if err == nil {
 		switch m.Kind {
@@ -87,7 +87,7 @@
 		if !ok {
 			break
 		}
-		// Without a buffered packet the caller's retransmission has to do.
+		// If the packet was not buffered, the caller retransmits it.
 		if packet := a.queued.TakeOne(p.Key, now); packet != nil {
 			a.applyVerdict(v, p, packet)
 		}
--- a/internal/flowd/backendserver.go
+++ b/internal/flowd/backendserver.go
@@ -62,8 +62,8 @@
 	})
 }
 
-// startedBefore reports whether this agent has certainly started before the backend server
-// that sends its first report. If wrong, open flows of the target would be reset.
+// startedBefore reports whether this agent is known to have started before the backend
+// server that sends its first report. A wrong true would reset open flows of the target.
 func (a *Agent) startedBefore(r incarnation.Report) bool {
 	startKnown := r.Instance.StartedMS != 0
 	return r.Sequence <= maxInitialSequence && (!startKnown || r.Instance.StartedMS >= a.startedAt.UnixMilli())
@@ -98,8 +98,8 @@
 	a.workers.Go(func() { a.awaitRegistration(announcer) })
 }
 
-// instanceID identifies an instance of the backend server, so that a restarted agent gets
-// the same registration.
+// instanceID returns the process ID to register an instance of the backend server with. It
+// is the same after a restart of the agent, which then gets the same registration.
 func instanceID(i incarnation.Instance) []byte {
 	h := fnv.New128a()
 	_, _ = h.Write([]byte(i.ID))
@@ -179,8 +179,8 @@
 	}
 }
 
-// coldStart returns the start time from which the ramp of entry hosts ends after the
-// remaining warmup time.
+// coldStart returns the start time to announce, so that the ramp of entry hosts ends after
+// the remaining warmup time.
 func coldStart(left time.Duration) time.Time { return time.Now().Add(left - rampMS*time.Millisecond) }
 
 // applyWarmup sets the limit of a warming target, the smallest one until the configuration
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -21,8 +21,8 @@
 	refreshPeriod = 250 * time.Millisecond
 	// retryPeriod is the time between two attempts to handle undecided packets.
 	retryPeriod = 20 * time.Millisecond
-	// decayRounds is the number of refresh rounds between two halvings of the counts of
-	// unanswered flows.
+	// decayRounds is the number of refresh rounds between two sweeps of the flow table and
+	// halvings of the counts of unanswered flows.
 	decayRounds = 4
 	// maxClockDrift is how far the wall clock may advance beyond the monotonic clock in
 	// 20 ms. Slewing is limited to 0.5 ms a second, so more indicates a suspension.
@@ -80,11 +80,12 @@
 	client    *link.Client
 
 	// mu guards flows, suspends, undecided, searchCopies and buffer.
-	mu        sync.Mutex
-	flows     *flow.Entry
-	suspends  stall.SuspendDetector
-	undecided flow.PacketBuffer
-	// searchCopies has packets of flows that are searched for.
+	mu       sync.Mutex
+	flows    *flow.Entry
+	suspends stall.SuspendDetector
+	// undecided has the packets that cannot be decided on yet, searchCopies those of
+	// flows that are searched for.
+	undecided    flow.PacketBuffer
 	searchCopies flow.PacketBuffer
 	buffer       []byte
 }
@@ -134,7 +135,7 @@
 // SetControl replaces the link addresses of the control hosts.
 func (e *Entry) SetControl(addresses []string) { e.client.SetAddresses(addresses) }
 
-// Run forwards until the context ends.
+// Run forwards packets until the context ends.
 func (e *Entry) Run(ctx context.Context) error {
 	client := e.client
 	defer client.Close()
@@ -255,7 +256,7 @@
 }
 
 func (e *Entry) handleAgentFrame(b []byte, from flow.Endpoint) {
-	e.agents.in.frame(b)
+	e.agents.in.countFrame(b)
 	m, packet, err := flow.ParseFrame(b)
 	if err != nil {
 		e.counters.malformed.Inc(1)
--- a/internal/flowd/peers.go
+++ b/internal/flowd/peers.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// handleLookupReply handles the reply of an agent, maybe this one, for a flow that this
+// handleLookupReply handles the reply of an agent, possibly this one, about a flow that this
 // agent looks up.
 func (a *Agent) handleLookupReply(m flow.Frame, from flow.Endpoint) {
 	a.mu.Lock()
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -23,14 +23,13 @@
 	rampMS = 3000
 	// maxHolders bounds the agents that may hold an unknown flow.
 	maxHolders = 16_384
-	// maxRegistrars bounds the agents that are asked first: two of each service.
+	// maxRegistrars bounds the registrars or coordinators of a flow, two of each service.
 	maxRegistrars = 16
-	// maxRedraws bounds the attempts to choose a target other than one that has not
-	// answered.
+	// maxRedraws bounds the attempts to choose a target other than the one to avoid.
 	maxRedraws = 4
 	// completeAfter is how long the list of agents has to stay unchanged to count as
-	// complete if the control host does not say so. Agents that start together register
-	// within a second.
+	// complete if the control host does not report it as complete. Agents that start
+	// together register within a second.
 	completeAfter = 2 * time.Second
 	// discoveryTime is how long a host that has just started waits for more targets
 	// before it places flows: control hosts propagate targets within 150 ms, callers
@@ -68,7 +67,7 @@
 
 // serviceTargets are the targets of one service.
 type serviceTargets struct {
-	// list has the targets for new flows, viewIndex their indexes in the view.
+	// list has the targets for new flows, viewIndex the index of each in the view.
 	list      []routing.Target
 	viewIndex []int
 	// agents has the agents of all targets, including evacuated ones, which keep their
@@ -255,8 +254,8 @@
 	return p.table != nil && p.view != nil && !p.discovering()
 }
 
-// discovering reports whether this host may not know all targets yet that have started
-// with it. All flows would be placed on the first few.
+// discovering reports whether this host has just started and may not know all targets yet.
+// Flows would all be placed on the first few that are known.
 func (p *placer) discovering() bool {
 	if p.view.DirectoryComplete || p.discovered {
 		return false
--- a/internal/flowd/socket.go
+++ b/internal/flowd/socket.go
@@ -67,7 +67,7 @@
 // backend server, sendReset a reset. Failures are only counted: both ends of a flow
 // retransmit lost packets.
 func (s *socket) sendFrame(b []byte, to flow.Endpoint) {
-	s.out.frame(b)
+	s.out.countFrame(b)
 	s.send(b, to)
 }
 
--- a/internal/flowd/traffic.go
+++ b/internal/flowd/traffic.go
@@ -56,8 +56,8 @@
 	return t
 }
 
-// frame counts a datagram that begins with a frame.
-func (t *traffic) frame(b []byte) {
+// countFrame counts a datagram that begins with a frame.
+func (t *traffic) countFrame(b []byte) {
 	if len(b) == 0 || int(b[0]) >= len(t.frames) {
 		t.others.add(len(b))
 		return
