--- a/routing/choose.go
+++ b/routing/choose.go
@@ -14,8 +14,8 @@
 	maxLoad = 4000
 	// maxUnanswered bounds the contribution of unanswered flows to a cost.
 	maxUnanswered = 1000
-	// maxSearchSteps bounds the search for a target that is not draining, which runs
-	// for each first packet.
+	// maxSearchSteps bounds the search for a target that is not draining, in
+	// candidates. The search runs for each first packet.
 	maxSearchSteps = 64
 )
 
@@ -97,8 +97,8 @@
 	i := scale(uint32(hash), n)
 	first := t.search(i, n, now)
 	if first == n {
-		// All candidates seen are draining: treat them like a table of draining
-		// targets.
+		// All candidates in reach of the search are draining. They are used like those
+		// of a table with draining targets only.
 		first = i
 	}
 	if n == 1 {
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -16,28 +16,28 @@
 // reasonCase is a choice between two serving targets past their ramps, with the changes
 // of the case applied.
 type reasonCase struct {
-	name   string
-	policy *configpb.Policy
-	change func(list []routing.Target)
-	learn  map[uint32]routing.Report
-	want   routing.Reason
-	target uint32 // 0: any
+	name    string
+	policy  *configpb.Policy
+	change  func(list []routing.Target)
+	reports map[uint32]routing.Report
+	want    routing.Reason
+	target  uint32 // 0: any
 }
 
 var reasonCases = []reasonCase{
 	{name: "equal", want: routing.EqualCost},
 	{name: "hash", policy: hashPolicy, want: routing.ByHash},
 	{
-		name:   "lower load",
-		learn:  map[uint32]routing.Report{1: {Load: 500}, 2: {Load: 400}},
-		want:   routing.ByCost,
-		target: 2,
+		name:    "lower load",
+		reports: map[uint32]routing.Report{1: {Load: 500}, 2: {Load: 400}},
+		want:    routing.ByCost,
+		target:  2,
 	},
 	{
-		name:   "no report counts as average",
-		learn:  map[uint32]routing.Report{1: {Load: 500}},
-		want:   routing.EqualCost,
-		target: 0,
+		name:    "no report counts as average",
+		reports: map[uint32]routing.Report{1: {Load: 500}},
+		want:    routing.EqualCost,
+		target:  0,
 	},
 	{
 		name:   "one draining",
@@ -46,10 +46,10 @@
 		target: 2,
 	},
 	{
-		name:   "one draining by report",
-		learn:  map[uint32]routing.Report{1: {Draining: true}},
-		want:   routing.OnlyCandidate,
-		target: 2,
+		name:    "one draining by report",
+		reports: map[uint32]routing.Report{1: {Draining: true}},
+		want:    routing.OnlyCandidate,
+		target:  2,
 	},
 	{
 		name: "all draining",
@@ -82,12 +82,12 @@
 		want: routing.Panic,
 	},
 	{
-		name:   "report overrides the directory",
-		policy: &configpb.Policy{PanicPercent: 100},
-		change: func(list []routing.Target) { list[0].Unhealthy = true },
-		learn:  map[uint32]routing.Report{1: {Unhealthy: false}, 2: {Unhealthy: true}},
-		want:   routing.OnlyCandidate,
-		target: 1,
+		name:    "report overrides the directory",
+		policy:  &configpb.Policy{PanicPercent: 100},
+		change:  func(list []routing.Target) { list[0].Unhealthy = true },
+		reports: map[uint32]routing.Report{1: {Unhealthy: false}, 2: {Unhealthy: true}},
+		want:    routing.OnlyCandidate,
+		target:  1,
 	},
 	{
 		name:   "damping overrides the report",
@@ -96,9 +96,9 @@
 			list[0].Unhealthy = true
 			list[0].Damped = true
 		},
-		learn:  map[uint32]routing.Report{1: {Unhealthy: false}},
-		want:   routing.OnlyCandidate,
-		target: 2,
+		reports: map[uint32]routing.Report{1: {Unhealthy: false}},
+		want:    routing.OnlyCandidate,
+		target:  2,
 	},
 }
 
@@ -111,7 +111,7 @@
 				tt.change(list)
 			}
 			loads := routing.NewLoadReports(nil, list)
-			for number, report := range tt.learn {
+			for number, report := range tt.reports {
 				is.True(loads.Record(number, 1, report, start))
 			}
 			table := routing.NewTable(tt.policy, service, list, loads, start)
--- a/routing/hasher.go
+++ b/routing/hasher.go
@@ -19,8 +19,8 @@
 
 // Hasher hashes a flow that has no reply yet. All hosts with the same secret compute
 // the same hash, so a repeated first packet gets the same candidates at every entry
-// host. Without the secret nobody can craft flows that hit one target. It is safe for
-// concurrent use.
+// host. Without the secret an attacker cannot craft flows that all hit one target. It is
+// safe for concurrent use.
 type Hasher struct {
 	block   cipher.Block
 	scratch sync.Pool
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -12,7 +12,7 @@
 const (
 	service = 7
 	start   = time.Hour
-	old     = time.Hour
+	warmAge = time.Hour
 )
 
 // address returns the frame address of a target by its number.
@@ -31,7 +31,7 @@
 			Incarnation: 1,
 			Service:     service,
 			Address:     address(number),
-			Age:         old,
+			Age:         warmAge,
 		}
 	}
 	return list
--- a/routing/loadreports.go
+++ b/routing/loadreports.go
@@ -20,7 +20,7 @@
 	Load uint16
 	// Draining is set if the target takes no new flows.
 	Draining bool
-	// Unhealthy is set if the agent judges the backend server unhealthy.
+	// Unhealthy is set if the agent considers the backend server unhealthy.
 	Unhealthy bool
 }
 
@@ -37,8 +37,8 @@
 	// unanswered counts the flows sent since the last report.
 	unanswered  atomic.Uint32
 	incarnation uint32
-	// unansweredSince is the timestamp of the first packet to be answered since the
-	// last frame, lastProbe that of the last probe. Zero means none.
+	// unansweredSince is the timestamp of the first packet since the target's last frame
+	// that it must answer, lastProbe that of the last probe. Zero means none.
 	unansweredSince, lastProbe atomic.Int64
 }
 
--- a/routing/noreport_test.go
+++ b/routing/noreport_test.go
@@ -16,7 +16,7 @@
 	for _, tt := range []struct {
 		name   string
 		policy *configpb.Policy
-		// answers is set if each flow is answered before the next one.
+		// answers is set if the target answers each flow before the next one.
 		answers bool
 		// Bounds of its share, in percent of that of a full target.
 		least, most int
@@ -31,19 +31,19 @@
 			list := targets(n)
 			list[0].Age = ramp / 4
 			loads := routing.NewLoadReports(nil, list)
-			learn := func() {
+			recordReports := func() {
 				for number := uint32(2); number <= n; number++ {
 					loads.Record(number, 1, routing.Report{Load: 600}, start)
 				}
 			}
-			learn()
+			recordReports()
 			table := routing.NewTable(tt.policy, service, list, loads, start)
 			got := 0
 			for _, hash := range hashes(flows) {
 				if choice, _ := table.Choose(hash, start); choice.Target.Number == 1 {
 					got++
 				}
-				learn()
+				recordReports()
 				if tt.answers {
 					loads.Decay() // one unanswered flow becomes none
 				}
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -145,7 +145,7 @@
 			counts[choice.Target.Number]++
 		}
 		// A target is drawn for two flows in n, so no wrong load can attract more. The
-		// margin of a tenth is for the spread of the hashes.
+		// margin of a tenth is for the variance of the hashes.
 		for _, c := range counts {
 			is.True(c <= flows*2/n*11/10)
 		}
--- a/routing/relativeload_test.go
+++ b/routing/relativeload_test.go
@@ -17,20 +17,20 @@
 	list := targets(targetCount)
 	table, loads := build(nil, list)
 	open := make(map[uint32]int)
-	learn := func(number uint32, more int) {
+	addFlows := func(number uint32, more int) {
 		open[number] += more
 		load := min(open[number]*1000/capacity, math.MaxUint16)
 		loads.Record(number, 1, routing.Report{Load: uint16(load)}, start)
 	}
 	for _, target := range list {
-		learn(target.Number, flows*int(1+target.Number%2))
+		addFlows(target.Number, flows*int(1+target.Number%2))
 	}
 	for i, hash := range hashes(flows * targetCount) {
 		if i%targetCount == 0 {
 			table = routing.NewTable(nil, service, list, loads, start)
 		}
 		choice, _ := table.Choose(hash, start)
-		learn(choice.Target.Number, 1)
+		addFlows(choice.Target.Number, 1)
 	}
 	most, sum := 0, 0
 	for _, n := range open {
--- a/routing/table.go
+++ b/routing/table.go
@@ -19,8 +19,8 @@
 	// overrideReason replaces the reason of every choice unless it is NoTarget.
 	overrideReason Reason
 
-	// inputs and ramping tell whether the table must be rebuilt. ramping is set if a
-	// target was on its ramp.
+	// inputs and ramping determine whether the table must be rebuilt. ramping is set if
+	// a target was on its ramp.
 	inputs  []tableInput
 	ramping bool
 }
--- a/routing/target.go
+++ b/routing/target.go
@@ -15,7 +15,7 @@
 	Address netip.AddrPort
 	// Draining is set if it takes no new flows.
 	Draining bool
-	// Unhealthy is set if the agent judges the backend server unhealthy.
+	// Unhealthy is set if the agent considers the backend server unhealthy.
 	Unhealthy bool
 	// Damped is set if it flaps; it then counts as unhealthy.
 	Damped bool
@@ -40,7 +40,7 @@
 	Probe TargetRef
 }
 
-// Reason tells how a target was chosen.
+// Reason is how a target was chosen.
 type Reason uint8
 
 // Reasons of a choice.
--- a/routing/unresponsive.go
+++ b/routing/unresponsive.go
@@ -97,15 +97,15 @@
 	}
 }
 
-// unresponsive reports whether the target has owed a frame for longer than
-// UnresponsiveAfter.
+// unresponsive reports whether a packet that the target must answer has been unanswered
+// for longer than UnresponsiveAfter.
 func (c *reportState) unresponsive(now time.Duration) bool {
 	since := c.unansweredSince.Load()
 	return since != 0 && timestamp(now)-since > UnresponsiveAfter.Milliseconds()
 }
 
-// claimProbe reports whether an unresponsive target is to be probed now. It returns
-// true to one of several concurrent callers.
+// claimProbe reports whether an unresponsive target is to be probed now. Of several
+// concurrent calls only one returns true.
 func (c *reportState) claimProbe(now time.Duration) bool {
 	last := c.lastProbe.Load()
 	elapsed := timestamp(now) - max(last, c.unansweredSince.Load())
--- a/routing/weights_test.go
+++ b/routing/weights_test.go
@@ -52,7 +52,7 @@
 	}
 	for i := range f.flows {
 		f.flows[i] = fleetSeedFlow
-		f.restarts[i] = -old
+		f.restarts[i] = -warmAge
 	}
 	return f
 }
@@ -144,7 +144,7 @@
 	careful, carefulImbalance := simulate("broken flows", &configpb.Policy{BrokenFlowWeight: 4, ImbalanceWeight: 1})
 	even, evenImbalance := simulate("imbalance", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4})
 
-	is.True(careful < even)                      // fewer broken flows where these weigh more
-	is.True(evenImbalance < carefulImbalance)    // less imbalance where that weighs more
-	is.True(careful < equal && equal < baseline) // and fewer broken flows than without weights
+	is.True(careful < even)                      // fewer broken flows with a higher weight of these
+	is.True(evenImbalance < carefulImbalance)    // less imbalance with a higher weight of that
+	is.True(careful < equal && equal < baseline) // fewer broken flows than without weights
 }
