--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -10,7 +10,7 @@
 	// ID is the name that the backend server reports.
 	ID string
 	// StartedMS is the start time by its own clock in milliseconds since the Unix epoch,
-	// 0 if unknown. It is only compared between instances in the same place.
+	// 0 if unknown. It is only compared between instances that report to the same agent.
 	StartedMS int64
 }
 
@@ -29,7 +29,7 @@
 	WarmupLeft time.Duration
 }
 
-// Result is how a report relates to those known.
+// Result is how a report relates to the earlier ones.
 type Result string
 
 // Results.
@@ -57,8 +57,8 @@
 	reinstateAfter = 2
 )
 
-// Tracker tracks the current instance of the backend server in one place. The zero value
-// knows none.
+// Tracker tracks the current instance of the backend server of one agent. The zero value
+// has none.
 type Tracker struct {
 	known   bool
 	current Report
@@ -88,7 +88,7 @@
 func (t *Tracker) MarkUnresponsive() { t.unresponsive, t.candidate = true, Report{} }
 
 // Apply applies a report unless it is outdated. A draining instance does not return to
-// service: a report that says otherwise is outdated, whatever its sequence number.
+// service: it stays draining even if a later report does not say so.
 func (t *Tracker) Apply(r Report) Result {
 	if !t.known {
 		t.known, t.current = true, r
--- a/placement/route.go
+++ b/placement/route.go
@@ -59,8 +59,9 @@
 	Load uint16
 }
 
-// Choose places a new flow by a uniformly distributed hash. candidateOf returns the target
-// of a service that can take it, or false. The reason is ReasonNoTarget if there is none.
+// Choose places a new flow by a uniformly distributed hash. candidateOf returns a target of
+// a service that can take the flow, or false if it has none. The reason is ReasonNoTarget if
+// no service has one.
 func (r *Route) Choose(hash uint64, candidateOf func(WeightedService) (Candidate, bool)) (flow.Placement, flow.Reason) {
 	best, reason := Candidate{}, flow.ReasonNoTarget
 	first := r.pick(hash)
--- a/placement/route_test.go
+++ b/placement/route_test.go
@@ -18,7 +18,8 @@
 	}, nil)
 }
 
-// loads returns a candidate of each service at these loads, none for a negative load.
+// loads returns a function that returns the candidate of a service with the load listed for
+// it, none if that is negative.
 func loads(of ...int) func(placement.WeightedService) (placement.Candidate, bool) {
 	return func(s placement.WeightedService) (placement.Candidate, bool) {
 		load := of[s.Service-1]
