--- a/stall/detector.go
+++ b/stall/detector.go
@@ -12,7 +12,7 @@
 
 	observed bool
 	last     time.Duration
-	// stallEnd is the time of the first observation after the last stall.
+	// stallEnd is the time of the first observation after the last stall, valid if stalled.
 	stalled  bool
 	stallEnd time.Duration
 }
@@ -35,10 +35,10 @@
 	return gap
 }
 
-// MayHaveWaited reports whether a request may have been sent before the end of a stall. It
-// arrived at one time, over a connection that this process opened at another, before
-// anything was sent on it. Both are observed times, and the last observation has to be
-// recent.
+// MayHaveWaited reports whether a request may have been sent before the end of a stall.
+// opened is when this process opened the request's connection, before anything was sent on
+// it, arrived is when the request arrived. Both are observed times, and the last
+// observation has to be recent.
 func (d *Detector) MayHaveWaited(opened, arrived time.Duration) bool {
 	if !d.stalled {
 		return false
--- a/stall/detector_test.go
+++ b/stall/detector_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	bound = time.Second
-	grace = 2 * time.Second
+	threshold = time.Second
+	grace     = 2 * time.Second
 )
 
 func TestMayHaveWaited(t *testing.T) {
 	is := is.New(t)
-	d := &stall.Detector{Threshold: bound, Grace: grace}
+	d := &stall.Detector{Threshold: threshold, Grace: grace}
 	is.Equal(d.Observe(5*time.Second), time.Duration(0)) // the first observation
 	is.True(!d.MayHaveWaited(0, 5*time.Second))
 	is.Equal(d.Observe(6*time.Second), time.Duration(0)) // at the threshold
@@ -42,23 +42,22 @@
 	for range rapid.IntRange(1, 60).Draw(t, "observations") {
 		previous := now
 		if rapid.IntRange(0, 7).Draw(t, "stalls") == 0 {
-			now += bound + time.Duration(rapid.Int64Range(1, int64(10*bound)).Draw(t, "stall"))
+			now += threshold + time.Duration(rapid.Int64Range(1, int64(10*threshold)).Draw(t, "stall"))
 			stalls = append(stalls, [2]time.Duration{previous, now})
 		} else {
-			now += time.Duration(rapid.Int64Range(0, int64(bound)).Draw(t, "pause"))
+			now += time.Duration(rapid.Int64Range(0, int64(threshold)).Draw(t, "pause"))
 		}
 		observations = append(observations, now)
 	}
 	return observations, stalls
 }
 
-// A request may have waited if its connection was opened before the end of a stall and it
-// arrived within the grace, or if it arrived before the end of a stall. Otherwise it has
-// not.
+// A request may have waited exactly if it arrived before the end of a stall, or within the
+// grace after it over a connection that was opened before.
 func TestMayHaveWaitedProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		observations, stalls := drawRun(t)
-		d := &stall.Detector{Threshold: bound, Grace: grace}
+		d := &stall.Detector{Threshold: threshold, Grace: grace}
 		for _, now := range observations {
 			d.Observe(now)
 		}
--- a/stall/suspend.go
+++ b/stall/suspend.go
@@ -11,7 +11,8 @@
 	Threshold time.Duration
 
 	observed bool
-	ahead    time.Duration
+	// ahead is the wall clock minus the monotonic clock at the last observation.
+	ahead time.Duration
 }
 
 // Observe records both clocks, each with an origin of its own. It returns how far the wall
