--- a/returnpath/path.go
+++ b/returnpath/path.go
@@ -17,10 +17,12 @@
 )
 
 // Path holds the entry hosts of one flow, the one to use next first. The zero value is
-// empty. It is not safe for concurrent use.
+// empty. A Path is not safe for concurrent use.
 type Path struct {
-	hosts      [MaxPathHosts]netip.AddrPort
-	count      uint8
+	hosts [MaxPathHosts]netip.AddrPort
+	count uint8
+	// unanswered counts the datagrams sent since the last received one, up to
+	// FailoverDatagrams.
 	unanswered uint16
 	// failovers counts the failovers since the last received datagram.
 	failovers    uint16
--- a/returnpath/recenthosts.go
+++ b/returnpath/recenthosts.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// MaxRecentHosts is the number of entry hosts that a host remembers.
+	// MaxRecentHosts is the number of entry hosts that an agent remembers.
 	MaxRecentHosts = 64
 	// MaxRecentAge is the age above which an entry host is no longer returned.
 	MaxRecentAge = 30 * time.Second
@@ -20,8 +20,10 @@
 // concurrent use.
 type RecentHosts struct {
 	lastReceived map[netip.AddrPort]time.Duration
-	order        []netip.AddrPort
-	next         int
+	// order has the entry hosts in the order of their addition, next is the index of the
+	// one that was returned last.
+	order []netip.AddrPort
+	next  int
 }
 
 // NewRecentHosts returns an empty list.
