--- a/connid/connid.go
+++ b/connid/connid.go
@@ -109,9 +109,9 @@
 
 // scratch is pooled, as arguments of a cipher.Block escape to the heap.
 type scratch struct {
-	sealed [blockLength]byte
-	plain  [blockLength]byte
-	tag    [blockLength]byte
+	ciphertext [blockLength]byte
+	plaintext  [blockLength]byte
+	tag        [blockLength]byte
 }
 
 // NewCodec returns a codec that encodes with the first secret and decodes with all of
@@ -146,14 +146,14 @@
 	s := c.scratch.Get().(*scratch)
 	defer c.scratch.Put(s)
 
-	putTarget(&s.plain, t, counter)
+	putTarget(&s.plaintext, t, counter)
 	k := &c.ciphers[c.encodingID]
-	k.block.Encrypt(s.sealed[:], s.plain[:])
-	k.tag.Encrypt(s.tag[:], s.sealed[:])
+	k.block.Encrypt(s.ciphertext[:], s.plaintext[:])
+	k.tag.Encrypt(s.tag[:], s.ciphertext[:])
 
 	var id [Length]byte
 	id[0] = random&^keyIDMask | c.encodingID
-	copy(id[1:], s.sealed[:])
+	copy(id[1:], s.ciphertext[:])
 	copy(id[tagOffset:], s.tag[:tagLength])
 	return id
 }
@@ -171,14 +171,14 @@
 
 	s := c.scratch.Get().(*scratch)
 	defer c.scratch.Put(s)
-	copy(s.sealed[:], id[1:])
-	k.tag.Encrypt(s.tag[:], s.sealed[:])
+	copy(s.ciphertext[:], id[1:])
+	k.tag.Encrypt(s.tag[:], s.ciphertext[:])
 	if subtle.ConstantTimeCompare(s.tag[:tagLength], id[tagOffset:]) != 1 {
 		return Target{}, WrongTag
 	}
 
-	k.block.Decrypt(s.plain[:], s.sealed[:])
-	return getTarget(&s.plain)
+	k.block.Decrypt(s.plaintext[:], s.ciphertext[:])
+	return getTarget(&s.plaintext)
 }
 
 func putTarget(b *[blockLength]byte, t Target, counter uint32) {
--- a/connid/doc.go
+++ b/connid/doc.go
@@ -10,7 +10,7 @@
 //	bytes 17-19  start of AES-128 of bytes 1-16 under a second key
 //
 // Encryption hides the target from callers and prevents linking two IDs of one flow.
-// The tag refuses IDs that this deployment did not issue. A guess passes with a
+// The tag detects IDs that this deployment did not issue. A guess passes with a
 // probability of 2^-24, so the receiver must still check the target. The counter makes
 // each block unique within an incarnation, as AES without a nonce maps equal blocks to
 // equal IDs.
--- a/frame/frame.go
+++ b/frame/frame.go
@@ -102,7 +102,7 @@
 	Load uint16
 	// Draining is set if the sender of a Reply takes no new flows.
 	Draining bool
-	// Unhealthy is set if the sender of a Reply judges its backend server unhealthy.
+	// Unhealthy is set if the sender of a Reply considers its backend server unhealthy.
 	Unhealthy bool
 }
 
