--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -17,12 +17,12 @@
 
 func fill(d *membership.Directory, now time.Duration) {
 	for n := uint32(1); n <= fleetSize; n++ {
-		d.Announce(now, named(n), membership.Direct)
+		d.Announce(now, namedRecord(n), membership.Direct)
 	}
 }
 
-// named returns a first record with names of typical length.
-func named(number uint32) *controlpb.TargetRecord {
+// namedRecord returns a first record with names of typical length.
+func namedRecord(number uint32) *controlpb.TargetRecord {
 	r := record(number, 1, 1)
 	r.Name = "lodgement-oke-ado-07"
 	r.FailureDomain = "oke-ado"
@@ -47,9 +47,9 @@
 		b.ReportMetric(float64(proto.Size(full))/fleetSize, "wire-B/target")
 		r := record(7, 1, 2)
 		r.State = controlpb.TargetState_TARGET_STATE_DRAINING
-		before2 := d.Sequence()
+		sequenceBefore := d.Sequence()
 		d.Announce(0, r, membership.Direct)
-		b.ReportMetric(float64(proto.Size(d.Update(0, 1, before2, nil))), "wire-B/delta")
+		b.ReportMetric(float64(proto.Size(d.Update(0, 1, sequenceBefore, nil))), "wire-B/delta")
 		runtime.KeepAlive(d)
 	}
 }
@@ -65,7 +65,7 @@
 				group[i] = membership.New(membership.Options{Epoch: uint64(i + 1)})
 			}
 			for n := range targets {
-				group[n%hosts].Announce(0, named(uint32(n+1)), membership.Direct)
+				group[n%hosts].Announce(0, namedRecord(uint32(n+1)), membership.Direct)
 			}
 			var cursors [hosts]uint64
 			now, bytes := time.Duration(0), 0
@@ -104,7 +104,7 @@
 func BenchmarkRenew(b *testing.B) {
 	d := membership.New(membership.Options{Epoch: 1})
 	fill(d, 0)
-	r := named(7)
+	r := namedRecord(7)
 	for i := range b.N {
 		d.Announce(time.Duration(i), proto.CloneOf(r), membership.Direct)
 	}
@@ -118,7 +118,7 @@
 			b.Run(fmt.Sprintf("%d/%d", targets, differ), func(b *testing.B) {
 				old, next := fullDirectory(1, targets), fullDirectory(2, targets)
 				for n := range differ {
-					r := named(n*targets/differ + 1)
+					r := namedRecord(n*targets/differ + 1)
 					r.Sequence++
 					next.Announce(lease, r, membership.Direct)
 				}
@@ -156,7 +156,7 @@
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			d := membership.New(membership.Options{Epoch: 1, Lease: lease})
 			for n := range targets {
-				r := named(uint32(n + 1))
+				r := namedRecord(uint32(n + 1))
 				r.FailureDomain = fmt.Sprint("domain-", n%domains)
 				d.Announce(lease, r, membership.Direct)
 			}
--- a/membership/converge_test.go
+++ b/membership/converge_test.go
@@ -237,8 +237,8 @@
 	return out
 }
 
-// TestDirectoriesConverge draws restarts, partitions, moves and crashes of agents, and lost,
-// duplicated and reordered messages. In the end all hosts have exactly the running agents.
+// After any restarts, partitions, moves and crashes of agents, and lost, duplicated and
+// reordered messages, all hosts have exactly the targets of the running agents.
 func TestDirectoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(t, agents)
--- a/membership/damping.go
+++ b/membership/damping.go
@@ -43,6 +43,7 @@
 	damped    bool
 }
 
+// now returns the penalty at a time.
 func (f *flaps) now(now time.Duration, p *Damping) float64 {
 	halvings := float64(now-f.updatedAt) / float64(p.HalfLife)
 	return f.penalty * math.Exp2(-halvings)
@@ -56,6 +57,8 @@
 	}
 }
 
+// suppressed reports whether the target is damped, and ends damping once the penalty has
+// fallen to Reuse.
 func (f *flaps) suppressed(now time.Duration, p *Damping) bool {
 	if f.damped && f.now(now, p) <= p.Reuse {
 		f.damped = false
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -41,7 +41,7 @@
 }
 
 // recordDigest hashes what identifies the published contents of a record: its version, and
-// whether it is damped, which each control host decides by itself. The age is left out.
+// whether it is damped, which may differ between control hosts. The age is not included.
 func recordDigest(r *controlpb.TargetRecord) uint64 {
 	d := digest(r.GetNumber(), versionOf(r))
 	if r.GetDamped() {
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -183,8 +183,8 @@
 	return false
 }
 
-// Complete reports whether the directory has received announcements for a whole lease:
-// targets that it does not have by then have no lease.
+// Complete reports whether the directory has received announcements for a full lease:
+// targets that it does not have by then have no valid lease.
 func (d *Directory) Complete(now time.Duration) bool { return now-d.opts.Start >= d.opts.Lease }
 
 // Announce merges a record. One from the agent itself gets a new lease. One from another
--- a/membership/expire.go
+++ b/membership/expire.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Expire ends the leases that are over, removes unresponsive control hosts and lifts the
-// damping of stable targets. It returns the number of targets removed.
+// Expire removes expired leases and unresponsive control hosts, and lifts the damping of
+// stable targets. It returns the number of targets removed.
 //
 // A target claimed by another control host needs no lease here: that host reports the end
 // of its lease. While the host is unresponsive its targets are kept for Hold, since their
-// agents may be fine.
+// agents may still run.
 func (d *Directory) Expire(now time.Duration) int {
 	before := len(d.byID)
 	for e := d.leases.Front(); e != nil; e = d.leases.Front() {
--- a/membership/list.go
+++ b/membership/list.go
@@ -118,12 +118,12 @@
 	for _, n := range u.GetRemoved() {
 		m.removed[n] = true
 	}
-	wholeBuckets := make(map[uint32]bool, len(u.GetWhole()))
+	completeBuckets := make(map[uint32]bool, len(u.GetWhole()))
 	for _, bucket := range u.GetWhole() {
-		wholeBuckets[bucket] = true
+		completeBuckets[bucket] = true
 	}
 	m.isRemoved = func(number uint32) bool {
-		return u.GetFull() || m.removed[number] || u.GetBuckets() > 0 && wholeBuckets[number%u.GetBuckets()]
+		return u.GetFull() || m.removed[number] || u.GetBuckets() > 0 && completeBuckets[number%u.GetBuckets()]
 	}
 	return m
 }
@@ -170,7 +170,7 @@
 	}
 }
 
-// sortRecords sorts the records by target number, along with their times.
+// sortRecords sorts the records and their times of receipt by target number.
 func sortRecords(records []*controlpb.TargetRecord, receivedAt []time.Time) {
 	type pair struct {
 		record   *controlpb.TargetRecord
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -141,9 +141,8 @@
 	}
 }
 
-// TestSubscriberConverges draws moves between control hosts, lost updates and the faults of
-// TestDirectoriesConverge. The subscriber never returns to an older record. In the end it has
-// the records of any control host within its scope, without a full list.
+// With any moves, lost updates and the faults of TestDirectoriesConverge a subscriber never
+// returns to an older record, and ends up with the records of its host without a full list.
 func TestSubscriberConverges(t *testing.T) {
 	kinds := map[membership.UpdateKind]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -212,12 +211,12 @@
 func fullDirectory(epoch uint64, targets uint32) *membership.Directory {
 	d := membership.New(membership.Options{Epoch: epoch, Lease: lease})
 	for n := range targets {
-		d.Announce(lease, named(n+1), membership.Direct)
+		d.Announce(lease, namedRecord(n+1), membership.Direct)
 	}
 	return d
 }
 
-// A move between hosts with few differences costs only these.
+// A move between control hosts sends only the buckets that differ.
 func TestMoveSendsDifference(t *testing.T) {
 	is := is.New(t)
 	a, b := fullDirectory(1, fleetSize), fullDirectory(2, fleetSize)
@@ -252,7 +251,7 @@
 	is.Equal(len(recordsOf(&l)), fleetSize-5)
 }
 
-// An incomplete host cannot tell what differs.
+// An incomplete host does not know which records differ, and sends only a few additions.
 func TestIncompleteHostDefersLargeDifference(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
@@ -271,8 +270,8 @@
 	is.Equal(len(u.GetWhole()), 1)
 }
 
-// A target is added, then additions stop, then it is removed: its bucket equals the one that
-// the subscriber came with, and has to be sent again.
+// A target is added, then additions stop, then it is removed: its bucket equals that of the
+// subscriber's initial list again, and has to be sent nevertheless.
 func TestDeferredRemovalIsSent(t *testing.T) {
 	is := is.New(t)
 	var l membership.List
@@ -306,7 +305,7 @@
 	u, _ := d.Next(2*lease, f)
 	is.Equal(len(u.GetPut()), 1)
 	is.Equal(d.Expire(2*lease), 1)
-	back := named(1)
+	back := namedRecord(1)
 	back.FailureDomain, back.Incarnation = "dugbe", 2
 	d.Announce(2*lease, back, membership.Direct)
 	u, _ = d.Next(2*lease, f)
--- a/membership/rebalance.go
+++ b/membership/rebalance.go
@@ -34,7 +34,7 @@
 	// Complete reports whether its directory is complete.
 	Complete bool
 	Others   []HostLoad
-	// SinceMove is the time since its last subscriber was moved, Interval the minimum
+	// SinceMove is the time since it last moved a subscriber, Interval the minimum time
 	// between two moves, with jitter.
 	SinceMove, Interval time.Duration
 }
@@ -52,9 +52,9 @@
 )
 
 // Decide returns the host that one subscriber has to move to, or no host and the reason. A
-// host moves one if it is above the mean and either it is far above or another host far
-// below. It moves to the host with the fewest, so that moves end even with counts that are
-// some seconds old.
+// host moves a subscriber if it is above the mean and either it is far above or another
+// host far below. The subscriber moves to the host with the fewest, so that moves end even
+// with counts that are some seconds old.
 func (r *Rebalancer) Decide() (to string, reason RebalanceReason) {
 	if !r.Complete {
 		return "", RebalanceIncomplete
--- a/membership/rebalance_test.go
+++ b/membership/rebalance_test.go
@@ -39,8 +39,8 @@
 		{"has just started", membership.Rebalancer{Own: 100, Others: others(0)}, "", membership.RebalanceIncomplete},
 		{"no other host", membership.Rebalancer{Own: 100, Complete: true}, "", membership.RebalanceNoPeers},
 		{"outdated counts", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.RebalanceNoPeers},
-		{"within the pause", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Interval: 2}, "", membership.RebalanceTooSoon},
-		{"the pause is over", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Interval: 2}, "c2", membership.RebalanceMove},
+		{"within the interval", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Interval: 2}, "", membership.RebalanceTooSoon},
+		{"after the interval", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Interval: 2}, "c2", membership.RebalanceMove},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	return moved
 }
 
-// run runs until nothing has moved for a whole period, and returns the number of steps.
+// run runs until nothing has moved for a full period, and returns the number of steps.
 func (m *hostModel) run(limit int) int {
 	quiet := 0
 	for number := range limit {
@@ -102,8 +102,8 @@
 	return limit
 }
 
-// TestRebalancingConverges: moves end from any distribution, with counts up to a lease old,
-// and leave no host far from the mean.
+// Moves end from any distribution, with counts up to a lease old, and leave no host far
+// from the mean.
 func TestRebalancingConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &hostModel{
--- a/membership/subscriber.go
+++ b/membership/subscriber.go
@@ -31,8 +31,8 @@
 	FullUndigested UpdateKind = "full_undigested"
 )
 
-// Position is how far a subscriber has followed: a sequence in an epoch, zero if its list
-// is not complete, and the digests of its list.
+// Position is the state from which a subscriber resumes: the epoch and sequence of its last
+// update, zero if its list is not complete, and the digests of its list.
 type Position struct {
 	Epoch, Sequence uint64
 	Digests         []uint64
@@ -70,7 +70,7 @@
 	if u == nil {
 		return nil, kind
 	}
-	// Without digests the subscriber has to learn of the new epoch.
+	// A subscriber without digests needs the new epoch, even if nothing else has changed.
 	epochChanged := sub.epoch != u.GetEpoch() && len(sub.digests) == 0
 	sub.epoch, sub.sequence = u.GetEpoch(), u.GetSequence()
 	sub.complete = kind != Addition
@@ -92,7 +92,8 @@
 		return d.since(now, sub.sequence, sub.scope), Delta
 	case hasDigests && sub.digests.empty():
 		u := d.Full(now, sub.scope)
-		// The subscriber has no records that a full list could remove by mistake.
+		// The subscriber has no records that a full list of an incomplete directory could
+		// remove.
 		u.Full = true
 		return u, FullFirst
 	case hasDigests && !d.Complete(now):
--- a/membership/update.go
+++ b/membership/update.go
@@ -107,6 +107,7 @@
 	return update{&controlpb.DirectoryUpdate{Epoch: d.opts.Epoch, Sequence: d.sequence}}
 }
 
+// collect adds a target, or its removal if it was removed or has moved out of the scope.
 func (u update) collect(now time.Duration, t *target, s *Scope) {
 	inside := s.contains(t.latest)
 	if !inside && !s.contained(t) {
