--- a/flow/frame.go
+++ b/flow/frame.go
@@ -77,8 +77,8 @@
 // Frame is a message between entry hosts and agents.
 type Frame struct {
 	Kind Kind
-	// Hops counts how often an opening was forwarded. In a search it is 0, 1 if an
-	// agent has forwarded it, or HopsLookup.
+	// Hops counts how often an opening was forwarded. In a search it is 0, 1 if the
+	// receiver must not forward it, or HopsLookup.
 	Hops uint8
 	// Service is the hash of the name of the packet's service, in Held that of the
 	// sender's target.
--- a/flow/lookup_test.go
+++ b/flow/lookup_test.go
@@ -31,25 +31,25 @@
 // newCluster returns a cluster whose agents know all flows of their targets, except the
 // uncertain ones.
 func newCluster(count int, uncertain ...int) *cluster {
-	f := &cluster{
+	c := &cluster{
 		agents: map[flow.Endpoint]*flow.Agent{}, all: manyAgents(count), now: wellAfterStart,
 		delivered: map[flow.Key][]flow.Endpoint{}, reset: map[flow.Key]bool{}, unreachable: map[flow.Endpoint]bool{},
 	}
-	f.entry = flow.NewEntry(&coordinatedPlacer{fixedPlacer{agents: f.all}}, entryA)
-	for i, at := range f.all {
-		a := flow.NewAgent(f.now)
+	c.entry = flow.NewEntry(&coordinatedPlacer{fixedPlacer{agents: c.all}}, entryA)
+	for i, at := range c.all {
+		a := flow.NewAgent(c.now)
 		a.SetServer(flow.Server{State: flow.Serving, Service: lodgement, Slots: 4})
-		a.MarkComplete(f.now)
+		a.MarkComplete(c.now)
 		for _, u := range uncertain {
 			if u == i {
-				a = flow.NewAgent(f.now)
+				a = flow.NewAgent(c.now)
 				a.SetServer(flow.Server{State: flow.Serving, Service: lodgement, Slots: 4})
 			}
 		}
-		a.SetPeers(nil, f.all, at)
-		f.agents[at] = a
+		a.SetPeers(nil, c.all, at)
+		c.agents[at] = a
 	}
-	return f
+	return c
 }
 
 // coordinatedPlacer selects coordinators.
@@ -68,101 +68,101 @@
 }
 
 // packet sends a caller's packet to the entry host.
-func (f *cluster) packet(p flow.Packet) { f.applyEntryVerdict(f.entry.Packet(p, f.now), p) }
+func (c *cluster) packet(p flow.Packet) { c.applyEntryVerdict(c.entry.Packet(p, c.now), p) }
 
-func (f *cluster) applyEntryVerdict(v flow.Verdict, p flow.Packet) {
+func (c *cluster) applyEntryVerdict(v flow.Verdict, p flow.Packet) {
 	switch v.Action {
 	case flow.SendAll:
 		for _, to := range append([]flow.Endpoint{}, v.All...) {
-			f.toAgent(to, v.Frame, p)
+			c.toAgent(to, v.Frame, p)
 		}
 	case flow.Send:
-		f.toAgent(v.To, v.Frame, p)
+		c.toAgent(v.To, v.Frame, p)
 	case flow.Reset:
-		f.reset[p.Key] = true
+		c.reset[p.Key] = true
 	}
 }
 
-func (f *cluster) toAgent(to flow.Endpoint, m flow.Frame, p flow.Packet) {
-	if f.unreachable[to] {
+func (c *cluster) toAgent(to flow.Endpoint, m flow.Frame, p flow.Packet) {
+	if c.unreachable[to] {
 		return
 	}
-	a := f.agents[to]
+	a := c.agents[to]
 	if m.Hops == flow.HopsLookup {
-		f.sendNotices(to, a.Lookup(m.Entry, p.Key, f.now))
+		c.sendNotices(to, a.Lookup(m.Entry, p.Key, c.now))
 		m.Hops, m.Entry = 1, to
 	}
-	v := a.FromEntry(m, p, f.now)
+	v := a.FromEntry(m, p, c.now)
 	switch v.Action {
 	case flow.Deliver:
-		f.delivered[p.Key] = append(f.delivered[p.Key], to)
+		c.delivered[p.Key] = append(c.delivered[p.Key], to)
 		if held := a.HeldNotice(p.Key); held != nil {
-			f.reply(held.Entry, *held, to, p)
+			c.reply(held.Entry, *held, to, p)
 		}
 	case flow.Deny:
-		f.reply(v.To, flow.Frame{Kind: flow.Denied, Key: p.Key}, to, p)
+		c.reply(v.To, flow.Frame{Kind: flow.Denied, Key: p.Key}, to, p)
 	case flow.Send:
-		f.betweenAgents++
-		f.toAgent(v.To, v.Frame, p)
+		c.betweenAgents++
+		c.toAgent(v.To, v.Frame, p)
 	}
 }
 
 // reply sends an agent's reply to the entry host or the coordinator.
-func (f *cluster) reply(to flow.Endpoint, m flow.Frame, from flow.Endpoint, p flow.Packet) {
-	a := f.agents[to]
+func (c *cluster) reply(to flow.Endpoint, m flow.Frame, from flow.Endpoint, p flow.Packet) {
+	a := c.agents[to]
 	if a != nil && to != from {
-		f.betweenAgents++
+		c.betweenAgents++
 	}
 	switch {
 	case a != nil && m.Kind == flow.Held:
-		f.sendNotices(to, a.RecordHolder(m.Key, from))
+		c.sendNotices(to, a.RecordHolder(m.Key, from))
 	case a != nil:
-		f.sendNotices(to, a.HandleNotHeld([]flow.Key{m.Key}, from))
+		c.sendNotices(to, a.HandleNotHeld([]flow.Key{m.Key}, from))
 	case m.Kind == flow.Held:
-		f.toEntry++
-		f.entry.Held(m, from, f.now)
+		c.toEntry++
+		c.entry.Held(m, from, c.now)
 	default:
-		f.toEntry++
-		v, known := f.entry.Denied(m.Key, from, f.now)
+		c.toEntry++
+		v, known := c.entry.Denied(m.Key, from, c.now)
 		if v.UseCopy {
 			known = p
 		}
-		f.applyEntryVerdict(v, known)
+		c.applyEntryVerdict(v, known)
 	}
 }
 
-func (f *cluster) sendNotices(from flow.Endpoint, notices []flow.Notice) {
+func (c *cluster) sendNotices(from flow.Endpoint, notices []flow.Notice) {
 	for _, n := range notices {
 		if n.Frame.Kind == flow.Search {
-			f.betweenAgents++
-			f.toAgent(n.To, n.Frame, request(n.Key.Caller.Port, firstA))
+			c.betweenAgents++
+			c.toAgent(n.To, n.Frame, request(n.Key.Caller.Port, firstA))
 			continue
 		}
-		f.toEntry++
+		c.toEntry++
 		if n.Frame.Kind == flow.Located {
-			f.entry.Located(n.Frame, f.now)
+			c.entry.Located(n.Frame, c.now)
 			continue
 		}
-		v, p := f.entry.HeldByNone(n.Frame, from, f.now)
-		f.applyEntryVerdict(v, p)
+		v, p := c.entry.HeldByNone(n.Frame, from, c.now)
+		c.applyEntryVerdict(v, p)
 	}
 }
 
 // sendQueries runs the due query rounds of all agents.
-func (f *cluster) sendQueries() {
-	for at, a := range f.agents {
-		if wait, due := a.NextQueryIn(f.now); !due || wait > 0 || f.unreachable[at] {
+func (c *cluster) sendQueries() {
+	for at, a := range c.agents {
+		if wait, due := a.NextQueryIn(c.now); !due || wait > 0 || c.unreachable[at] {
 			continue
 		}
-		for _, q := range append([]flow.Registration{}, a.Queries(f.now)...) {
-			f.betweenAgents++
-			if f.unreachable[q.To] {
+		for _, q := range append([]flow.Registration{}, a.Queries(c.now)...) {
+			c.betweenAgents++
+			if c.unreachable[q.To] {
 				continue
 			}
-			notHeld, mayHold := f.agents[q.To].AnswerQuery(q.Keys, f.now)
-			f.betweenAgents++
-			f.sendNotices(at, a.HandleNotHeld(notHeld, q.To))
-			f.sendNotices(at, a.HandleMayHold(mayHold, q.To))
+			notHeld, mayHold := c.agents[q.To].AnswerQuery(q.Keys, c.now)
+			c.betweenAgents++
+			c.sendNotices(at, a.HandleNotHeld(notHeld, q.To))
+			c.sendNotices(at, a.HandleMayHold(mayHold, q.To))
 		}
 	}
 }
@@ -172,78 +172,78 @@
 func TestLookupsAfterPowerLoss(t *testing.T) {
 	is := is.New(t)
 	const agents, flows = 160, 2000
-	f := newCluster(agents)
+	c := newCluster(agents)
 	for port := range uint16(flows) {
-		f.packet(request(port, firstA))
+		c.packet(request(port, firstA))
 	}
-	f.sendQueries()
-	is.Equal(len(f.reset), flows)
-	is.True(f.toEntry <= 4*flows)                                // denials of the registrars, and the outcome
-	is.True(f.betweenAgents <= 2*8*agents*flows/8/64+2*8*agents) // up to 64 keys in a query
-	is.Equal(f.entry.Len(), 0)
+	c.sendQueries()
+	is.Equal(len(c.reset), flows)
+	is.True(c.toEntry <= 4*flows)                                // denials of the registrars, and the outcome
+	is.True(c.betweenAgents <= 2*8*agents*flows/8/64+2*8*agents) // up to 64 keys in a query
+	is.Equal(c.entry.Len(), 0)
 }
 
 // Queries of one agent are batched, however many packets arrive.
 func TestQueriesAreRateLimited(t *testing.T) {
 	is := is.New(t)
-	f := newCluster(40)
-	f.packet(request(1, firstA))
-	f.sendQueries()
-	is.True(f.reset[key(1)])
-	first := f.betweenAgents
+	c := newCluster(40)
+	c.packet(request(1, firstA))
+	c.sendQueries()
+	is.True(c.reset[key(1)])
+	first := c.betweenAgents
 	for port := uint16(2); port < 200; port++ {
-		f.packet(request(port, firstA))
-		f.sendQueries()
+		c.packet(request(port, firstA))
+		c.sendQueries()
 	}
-	rounds := (f.betweenAgents - first) / (2 * 39)
+	rounds := (c.betweenAgents - first) / (2 * 39)
 	is.True(rounds <= 8) // at most one for each coordinator
-	f.now += 200 * time.Millisecond
-	f.sendQueries()
-	is.Equal(len(f.reset), 199)
+	c.now += 200 * time.Millisecond
+	c.sendQueries()
+	is.Equal(len(c.reset), 199)
 }
 
 // A lookup finds the holder of a flow whose registrations were lost.
 func TestLookupFindsHolder(t *testing.T) {
 	is := is.New(t)
-	f := newCluster(40)
-	holder := f.all[17]
-	f.agents[holder].FromEntry(open(entryB), syn(1), f.now)
-	f.agents[holder].FromTarget(synAck(1, firstA), f.now)
-	f.agents[holder].FromEntry(data(entryB), request(1, firstA), f.now)
-	f.packet(request(1, firstA))
-	f.sendQueries()
-	is.Equal(f.delivered[key(1)], []flow.Endpoint{holder})
-	is.Equal(len(f.reset), 0)
-	f.packet(request(1, firstA)) // the holder is known now
-	is.Equal(f.delivered[key(1)], []flow.Endpoint{holder, holder})
+	c := newCluster(40)
+	holder := c.all[17]
+	c.agents[holder].FromEntry(open(entryB), syn(1), c.now)
+	c.agents[holder].FromTarget(synAck(1, firstA), c.now)
+	c.agents[holder].FromEntry(data(entryB), request(1, firstA), c.now)
+	c.packet(request(1, firstA))
+	c.sendQueries()
+	is.Equal(c.delivered[key(1)], []flow.Endpoint{holder})
+	is.Equal(len(c.reset), 0)
+	c.packet(request(1, firstA)) // the holder is known now
+	is.Equal(c.delivered[key(1)], []flow.Endpoint{holder, holder})
 }
 
 // The flow is not reset before the target of an uncertain agent has denied it.
 func TestLookupWaitsForUncertainAgent(t *testing.T) {
 	is := is.New(t)
-	f := newCluster(40, 17)
-	f.packet(request(1, firstA))
-	f.sendQueries()
-	is.Equal(f.delivered[key(1)], []flow.Endpoint{f.all[17]})
-	is.Equal(len(f.reset), 0)
-	v, _ := f.agents[f.all[17]].FromTarget(returned(request(1, firstA)), f.now)
+	c := newCluster(40, 17)
+	c.packet(request(1, firstA))
+	c.sendQueries()
+	is.Equal(c.delivered[key(1)], []flow.Endpoint{c.all[17]})
+	is.Equal(len(c.reset), 0)
+	v, _ := c.agents[c.all[17]].FromTarget(returned(request(1, firstA)), c.now)
 	is.Equal(v.Action, flow.Deny)
-	f.reply(v.To, v.Frame, f.all[17], request(1, firstA))
-	is.True(f.reset[key(1)])
-	is.Equal(f.toEntry, 3) // two denials and the outcome
+	c.reply(v.To, v.Frame, c.all[17], request(1, firstA))
+	is.True(c.reset[key(1)])
+	is.Equal(c.toEntry, 3) // two denials and the outcome
 }
 
 // An agent that does not reply may hold the flow.
 func TestLookupWithoutReply(t *testing.T) {
 	is := is.New(t)
-	f := newCluster(40)
-	f.unreachable[f.all[3]] = true
+	c := newCluster(40)
+	c.unreachable[c.all[3]] = true
 	for i := range 6 {
-		f.now = wellAfterStart + time.Duration(i)*250*time.Millisecond
-		f.packet(request(1, firstA))
-		f.sendQueries()
+		c.now = wellAfterStart + time.Duration(i)*250*time.Millisecond
+		c.packet(request(1, firstA))
+		c.sendQueries()
 	}
-	is.Equal(len(f.reset), 0)
+	is.Equal(len(c.reset), 0)
 }
 
 // A HeldByNone frame is ignored if the coordinator queried another list of agents than
@@ -311,27 +311,27 @@
 
 // While an agent does not reply, an entry host sends few copies of each packet, never one
 // to each agent of a large service.
-func TestSearchesAreCheap(t *testing.T) {
+func TestSearchesSendFewCopies(t *testing.T) {
 	for _, agents := range []int{17, 60, 64, 160} {
-		t.Run(strconv.Itoa(agents), func(t *testing.T) { testSearchesAreCheap(t, agents) })
+		t.Run(strconv.Itoa(agents), func(t *testing.T) { testSearchesSendFewCopies(t, agents) })
 	}
 }
 
-func testSearchesAreCheap(t *testing.T, agents int) {
+func testSearchesSendFewCopies(t *testing.T, agents int) {
 	is := is.New(t)
 	const flows, rounds = 50, 40
-	f := newCluster(agents)
-	f.unreachable[f.all[3]] = true
+	c := newCluster(agents)
+	c.unreachable[c.all[3]] = true
 	copies := 0
 	for round := range rounds {
-		f.now = wellAfterStart + time.Duration(round)*250*time.Millisecond
+		c.now = wellAfterStart + time.Duration(round)*250*time.Millisecond
 		for port := range uint16(flows) {
-			v := f.entry.Packet(request(port, firstA), f.now)
+			v := c.entry.Packet(request(port, firstA), c.now)
 			copies += len(v.All)
-			f.applyEntryVerdict(v, request(port, firstA))
+			c.applyEntryVerdict(v, request(port, firstA))
 		}
-		f.sendQueries()
+		c.sendQueries()
 	}
 	is.True(copies <= 2*flows*rounds)
-	is.Equal(len(f.reset), 0)
+	is.Equal(len(c.reset), 0)
 }
--- a/internal/flowd/agent.go
+++ b/internal/flowd/agent.go
@@ -108,10 +108,12 @@
 	warmUntil   time.Duration
 	announcer   *subscriber.Announcer
 	// subscription follows the targets of the service, nil until its number is known.
-	subscription   *subscriber.Subscriber
+	subscription *subscriber.Subscriber
+	// loadReportedAt is when the load was last reported to each entry host.
 	loadReportedAt map[flow.Endpoint]time.Duration
-	buffer         []byte
-	workers        conc.WaitGroup
+	// buffer is scratch space for frames and resets.
+	buffer  []byte
+	workers conc.WaitGroup
 }
 
 // NewAgent opens the sockets and a link to a control host. Run has to be called to receive
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -51,7 +51,7 @@
 	table          *configpb.RouteTable
 	routes         map[flow.Endpoint]*placement.Route
 	targets        map[uint32]*serviceTargets
-	// agents has the agents of all targets of the view.
+	// agents has the agents of all targets of the view, known has them as a set.
 	agents []flow.Endpoint
 	known  map[flow.Endpoint]bool
 	loads  *routing.LoadReports
--- a/internal/flowd/socket.go
+++ b/internal/flowd/socket.go
@@ -25,8 +25,9 @@
 
 // socket is a UDP socket with counters and rate-limited error logs.
 type socket struct {
-	conn   *net.UDPConn
-	log    *zap.Logger
+	conn *net.UDPConn
+	log  *zap.Logger
+	// failed counts failed sends and receives.
 	failed tally.Counter
 	// in and out count received and sent datagrams.
 	in, out *traffic
--- a/internal/flowd/traffic.go
+++ b/internal/flowd/traffic.go
@@ -39,9 +39,9 @@
 	return datagramCounters{datagrams: tagged.Counter("datagrams"), bytes: tagged.Counter("bytes")}
 }
 
-func (v *datagramCounters) add(size int) {
-	v.datagrams.Inc(1)
-	v.bytes.Inc(int64(size))
+func (c *datagramCounters) add(size int) {
+	c.datagrams.Inc(1)
+	c.bytes.Inc(int64(size))
 }
 
 func newTraffic(scope tally.Scope, peer string, d direction) *traffic {
--- a/membership/directory.go
+++ b/membership/directory.go
@@ -329,7 +329,7 @@
 	d.logChange(t)
 }
 
-// addFormerDomain remembers the failure domain of a replaced record.
+// addFormerDomain adds the failure domain of a replaced record.
 func (t *target) addFormerDomain(last *controlpb.TargetRecord) {
 	if !slices.Contains(t.formerDomains, last.GetFailureDomain()) {
 		t.formerDomains = append(t.formerDomains, last.GetFailureDomain())
--- a/routing/loadreports.go
+++ b/routing/loadreports.go
@@ -76,11 +76,11 @@
 }
 
 func (l *LoadReports) add(previous *LoadReports, t *Target) {
-	if c := l.states[t.Number]; c != nil && c.incarnation >= t.Incarnation {
+	if s := l.states[t.Number]; s != nil && s.incarnation >= t.Incarnation {
 		return
 	}
-	if c := previous.find(t.Number, t.Incarnation); c != nil {
-		l.states[t.Number] = c
+	if s := previous.find(t.Number, t.Incarnation); s != nil {
+		l.states[t.Number] = s
 		return
 	}
 	l.states[t.Number] = &reportState{incarnation: t.Incarnation}
@@ -90,11 +90,11 @@
 	if l == nil {
 		return nil
 	}
-	c := l.states[number]
-	if c == nil || c.incarnation != incarnation {
+	s := l.states[number]
+	if s == nil || s.incarnation != incarnation {
 		return nil
 	}
-	return c
+	return s
 }
 
 // Len returns the number of targets.
@@ -106,35 +106,35 @@
 // responsive. It returns false if the incarnation is not in the list. It does not
 // allocate.
 func (l *LoadReports) Record(number, incarnation uint32, r Report, now time.Duration) bool {
-	c := l.find(number, incarnation)
-	if c == nil {
+	s := l.find(number, incarnation)
+	if s == nil {
 		return false
 	}
-	c.report.Store(pack(r, now))
-	if c.unanswered.Load() != 0 {
-		c.unanswered.Store(0)
+	s.report.Store(pack(r, now))
+	if s.unanswered.Load() != 0 {
+		s.unanswered.Store(0)
 	}
-	c.recordReply()
+	s.recordReply()
 	return true
 }
 
 // Latest returns the last report of an incarnation unless it is stale.
 func (l *LoadReports) Latest(number, incarnation uint32, now time.Duration) (Report, bool) {
-	c := l.find(number, incarnation)
-	if c == nil {
+	s := l.find(number, incarnation)
+	if s == nil {
 		return Report{}, false
 	}
-	return c.freshReport(now)
+	return s.freshReport(now)
 }
 
 // Age returns the age of the last report of an incarnation, or false if its load is
 // stale.
 func (l *LoadReports) Age(number, incarnation uint32, now time.Duration) (age time.Duration, known bool) {
-	c := l.find(number, incarnation)
-	if c == nil {
+	s := l.find(number, incarnation)
+	if s == nil {
 		return 0, false
 	}
-	packed := c.report.Load()
+	packed := s.report.Load()
 	if packed&packedKnown == 0 || ageOf(packed, now) > MaxLoadAge {
 		return 0, false
 	}
@@ -144,16 +144,16 @@
 // Decay halves the number of unanswered flows of every target. It is called about once
 // a second, so that a target without reports is tried again.
 func (l *LoadReports) Decay() {
-	for _, c := range l.states {
-		if n := c.unanswered.Load(); n != 0 {
-			c.unanswered.Store(n / 2)
+	for _, s := range l.states {
+		if n := s.unanswered.Load(); n != 0 {
+			s.unanswered.Store(n / 2)
 		}
 	}
 }
 
 // freshLoad returns the last reported load per mille unless it is stale.
-func (c *reportState) freshLoad(now time.Duration) (uint32, bool) {
-	packed := c.report.Load()
+func (s *reportState) freshLoad(now time.Duration) (uint32, bool) {
+	packed := s.report.Load()
 	if packed&packedKnown == 0 || ageOf(packed, now) > MaxLoadAge {
 		return 0, false
 	}
@@ -164,8 +164,8 @@
 	return now - time.Duration(packed>>timeShift)*time.Millisecond
 }
 
-func (c *reportState) freshReport(now time.Duration) (Report, bool) {
-	packed := c.report.Load()
+func (s *reportState) freshReport(now time.Duration) (Report, bool) {
+	packed := s.report.Load()
 	if packed&packedKnown == 0 || ageOf(packed, now) > MaxReportAge {
 		return Report{}, false
 	}
--- a/routing/refresh.go
+++ b/routing/refresh.go
@@ -10,8 +10,8 @@
 }
 
 // reportFlags returns the flags of the last report, 0 if it is stale.
-func (c *reportState) reportFlags(now time.Duration) uint64 {
-	packed := c.report.Load()
+func (s *reportState) reportFlags(now time.Duration) uint64 {
+	packed := s.report.Load()
 	if packed&packedKnown == 0 || ageOf(packed, now) > MaxReportAge {
 		return 0
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -73,17 +73,17 @@
 	if t.Service != service || !usable(t.Address) {
 		return
 	}
-	c := b.loads.find(t.Number, t.Incarnation)
-	if c == nil {
+	state := b.loads.find(t.Number, t.Incarnation)
+	if state == nil {
 		// Another target of the list has a newer incarnation.
 		return
 	}
 
 	// The flags are read before the report, so that a report arriving in between is
 	// noticed by the next Refresh.
-	b.inputs = append(b.inputs, tableInput{reportState: c, reportFlags: c.reportFlags(b.now)})
+	b.inputs = append(b.inputs, tableInput{reportState: state, reportFlags: state.reportFlags(b.now)})
 	b.ramping = b.ramping || t.Age < b.policy.ramp
-	report, known := c.freshReport(b.now)
+	report, known := state.freshReport(b.now)
 	unhealthy := t.Unhealthy
 	if known {
 		// The report of the agent is newer than the directory.
@@ -91,20 +91,20 @@
 	}
 	// A flapping target stays unhealthy, whatever its agent reports.
 	unhealthy = unhealthy || t.Damped
-	entry := b.candidate(t, c, unhealthy)
+	c := b.candidate(t, state, unhealthy)
 	switch {
 	case t.Draining || report.Draining:
-		b.draining = append(b.draining, entry)
+		b.draining = append(b.draining, c)
 	case unhealthy:
-		b.unhealthy = append(b.unhealthy, entry)
+		b.unhealthy = append(b.unhealthy, c)
 	default:
-		b.healthy = append(b.healthy, entry)
+		b.healthy = append(b.healthy, c)
 	}
 }
 
-func (b *builder) candidate(t *Target, c *reportState, unhealthy bool) candidate {
+func (b *builder) candidate(t *Target, state *reportState, unhealthy bool) candidate {
 	return candidate{
-		reportState:  c,
+		reportState:  state,
 		number:       t.Number,
 		incarnation:  t.Incarnation,
 		risk:         b.policy.risk(unhealthy, t.Age),
--- a/routing/unresponsive.go
+++ b/routing/unresponsive.go
@@ -84,30 +84,30 @@
 
 // recordSent records a packet that the target must answer. Only the first one since its
 // last frame counts.
-func (c *reportState) recordSent(now time.Duration) {
-	if c.unansweredSince.Load() == 0 {
-		c.unansweredSince.CompareAndSwap(0, timestamp(now))
+func (s *reportState) recordSent(now time.Duration) {
+	if s.unansweredSince.Load() == 0 {
+		s.unansweredSince.CompareAndSwap(0, timestamp(now))
 	}
 }
 
 // recordReply records that any frame arrived from the target.
-func (c *reportState) recordReply() {
-	if c.unansweredSince.Load() != 0 {
-		c.unansweredSince.Store(0)
+func (s *reportState) recordReply() {
+	if s.unansweredSince.Load() != 0 {
+		s.unansweredSince.Store(0)
 	}
 }
 
 // unresponsive reports whether a packet that the target must answer has been unanswered
 // for longer than UnresponsiveAfter.
-func (c *reportState) unresponsive(now time.Duration) bool {
-	since := c.unansweredSince.Load()
+func (s *reportState) unresponsive(now time.Duration) bool {
+	since := s.unansweredSince.Load()
 	return since != 0 && timestamp(now)-since > UnresponsiveAfter.Milliseconds()
 }
 
 // claimProbe reports whether an unresponsive target is to be probed now. Of several
 // concurrent calls only one returns true.
-func (c *reportState) claimProbe(now time.Duration) bool {
-	last := c.lastProbe.Load()
-	elapsed := timestamp(now) - max(last, c.unansweredSince.Load())
-	return elapsed >= ProbeInterval.Milliseconds() && c.lastProbe.CompareAndSwap(last, timestamp(now))
+func (s *reportState) claimProbe(now time.Duration) bool {
+	last := s.lastProbe.Load()
+	elapsed := timestamp(now) - max(last, s.unansweredSince.Load())
+	return elapsed >= ProbeInterval.Milliseconds() && s.lastProbe.CompareAndSwap(last, timestamp(now))
 }
