--- a/flow/agent.go
+++ b/flow/agent.go
@@ -21,7 +21,7 @@
 	requestTimeout = 10 * time.Second
 )
 
-// State tells whether an agent's target takes new flows.
+// State is the availability of an agent's target for new flows.
 type State uint8
 
 // States of a target.
--- a/flow/entry.go
+++ b/flow/entry.go
@@ -69,7 +69,7 @@
 	// self is the address for replies of agents.
 	self  Endpoint
 	flows map[Key]*entryFlow
-	// all is scratch space for the receivers of a packet.
+	// all is scratch space for the agents that a packet is sent to or that may hold a flow.
 	all []Endpoint
 	// serviceAgents and covered are scratch space of resetIfHeldByNone.
 	serviceAgents []Endpoint
@@ -99,7 +99,8 @@
 	confirmed   bool
 	searchCount uint8
 	searchedAt  time.Duration
-	// confirmSince is when a packet was first sent to the candidates to confirm, 0 if none was.
+	// confirmSince is when the candidates were first sent a packet to confirm that they
+	// hold the flow, 0 if they were not.
 	confirmSince time.Duration
 	// probedAt is when an agent with an expired lease was probed, 0 if its lease is valid.
 	probedAt time.Duration
@@ -171,10 +172,10 @@
 
 // unconfirmed handles a packet of an opened flow without a confirmed candidate: the
 // Held frame has not arrived yet, or the flow was opened through another entry host. The
-// packet goes to the candidates first. It is searched with only after they have denied
-// the flow or timed out, since delayed Held frames on a full link would otherwise cause
-// more searches. No candidate is assumed to hold the flow: if it were gone the caller
-// would be reset.
+// packet goes to the candidates first. A search starts only after they have denied the
+// flow or timed out, since delayed Held frames on a full link would otherwise cause more
+// searches. No candidate is assumed to hold the flow: if it were gone the caller would be
+// reset.
 func (e *Entry) unconfirmed(f *entryFlow, p Packet, now time.Duration) Verdict {
 	if f.confirmSince == 0 {
 		f.confirmSince = max(now, 1)
@@ -376,8 +377,8 @@
 	return v
 }
 
-// handleRefused handles an opening that expired in the queue of an agent. The flow is
-// reset unless another target was offered it or holds it.
+// handleRefused handles a queued opening that its agent refused. The flow is reset unless
+// another target was offered it or holds it.
 func (e *Entry) handleRefused(f *entryFlow, p Packet, from Endpoint) Verdict {
 	if f == nil || f.confirmed || f.openingSeq != p.Seq {
 		return Verdict{Action: Drop, Reason: ReasonKnown}
--- a/internal/flowd/counters.go
+++ b/internal/flowd/counters.go
@@ -11,7 +11,7 @@
 	scope     tally.Scope
 	verdicts  map[verdictKey]tally.Counter
 	malformed tally.Counter
-	// overflow counts the packets that were dropped since a buffer was full.
+	// overflow counts the packets that were dropped because a buffer was full.
 	overflow tally.Counter
 	// stalls counts the stalls of this process.
 	stalls tally.Counter
