--- a/membership/subscriber.go
+++ b/membership/subscriber.go
@@ -66,7 +66,7 @@
 // subscriber's state advances: if the update cannot be sent, the subscription has to
 // end.
 func (d *Directory) Next(now time.Duration, sub *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
-	u, kind := d.choose(now, sub)
+	u, kind := d.chooseUpdate(now, sub)
 	if u == nil {
 		return nil, kind
 	}
@@ -84,7 +84,8 @@
 	return u, kind
 }
 
-func (d *Directory) choose(now time.Duration, sub *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
+// chooseUpdate returns the next update for a subscriber, nil if there is none, and its kind.
+func (d *Directory) chooseUpdate(now time.Duration, sub *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
 	known := sub.epoch == d.opts.Epoch && d.hasHistory(sub.sequence)
 	hasDigests := len(sub.digests) > 0
 	switch {
@@ -144,7 +145,7 @@
 	u := d.update()
 	for t := range d.changedAfter(after) {
 		bucket := sub.digests.bucketOf(t.latest.GetNumber())
-		if !sub.scope.contains(t.latest) && !sub.scope.contained(t) || !sub.touched[bucket] && current[bucket] == sub.digests[bucket] {
+		if !sub.scope.contains(t.latest) && !sub.scope.formerlyContained(t) || !sub.touched[bucket] && current[bucket] == sub.digests[bucket] {
 			continue
 		}
 		sub.additions++
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -196,9 +196,9 @@
 
 // dropMissing ends the claims of a host in some buckets that it did not send again. Their
 // targets are kept for another lease: their agents may announce to other hosts.
-func (d *Directory) dropMissing(now time.Duration, p *peer, mask uint64, named []*controlpb.TargetRecord) {
-	keep := make(map[uint32]bool, len(named))
-	for _, r := range named {
+func (d *Directory) dropMissing(now time.Duration, p *peer, mask uint64, sent []*controlpb.TargetRecord) {
+	keep := make(map[uint32]bool, len(sent))
+	for _, r := range sent {
 		keep[r.GetNumber()] = true
 	}
 	var missing []uint32
--- a/membership/update.go
+++ b/membership/update.go
@@ -39,9 +39,9 @@
 	return s == nil || len(s.services) == 0 || s.services[r.GetService()]
 }
 
-// contained reports whether the target was in the scope before it moved to another
+// formerlyContained reports whether the target was in the scope before it moved to another
 // failure domain.
-func (s *Scope) contained(t *target) bool {
+func (s *Scope) formerlyContained(t *target) bool {
 	return s.hasService(t.latest) && slices.ContainsFunc(t.formerDomains, func(name string) bool { return s.domains[name] })
 }
 
@@ -110,7 +110,7 @@
 // collect adds a target, or its removal if it was removed or has moved out of the scope.
 func (u update) collect(now time.Duration, t *target, s *Scope) {
 	inside := s.contains(t.latest)
-	if !inside && !s.contained(t) {
+	if !inside && !s.formerlyContained(t) {
 		return
 	}
 	if t.isRemoved || !inside {
