--- a/internal/flowd/socket.go
+++ b/internal/flowd/socket.go
@@ -25,8 +25,9 @@
 
 // socket is a UDP socket with counters and rate-limited error logs.
 type socket struct {
-	conn   *net.UDPConn
-	log    *zap.Logger
+	conn *net.UDPConn
+	log  *zap.Logger
+	// failed counts failed sends and receives.
 	failed tally.Counter
 	// in and out count received and sent datagrams.
 	in, out *traffic
@@ -67,7 +68,7 @@
 // backend server, sendReset a reset. Failures are only counted: both ends of a flow
 // retransmit lost packets.
 func (s *socket) sendFrame(b []byte, to flow.Endpoint) {
-	s.out.frame(b)
+	s.out.countFrame(b)
 	s.send(b, to)
 }
 
--- a/internal/flowd/traffic.go
+++ b/internal/flowd/traffic.go
@@ -39,9 +39,9 @@
 	return datagramCounters{datagrams: tagged.Counter("datagrams"), bytes: tagged.Counter("bytes")}
 }
 
-func (v *datagramCounters) add(size int) {
-	v.datagrams.Inc(1)
-	v.bytes.Inc(int64(size))
+func (c *datagramCounters) add(size int) {
+	c.datagrams.Inc(1)
+	c.bytes.Inc(int64(size))
 }
 
 func newTraffic(scope tally.Scope, peer string, d direction) *traffic {
@@ -56,8 +56,8 @@
 	return t
 }
 
-// frame counts a datagram that begins with a frame.
-func (t *traffic) frame(b []byte) {
+// countFrame counts a datagram that begins with a frame.
+func (t *traffic) countFrame(b []byte) {
 	if len(b) == 0 || int(b[0]) >= len(t.frames) {
 		t.others.add(len(b))
 		return
--- a/membership/subscriber.go
+++ b/membership/subscriber.go
@@ -31,8 +31,8 @@
 	FullUndigested UpdateKind = "full_undigested"
 )
 
-// Position is how far a subscriber has followed: a sequence in an epoch, zero if its list
-// is not complete, and the digests of its list.
+// Position is the state from which a subscriber resumes: the epoch and sequence of its last
+// update, zero if its list is not complete, and the digests of its list.
 type Position struct {
 	Epoch, Sequence uint64
 	Digests         []uint64
@@ -66,11 +66,11 @@
 // subscriber's state advances: if the update cannot be sent, the subscription has to
 // end.
 func (d *Directory) Next(now time.Duration, sub *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
-	u, kind := d.choose(now, sub)
+	u, kind := d.chooseUpdate(now, sub)
 	if u == nil {
 		return nil, kind
 	}
-	// Without digests the subscriber has to learn of the new epoch.
+	// A subscriber without digests needs the new epoch, even if nothing else has changed.
 	epochChanged := sub.epoch != u.GetEpoch() && len(sub.digests) == 0
 	sub.epoch, sub.sequence = u.GetEpoch(), u.GetSequence()
 	sub.complete = kind != Addition
@@ -84,7 +84,8 @@
 	return u, kind
 }
 
-func (d *Directory) choose(now time.Duration, sub *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
+// chooseUpdate returns the next update for a subscriber, nil if there is none, and its kind.
+func (d *Directory) chooseUpdate(now time.Duration, sub *Subscriber) (*controlpb.DirectoryUpdate, UpdateKind) {
 	known := sub.epoch == d.opts.Epoch && d.hasHistory(sub.sequence)
 	hasDigests := len(sub.digests) > 0
 	switch {
@@ -92,7 +93,8 @@
 		return d.since(now, sub.sequence, sub.scope), Delta
 	case hasDigests && sub.digests.empty():
 		u := d.Full(now, sub.scope)
-		// The subscriber has no records that a full list could remove by mistake.
+		// The subscriber has no records that a full list of an incomplete directory could
+		// remove.
 		u.Full = true
 		return u, FullFirst
 	case hasDigests && !d.Complete(now):
@@ -143,7 +145,7 @@
 	u := d.update()
 	for t := range d.changedAfter(after) {
 		bucket := sub.digests.bucketOf(t.latest.GetNumber())
-		if !sub.scope.contains(t.latest) && !sub.scope.contained(t) || !sub.touched[bucket] && current[bucket] == sub.digests[bucket] {
+		if !sub.scope.contains(t.latest) && !sub.scope.formerlyContained(t) || !sub.touched[bucket] && current[bucket] == sub.digests[bucket] {
 			continue
 		}
 		sub.additions++
