--- a/internal/agentd/attempt.go
+++ b/internal/agentd/attempt.go
@@ -141,7 +141,7 @@
 	reason  reason.Code
 	// exchange is set when the backend server responded.
 	exchange *exchange
-	// retryAfter is the retry delay that the backend server asked for, 0 if none.
+	// retryAfter is the retry delay that the backend server requested, 0 if none.
 	retryAfter time.Duration
 }
 
--- a/internal/agentd/backend.go
+++ b/internal/agentd/backend.go
@@ -47,7 +47,8 @@
 	return b.current
 }
 
-// view returns what the proxy needs to know of the backend server.
+// view returns the parts of the last announcement that the proxy uses, false if there
+// was none.
 func (b *backendTracker) view() (backendView, bool) {
 	a := b.get()
 	if a == nil {
--- a/internal/agentd/bodylimiter.go
+++ b/internal/agentd/bodylimiter.go
@@ -15,7 +15,7 @@
 const bodyChunk = 16 << 10
 
 // bodyLimiter bounds the memory of buffered request bodies. A body is read completely
-// before its request asks for a slot, so that a slow caller does not block a slot.
+// before its request acquires a slot, so that a slow caller does not block a slot.
 type bodyLimiter struct {
 	// limit bounds one body, total all buffered bodies, in bytes.
 	limit, total int64
--- a/internal/agentd/daemon.go
+++ b/internal/agentd/daemon.go
@@ -53,11 +53,12 @@
 	dataPlane    atomic.Pointer[dataPlane]
 	stopping     atomic.Bool
 
-	// Set by enroll, used by housekeeping only.
+	// Set by enroll, used by housekeeping only. status and started are the last values
+	// published to the control hosts.
 	announcer    announcer
 	directory    directory
 	status       subscriber.Status
-	meter        health.EWMA
+	requestsEWMA health.EWMA
 	lastSnapshot limiterSnapshot
 	started      time.Duration
 	drainRamp    drainRamp
--- a/internal/agentd/dataplane.go
+++ b/internal/agentd/dataplane.go
@@ -105,14 +105,14 @@
 }
 
 // admit refuses new connections once the handshake grace of a draining target has
-// passed, and counts and stamps the others.
+// passed. It counts the others and records in their context when they were opened.
 func (p *dataPlane) admit(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
 	if p.isDraining.Load() && p.clock.now()-time.Duration(p.drainingSince.Load()) > p.timing.handshakeGrace {
 		p.counters.count(reason.FlowRefused)
 		return nil, ErrDraining
 	}
 	p.counters.connections.Inc(1)
-	return p.stallMonitor.stampConnection(ctx), nil
+	return p.stallMonitor.withConnOpened(ctx), nil
 }
 
 // current returns the state with the current load.
--- a/internal/agentd/deployment_test.go
+++ b/internal/agentd/deployment_test.go
@@ -22,7 +22,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// deployment is a control host with one service, and a key folder.
+// deployment is a control host with one service, and a key directory.
 type deployment struct {
 	t       *testing.T
 	keys    *unittest.KeyDir
--- a/internal/agentd/drain_test.go
+++ b/internal/agentd/drain_test.go
@@ -114,7 +114,7 @@
 	old.waitDone(t)
 }
 
-// Rolling replacement: a new process of the target takes over while the old one still
+// In a rolling replacement a new process of the target serves while the old one still
 // has sessions.
 func TestOldAndNewProcessOverlap(t *testing.T) {
 	is := is.New(t)
--- a/internal/agentd/goaway_test.go
+++ b/internal/agentd/goaway_test.go
@@ -61,11 +61,11 @@
 func TestShouldShed(t *testing.T) {
 	self := identity{serviceNumber: 1, number: 1, incarnation: 1}
 	const serving, draining = controlpb.TargetState_TARGET_STATE_SERVING, controlpb.TargetState_TARGET_STATE_DRAINING
-	record := func(service, number uint32, state controlpb.TargetState, ill bool) *controlpb.TargetRecord {
-		return &controlpb.TargetRecord{Service: service, Number: number, Incarnation: 1, State: state, Ill: ill}
+	record := func(service, number uint32, state controlpb.TargetState, unhealthy bool) *controlpb.TargetRecord {
+		return &controlpb.TargetRecord{Service: service, Number: number, Incarnation: 1, State: state, Ill: unhealthy}
 	}
-	well := []*controlpb.TargetRecord{record(1, 1, serving, false), record(1, 2, serving, false), record(1, 3, serving, false)}
-	seen := health.Verdict{Ill: true, Basis: health.BasisObservation}
+	allHealthy := []*controlpb.TargetRecord{record(1, 1, serving, false), record(1, 2, serving, false), record(1, 3, serving, false)}
+	observed := health.Verdict{Ill: true, Basis: health.BasisObservation}
 	for _, c := range []struct {
 		name    string
 		verdict health.Verdict
@@ -73,15 +73,15 @@
 		percent uint32
 		want    bool
 	}{
-		{"healthy", health.Verdict{Basis: health.BasisObservation}, well, 0, false},
-		{"observed failures", seen, well, 0, true},
-		{"reported unhealthy", health.Verdict{Ill: true, Basis: health.BasisReport}, well, 0, false},
-		{"only target", seen, well[:1], 0, false},
-		{"one of two", seen, well[:2], 0, false},
-		{"one of two, panic at 60 %", seen, well[:2], 60, true},
-		{"two of three", seen, append(well[:2:2], record(1, 3, serving, true)), 0, false},
-		{"others drain", seen, append(well[:1:1], record(1, 2, draining, false), record(1, 3, draining, false)), 0, false},
-		{"others are of another service", seen, append(well[:1:1], record(2, 2, serving, false), record(2, 3, serving, false)), 0, false},
+		{"healthy", health.Verdict{Basis: health.BasisObservation}, allHealthy, 0, false},
+		{"observed failures", observed, allHealthy, 0, true},
+		{"reported unhealthy", health.Verdict{Ill: true, Basis: health.BasisReport}, allHealthy, 0, false},
+		{"only target", observed, allHealthy[:1], 0, false},
+		{"one of two", observed, allHealthy[:2], 0, false},
+		{"one of two, panic at 60 %", observed, allHealthy[:2], 60, true},
+		{"two of three", observed, append(allHealthy[:2:2], record(1, 3, serving, true)), 0, false},
+		{"others drain", observed, append(allHealthy[:1:1], record(1, 2, draining, false), record(1, 3, draining, false)), 0, false},
+		{"others are of another service", observed, append(allHealthy[:1:1], record(2, 2, serving, false), record(2, 3, serving, false)), 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is.New(t).Equal(shouldShed(c.verdict, self, c.records, &configpb.Policy{PanicPercent: c.percent}), c.want)
--- a/internal/agentd/grantclient.go
+++ b/internal/agentd/grantclient.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// earlyCancelDivisor is the inverse of the share of a call's timeout before which
-	// a cancellation by the caller does not count as a failure.
+	// earlyCancelDivisor bounds early cancellations: a call that its caller cancels
+	// before 1/earlyCancelDivisor of the call timeout does not count as a failure.
 	earlyCancelDivisor = 4
 	// attemptIDBytes is the length of an attempt ID.
 	attemptIDBytes = 16
@@ -74,7 +74,7 @@
 	refusal *refusal
 }
 
-// acquire asks for the grant to run the request.
+// acquire requests the grant to run the request.
 func (gc *grantClient) acquire(c *call) grantDecision {
 	defer gc.pendingAcquires.Add(-1)
 	if gc.pendingAcquires.Add(1) > maxPendingGrants {
--- a/internal/agentd/healthstate.go
+++ b/internal/agentd/healthstate.go
@@ -10,8 +10,10 @@
 type healthState struct {
 	clock clock
 
-	mu       sync.Mutex
-	tracker  *health.Tracker
+	mu      sync.Mutex
+	tracker *health.Tracker
+	// reported is the number of running requests that the backend server last
+	// reported, negative if unknown.
 	reported int
 }
 
--- a/internal/agentd/housekeeping.go
+++ b/internal/agentd/housekeeping.go
@@ -61,8 +61,8 @@
 func (d *Daemon) averageRequests(stats limiterSnapshot) float64 {
 	requests, over := stats.meanSince(d.lastSnapshot)
 	d.lastSnapshot = stats
-	d.meter.Observe(requests, over)
-	return d.meter.Value()
+	d.requestsEWMA.Observe(requests, over)
+	return d.requestsEWMA.Value()
 }
 
 func (d *Daemon) logChange(old, now targetState, verdict health.Verdict) {
--- a/internal/agentd/proxy.go
+++ b/internal/agentd/proxy.go
@@ -28,7 +28,7 @@
 	MinRemaining: 5 * time.Millisecond,
 }
 
-// backendView is what the proxy needs to know of the backend server.
+// backendView holds the parts of an announcement that the proxy uses.
 type backendView struct {
 	url        *url.URL
 	watchPaths []string
@@ -314,7 +314,8 @@
 }
 
 // recordedAnswer returns the response as recorded at the control hosts. A body over
-// grant.MaxBody is omitted here, since they would drop it only after replication.
+// grant.MaxBodyLength is omitted here, since they would drop it only after
+// replication.
 func recordedAnswer(response *http.Response, body []byte) *grantpb.Answer {
 	answer := &grantpb.Answer{
 		Status:      uint32(response.StatusCode),
--- a/internal/agentd/reset.go
+++ b/internal/agentd/reset.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// resetToken is the length of a stateless reset token in bytes.
-	resetToken = 16
+	// resetTokenLength is the length of a stateless reset token in bytes.
+	resetTokenLength = 16
 	// resetLength is the length of a stateless reset in bytes (RFC 9000, section
 	// 10.3).
-	resetLength = 21 + resetToken
-	// shortHeaderBit is the first byte of a packet with a short header and the fixed
-	// bit.
-	shortHeaderBit = 0x40
-	// lowSecretBits masks the ID of the data secret in a connection ID.
-	lowSecretBits = 0x07
+	resetLength = 21 + resetTokenLength
+	// fixedBit is the fixed bit in the first byte of a short header. The bit for
+	// a long header is 0.
+	fixedBit = 0x40
+	// secretIDMask masks the ID of the data secret in a connection ID.
+	secretIDMask = 0x07
 )
 
 // staleFlowReset returns a stateless reset for a packet of a flow of an earlier
@@ -47,7 +47,7 @@
 // that issued the ID was derived from the same secret.
 func (s *frameSocket) secretOf(id []byte) (connid.Secret, bool) {
 	for _, secret := range s.codecs.Load().secrets {
-		if secret.ID == id[0]&lowSecretBits {
+		if secret.ID == id[0]&secretIDMask {
 			return secret, true
 		}
 	}
@@ -59,9 +59,9 @@
 func statelessReset(key *quic.StatelessResetKey, id []byte) []byte {
 	datagram := make([]byte, resetLength)
 	_, _ = crand.Read(datagram)
-	datagram[0] = datagram[0]&0x3f | shortHeaderBit
+	datagram[0] = datagram[0]&0x3f | fixedBit
 	mac := hmac.New(sha256.New, key[:])
 	mac.Write(id)
-	copy(datagram[resetLength-resetToken:], mac.Sum(nil))
+	copy(datagram[resetLength-resetTokenLength:], mac.Sum(nil))
 	return datagram
 }
--- a/internal/agentd/stalls.go
+++ b/internal/agentd/stalls.go
@@ -69,9 +69,9 @@
 // connOpenedKey is the context key of the time at which a connection was opened.
 type connOpenedKey struct{}
 
-// stampConnection records in the context when a connection is opened. The caller
+// withConnOpened records in the context when a connection is opened. The caller
 // cannot send a request on it before.
-func (s *stalls) stampConnection(ctx context.Context) context.Context {
+func (s *stalls) withConnOpened(ctx context.Context) context.Context {
 	return context.WithValue(ctx, connOpenedKey{}, s.tick())
 }
 
--- a/internal/agentd/timing.go
+++ b/internal/agentd/timing.go
@@ -40,7 +40,8 @@
 	// address, which an older process may hold.
 	listenRetryInterval time.Duration
 	// stallCheckInterval is the period of the stall check, stallThreshold the least
-	// gap that counts as a stall. Normal load must not exceed it.
+	// time between two checks that counts as a stall. Delays under normal load must
+	// not exceed it.
 	stallCheckInterval, stallThreshold time.Duration
 	// stallGrace is the time after a stall within which the agent has read its socket
 	// buffer.
