--- a/health/health.go
+++ b/health/health.go
@@ -43,7 +43,7 @@
 	Failed
 	// TimedOut means that the deadline passed first.
 	TimedOut
-	// Cancelled means that the caller gave up. It does not count.
+	// Cancelled means that the caller cancelled the request. It does not count.
 	Cancelled
 )
 
--- a/health/load.go
+++ b/health/load.go
@@ -3,8 +3,8 @@
 const (
 	// perMille is the scale of load values.
 	perMille = 1000
-	// reportFraction is the inverse of the share of the slots by which a report may
-	// raise the load above the observed one.
+	// reportFraction bounds the effect of a report: it raises the load by at most
+	// 1/reportFraction of the slots above the observed load.
 	reportFraction = 4
 	// maxLoad is the largest load value that a frame can carry.
 	maxLoad = 1<<16 - 1
