--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -175,7 +175,7 @@
 	is.Equal(status, 200)
 	is.NoErr(s.SetFaults(backend.Faults{Broken: true}))
 	status, _ = get(t, s.URL()+"/health")
-	is.Equal(status, 503) // honest
+	is.Equal(status, 503) // the default mode reports the fault
 }
 
 func TestHangingHealthEndpoint(t *testing.T) {
--- a/internal/backend/handlers.go
+++ b/internal/backend/handlers.go
@@ -23,8 +23,9 @@
 	headerKey            = "Idempotency-Key"
 	outcomeNotRun        = "not-run"
 
-	maxBody       = 16 << 20
-	defaultWatch  = time.Second
+	maxBody      = 16 << 20
+	defaultWatch = time.Second
+	// strayLinger is the time for which a connection stays open after a stray response.
 	strayLinger   = 200 * time.Millisecond
 	strayResponse = "an answer to another request"
 	retryAfterSec = "1"
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -18,8 +18,8 @@
 	DefaultSlots = 4
 	// DefaultAnnouncePeriod is the time between announcements.
 	DefaultAnnouncePeriod = 2 * time.Second
-	// DefaultDrainGrace is how long a draining server still accepts requests that
-	// were sent before its agent knew of the draining.
+	// DefaultDrainGrace is the time for which a draining server still accepts requests,
+	// which may have been sent before its agent received the announcement.
 	DefaultDrainGrace = 3 * time.Second
 
 	// drainPollInterval is the interval of checks for running requests.
@@ -152,11 +152,11 @@
 // LateRequests returns the number of requests refused after the drain grace.
 func (s *Server) LateRequests() int { return int(s.lateRequests.Load()) }
 
-// Drain announces that the server drains, waits until its agent has accepted the
-// announcement or the grace has passed, and every request and watch stream has ended,
-// and closes the server. There is no time limit except ctx. When it ends, Drain
-// closes the server and returns the error of ctx. Draining a closed server does
-// nothing.
+// Drain shuts the server down gracefully. It announces the draining state, waits until
+// the agent has accepted it or the grace has passed, then until every request and watch
+// stream has ended, and closes the server. The wait has no time limit except ctx: when
+// it ends, Drain closes the server and returns the error of ctx. On a closed server
+// Drain does nothing.
 func (s *Server) Drain(ctx context.Context) error {
 	now := time.Now()
 	s.drainStart.CompareAndSwap(nil, &now)
