--- a/soak/callers.go
+++ b/soak/callers.go
@@ -30,7 +30,8 @@
 const (
 	// requestTimeout is the time after which a caller abandons a flow without response.
 	requestTimeout = 8 * time.Second
-	// maxRequestInterval between requests of a flow is below the idle timeout of flows.
+	// maxRequestInterval is the longest interval between requests of a flow. It is below
+	// the idle timeout of flows.
 	maxRequestInterval = 400 * time.Millisecond
 	// maxRequests is the maximum number of requests of a flow.
 	maxRequests = 25
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -80,51 +80,51 @@
 }
 
 // AddViolation records a violation.
-func (t *Checker) AddViolation(rule, format string, args ...any) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.addViolationLocked(rule, format, args...)
+func (c *Checker) AddViolation(rule, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolationLocked(rule, format, args...)
 }
 
-func (t *Checker) addViolationLocked(rule, format string, args ...any) {
-	t.violations = append(t.violations, Violation{At: time.Since(t.start), Rule: rule, What: fmt.Sprintf(format, args...)})
+func (c *Checker) addViolationLocked(rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{At: time.Since(c.start), Rule: rule, What: fmt.Sprintf(format, args...)})
 }
 
 // Violations returns the violations so far.
-func (t *Checker) Violations() []Violation {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]Violation{}, t.violations...)
+func (c *Checker) Violations() []Violation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]Violation{}, c.violations...)
 }
 
 // RecordSent records that a version with this service for changingRoute is sent. Several
 // operators may send one version.
-func (t *Checker) RecordSent(version int, service string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sent = max(t.sent, version)
-	t.allowed[version] = append(t.allowed[version], service)
+func (c *Checker) RecordSent(version int, service string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sent = max(c.sent, version)
+	c.allowed[version] = append(c.allowed[version], service)
 }
 
 // RecordAcked records the acknowledgement of a version.
-func (t *Checker) RecordAcked(version int, now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if version > t.newest(now) {
-		t.acks = append(t.acks, ack{version: version, at: now})
+func (c *Checker) RecordAcked(version int, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if version > c.newest(now) {
+		c.acks = append(c.acks, ack{version: version, at: now})
 	}
 }
 
 // NewestAcked returns the newest version acknowledged by a time.
-func (t *Checker) NewestAcked(at time.Time) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.newest(at)
+func (c *Checker) NewestAcked(at time.Time) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.newest(at)
 }
 
-func (t *Checker) newest(at time.Time) int {
+func (c *Checker) newest(at time.Time) int {
 	newest := 0
-	for _, a := range t.acks {
+	for _, a := range c.acks {
 		if !a.at.After(at) {
 			newest = max(newest, a.version)
 		}
@@ -134,48 +134,48 @@
 
 // CheckRead checks the result of a read. minVersion is the newest version that was
 // acknowledged when the read started.
-func (t *Checker) CheckRead(host string, minVersion, version int, content string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *Checker) CheckRead(host string, minVersion, version int, content string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if version < minVersion {
-		t.addViolationLocked(RuleRead, "%s answers with version %d, %d was acknowledged before", host, version, minVersion)
+		c.addViolationLocked(RuleRead, "%s answers with version %d, %d was acknowledged before", host, version, minVersion)
 	}
-	if version > t.sent {
-		t.addViolationLocked(RuleRead, "%s answers with version %d, which nobody sent", host, version)
+	if version > c.sent {
+		c.addViolationLocked(RuleRead, "%s answers with version %d, which nobody sent", host, version)
 	}
-	if before, known := t.content[version]; known && before != content {
-		t.addViolationLocked(RuleOneContent, "version %d was %q and is %q at %s", version, before, content, host)
+	if before, known := c.content[version]; known && before != content {
+		c.addViolationLocked(RuleOneContent, "version %d was %q and is %q at %s", version, before, content, host)
 		return
 	}
-	t.content[version] = content
+	c.content[version] = content
 }
 
 // CheckService checks the service of a new flow to changingRoute.
-func (t *Checker) CheckService(service string, sentAt time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.allows(service, 0) {
-		t.addViolationLocked(RuleRoute, "served by %s, which no version allows", service)
+func (c *Checker) CheckService(service string, sentAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.allows(service, 0) {
+		c.addViolationLocked(RuleRoute, "served by %s, which no version allows", service)
 		return
 	}
-	minVersion := t.newest(sentAt.Add(-applyTimeout - t.timeoutMargin))
-	if t.allows(service, minVersion) || t.anyDisturbedSince(sentAt.Add(-disturbanceWindow)) {
+	minVersion := c.newest(sentAt.Add(-applyTimeout - c.timeoutMargin))
+	if c.allows(service, minVersion) || c.anyDisturbedSince(sentAt.Add(-disturbanceWindow)) {
 		return
 	}
-	t.addViolationLocked(RuleApplied, "served by %s, which no version from %d on allows", service, minVersion)
+	c.addViolationLocked(RuleApplied, "served by %s, which no version from %d on allows", service, minVersion)
 }
 
 // AllowsService reports whether a version from minVersion on has this service for
 // changingRoute.
-func (t *Checker) AllowsService(service string, minVersion int) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.allows(service, minVersion)
+func (c *Checker) AllowsService(service string, minVersion int) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.allows(service, minVersion)
 }
 
 // allows is AllowsService with the lock held.
-func (t *Checker) allows(service string, minVersion int) bool {
-	for version, services := range t.allowed {
+func (c *Checker) allows(service string, minVersion int) bool {
+	for version, services := range c.allowed {
 		if version < minVersion {
 			continue
 		}
@@ -189,58 +189,58 @@
 }
 
 // RecordEvacuation records that the evacuation of a zone was acknowledged.
-func (t *Checker) RecordEvacuation(zone string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.evacuated[zone] = time.Now()
+func (c *Checker) RecordEvacuation(zone string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evacuated[zone] = time.Now()
 }
 
 // RecordEvacuationEnd records that the evacuation of a zone is about to end.
-func (t *Checker) RecordEvacuationEnd(zone string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.evacuated, zone)
+func (c *Checker) RecordEvacuationEnd(zone string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.evacuated, zone)
 }
 
 // IsEvacuated reports whether a zone is evacuated.
-func (t *Checker) IsEvacuated(zone string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	_, evacuated := t.evacuated[zone]
+func (c *Checker) IsEvacuated(zone string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, evacuated := c.evacuated[zone]
 	return evacuated
 }
 
 // CheckZone checks the zone of a new flow.
-func (t *Checker) CheckZone(zone string, sentAt time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	acked, evacuated := t.evacuated[zone]
-	if !evacuated || sentAt.Before(acked.Add(applyTimeout+t.timeoutMargin)) || t.anyDisturbedSince(sentAt.Add(-disturbanceWindow)) {
+func (c *Checker) CheckZone(zone string, sentAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	acked, evacuated := c.evacuated[zone]
+	if !evacuated || sentAt.Before(acked.Add(applyTimeout+c.timeoutMargin)) || c.anyDisturbedSince(sentAt.Add(-disturbanceWindow)) {
 		return
 	}
-	t.addViolationLocked(RuleEvacuated, "a flow was opened in %s %s after the acknowledgement", zone, sentAt.Sub(acked))
+	c.addViolationLocked(RuleEvacuated, "a flow was opened in %s %s after the acknowledgement", zone, sentAt.Sub(acked))
 }
 
 // RecordInstanceEnd records that a target instance ends.
-func (t *Checker) RecordInstanceEnd(instance string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.ended[instance] = true
+func (c *Checker) RecordInstanceEnd(instance string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ended[instance] = true
 }
 
 // RecordDisturbance records a fault on a host that lasts until the time given.
-func (t *Checker) RecordDisturbance(host string, until time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if until.After(t.disturbed[host]) {
-		t.disturbed[host] = until
+func (c *Checker) RecordDisturbance(host string, until time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if until.After(c.disturbed[host]) {
+		c.disturbed[host] = until
 	}
 }
 
 // anyDisturbedSince reports whether any host was disturbed after a time. The lock must be
 // held.
-func (t *Checker) anyDisturbedSince(since time.Time) bool {
-	for _, until := range t.disturbed {
+func (c *Checker) anyDisturbedSince(since time.Time) bool {
+	for _, until := range c.disturbed {
 		if until.After(since) {
 			return true
 		}
@@ -250,11 +250,11 @@
 
 // CheckReset checks the reset of an open flow. It is valid if the target instance has
 // ended or the host of its agent was disturbed recently.
-func (t *Checker) CheckReset(instance, host string, now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.ended[instance] || t.disturbed[host].After(now.Add(-disturbanceWindow)) {
+func (c *Checker) CheckReset(instance, host string, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.ended[instance] || c.disturbed[host].After(now.Add(-disturbanceWindow)) {
 		return
 	}
-	t.addViolationLocked(RuleNoReset, "flow at %s on %s was reset", instance, host)
+	c.addViolationLocked(RuleNoReset, "flow at %s on %s was reset", instance, host)
 }
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-func rules(t *Checker) []string {
+func rules(c *Checker) []string {
 	var out []string
-	for _, v := range t.Violations() {
+	for _, v := range c.Violations() {
 		out = append(out, v.Rule)
 	}
 	return out
@@ -23,34 +23,34 @@
 		observe func(*Checker)
 		want    []string
 	}{
-		"fresh read":        {func(tr *Checker) { tr.CheckRead("c1", 2, 2, "b") }, nil},
-		"stale read":        {func(tr *Checker) { tr.CheckRead("c1", 2, 1, "a") }, []string{RuleRead}},
-		"unknown version":   {func(tr *Checker) { tr.CheckRead("c1", 2, 9, "z") }, []string{RuleRead}},
-		"changed content":   {func(tr *Checker) { tr.CheckRead("c1", 0, 2, "b"); tr.CheckRead("c2", 0, 2, "c") }, []string{RuleOneContent}},
-		"current service":   {func(tr *Checker) { tr.CheckService("two", now) }, nil},
-		"previous service":  {func(tr *Checker) { tr.CheckService("one", now) }, []string{RuleApplied}},
-		"previous, in time": {func(tr *Checker) { tr.CheckService("one", now.Add(-time.Minute+applyTimeout/2)) }, nil},
-		"previous, host disturbed": {func(tr *Checker) {
-			tr.RecordDisturbance("e1", now.Add(-disturbanceWindow/2))
-			tr.CheckService("one", now)
+		"fresh read":        {func(c *Checker) { c.CheckRead("c1", 2, 2, "b") }, nil},
+		"stale read":        {func(c *Checker) { c.CheckRead("c1", 2, 1, "a") }, []string{RuleRead}},
+		"unknown version":   {func(c *Checker) { c.CheckRead("c1", 2, 9, "z") }, []string{RuleRead}},
+		"changed content":   {func(c *Checker) { c.CheckRead("c1", 0, 2, "b"); c.CheckRead("c2", 0, 2, "c") }, []string{RuleOneContent}},
+		"current service":   {func(c *Checker) { c.CheckService("two", now) }, nil},
+		"previous service":  {func(c *Checker) { c.CheckService("one", now) }, []string{RuleApplied}},
+		"previous, in time": {func(c *Checker) { c.CheckService("one", now.Add(-time.Minute+applyTimeout/2)) }, nil},
+		"previous, host disturbed": {func(c *Checker) {
+			c.RecordDisturbance("e1", now.Add(-disturbanceWindow/2))
+			c.CheckService("one", now)
 		}, nil},
-		"no version's service":  {func(tr *Checker) { tr.CheckService("three", now) }, []string{RuleRoute}},
-		"reset of an open flow": {func(tr *Checker) { tr.CheckReset("instance", "h", now) }, []string{RuleNoReset}},
-		"reset after the end":   {func(tr *Checker) { tr.RecordInstanceEnd("instance"); tr.CheckReset("instance", "h", now) }, nil},
-		"reset, host disturbed": {func(tr *Checker) {
-			tr.RecordDisturbance("h", now.Add(-time.Second))
-			tr.CheckReset("instance", "h", now)
+		"no version's service":  {func(c *Checker) { c.CheckService("three", now) }, []string{RuleRoute}},
+		"reset of an open flow": {func(c *Checker) { c.CheckReset("instance", "h", now) }, []string{RuleNoReset}},
+		"reset after the end":   {func(c *Checker) { c.RecordInstanceEnd("instance"); c.CheckReset("instance", "h", now) }, nil},
+		"reset, host disturbed": {func(c *Checker) {
+			c.RecordDisturbance("h", now.Add(-time.Second))
+			c.CheckReset("instance", "h", now)
 		}, nil},
-		"reset, disturbed long ago": {func(tr *Checker) { tr.RecordDisturbance("h", old); tr.CheckReset("instance", "h", now) }, []string{RuleNoReset}},
+		"reset, disturbed long ago": {func(c *Checker) { c.RecordDisturbance("h", old); c.CheckReset("instance", "h", now) }, []string{RuleNoReset}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tr := NewChecker(old, 0)
-			tr.RecordSent(1, "one")
-			tr.RecordSent(2, "two")
-			tr.RecordAcked(1, old)
-			tr.RecordAcked(2, old)
-			tt.observe(tr)
-			is.New(t).True(slices.Equal(rules(tr), tt.want))
+			c := NewChecker(old, 0)
+			c.RecordSent(1, "one")
+			c.RecordSent(2, "two")
+			c.RecordAcked(1, old)
+			c.RecordAcked(2, old)
+			tt.observe(c)
+			is.New(t).True(slices.Equal(rules(c), tt.want))
 		})
 	}
 }
@@ -58,9 +58,9 @@
 func TestNewestAcked(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	tr := NewChecker(now, 0)
-	tr.RecordAcked(3, now)
-	tr.RecordAcked(2, now.Add(time.Second)) // an older version acknowledged later
-	is.Equal(tr.NewestAcked(now.Add(-time.Second)), 0)
-	is.Equal(tr.NewestAcked(now.Add(2*time.Second)), 3)
+	c := NewChecker(now, 0)
+	c.RecordAcked(3, now)
+	c.RecordAcked(2, now.Add(time.Second)) // an older version acknowledged later
+	is.Equal(c.NewestAcked(now.Add(-time.Second)), 0)
+	is.Equal(c.NewestAcked(now.Add(2*time.Second)), 3)
 }
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -16,11 +16,11 @@
 	changeInterval = 600 * time.Millisecond
 	// changeTimeout bounds the retries of a change.
 	changeTimeout = 10 * time.Second
-	// raceProbability applies to two concurrent changes with the same version,
-	// invalidProbability to an invalid configuration.
+	// raceProbability is the probability of two concurrent changes with the same
+	// version, invalidProbability that of an invalid configuration.
 	raceProbability    = 0.25
 	invalidProbability = 0.1
-	// olderProbability applies to the repetition of an older version.
+	// olderProbability is the probability that an older version is sent again.
 	olderProbability = 0.1
 	// readInterval is the interval of reads from one host.
 	readInterval = 50 * time.Millisecond
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -53,17 +53,18 @@
 	// the lease of a target and an election.
 	minFaultTime = 200 * time.Millisecond
 	maxFaultTime = 4 * time.Second
-	// catchUp bounds the time in which a control host with an empty disk gets its vote.
-	catchUp = 6 * time.Second
+	// catchUpTime bounds the time in which a control host with an empty disk gets its vote.
+	catchUpTime = 6 * time.Second
 )
 
 // Fault is a fault of a plan.
 type Fault struct {
+	// At is the time of the fault after the start of the run.
 	At   time.Duration
 	Kind Kind
 	// Victim selects among the possible victims, modulo their number.
 	Victim int
-	// For is the duration.
+	// For is the duration of the fault.
 	For time.Duration
 }
 
@@ -87,9 +88,9 @@
 		if at < nextControlFault || fault.Kind == WipeControl && at < nextWipe {
 			continue
 		}
-		nextWipe = max(nextWipe, at+fault.For+catchUp)
+		nextWipe = max(nextWipe, at+fault.For+catchUpTime)
 		if fault.Kind == WipeControl {
-			nextControlFault = at + fault.For + catchUp
+			nextControlFault = at + fault.For + catchUpTime
 		}
 		plan = append(plan, fault)
 	}
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -20,7 +20,7 @@
 			for _, other := range plan[:i] {
 				lost := fault.Kind == WipeControl || other.Kind == WipeControl
 				if lost && affectsControl(fault.Kind) && affectsControl(other.Kind) {
-					is.True(fault.At >= other.At+other.For+catchUp) // one lost disk at a time
+					is.True(fault.At >= other.At+other.For+catchUpTime) // one lost disk at a time
 				}
 			}
 		}
--- a/soak/run.go
+++ b/soak/run.go
@@ -33,7 +33,7 @@
 	// finalFlows is the number of flows of each route that must succeed in a row at the
 	// end, enough to reach most entry hosts.
 	finalFlows = 12
-	// pollInterval is the interval of checks of processes.
+	// pollInterval is the interval of the checks for exited processes and readiness.
 	pollInterval = 50 * time.Millisecond
 )
 
@@ -55,7 +55,7 @@
 	Seed uint64
 	// Length is the time for which faults are injected.
 	Length time.Duration
-	// TimeoutMargin is added to each timeout, for busy machines.
+	// TimeoutMargin is added to each timeout of the checks, for busy machines.
 	TimeoutMargin time.Duration
 	// Out receives a line for each fault. It may be nil.
 	Out io.Writer
@@ -181,7 +181,8 @@
 	}
 }
 
-// waitRecovery waits until failure reports none.
+// waitRecovery waits until failure returns no failure. It adds a violation after the
+// timeout.
 func (r *run) waitRecovery(ctx context.Context, in *injector, o *operators) {
 	start := time.Now()
 	timeout := recoveryTimeout + r.options.TimeoutMargin
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,19 +13,20 @@
 
 func TestMain(m *testing.M) { processtest.Main(m) }
 
-// seeds have reproduced defects, each with the length that is needed.
+// seeds lists the runs of TestSeeds. The comments name the failure that a run guards
+// against.
 var seeds = []struct {
 	seed   uint64
 	length time.Duration
 }{
 	{1, 6 * time.Second},
-	// A frozen entry host reset flows by outdated state.
+	// An entry host that was frozen resets flows by outdated state.
 	{8, 15 * time.Second},
-	// The stand-in treated a late duplicate of an opening as a new flow.
+	// The stand-in treats a late duplicate of an opening as a new flow.
 	{31, 15 * time.Second},
-	// An entry host bound a flow to a target that never replied to the opening.
+	// An entry host binds a flow to a target that never replies to the opening.
 	{54, 15 * time.Second},
-	// An agent queried its target for a flow that was open elsewhere.
+	// An agent queries its target for a flow that is open elsewhere.
 	{32, 15 * time.Second},
 }
 
