--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -6,7 +6,7 @@
 // time. Requests use the flows round robin. The first flows differ in length, so
 // that they are not all replaced in the same round. Callers speak HTTP/3 and follow
 // the caller protocol: they honour Retry-After, retry within a budget, and repeat a
-// non-repeatable request with an unknown outcome only if the answer asks for it.
+// non-repeatable request with an unknown outcome only if the response permits it.
 //
 // # Measures
 //
@@ -22,13 +22,13 @@
 // Imbalance of a time window is the highest number of requests that one target
 // answered divided by the mean of all targets; 1 is even. The targets are those
 // that answered during the run and those named in the options, so an idle target
-// lowers the mean. Windows with fewer than MinAnsweredPerTarget answers per target
+// lowers the mean. Windows with fewer than MinAnsweredPerTarget requests per target
 // are ignored as statistically insignificant. The 99th percentile is over the
 // windows, the overall value over the whole run.
 //
 // A request is misrouted when the server presents the certificate of another
-// service, or when an unknown target answers. An answer is wrong when it belongs to
-// another request.
+// service, or when an unknown target responds. A response is a wrong answer when it
+// belongs to another request.
 //
 // A request is doubled when the backend servers together ran its idempotency key
 // more than once, and denied falsely when a backend server ran it although its
--- a/internal/loadgen/flow.go
+++ b/internal/loadgen/flow.go
@@ -27,7 +27,7 @@
 	// draining flows get no more requests and are closed after their last one.
 	draining atomic.Bool
 	inFlight atomic.Int64
-	// target is the name of the target that answered first, if any.
+	// target is the name of the target that responded first, if any.
 	target atomic.Pointer[string]
 	// closedByCaller is set before the caller closes the flow.
 	closedByCaller atomic.Bool
@@ -101,7 +101,7 @@
 	return target != nil && d.opts.HostFailed(*target)
 }
 
-// setTarget stores the target of the flow's first answer.
+// setTarget stores the target of the flow's first response.
 func (f *flow) setTarget(target string) {
 	if name := targetName(target); name != "" && f.target.Load() == nil {
 		f.target.Store(&name)
--- a/internal/loadgen/imbalance.go
+++ b/internal/loadgen/imbalance.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// Imbalance of the answered requests over targets; 1 is even, 0 means not known.
+// Imbalance is the imbalance of answered requests over targets; 1 is even, 0 means not
+// known.
 type Imbalance struct {
 	// Overall is the imbalance of the whole run.
 	Overall float64 `json:"overall"`
 	// P99 is the 99th percentile over time windows.
 	P99 float64 `json:"p99"`
-	// Windows is the number of windows with enough answers.
+	// Windows is the number of windows with enough answered requests.
 	Windows int `json:"windows"`
 }
 
@@ -36,7 +37,7 @@
 	return out
 }
 
-// windowRatio returns the imbalance of one window. It returns false with too few answers.
+// windowRatio returns the imbalance of one window, false with too few answered requests.
 func windowRatio(w map[string]int, targets []string) (float64, bool) {
 	if len(targets) == 0 || sumCounts(w) < MinAnsweredPerTarget*len(targets) {
 		return 0, false
@@ -56,7 +57,8 @@
 	return float64(highest) * float64(len(targets)) / float64(total)
 }
 
-// allTargets returns the sorted union of the configured targets and those that answered.
+// allTargets returns the sorted union of the configured targets and those that answered
+// a request.
 func allTargets(configured []string, answered map[string]int) []string {
 	set := map[string]bool{}
 	for _, t := range configured {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -144,7 +144,7 @@
 	is.Equal(report.WrongAnswers, report.Requests)
 }
 
-func TestTruncatedAnswerIsNotAnswered(t *testing.T) {
+func TestTruncatedResponseIsNotAnswered(t *testing.T) {
 	is := is.New(t)
 	a := newAuthority(t)
 	s := a.serve(t, service, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/loadgen/measure_test.go
+++ b/internal/loadgen/measure_test.go
@@ -14,7 +14,7 @@
 		{"a": 10, "b": 10},
 		{"a": 15, "b": 5},
 		nil,
-		{"a": 1}, // too few answers
+		{"a": 1}, // too few answered requests
 	}
 	got := imbalance(map[string]int{"a": 26, "b": 15}, windows, targets)
 	is.Equal(got, Imbalance{Overall: 26 * 2.0 / 41, P99: 1.5, Windows: 2})
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -27,7 +27,7 @@
 	// SessionTimeoutFactor is the number of event periods without an event after
 	// which a session is broken.
 	SessionTimeoutFactor = 10
-	// MinAnsweredPerTarget is the mean number of answers per target that a window
+	// MinAnsweredPerTarget is the mean number of answered requests per target that a window
 	// needs to count for imbalance.
 	MinAnsweredPerTarget = 10
 
@@ -70,7 +70,7 @@
 	StopWhen func(soFar *Report) bool
 	// NonRepeatable is the share of requests, 0 to 1, that must not run twice.
 	NonRepeatable float64
-	// Work is the processing time that each request asks of a target.
+	// Work is the processing time of each request at its target.
 	Work time.Duration
 	// Deadline of each request, over all of its attempts.
 	Deadline time.Duration
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -17,7 +17,7 @@
 
 // Classes of outcomes.
 const (
-	// ClassAnswered means that the backend server's answer is complete.
+	// ClassAnswered means that the backend server's response is complete.
 	ClassAnswered Class = "answered"
 	// ClassNotRun means that the request certainly did not run.
 	ClassNotRun Class = "not-run"
@@ -27,20 +27,20 @@
 
 // Reasons that the caller determines itself. Others come from Request-Reason.
 const (
-	reasonDial         = "dial"
-	reasonRefused      = "refused"
-	reasonCertificate  = "certificate"
-	reasonGoAway       = "goaway"
-	reasonLost         = "connection-lost"
-	reasonRejected     = "rejected"
-	reasonReset        = "stream-reset"
-	reasonDeadline     = "caller-deadline"
-	reasonTruncated    = "truncated"
-	reasonWrongAnswer  = "wrong-answer"
-	reasonCallerFull   = "caller-full"
-	reasonMissing      = "unstated"
-	reasonWrongTarget  = "wrong-target"
-	reasonServerStatus = "status"
+	reasonDial          = "dial"
+	reasonRefused       = "refused"
+	reasonCertificate   = "certificate"
+	reasonGoAway        = "goaway"
+	reasonLost          = "connection-lost"
+	reasonRejected      = "rejected"
+	reasonReset         = "stream-reset"
+	reasonDeadline      = "caller-deadline"
+	reasonTruncated     = "truncated"
+	reasonWrongResponse = "wrong-answer"
+	reasonCallerFull    = "caller-full"
+	reasonMissing       = "unstated"
+	reasonWrongTarget   = "wrong-target"
+	reasonServerStatus  = "status"
 )
 
 // Headers of the caller protocol.
@@ -58,9 +58,9 @@
 type outcome struct {
 	class  Class
 	reason string
-	// target that answered as "name/number/incarnation", if any.
+	// target is the target that responded, as "name/number/incarnation", if any.
 	target string
-	// retryAfter is the delay that the answer requests before a retry. With an unknown
+	// retryAfter is the delay that the response requests before a retry. With an unknown
 	// outcome it permits sending the idempotency key again.
 	retryAfter time.Duration
 }
@@ -74,8 +74,8 @@
 }
 
 // add returns the outcome of the request after another attempt. An attempt that was not
-// sent leaves an earlier unknown outcome and its permission to retry in place. An answer
-// of the system holds for all attempts.
+// sent leaves an earlier unknown outcome and its permission to retry in place. An outcome
+// that a target reported holds for all attempts.
 func (h *attemptHistory) add(o outcome) outcome {
 	switch {
 	case o.class == ClassUnknown:
@@ -140,8 +140,8 @@
 	return 0, false
 }
 
-// answerOutcome reads the outcome from the headers of a complete answer.
-func answerOutcome(res *http.Response) outcome {
+// responseOutcome reads the outcome from the headers of a complete response.
+func responseOutcome(res *http.Response) outcome {
 	reason := res.Header.Get(headerReason)
 	if reason == "" {
 		reason = reasonMissing
@@ -160,7 +160,7 @@
 	return o
 }
 
-// retryAfter returns the delay that an answer requests: Retry-After-Ms if set, else
+// retryAfter returns the delay that a response requests: Retry-After-Ms if set, else
 // Retry-After.
 func retryAfter(h http.Header) time.Duration {
 	if d, err := time.ParseDuration(h.Get(headerRetryAfterMS) + "ms"); err == nil && d > 0 {
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -44,14 +44,15 @@
 	Text    string
 }
 
-// Chart plots a run over time in four panels: answers per target, latency, broken flows
-// and imbalance. Index n of each slice is window n.
+// Chart plots a run over time in four panels: answered requests per target, latency,
+// broken flows and imbalance. Index n of each slice is window n.
 type Chart struct {
-	Title   string
-	Window  time.Duration
+	Title  string
+	Window time.Duration
+	// Answers counts the answered requests per target.
 	Answers []map[string]int
 	Stats   []WindowStats
-	// Imbalance is NaN in windows with too few answers.
+	// Imbalance is NaN in windows with too few answered requests.
 	Imbalance []float64
 	Marks     []Mark
 }
@@ -76,7 +77,8 @@
 	}
 }
 
-// windowImbalance returns the imbalance of each window, NaN with too few answers.
+// windowImbalance returns the imbalance of each window, NaN with too few answered
+// requests.
 func (r *Report) windowImbalance() []float64 {
 	out := make([]float64, len(r.Windows))
 	for i, w := range r.Windows {
--- a/internal/loadgen/plot_test.go
+++ b/internal/loadgen/plot_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("the plot does not contain %q", want)
 		}
 	}
-	savePlot(t, (&Report{}).Chart(time.Second, nil)) // no answers
+	savePlot(t, (&Report{}).Chart(time.Second, nil)) // an empty run
 	is.True(errors.Is(r.Chart(time.Second, nil).Save(filepath.Join(t.TempDir(), "run.unknown")), ErrPlotFormat))
 	is.True(r.Chart(time.Second, nil).Save(filepath.Join(t.TempDir(), "missing", "run.png")) != nil)
 }
@@ -67,7 +67,7 @@
 	got := r.Chart(time.Second, nil).Imbalance
 	is.Equal(len(got), 3)
 	is.Equal(got[0], 1.5)
-	is.True(math.IsNaN(got[1]) && math.IsNaN(got[2])) // too few answers
+	is.True(math.IsNaN(got[1]) && math.IsNaN(got[2])) // too few answered requests
 }
 
 func TestTimeline(t *testing.T) {
@@ -83,7 +83,7 @@
 	is.Equal(len(got), 3)
 	near := func(a, b float64) bool { return math.Abs(a-b) < 0.1 }
 	is.True(near(got[0].P50, 10) && near(got[0].P99, 30))
-	is.True(math.IsNaN(got[1].P50) && math.IsNaN(got[1].P99)) // no answers
+	is.True(math.IsNaN(got[1].P50) && math.IsNaN(got[1].P99)) // no answered request
 	is.True(near(got[2].P50, 7) && near(got[2].P99, 7))
 	is.Equal([]int{got[0].BrokenFlows, got[1].BrokenFlows, got[2].BrokenFlows}, []int{0, 0, 2})
 }
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -18,7 +18,7 @@
 // keyOutcome is the outcome of a non-repeatable request as its caller knows it.
 type keyOutcome struct {
 	key string
-	// lastClass is the class of the last outcome. An answer with an error status or
+	// lastClass is the class of the last outcome. A response with an error status or
 	// from a wrong target counts as unknown.
 	lastClass Class
 }
@@ -114,7 +114,7 @@
 	switch out.reason {
 	case reasonCertificate, reasonWrongTarget:
 		r.misrouted++
-	case reasonWrongAnswer:
+	case reasonWrongResponse:
 		r.wrongAnswers++
 	}
 }
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -39,7 +39,8 @@
 	BrokenSessions   int            `json:"broken_sessions"`
 	BrokenSessionsBy map[string]int `json:"broken_sessions_by"`
 	SessionsRefused  map[string]int `json:"sessions_refused"`
-	// SessionsLostWithHost do not count as broken.
+	// SessionsLostWithHost counts sessions that ended because the host of their target
+	// failed. They do not count as broken.
 	SessionsLostWithHost int `json:"sessions_lost_with_host"`
 	Events               int `json:"events"`
 
@@ -53,7 +54,7 @@
 	Doubled        *Doubled `json:"doubled,omitempty"`
 	DoubledUnknown string   `json:"doubled_unknown,omitempty"`
 
-	// Windows are the answers per target in each window, Stats the latency and broken
+	// Windows are the answered requests per target in each window, Stats the latency and broken
 	// flows. Their lengths may differ.
 	Windows []map[string]int `json:"-"`
 	Stats   []WindowStats    `json:"-"`
--- a/internal/loadgen/request.go
+++ b/internal/loadgen/request.go
@@ -26,8 +26,8 @@
 	firstBackoff = 20 * time.Millisecond
 	// maxRedirects bounds how often a request moves to another flow because the
 	// previous one accepted no more requests and nothing was sent.
-	maxRedirects = 3
-	maxAnswer    = 1 << 20
+	maxRedirects     = 3
+	maxResponseBytes = 1 << 20
 )
 
 // request is one request of a caller with all of its attempts.
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%s-%d", o.RunID, q.number)
 }
 
-// text returns a unique body, so that an answer to another request is detected.
+// text returns a unique body, so that the response to another request is detected.
 func (q request) text(o *Options) string {
 	return "text-" + q.key(o)
 }
@@ -73,8 +73,8 @@
 	if out.class == ClassAnswered || attempt >= g.opts.MaxAttempts {
 		return 0, false
 	}
-	// A non-repeatable request with an unknown outcome is retried only if the answer
-	// asks for it.
+	// A non-repeatable request with an unknown outcome is retried only if the response
+	// permits it.
 	if out.class == ClassUnknown && q.nonRepeatable && out.retryAfter == 0 {
 		return 0, false
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// exchange sends the request on a flow and reads the complete answer. It reports whether
+// exchange sends the request on a flow and reads the complete response. It reports whether
 // the complete header was sent; without it the request cannot run.
 func (g *generator) exchange(ctx context.Context, f *flow, q request) (out outcome, sent bool) {
 	var wrote atomic.Bool
@@ -123,16 +123,16 @@
 		return g.handleFailure(ctx, f, err), true
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return unknown(reasonTruncated), true
 	}
 	if err != nil {
 		return g.handleFailure(ctx, f, err), true
 	}
-	answer := answerOutcome(res)
-	f.setTarget(answer.target)
-	return g.verifyAnswer(q, answer, body), true
+	result := responseOutcome(res)
+	f.setTarget(result.target)
+	return g.verifyResponse(q, result, body), true
 }
 
 // handleFailure returns the outcome of a request that failed after it was sent. It counts
@@ -145,14 +145,14 @@
 	return out
 }
 
-// verifyAnswer checks that an answer belongs to its request and comes from a target of
+// verifyResponse checks that a response belongs to its request and comes from a target of
 // the service.
-func (g *generator) verifyAnswer(q request, out outcome, body []byte) outcome {
+func (g *generator) verifyResponse(q request, out outcome, body []byte) outcome {
 	if out.class != ClassAnswered || out.reason != "" {
 		return out
 	}
 	if !bytes.Equal(body, []byte(q.text(&g.opts))) {
-		return outcome{class: ClassUnknown, reason: reasonWrongAnswer, target: out.target}
+		return outcome{class: ClassUnknown, reason: reasonWrongResponse, target: out.target}
 	}
 	if name := targetName(out.target); name != "" && !g.opts.IsTarget(name) {
 		out.reason = reasonWrongTarget
--- a/internal/loadgen/session.go
+++ b/internal/loadgen/session.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, g.handleFailure(ctx, f, err)
 	}
-	out := answerOutcome(res)
+	out := responseOutcome(res)
 	if out.class != ClassAnswered || out.reason != "" {
 		return nil, out
 	}
--- a/internal/loadgen/timeline.go
+++ b/internal/loadgen/timeline.go
@@ -11,7 +11,7 @@
 // WindowStats is the latency and the broken flows of one time window.
 type WindowStats struct {
 	// P50 and P99 are the latencies of the requests answered in the window, in
-	// milliseconds from their scheduled time; NaN without an answer.
+	// milliseconds from their scheduled time; NaN without an answered request.
 	P50, P99 float64
 	// BrokenFlows is the number of flows that broke in the window.
 	BrokenFlows int
