--- a/internal/cli/backend.go
+++ b/internal/cli/backend.go
@@ -51,7 +51,7 @@
 	f.StringVar(&health, "fault-health", string(backend.HealthHonest), "health endpoint: honest, well, ill or frozen")
 	f.StringVar(&load, "fault-load", string(backend.LoadHonest), "load endpoint: honest, idle, full or stale")
 	f.DurationVar(&o.Faults.Age, "fault-age", 0, "report an uptime of at least this long")
-	f.BoolVar(&o.Faults.Broken, "fault-broken", false, "answer 500 to every request")
+	f.BoolVar(&o.Faults.Broken, "fault-broken", false, "respond with status 500 to every request")
 	f.StringVar(&runLog, "run-log", "", "store the idempotency keys of all runs in `FILE`, so that /runs includes previous processes")
 	f.Uint64Var(&o.Faults.LateEvery, "fault-late-every", 0, "delay every `N`th response")
 	f.DurationVar(&o.Faults.LateBy, "fault-late-by", 0, "delay of late responses")
@@ -68,7 +68,7 @@
 	}
 	defer func() { _ = log.Sync() }()
 	o.Log = log
-	// Signals are handled before the server reports that it is ready.
+	// Signals are handled from the start, so that one during startup is graceful too.
 	return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 		return serveBackend(ctx, o)
 	})
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -72,11 +72,11 @@
 		return role, settings.CheckPatch(path)
 	}
 	if role == "" {
-		guessed, err := settings.DetectRole(path)
+		detected, err := settings.DetectRole(path)
 		if err != nil {
 			return "", err
 		}
-		role = guessed
+		role = detected
 	}
 	m, err := settings.NewMessage(role)
 	if err != nil {
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// report writes the report before the plot, so that a failed plot does not cost the
+// report writes the report before the plot, so that a failed plot does not lose the
 // report.
 func (x *experimentFlags) report(w io.Writer, r *experiment.Result) error {
 	write := r.WriteMarkdown
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// report writes the report before the plot, so that a failed plot does not cost the
+// report writes the report before the plot, so that a failed plot does not lose the
 // report.
 func (l *loadFlags) report(w io.Writer, r *loadgen.Report) error {
 	write := r.WriteText
--- a/internal/cli/patch.go
+++ b/internal/cli/patch.go
@@ -86,7 +86,7 @@
 the control hosts.
 
 Exit status: 0 it became a version; 3 it was refused; 4 no quorum replied;
-1 a quorum knows no such patch.`,
+1 no patch has that identifier.`,
 		Example: "  eelgrasswharf patch show add-itinerary " + operatorExample,
 		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/cli/process_test.go
+++ b/internal/cli/process_test.go
@@ -181,7 +181,7 @@
 	got = expect(t, cli.ExitFailure, "load", "--service", "lodgement", "--address", "127.0.0.1:1", "--authority", "missing.pem")
 }
 
-// An invalid events file must not cost the report.
+// An invalid events file must not suppress the report.
 func TestLoadMarksEvents(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -57,7 +57,7 @@
 	return root
 }
 
-// exactArgs, minArgs and noArgs report a wrong number of arguments as wrong usage.
+// exactArgs, minArgs and noArgs report a wrong number of arguments as a usage error.
 func exactArgs(n int) cobra.PositionalArgs { return usageArgs(cobra.ExactArgs(n)) }
 func minArgs(n int) cobra.PositionalArgs   { return usageArgs(cobra.MinimumNArgs(n)) }
 
