--- a/internal/cli/start_test.go
+++ b/internal/cli/start_test.go
@@ -96,7 +96,7 @@
 	is.True(strings.HasPrefix(line, "HTTP/1.1 100 "))
 
 	is.NoErr(p.cmd.Process.Signal(syscall.SIGTERM))
-	p.waitForLine(t, "control host stops")
+	p.waitForLine(t, "control host stopping")
 	is.NoErr(p.cmd.Process.Signal(syscall.SIGINT))
 	is.Equal(p.exit(t), cli.ExitFailure)
 }
