--- a/health/uptime_test.go
+++ b/health/uptime_test.go
@@ -46,9 +46,8 @@
 	}
 }
 
-// A claimed age never moves the start time before a start that the agent observed:
-// the first announcement after the first lease, a new address, or a new announcement
-// after the lease expired.
+// A claimed age never moves the start time before a start that the agent observed, such
+// as a new address or an announcement after the lease expired.
 func TestClaimedAgeNeverOverridesObservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := health.Uptime{Lease: uptimeLease}
--- a/internal/agentd/bench_test.go
+++ b/internal/agentd/bench_test.go
@@ -48,12 +48,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	kept := &http.Transport{}
-	defer kept.CloseIdleConnections()
+	reused := &http.Transport{}
+	defer reused.CloseIdleConnections()
 	for _, c := range []struct {
 		name      string
 		transport http.RoundTripper
-	}{{"own", newBackendTransport()}, {"kept", kept}} {
+	}{{"own", newBackendTransport()}, {"kept", reused}} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
 				request, _ := http.NewRequest("GET", "http://caller/echo", nil)
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -12,7 +12,7 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// Class is the result of a request as its caller knows it.
+// Class is the result of a request as its caller observes it.
 type Class string
 
 // Classes of outcomes.
--- a/internal/loadgen/plot_test.go
+++ b/internal/loadgen/plot_test.go
@@ -48,8 +48,8 @@
 	is.Equal(c.mergedMarks(), []Mark{{1, "a; b"}, {9, "c"}})
 }
 
-// Long texts are truncated and marks outside the run are dropped, so that the plot keeps
-// its space.
+// Long texts are truncated and marks outside the run are dropped, so that the plot area
+// keeps its size.
 func TestLongAndOutsideMarks(t *testing.T) {
 	is := is.New(t)
 	c := &Chart{Window: time.Second, Answers: []map[string]int{{"l-1": 1}, {"l-1": 2}}, Marks: []Mark{
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -15,7 +15,7 @@
 	maxRecordedKeys = 1 << 20
 )
 
-// keyOutcome is the outcome of a non-repeatable request as its caller knows it.
+// keyOutcome is the outcome of a non-repeatable request as its caller observes it.
 type keyOutcome struct {
 	key string
 	// lastClass is the class of the last outcome. A response with an error status or
--- a/internal/loadgen/server_test.go
+++ b/internal/loadgen/server_test.go
@@ -53,10 +53,10 @@
 
 // configForClient increments pending before it checks draining, so that shutdown waits
 // for every accepted flow.
-func (f *testServer) configForClient(*quic.ClientInfo) (*quic.Config, error) {
-	f.pending.Add(1)
-	if f.draining.Load() {
-		f.pending.Add(-1)
+func (s *testServer) configForClient(*quic.ClientInfo) (*quic.Config, error) {
+	s.pending.Add(1)
+	if s.draining.Load() {
+		s.pending.Add(-1)
 		return nil, errDraining
 	}
 	return &quic.Config{}, nil
@@ -64,8 +64,8 @@
 
 // connContext adds the handshake of an accepted flow to its context, whose end completes
 // it if the flow is never served.
-func (f *testServer) connContext(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
-	h := &handshake{server: f}
+func (s *testServer) connContext(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
+	h := &handshake{server: s}
 	context.AfterFunc(ctx, h.complete)
 	return context.WithValue(ctx, handshakeKey{}, h), nil
 }
@@ -78,12 +78,12 @@
 
 // shutdown refuses new flows, waits for pending handshakes, sends GOAWAY and waits for
 // open flows.
-func (f *testServer) shutdown(ctx context.Context) {
-	f.draining.Store(true)
-	for f.pending.Load() > 0 {
+func (s *testServer) shutdown(ctx context.Context) {
+	s.draining.Store(true)
+	for s.pending.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	_ = f.http.Shutdown(ctx)
+	_ = s.http.Shutdown(ctx)
 }
 
 // authority signs the certificates of all servers of a test.
@@ -111,23 +111,23 @@
 	is.NoErr(err)
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	is.NoErr(err)
-	f := &testServer{
+	server := &testServer{
 		address: conn.LocalAddr().String(),
 		tls:     http3.ConfigureTLSConfig(&tls.Config{Certificates: []tls.Certificate{*cert}}),
 	}
-	f.http = &http3.Server{Handler: h, ConnContext: completeHandshake}
-	transport := &quic.Transport{Conn: conn, ConnContext: f.connContext}
-	listener, err := transport.ListenEarly(f.tls, &quic.Config{GetConfigForClient: f.configForClient})
+	server.http = &http3.Server{Handler: h, ConnContext: completeHandshake}
+	transport := &quic.Transport{Conn: conn, ConnContext: server.connContext}
+	listener, err := transport.ListenEarly(server.tls, &quic.Config{GetConfigForClient: server.configForClient})
 	is.NoErr(err)
 	var wg conc.WaitGroup
-	wg.Go(func() { _ = f.http.ServeListener(listener) })
+	wg.Go(func() { _ = server.http.ServeListener(listener) })
 	t.Cleanup(func() {
-		_ = f.http.Close()
+		_ = server.http.Close()
 		_ = transport.Close()
 		_ = conn.Close()
 		wg.Wait()
 	})
-	return f
+	return server
 }
 
 // proxy forwards requests to a backend server and sets the Target header.
@@ -191,7 +191,7 @@
 	return report
 }
 
-// retryForever makes callers retry until they are answered.
+// retryForever makes callers retry until a request is answered.
 func retryForever(o loadgen.Options) loadgen.Options {
 	o.MaxAttempts = math.MaxInt32
 	o.RetryPercent = largeRetryPercent
