--- a/internal/agentd/announce_test.go
+++ b/internal/agentd/announce_test.go
@@ -109,13 +109,13 @@
 			for range health.MinSamples {
 				is.Equal(w.mustSend(t, "GET", "/echo?text=x", "").body, "x")
 			}
-			eventually(t, "healthy verdict", func() bool { return !a.dataPlane.Load().current().unhealthy })
+			eventually(t, "healthy verdict", func() bool { return !a.dataPlane.Load().currentState().unhealthy })
 			// At most a quarter of the slots for the report, plus the flows.
-			eventually(t, "load close to the observed load", func() bool { return a.dataPlane.Load().current().load <= 260 })
+			eventually(t, "load close to the observed load", func() bool { return a.dataPlane.Load().currentState().load <= 260 })
 			for range 2 * health.MinSamples {
 				w.mustSend(t, "GET", "/status?code=500", "")
 			}
-			eventually(t, "unhealthy verdict", func() bool { return a.dataPlane.Load().current().unhealthy })
+			eventually(t, "unhealthy verdict", func() bool { return a.dataPlane.Load().currentState().unhealthy })
 		})
 	}
 }
@@ -136,7 +136,7 @@
 		}
 	}
 	awaitRequestsAt(t, tc, b)
-	is.True(a.dataPlane.Load().current().unhealthy)
+	is.True(a.dataPlane.Load().currentState().unhealthy)
 	backend.events <- "still open"
 	is.Equal(session.line(t), "still open")
 	is.Equal(backend.cancelled.Load(), int64(0))
--- a/internal/agentd/dataplane.go
+++ b/internal/agentd/dataplane.go
@@ -73,9 +73,9 @@
 	socket.flows = o.flows
 	socket.clock = o.clock
 	socket.counters = o.counters
-	socket.state = p.current
+	socket.state = p.currentState
 	o.redirector.isDraining = p.isDraining.Load
-	o.redirector.state = p.current
+	o.redirector.state = p.currentState
 	socket.redirectAddress = o.redirector.redirectAddress
 	p.transport = p.newTransport(o.secrets[0])
 	p.listener, err = p.transport.Listen(callerTLS(o.certificate), quicConfig(o.timing))
@@ -115,8 +115,8 @@
 	return p.stallMonitor.withConnOpened(ctx), nil
 }
 
-// current returns the state with the current load.
-func (p *dataPlane) current() targetState {
+// currentState returns the state with the current load.
+func (p *dataPlane) currentState() targetState {
 	state := *p.state.Load()
 	state.load = p.lastInput.Load().load(p.nonWatchFlows())
 	return state
--- a/internal/agentd/housekeeping.go
+++ b/internal/agentd/housekeeping.go
@@ -28,7 +28,7 @@
 	load.Requests = d.averageRequests(limiter)
 	load.FlowCapacity = d.limits.flows
 	p.lastInput.Store((*loadInput)(&load))
-	before := p.current()
+	before := p.currentState()
 	p.state.Store(state)
 	// Open sessions and the registration of the target remain: entry hosts learn of the
 	// evacuation from the configuration.
@@ -38,7 +38,7 @@
 	if goAwayShare > 0 {
 		p.sessions.closeIdle()
 	}
-	d.gauges(p, limiter, verdict)
+	d.updateGauges(p, limiter, verdict)
 	d.counters.backendAge.Update((d.clock.now() - backend.startTime).Seconds())
 	d.publish(state, limiter.slots, backend.startTime)
 }
@@ -90,7 +90,7 @@
 	d.proxy.setRetryPercent(percent)
 }
 
-func (d *Daemon) gauges(p *dataPlane, stats limiterSnapshot, verdict health.Verdict) {
+func (d *Daemon) updateGauges(p *dataPlane, stats limiterSnapshot, verdict health.Verdict) {
 	d.counters.sessions.Update(float64(p.sessions.count()))
 	d.counters.watches.Update(float64(d.proxy.watches.Load()))
 	d.counters.running.Update(float64(stats.running))
--- a/internal/agentd/load_test.go
+++ b/internal/agentd/load_test.go
@@ -72,7 +72,7 @@
 	}
 	p := a.dataPlane.Load()
 	eventually(t, "four flows", func() bool { return p.nonWatchFlows() == 4 })
-	is.True(p.current().load > 2*overloadThreshold)
-	is.True(p.current().currentLoad < overloadThreshold)
+	is.True(p.currentState().load > 2*overloadThreshold)
+	is.True(p.currentState().currentLoad < overloadThreshold)
 	is.Equal(a.counter("flows_handed_on", ""), int64(0))
 }
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -22,6 +22,7 @@
 	What string
 }
 
+// String returns the violation as one line of output.
 func (v Violation) String() string {
 	return fmt.Sprintf("%7.3f s  %s: %s", v.At.Seconds(), v.Rule, v.What)
 }
