--- a/internal/repotest/comments_test.go
+++ b/internal/repotest/comments_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// measuring lists packages whose subject is measurement.
-var measuring = []string{"internal/capacity", "internal/experiment"}
+// measurementPackages lists packages whose subject is measurement.
+var measurementPackages = []string{"internal/capacity", "internal/experiment"}
 
 // history matches what belongs into a commit or a page: dates, numbers of issues, seeds
 // and how a figure was found.
 var history = regexp.MustCompile(`(?i)\b20[0-9]{2}-[01][0-9]-[0-3][0-9]\b|\bissue [0-9]+|#[0-9]+\b|\bseed [0-9]+|\b(trial|measured)\b|\bof all worth\b|\bone run each\b`)
 
-// TestCommentsTellNoHistory expects that comments give reasons, not the story of a change
+// TestCommentsContainNoHistory expects that comments give reasons, not the story of a change
 // or of a figure.
-func TestCommentsTellNoHistory(t *testing.T) {
+func TestCommentsContainNoHistory(t *testing.T) {
 	for name, s := range sources(t) {
-		if slices.Contains(measuring, name) || strings.HasPrefix(name, "api/") {
+		if slices.Contains(measurementPackages, name) || strings.HasPrefix(name, "api/") {
 			continue
 		}
 		for _, file := range s.files {
--- a/internal/repotest/borders_test.go
+++ b/internal/repotest/imports_test.go
@@ -33,20 +33,20 @@
 	return layerDecision
 }
 
-// outside is what a decision package may not import: sockets, files, processes,
+// forbiddenImports is what a decision package may not import: sockets, files, processes,
 // chance and logs come as arguments.
-var outside = []string{"net", "os", "syscall", "unsafe", "log", "crypto/rand", "io/ioutil", "database", "go.uber.org", "github.com/uber-go", "github.com/quic-go", "github.com/sourcegraph", "golang.org/x/sys", "golang.org/x/net"}
+var forbiddenImports = []string{"net", "os", "syscall", "unsafe", "log", "crypto/rand", "io/ioutil", "database", "go.uber.org", "github.com/uber-go", "github.com/quic-go", "github.com/sourcegraph", "golang.org/x/sys", "golang.org/x/net"}
 
-// inside are exceptions: types without any I/O.
-var inside = []string{"net/netip"}
+// allowedImports are exceptions: types without any I/O.
+var allowedImports = []string{"net/netip"}
 
 // clockCalls are the functions of package time that read or wait for a clock.
 var clockCalls = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"}
 
-// unseeded are functions of math/rand that use the shared generator.
-var unseeded = []string{"Int", "IntN", "Intn", "Int64", "Int64N", "Uint32", "Uint64", "Float64", "N", "Perm", "Shuffle", "NormFloat64", "ExpFloat64"}
+// globalRandom are functions of math/rand that use the shared generator.
+var globalRandom = []string{"Int", "IntN", "Intn", "Int64", "Int64N", "Uint32", "Uint64", "Float64", "N", "Perm", "Shuffle", "NormFloat64", "ExpFloat64"}
 
-func TestImportsGoOneWay(t *testing.T) {
+func TestImportLayers(t *testing.T) {
 	is := is.New(t)
 	for name, s := range sources(t) {
 		for _, imported := range s.imports() {
@@ -66,7 +66,7 @@
 	is.Equal(layer("reason/internal/page"), layerInternal) // a generator
 }
 
-func TestDecisionPackagesTakeTheWorldAsArguments(t *testing.T) {
+func TestDecisionPackagesHaveNoSideEffects(t *testing.T) {
 	decisions := 0
 	for name, s := range sources(t) {
 		if layer(name) != layerDecision {
@@ -74,12 +74,12 @@
 		}
 		decisions++
 		for _, imported := range s.imports() {
-			if within(imported, outside) && !within(imported, inside) {
+			if hasPrefix(imported, forbiddenImports) && !hasPrefix(imported, allowedImports) {
 				t.Errorf("%s imports %s", name, imported)
 			}
 		}
 		s.inspect(func(n ast.Node) {
-			if what := forbidden(n); what != "" {
+			if what := forbiddenUse(n); what != "" {
 				t.Errorf("%s has %s", name, what)
 			}
 		})
@@ -87,14 +87,14 @@
 	is.New(t).True(decisions >= 13) // looked at them
 }
 
-func within(imported string, prefixes []string) bool {
+func hasPrefix(imported string, prefixes []string) bool {
 	return slices.ContainsFunc(prefixes, func(p string) bool {
 		return imported == p || strings.HasPrefix(imported, p+"/")
 	})
 }
 
-// forbidden names what a decision package may not do.
-func forbidden(n ast.Node) string {
+// forbiddenUse names what a decision package may not do.
+func forbiddenUse(n ast.Node) string {
 	if _, ok := n.(*ast.GoStmt); ok {
 		return "a goroutine"
 	}
@@ -109,21 +109,21 @@
 	switch {
 	case pkg.Name == "time" && slices.Contains(clockCalls, sel.Sel.Name):
 		return "a clock: time." + sel.Sel.Name
-	case pkg.Name == "rand" && slices.Contains(unseeded, sel.Sel.Name):
+	case pkg.Name == "rand" && slices.Contains(globalRandom, sel.Sel.Name):
 		return "chance of its own: rand." + sel.Sel.Name
 	}
 	return ""
 }
 
-// TestPictureNamesEveryPackage holds the picture of CONTRIBUTING.md to the
+// TestImportDiagramListsEveryPackage holds the picture of CONTRIBUTING.md to the
 // code: each package stands on one line, above all that it imports.
-func TestPictureNamesEveryPackage(t *testing.T) {
+func TestImportDiagramListsEveryPackage(t *testing.T) {
 	text := page(t, "CONTRIBUTING.md")
 	_, after, found := strings.Cut(text, "<!-- imports -->")
-	picture, _, closed := strings.Cut(after, "<!-- end of imports -->")
+	diagram, _, closed := strings.Cut(after, "<!-- end of imports -->")
 	is.New(t).True(found && closed)
 	row := map[string]int{}
-	for i, line := range strings.Split(picture, "\n") {
+	for i, line := range strings.Split(diagram, "\n") {
 		if !strings.HasPrefix(line, "    ") {
 			continue
 		}
@@ -133,7 +133,7 @@
 	}
 	all := sources(t)
 	for name, s := range all {
-		short := pictured(name)
+		short := diagramName(name)
 		if short == "" {
 			continue
 		}
@@ -147,21 +147,21 @@
 			if !ok {
 				continue
 			}
-			if below, ok := row[pictured(local)]; ok && below <= at {
+			if below, ok := row[diagramName(local)]; ok && below <= at {
 				t.Errorf("the picture has %s above %s, which imports it", local, name)
 			}
 		}
 	}
 	for name := range row {
-		if !slices.ContainsFunc(keys(all), func(have string) bool { return pictured(have) == name }) {
+		if !slices.ContainsFunc(keys(all), func(have string) bool { return diagramName(have) == name }) {
 			t.Errorf("the picture names %s, which is no package", name)
 		}
 	}
 }
 
-// pictured is the name of a package in the picture, empty if it has none:
+// diagramName is the name of a package in the picture, empty if it has none:
 // generators and packages of tests alone.
-func pictured(name string) string {
+func diagramName(name string) string {
 	if strings.Contains(name, "/internal/") || name == "internal/repotest" || name == "test" || name == "api" {
 		return ""
 	}
--- a/internal/repotest/named_test.go
+++ b/internal/repotest/named_test.go
@@ -14,14 +14,14 @@
 )
 
 var (
-	// mentioned finds tests by name anywhere in a page, in commands too.
-	mentioned = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
-	code      = regexp.MustCompile("`([^`]+)`")
+	// testWord finds tests by name anywhere in a page, in commands too.
+	testWord  = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
+	codeSpan  = regexp.MustCompile("`([^`]+)`")
 	slopeName = regexp.MustCompile("`([a-z]+(?:\\.[a-z]+)+)(\\.\\*)?`")
 )
 
-// tests returns the names of all tests, benchmarks and fuzz targets by package.
-func tests(t *testing.T) map[string][]string {
+// testNamesByPackage returns the names of all tests, benchmarks and fuzz targets by package.
+func testNamesByPackage(t *testing.T) map[string][]string {
 	t.Helper()
 	is := is.New(t)
 	out := map[string][]string{}
@@ -45,7 +45,7 @@
 // test's name. Commands may name tests by their beginning.
 func TestMentionedTestsExist(t *testing.T) {
 	is := is.New(t)
-	all := tests(t)
+	all := testNamesByPackage(t)
 	words := 0
 	for _, pattern := range pagePatterns {
 		pages, err := filepath.Glob(filepath.Join(root, pattern))
@@ -53,7 +53,7 @@
 		for _, from := range pages {
 			text, err := os.ReadFile(from)
 			is.NoErr(err)
-			for _, word := range mentioned.FindAllString(string(text), -1) {
+			for _, word := range testWord.FindAllString(string(text), -1) {
 				words++
 				begins := func(name string) bool { return strings.HasPrefix(name, word) }
 				found := false
@@ -73,8 +73,8 @@
 // docs/PROOFS.md: parts between semicolons, whose tests are of the packages
 // named in the same part, and of package test where none is.
 func TestProofsNameTestsOfTheirPackages(t *testing.T) {
-	all := tests(t)
-	looked := 0
+	all := testNamesByPackage(t)
+	checked := 0
 	for _, row := range strings.Split(page(t, "docs/PROOFS.md"), "\n") {
 		cells := strings.Split(row, " | ")
 		if !strings.HasPrefix(row, "| ") || len(cells) < 4 {
@@ -82,8 +82,8 @@
 		}
 		for _, part := range strings.Split(cells[2], ";") {
 			var packages, names []string
-			for _, match := range code.FindAllStringSubmatch(part, -1) {
-				if mentioned.MatchString(match[1]) {
+			for _, match := range codeSpan.FindAllStringSubmatch(part, -1) {
+				if testWord.MatchString(match[1]) {
 					names = append(names, match[1])
 				} else {
 					packages = append(packages, filepath.Base(match[1]))
@@ -94,7 +94,7 @@
 			}
 			for _, pkg := range packages {
 				for _, name := range names {
-					looked++
+					checked++
 					if !hasTest(all[pkg], name) {
 						t.Errorf("docs/PROOFS.md: package %s has no %s", pkg, name)
 					}
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	is.New(t).True(looked > 80) // found them
+	is.New(t).True(checked > 80) // found them
 }
 
 // hasTest looks for a name, or for a beginning that ends in a star.
--- a/internal/repotest/pages_test.go
+++ b/internal/repotest/pages_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// development lists packages whose metrics and log lines no deployment has.
-var development = []string{
+// developmentPackages lists packages whose metrics and log lines no deployment has.
+var developmentPackages = []string{
 	"internal/backend", "internal/capacity", "internal/dev", "internal/experiment",
 	"internal/faultproxy", "internal/loadgen", "internal/processtest",
 }
@@ -32,11 +32,11 @@
 // before it.
 var firstCell = regexp.MustCompile("(?m)^\\| (?:(debug|info|warn|error) \\| )?`([^`]+)` \\|")
 
-func deployed(t *testing.T) []*source {
+func deployedPackages(t *testing.T) []*source {
 	t.Helper()
 	var out []*source
 	for name, s := range sources(t) {
-		if (name == "platform" || strings.HasPrefix(name, "internal/")) && !slices.Contains(development, name) {
+		if (name == "platform" || strings.HasPrefix(name, "internal/")) && !slices.Contains(developmentPackages, name) {
 			out = append(out, s)
 		}
 	}
@@ -72,7 +72,7 @@
 	return out
 }
 
-func TestPageOfCountersIsWhole(t *testing.T) {
+func TestCountersPageIsComplete(t *testing.T) {
 	is := is.New(t)
 	var rows []string
 	for _, match := range firstCell.FindAllStringSubmatch(page(t, "docs/COUNTERS.md"), -1) {
@@ -80,7 +80,7 @@
 	}
 	used := map[string]bool{}
 	names := 0
-	for _, s := range deployed(t) {
+	for _, s := range deployedPackages(t) {
 		for name := range metricNames(s) {
 			names++
 			found := false
@@ -102,14 +102,14 @@
 	is.True(names > 50) // found them
 }
 
-func TestPageOfLogLinesIsWhole(t *testing.T) {
+func TestLogsPageIsComplete(t *testing.T) {
 	is := is.New(t)
 	rows := map[string][]string{}
 	for _, match := range firstCell.FindAllStringSubmatch(page(t, "docs/LOGS.md"), -1) {
 		rows[match[2]] = append(rows[match[2]], match[1])
 	}
 	used := map[string]bool{}
-	for _, s := range deployed(t) {
+	for _, s := range deployedPackages(t) {
 		constants := s.constants()
 		s.inspect(func(n ast.Node) {
 			level, args := method(n)
@@ -143,8 +143,8 @@
 	notSlug = regexp.MustCompile(`[^a-z0-9 _-]`)
 )
 
-// TestLinksLead follows every link between pages, with its heading.
-func TestLinksLead(t *testing.T) {
+// TestLinksResolve follows every link between pages, with its heading.
+func TestLinksResolve(t *testing.T) {
 	is := is.New(t)
 	links := 0
 	for _, pattern := range pagePatterns {
@@ -158,7 +158,7 @@
 					continue
 				}
 				links++
-				if fault := follow(filepath.Join(filepath.Dir(from), match[1]), match[2]); fault != "" {
+				if fault := checkLink(filepath.Join(filepath.Dir(from), match[1]), match[2]); fault != "" {
 					t.Errorf("%s: %s%s: %s", from, match[1], match[2], fault)
 				}
 			}
@@ -167,7 +167,7 @@
 	is.True(links > 20) // found them
 }
 
-func follow(to, anchor string) string {
+func checkLink(to, anchor string) string {
 	text, err := os.ReadFile(to)
 	if info, statErr := os.Stat(to); statErr == nil && info.IsDir() && anchor == "" {
 		return ""
@@ -188,8 +188,8 @@
 }
 
 var (
-	named     = regexp.MustCompile("`(?:([a-z]+)\\.)?((?:Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9]*)`")
-	testNames = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)[A-Za-z0-9]+)\(`)
+	quotedTestName = regexp.MustCompile("`(?:([a-z]+)\\.)?((?:Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9]*)`")
+	testNames      = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)[A-Za-z0-9]+)\(`)
 )
 
 // TestNamedTestsExist looks for every test that a page names.
@@ -214,7 +214,7 @@
 		for _, from := range pages {
 			text, err := os.ReadFile(from)
 			is.NoErr(err)
-			for _, match := range named.FindAllStringSubmatch(string(text), -1) {
+			for _, match := range quotedTestName.FindAllStringSubmatch(string(text), -1) {
 				name := match[2]
 				if match[1] != "" {
 					name = match[1] + "." + name
@@ -233,12 +233,12 @@
 // theirs by not compiling.
 func TestNoConflictMarkers(t *testing.T) {
 	is := is.New(t)
-	looked := 0
+	checked := 0
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !slices.Contains([]string{".md", ".ini", ".proto", ".txt"}, filepath.Ext(path)) {
 			return err
 		}
-		looked++
+		checked++
 		text, err := os.ReadFile(path)
 		if conflictMarker.Match(text) {
 			t.Errorf("%s has a conflict marker", path)
@@ -246,5 +246,5 @@
 		return err
 	})
 	is.NoErr(err)
-	is.True(looked > 20) // found them
+	is.True(checked > 20) // found them
 }
--- a/internal/repotest/size_test.go
+++ b/internal/repotest/size_test.go
@@ -21,9 +21,9 @@
 	maxFunction = 60
 )
 
-// TestFilesAndFunctionsAreShort holds every file outside generated code, and
+// TestFileAndFunctionLengths holds every file outside generated code, and
 // every function outside tests, to its limit.
-func TestFilesAndFunctionsAreShort(t *testing.T) {
+func TestFileAndFunctionLengths(t *testing.T) {
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, ".pb.go") {
 			return err
--- a/test/address_test.go
+++ b/test/address_test.go
@@ -11,13 +11,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// tryLimit ends a request that nobody answers; either end is good there.
-const tryLimit = time.Second
+// tryTimeout ends a request that nobody answers; either end is good there.
+const tryTimeout = time.Second
 
-// TestAddressPassesToAnotherService gives lodgement's public address to
+// TestAddressReassignedToAnotherService gives lodgement's public address to
 // certificates while one entry host can't hear of it. Each flow's packets keep
 // reaching both entry hosts, which disagree on what the address stands for.
-func TestAddressPassesToAnotherService(t *testing.T) {
+func TestAddressReassignedToAnotherService(t *testing.T) {
 	d := deploy(t, 1)
 	link := d.controls[0].Relay()
 	d.entries[1].Leave()
@@ -26,13 +26,13 @@
 	checkEcho(t, d.lodgement, established, "before")
 
 	link.Cut()
-	version := d.passAddress()
+	version := d.reassignAddress()
 	d.InForce(version, d.entries[0].Host)
 
 	for i := range 20 {
-		d.checkNeverOf(t, established, d.certificates, fmt.Sprint("established ", i))
-		d.checkNeverOf(t, d.lodgement.NewCaller(), d.certificates, fmt.Sprint("lodgement ", i))
-		d.checkNeverOf(t, d.lodgement.NewCallerAs(d.certificates.Name), d.lodgement, fmt.Sprint("certificates ", i))
+		d.checkNotServedBy(t, established, d.certificates, fmt.Sprint("established ", i))
+		d.checkNotServedBy(t, d.lodgement.NewCaller(), d.certificates, fmt.Sprint("lodgement ", i))
+		d.checkNotServedBy(t, d.lodgement.NewCallerAs(d.certificates.Name), d.lodgement, fmt.Sprint("certificates ", i))
 	}
 	link.Heal()
 	d.InForce(version, behind.Host)
@@ -40,21 +40,21 @@
 	checkEcho(t, d.certificates, caller, "the address stands for certificates")
 }
 
-// passAddress gives lodgement another public address and its old one to
+// reassignAddress gives lodgement another public address and its old one to
 // certificates.
-func (d *deployment) passAddress() uint64 {
+func (d *deployment) reassignAddress() uint64 {
 	return d.Patch(
 		d.lodgement.Put(d.NewAddress()),
 		d.certificates.Put(d.certificates.Address, d.lodgement.Address),
 	)
 }
 
-// TestSessionSurvivesLossOfItsAddress changes what a public address stands
+// TestSessionSurvivesAddressChange changes what a public address stands
 // for under an open session. New flows follow the change at once, the
 // established one stays with its target.
-func TestSessionSurvivesLossOfItsAddress(t *testing.T) {
+func TestSessionSurvivesAddressChange(t *testing.T) {
 	for name, change := range map[string]func(*deployment) uint64{
-		"address passes to another service": (*deployment).passAddress,
+		"address passes to another service": (*deployment).reassignAddress,
 		"address is replaced by another one": func(d *deployment) uint64 {
 			return d.Patch(d.lodgement.Put(d.NewAddress()))
 		},
@@ -69,11 +69,11 @@
 	}
 }
 
-// checkNeverOf sends a request, which may fail, and checks that the service
+// checkNotServedBy sends a request, which may fail, and checks that the service
 // does not answer it.
-func (d *deployment) checkNeverOf(t *testing.T, caller *processtest.Caller, s *processtest.Service, text string) {
+func (d *deployment) checkNotServedBy(t *testing.T, caller *processtest.Caller, s *processtest.Service, text string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), tryLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
 	defer cancel()
 	answer, err := caller.Do(ctx, http.MethodGet, "/echo?text=x", nil, nil)
 	if err == nil && strings.HasPrefix(answer.Target, s.Name+"-") {
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -17,7 +17,7 @@
 	b.ResetTimer()
 	s := d.startStream(base, d.controls...)
 	for s.version.Load() < base+uint64(b.N) {
-		s.awaitNext()
+		s.waitNext()
 	}
 	b.StopTimer()
 	s.end()
--- a/test/silent_test.go
+++ b/test/blackhole_test.go
@@ -10,10 +10,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestSessionMovesOffASilentPath makes the 5-tuples of all callers silent for
+// TestSessionMigratesFromBlackholedPath makes the 5-tuples of all callers silent for
 // good, while new ones work. The session goes on from another port of its
 // caller, at the target where it began, and new flows work at once.
-func TestSessionMovesOffASilentPath(t *testing.T) {
+func TestSessionMigratesFromBlackholedPath(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	caller := d.lodgement.NewCaller()
@@ -26,9 +26,9 @@
 	is.Equal(caller.Echo("after").Target, began)
 }
 
-// TestSilentPathBetweenEntryHostAndAgent makes the path between one entry host
+// TestBlackholeBetweenEntryHostAndAgent makes the path between one entry host
 // and every agent silent for good, in one direction or both.
-func TestSilentPathBetweenEntryHostAndAgent(t *testing.T) {
+func TestBlackholeBetweenEntryHostAndAgent(t *testing.T) {
 	for name, ways := range map[string][]faultproxy.Direction{
 		"towards the agent":   {faultproxy.ToHost},
 		"away from the agent": {faultproxy.ToCaller},
@@ -41,12 +41,12 @@
 				target.Path.CutExistingOf(d.entries[0].Frames(), ways...)
 			}
 			load.progress()
-			holder, _ := d.holder(t, load.watch)
+			sessionTarget, _ := d.sessionTarget(t, load.watch)
 			lost := 0
 			for _, way := range ways {
 				// An agent that hears nothing through an entry host may not
 				// try it: with both ways cut one of them may lose nothing.
-				lost += holder.Path.Counts(holder.Frames, way).Lost
+				lost += sessionTarget.Path.Counts(sessionTarget.Frames, way).Lost
 			}
 			is.New(t).True(lost > 0)
 			d.StartEntry()
@@ -56,14 +56,14 @@
 	}
 }
 
-// TestReturnPathOfAListeningCaller loses every entry host that a session was
+// TestReturnPathWithoutCallerPackets loses every entry host that a session was
 // heard through. Its caller has nothing to say before something reaches it, so
 // the agent has to find an entry host that the flow never used.
-func TestReturnPathOfAListeningCaller(t *testing.T) {
+func TestReturnPathWithoutCallerPackets(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
-	target, _ := d.holder(t, watch)
+	target, _ := d.sessionTarget(t, watch)
 	fresh := d.StartEntry()
 	fresh.Leave()
 	for _, e := range d.entries {
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -12,8 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// operators returns the operator addresses of control hosts.
-func operators(hosts []*processtest.Control) []netip.AddrPort {
+// operatorAddresses returns the operator addresses of control hosts.
+func operatorAddresses(hosts []*processtest.Control) []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, host := range hosts {
 		all = append(all, host.Operator)
@@ -21,10 +21,10 @@
 	return all
 }
 
-// TestLeaderKilledAroundPatch kills the leader while patches follow each other
+// TestLeaderKilledDuringPatches kills the leader while patches follow each other
 // and sends each one again until its outcome is known: each applies exactly
 // once, in order.
-func TestLeaderKilledAroundPatch(t *testing.T) {
+func TestLeaderKilledDuringPatches(t *testing.T) {
 	is := is.New(t)
 	const rounds, patches = 4, 6
 	d := deploy(t, 3)
@@ -54,9 +54,9 @@
 	load.stop()
 }
 
-// TestControlHostsRestartInTurn stops each control host gracefully while
+// TestControlHostsRollingRestart stops each control host gracefully while
 // requests that may not be repeated run: none is cut and none runs twice.
-func TestControlHostsRestartInTurn(t *testing.T) {
+func TestControlHostsRollingRestart(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -66,7 +66,7 @@
 		host.Terminate()
 		host.WaitExit()
 		for _, fate := range inFlight.wait() {
-			is.Equal(fate, whole)
+			is.Equal(fate, completed)
 		}
 		host.Launch()
 		host.WaitReady()
@@ -79,9 +79,9 @@
 	load.stop()
 }
 
-// TestControlHostLosesItsDisk brings a host back with an empty data folder and
+// TestControlHostDiskLoss brings a host back with an empty data folder and
 // then kills another one: no accepted patch may be gone.
-func TestControlHostLosesItsDisk(t *testing.T) {
+func TestControlHostDiskLoss(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -102,9 +102,9 @@
 	load.stop()
 }
 
-// TestRacingOperators submits patches against one version through all control
+// TestConcurrentOperators submits patches against one version through all control
 // hosts at once: one wins, the others learn by which version.
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	is := is.New(t)
 	const rounds, racers = 4, 6
 	d := deploy(t, 3)
@@ -140,10 +140,10 @@
 	d.InForce(base, d.entryNames()...)
 }
 
-// TestMinorityRefuses leaves one of three control hosts: it accepts nothing
+// TestMinorityRefusesPatches leaves one of three control hosts: it accepts nothing
 // and says so, established work goes on, and nothing of the refused patch is
 // left when the others return.
-func TestMinorityRefuses(t *testing.T) {
+func TestMinorityRefusesPatches(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -156,7 +156,7 @@
 	is.Equal(d.Show("minority", last.Operator).Verdict, processtest.Unknown)
 	answer := d.lodgement.NewCaller().MustDo(http.MethodPost,
 		processtest.RunPath(0), processtest.KeyHeader("minority"), nil)
-	checkMayComeBack(t, answer)
+	checkUnknownWithRetryAfter(t, answer)
 	is.Equal(answer.Reason, "grant-unavailable") // nobody holds the key
 	is.Equal(d.runs("minority"), 0)
 	load.progress()
@@ -169,15 +169,15 @@
 	load.stop()
 }
 
-// TestFrozenLeaderReturns thaws a leader after the others went on without it.
+// TestFrozenLeaderResumes thaws a leader after the others went on without it.
 // It has to know at once that it is behind.
-func TestFrozenLeaderReturns(t *testing.T) {
+func TestFrozenLeaderResumes(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
 	frozen := d.Leader()
 	frozen.Freeze()
-	others := operators(frozen.Others())
+	others := operatorAddresses(frozen.Others())
 	var o processtest.Outcome
 	processtest.Eventually(t, "the others accept a patch", func() bool {
 		o = d.Submit(1, "without-the-frozen", []string{d.lodgement.Put()}, others...)
--- a/test/link_test.go
+++ b/test/controllinks_test.go
@@ -7,9 +7,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestStaleControlLinks makes every open control link silent for good, in one
+// TestUnresponsiveControlLinks makes every open control link silent for good, in one
 // direction or both, while new ones work.
-func TestStaleControlLinks(t *testing.T) {
+func TestUnresponsiveControlLinks(t *testing.T) {
 	for name, ways := range map[string][]faultproxy.Direction{
 		"both ways":             {faultproxy.ToHost, faultproxy.ToCaller},
 		"towards control":       {faultproxy.ToHost},
--- a/test/points_test.go
+++ b/test/crashpoints_test.go
@@ -19,27 +19,27 @@
 	others []*processtest.Control
 	// address is where the operator calls the leader.
 	address *faultproxy.TCPRelay
-	// written is the size of each host's log before the patch.
-	written map[*processtest.Control]int64
+	// logSizes is the size of each host's log before the patch.
+	logSizes map[*processtest.Control]int64
 }
 
-// wrote tells whether the host's log has grown since before the patch.
-func (a *attempt) wrote(host *processtest.Control) bool {
-	return host.LogBytes() > a.written[host]
+// hasWritten tells whether the host's log has grown since before the patch.
+func (a *attempt) hasWritten(host *processtest.Control) bool {
+	return host.LogBytes() > a.logSizes[host]
 }
 
-// point is how far a patch has come when its leader is killed.
-type point struct {
+// crashPoint is how far a patch has come when its leader is killed.
+type crashPoint struct {
 	// hold keeps the patch from coming further.
 	hold func(*attempt)
 	// reached tells that it has come as far as that.
 	reached func(*attempt) bool
 }
 
-// points lists the steps of a patch. A kill -9 leaves what was written to the
+// crashPoints lists the steps of a patch. A kill -9 leaves what was written to the
 // operating system, so that it cannot tell a write before its sync from one
 // after it: the crash tests of the packages wal and replica do.
-var points = map[string]point{
+var crashPoints = map[string]crashPoint{
 	"request lost before the leader": {
 		hold: func(a *attempt) {
 			a.address.SetFaults(faultproxy.ToHost, faultproxy.Faults{Cut: true})
@@ -49,22 +49,22 @@
 	"written by the leader alone": {
 		hold: func(a *attempt) {
 			for _, host := range a.others {
-				cutOff(host, faultproxy.ToHost)
+				cutPeerLinks(host, faultproxy.ToHost)
 			}
 		},
-		reached: func(a *attempt) bool { return a.wrote(a.leader) },
+		reached: func(a *attempt) bool { return a.hasWritten(a.leader) },
 	},
 	"written by one other, not acknowledged": {
 		hold: func(a *attempt) {
-			cutOff(a.others[0], faultproxy.ToHost)
-			cutOff(a.leader, faultproxy.ToHost)
+			cutPeerLinks(a.others[0], faultproxy.ToHost)
+			cutPeerLinks(a.leader, faultproxy.ToHost)
 		},
-		reached: func(a *attempt) bool { return a.wrote(a.leader) && a.wrote(a.others[1]) },
+		reached: func(a *attempt) bool { return a.hasWritten(a.leader) && a.hasWritten(a.others[1]) },
 	},
 	"written by all, not acknowledged": {
-		hold: func(a *attempt) { cutOff(a.leader, faultproxy.ToHost) },
+		hold: func(a *attempt) { cutPeerLinks(a.leader, faultproxy.ToHost) },
 		reached: func(a *attempt) bool {
-			return a.wrote(a.leader) && a.wrote(a.others[0]) && a.wrote(a.others[1])
+			return a.hasWritten(a.leader) && a.hasWritten(a.others[0]) && a.hasWritten(a.others[1])
 		},
 	},
 	"in force, not answered": {
@@ -78,11 +78,11 @@
 	},
 }
 
-// TestLeaderKilledAtEachPoint holds a patch at each step of its way through
+// TestLeaderKilledAtEachStepOfPatch holds a patch at each step of its way through
 // the leader and kills the leader there. Sent again through the others the
 // patch becomes version 2, once, and every host tells so.
-func TestLeaderKilledAtEachPoint(t *testing.T) {
-	for name, p := range points {
+func TestLeaderKilledAtEachStepOfPatch(t *testing.T) {
+	for name, p := range crashPoints {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			a := newAttempt(t)
@@ -93,7 +93,7 @@
 			is.NoErr(err)
 			p.hold(a)
 			for _, host := range a.d.controls {
-				a.written[host] = host.LogBytes()
+				a.logSizes[host] = host.LogBytes()
 			}
 			var first error
 			var call conc.WaitGroup
@@ -113,12 +113,12 @@
 
 func newAttempt(t *testing.T) *attempt {
 	t.Helper()
-	d := historyDeployment(t).withAgent()
+	d := deployRelayed(t).withAgent()
 	leader := d.Leader()
 	return &attempt{
 		d: d, leader: leader, others: leader.Others(),
-		address: leader.OperatorRelay(),
-		written: map[*processtest.Control]int64{},
+		address:  leader.OperatorRelay(),
+		logSizes: map[*processtest.Control]int64{},
 	}
 }
 
@@ -130,7 +130,7 @@
 	others := a.d.Client(a.others[0].Operator, a.others[1].Operator)
 	again := func() (out *configpb.Outcome) {
 		processtest.Eventually(t, "the outcome is told", func() bool {
-			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			defer cancel()
 			var err error
 			out, err = others.Submit(ctx, putPatch("held", 1, a.d.lodgement))
@@ -151,5 +151,5 @@
 		})
 		is.Equal(o.Version, uint64(2))
 	}
-	a.d.checkFollowers(t, 2)
+	a.d.checkSubscribers(t, 2)
 }
--- a/test/damage_test.go
+++ b/test/datadir_test.go
@@ -12,8 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// threeControls starts control hosts and makes some versions.
-func threeControls(t *testing.T) *deployment {
+// deployControls starts control hosts and makes some versions.
+func deployControls(t *testing.T) *deployment {
 	t.Helper()
 	const versions = 8
 	d := &deployment{Cluster: processtest.New(t)}
@@ -25,8 +25,8 @@
 	return d
 }
 
-// checkHolds expects the host itself to be at the version.
-func (d *deployment) checkHolds(t *testing.T, host *processtest.Control, version uint64) {
+// waitVersion expects the host itself to be at the version.
+func (d *deployment) waitVersion(t *testing.T, host *processtest.Control, version uint64) {
 	t.Helper()
 	processtest.Eventually(t, fmt.Sprintf("%s holds version %d", host.Name, version), func() bool {
 		s := host.Status()
@@ -34,14 +34,14 @@
 	})
 }
 
-// TestTornTailStarts leaves a record that was cut off in the middle at the end
+// TestControlHostStartsWithTornLogTail leaves a record that was cut off in the middle at the end
 // of a host's log, as a crash does that comes between write and sync.
-func TestTornTailStarts(t *testing.T) {
+func TestControlHostStartsWithTornLogTail(t *testing.T) {
 	is := is.New(t)
-	d := threeControls(t)
+	d := deployControls(t)
 	host := d.Leader()
 	host.Kill()
-	segment := newest(host.Files(processtest.SegmentFiles))
+	segment := latest(host.Files(processtest.SegmentFiles))
 	data, err := os.ReadFile(segment)
 	is.NoErr(err)
 	const torn = 40 // more than a header, less than a record
@@ -49,16 +49,16 @@
 	host.Launch()
 	host.WaitReady()
 	version := d.Patch(d.lodgement.Put())
-	d.checkHolds(t, host, version)
+	d.waitVersion(t, host, version)
 }
 
-func newest(paths []string) string { return paths[len(paths)-1] }
+func latest(paths []string) string { return paths[len(paths)-1] }
 
-// TestFlippedByteStops flips one byte in each kind of file. The host refuses to
+// TestCorruptedFilePreventsStart flips one byte in each kind of file. The host refuses to
 // start, with exit code 1 and an error that names file and offset, the others
 // go on; with the byte flipped back it starts and catches up.
-func TestFlippedByteStops(t *testing.T) {
-	d := threeControls(t)
+func TestCorruptedFilePreventsStart(t *testing.T) {
+	d := deployControls(t)
 	host := d.controls[0]
 	for name, test := range map[string]struct {
 		pattern string
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			host.Kill()
-			path := newest(host.Files(test.pattern))
+			path := latest(host.Files(test.pattern))
 			restore := flip(t, path, test.part)
 			host.Launch()
 			is.Equal(host.WaitEnd(), 1)
@@ -84,7 +84,7 @@
 			restore()
 			host.Launch()
 			host.WaitReady()
-			d.checkHolds(t, host, version)
+			d.waitVersion(t, host, version)
 		})
 	}
 }
@@ -104,17 +104,17 @@
 	return change
 }
 
-// TestFullDiskStops lets no file of one host grow any more. That host stops
+// TestFullDiskStopsControlHost lets no file of one host grow any more. That host stops
 // with a clear error and exit code 1, what it had acknowledged is there when
 // it comes back, and the others go on.
-func TestFullDiskStops(t *testing.T) {
+func TestFullDiskStopsControlHost(t *testing.T) {
 	for name, pick := range map[string]func(*deployment) *processtest.Control{
 		"leader":   (*deployment).Leader,
 		"follower": func(d *deployment) *processtest.Control { return d.Leader().Others()[0] },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := threeControls(t)
+			d := deployControls(t)
 			host := pick(d)
 			host.LimitFileSize(host.LogBytes() + 10)
 			d.Patch(d.lodgement.Put())
@@ -123,7 +123,7 @@
 			version := d.Patch(d.lodgement.Put())
 			host.Launch()
 			host.WaitReady()
-			d.checkHolds(t, host, version)
+			d.waitVersion(t, host, version)
 			for v := uint64(1); v <= version; v++ {
 				is.Equal(d.Show(fmt.Sprint("patch-", v)).Version, v)
 			}
--- a/test/path_test.go
+++ b/test/datapath_test.go
@@ -23,7 +23,7 @@
 	HoldBack:  10 * time.Millisecond,
 }
 
-func TestEveryDatagramOverAnyEntryHost(t *testing.T) {
+func TestFlowsOverLossyPaths(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestGarbageDisturbsNothing(t *testing.T) {
+func TestInvalidDatagramsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestRefusalsAreTheDocumentedOnes(t *testing.T) {
+func TestDocumentedRefusals(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -32,11 +32,11 @@
 // deployWith is deploy with options for all targets.
 func deployWith(t *testing.T, controls int, options processtest.TargetOptions) *deployment {
 	t.Helper()
-	return deployAs(t, options, func(c *processtest.Cluster) []*processtest.Control { return c.StartControls(controls) })
+	return deployOn(t, options, func(c *processtest.Cluster) []*processtest.Control { return c.StartControls(controls) })
 }
 
-// deployAs is deployWith on control hosts that start starts.
-func deployAs(t *testing.T, options processtest.TargetOptions, start func(*processtest.Cluster) []*processtest.Control) *deployment {
+// deployOn is deployWith on control hosts that start starts.
+func deployOn(t *testing.T, options processtest.TargetOptions, start func(*processtest.Cluster) []*processtest.Control) *deployment {
 	t.Helper()
 	t.Parallel() // each deployment has its own addresses
 	d := &deployment{Cluster: processtest.New(t)}
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -10,9 +10,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// controlOf returns the running control host that serves a subscriber, nil if
+// subscribedControl returns the running control host that serves a subscriber, nil if
 // there is none.
-func (d *deployment) controlOf(name string) *processtest.Control {
+func (d *deployment) subscribedControl(name string) *processtest.Control {
 	for _, host := range d.controls {
 		if !host.Running() {
 			continue
@@ -24,10 +24,10 @@
 	return nil
 }
 
-// TestLostControlHostCostsNoFullList kills the control host of an entry host
+// TestReconnectSendsDirectoryDifferences kills the control host of an entry host
 // that knows hundreds of targets: from the next one it gets what differs, and
 // every later change, but not the list again.
-func TestLostControlHostCostsNoFullList(t *testing.T) {
+func TestReconnectSendsDirectoryDifferences(t *testing.T) {
 	is := is.New(t)
 	const standIns = 300
 	d := deploy(t, 3)
@@ -40,9 +40,9 @@
 	received := func() float64 { return entry.Counted("subscriber_directory_records") }
 	processtest.Eventually(t, "the list at the entry host", known(total))
 
-	lost := d.controlOf(entry.Host)
+	lost := d.subscribedControl(entry.Host)
 	lost.Kill()
-	processtest.Eventually(t, "another control host", func() bool { return d.controlOf(entry.Host) != nil })
+	processtest.Eventually(t, "another control host", func() bool { return d.subscribedControl(entry.Host) != nil })
 	d.lodgement.AnnounceStandIns(1)
 	processtest.Eventually(t, "a target announced since", known(total+1))
 	processtest.Eventually(t, "its record in the counters", func() bool { return received() > float64(total) })
@@ -50,10 +50,10 @@
 	is.True(received() < 1.25*float64(total)) // another list would be twice as many
 }
 
-// TestEntryHostOfOneRegion restricts an entry host to the failure domains of
+// TestEntryHostLimitedToFailureDomains restricts an entry host to the failure domains of
 // two targets, while flows are open to all. Every flow stays where it is through
 // that host alone, and new ones begin at the targets that it knows.
-func TestEntryHostOfOneRegion(t *testing.T) {
+func TestEntryHostLimitedToFailureDomains(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	type flow struct {
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestSubscribersSpreadAnew loses all control hosts but one, which then has all
+// TestSubscribersAreRebalanced loses all control hosts but one, which then has all
 // subscribers, and brings the others back: they get theirs.
-func TestSubscribersSpreadAnew(t *testing.T) {
+func TestSubscribersAreRebalanced(t *testing.T) {
 	const subscribers = 24
 	d := deploy(t, 3)
 	d.StartSubscribers(subscribers)
--- a/test/loss_test.go
+++ b/test/diskloss_test.go
@@ -31,11 +31,11 @@
 	}
 }
 
-// TestDiskLostAgainAfterRepair loses the data folder of one host after the
+// TestDisksLostOneAfterAnother loses the data folder of one host after the
 // other, each right after the one before was replaced, until none of the first
 // replicas is left: nothing that was accepted is lost.
-func TestDiskLostAgainAfterRepair(t *testing.T) {
-	d := threeControls(t)
+func TestDisksLostOneAfterAnother(t *testing.T) {
+	d := deployControls(t)
 	hosts := append([]*processtest.Control{d.Leader()}, d.Leader().Others()...)
 	version := uint64(0)
 	for _, host := range hosts {
@@ -45,16 +45,16 @@
 		d.checkOutcomes(t, version)
 	}
 	for _, host := range d.controls {
-		d.checkHolds(t, host, version)
+		d.waitVersion(t, host, version)
 	}
 }
 
-// TestDiskLostBeforeRepair loses a data folder and then stops another host
+// TestEmptyReplicaDoesNotCountForQuorum loses a data folder and then stops another host
 // before the repair. The empty replica may not stand in for a quorum: nothing
 // is accepted until the other host is back, and then nothing is lost.
-func TestDiskLostBeforeRepair(t *testing.T) {
+func TestEmptyReplicaDoesNotCountForQuorum(t *testing.T) {
 	is := is.New(t)
-	d := threeControls(t)
+	d := deployControls(t)
 	empty := d.Leader()
 	second := empty.Others()[0]
 	last := empty.Others()[1]
@@ -73,6 +73,6 @@
 	empty.Replace()
 	version = d.Settle(version, "in-between", d.lodgement.Put()).Version
 	for _, host := range d.controls {
-		d.checkHolds(t, host, version)
+		d.waitVersion(t, host, version)
 	}
 }
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -10,9 +10,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// holder returns the target of lodgement that the watch is with, and the other
+// sessionTarget returns the target of lodgement that the watch is with, and the other
 // one.
-func (d *deployment) holder(t *testing.T, watch *processtest.Watch) (holder, other *processtest.Target) {
+func (d *deployment) sessionTarget(t *testing.T, watch *processtest.Watch) (sessionTarget, other *processtest.Target) {
 	t.Helper()
 	targets := d.targets[d.lodgement]
 	for i, target := range targets {
@@ -24,18 +24,18 @@
 	return nil, nil
 }
 
-func TestAgentRestartsBesideItsSessions(t *testing.T) {
+func TestAgentRestartKeepsSessions(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	load := d.startLoad(t)
-	target, _ := d.holder(t, load.watch)
+	target, _ := d.sessionTarget(t, load.watch)
 	old := target.Agent
 	inFlight := d.startRequests(t, target, 2)
 	target.StopAgent()
 	target.LaunchAgent()
 	target.WaitRegistered()
 	for _, answer := range inFlight.wait() {
-		is.Equal(answer, whole)
+		is.Equal(answer, completed)
 	}
 	load.progress()
 	processtest.Eventually(t, "the new agent takes flows", func() bool {
@@ -69,14 +69,14 @@
 	is := is.New(t)
 	d := deploy(t, 1)
 	load := d.startLoad(t)
-	target, other := d.holder(t, load.watch)
+	target, other := d.sessionTarget(t, load.watch)
 	inFlight := d.startRequests(t, target, 2)
 	target.Backend.Terminate()
 	for _, answer := range inFlight.wait() {
-		is.Equal(answer, whole)
+		is.Equal(answer, completed)
 	}
 	target.WaitTakesNoFlow()
-	d.avoids(t, target)
+	d.checkNoNewFlows(t, target)
 	load.progress()
 	is.True(target.Backend.Running())
 	is.True(other.Answered(d.lodgement.NewCaller().Echo("x")))
@@ -85,9 +85,9 @@
 	target.Backend.WaitExit()
 }
 
-// TestLeavingTargetBehindCutOffEntryHost sends every packet through an entry
+// TestDrainingTargetBehindPartitionedEntryHost sends every packet through an entry
 // host that can't hear of the leaving.
-func TestLeavingTargetBehindCutOffEntryHost(t *testing.T) {
+func TestDrainingTargetBehindPartitionedEntryHost(t *testing.T) {
 	d := deploy(t, 1)
 	link := d.controls[0].Relay()
 	d.StartEntry(link.Addr())
@@ -95,26 +95,26 @@
 		e.Leave()
 	}
 	load := d.startLoad(t)
-	target, _ := d.holder(t, load.watch)
+	target, _ := d.sessionTarget(t, load.watch)
 	link.Cut()
 	target.StopAgent()
-	d.avoids(t, target)
+	d.checkNoNewFlows(t, target)
 	load.progress()
 	load.stop()
 }
 
-// avoids opens many flows, none of which the target may take. What keeps it
+// checkNoNewFlows opens many flows, none of which the target may take. What keeps it
 // from new flows has to be in force: that no flow of a round reached the target
 // says nothing, as a load report makes the other one look better for as long.
-func (d *deployment) avoids(t *testing.T, target *processtest.Target) {
+func (d *deployment) checkNoNewFlows(t *testing.T, target *processtest.Target) {
 	t.Helper()
-	is.New(t).Equal(d.reaching(target, manyFlows), 0)
+	is.New(t).Equal(d.countFlowsTo(target, manyFlows), 0)
 }
 
 const manyFlows = 100
 
-// reaching opens flows and returns how many of them the target took.
-func (d *deployment) reaching(target *processtest.Target, flows int) int {
+// countFlowsTo opens flows and returns how many of them the target took.
+func (d *deployment) countFlowsTo(target *processtest.Target, flows int) int {
 	taken := 0
 	for i := range flows {
 		answer := d.lodgement.NewCaller().Echo(fmt.Sprint(i))
@@ -125,16 +125,16 @@
 	return taken
 }
 
-// candidates waits until all entry hosts decide between so many targets.
-func (d *deployment) candidates(t *testing.T, count int) {
+// waitCandidates waits until all entry hosts decide between so many targets.
+func (d *deployment) waitCandidates(t *testing.T, count int) {
 	t.Helper()
-	d.onEntries(t, fmt.Sprint(count, " candidates"), func(e *processtest.Entry) bool {
+	d.eventuallyOnEntries(t, fmt.Sprint(count, " candidates"), func(e *processtest.Entry) bool {
 		return e.Candidates() == count
 	})
 }
 
-// onEntries waits until the condition holds on each entry host.
-func (d *deployment) onEntries(t *testing.T, what string, holds func(*processtest.Entry) bool) {
+// eventuallyOnEntries waits until the condition holds on each entry host.
+func (d *deployment) eventuallyOnEntries(t *testing.T, what string, holds func(*processtest.Entry) bool) {
 	t.Helper()
 	for _, e := range d.entries {
 		processtest.Eventually(t, what+" on "+e.Host, func() bool { return holds(e) })
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEntryHostLostAndAnotherAdded(t *testing.T) {
+func TestEntryHostsReplaced(t *testing.T) {
 	d := deploy(t, 1)
 	load := d.startLoad(t)
 	d.entries[0].Kill()
--- a/test/lying_test.go
+++ b/test/faultybackends_test.go
@@ -9,9 +9,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestLyingEndpointsKeepTheServiceUp lets every backend server lie in the same
+// TestWrongReportsKeepServiceUp lets every backend server lie in the same
 // way. All of them work, so every request is answered.
-func TestLyingEndpointsKeepTheServiceUp(t *testing.T) {
+func TestWrongReportsKeepServiceUp(t *testing.T) {
 	for name, faults := range map[string][]string{
 		"always ill":                 {"--fault-health=ill"},
 		"frozen":                     {"--fault-health=frozen", "--fault-load=stale"},
@@ -31,16 +31,16 @@
 	}
 }
 
-// TestOneLiarAmongHonest lets one of three backend servers lie. A broken one
+// TestOneBackendServerWithWrongReports lets one of three backend servers lie. A broken one
 // that claims to be well is avoided by what its agent sees; a working one that
 // claims to be ill and full takes flows again for the same reason.
-func TestOneLiarAmongHonest(t *testing.T) {
+func TestOneBackendServerWithWrongReports(t *testing.T) {
 	t.Run("broken, claims to be well and idle", func(t *testing.T) {
 		d := deploy(t, 1)
 		liar := d.lodgement.StartTargetWith("liar", processtest.TargetOptions{
 			Faults: []string{"--fault-broken", "--fault-health=well", "--fault-load=idle"},
 		})
-		d.avoidsLiar(t, liar)
+		d.checkFaultyAvoided(t, liar)
 	})
 	t.Run("working, claims to be ill and full", func(t *testing.T) {
 		d := deploy(t, 1)
@@ -54,8 +54,8 @@
 	})
 }
 
-// avoidsLiar sends new flows until the liar takes none of them.
-func (d *deployment) avoidsLiar(t *testing.T, liar *processtest.Target) {
+// checkFaultyAvoided sends new flows until the liar takes none of them.
+func (d *deployment) checkFaultyAvoided(t *testing.T, liar *processtest.Target) {
 	t.Helper()
 	const flows = 20
 	broken := func() int {
@@ -72,10 +72,10 @@
 	is.New(t).True(liar.Backend.Running())
 }
 
-// TestRampFollowsTheBackendServer restarts the agent beside an old backend
+// TestRampFollowsBackendServerAge restarts the agent beside an old backend
 // server, which stays old, and then the backend server beside its agent, which
 // is cold, although it listens at the same address.
-func TestRampFollowsTheBackendServer(t *testing.T) {
+func TestRampFollowsBackendServerAge(t *testing.T) {
 	const hour = 3600
 	d := deploy(t, 1)
 	target := d.lodgement.StartTargetWith("old", processtest.TargetOptions{Faults: []string{"--fault-age=24h"}})
@@ -89,9 +89,9 @@
 	processtest.Eventually(t, "the new server is cold", func() bool { return target.BackendAge() < hour })
 }
 
-// TestNewServerThatClaimsToBeOldIsCold has a backend server begin after its
+// TestClaimedAgeOfNewBackendServerIgnored has a backend server begin after its
 // agent has waited for it: what the agent saw goes before the claim.
-func TestNewServerThatClaimsToBeOldIsCold(t *testing.T) {
+func TestClaimedAgeOfNewBackendServerIgnored(t *testing.T) {
 	const hour = 3600
 	d := deploy(t, 1)
 	target := d.targets[d.lodgement][0]
--- a/test/answers_test.go
+++ b/test/faultyresponses_test.go
@@ -14,24 +14,24 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// badAnswers are the flags of a backend server that holds back, cuts short and
+// faultyResponses are the flags of a backend server that holds back, cuts short and
 // doubles some of its answers. The intervals have no common divisor, so that
 // each combination occurs.
-var badAnswers = []string{
+var faultyResponses = []string{
 	"--fault-late-every=5", "--fault-late-by=80ms",
 	"--fault-truncate-every=7", "--fault-cross-every=3",
 }
 
-// longAnswer is more than an agent holds back until it is whole.
-const longAnswer = 200 << 10
+// longResponse is more than an agent holds back until it is whole.
+const longResponse = 200 << 10
 
-// TestBadAnswersReachNobody sends requests of many callers to such backend
+// TestFaultyResponsesAreNotDelivered sends requests of many callers to such backend
 // servers. Each gets its own answer as a whole, or is told that the outcome is
 // unknown, or sees its stream reset.
-func TestBadAnswersReachNobody(t *testing.T) {
+func TestFaultyResponsesAreNotDelivered(t *testing.T) {
 	is := is.New(t)
 	const workers, requests = 8, 40
-	d := deployWith(t, 1, processtest.TargetOptions{Faults: badAnswers})
+	d := deployWith(t, 1, processtest.TargetOptions{Faults: faultyResponses})
 	fates := make([]map[string]int, workers)
 	var senders conc.WaitGroup
 	for worker := range workers {
@@ -39,7 +39,7 @@
 		caller := d.lodgement.NewCaller()
 		senders.Go(func() {
 			for i := range requests {
-				fates[worker][fateOfBadAnswer(caller, worker, i)]++
+				fates[worker][faultyResponseResult(caller, worker, i)]++
 			}
 		})
 	}
@@ -57,11 +57,11 @@
 	is.True(total["reset"] > 0)
 }
 
-// fateOfBadAnswer sends a request whose answer tells it from any other one.
-func fateOfBadAnswer(caller *processtest.Caller, worker, i int) string {
+// faultyResponseResult sends a request whose answer tells it from any other one.
+func faultyResponseResult(caller *processtest.Caller, worker, i int) string {
 	content := []byte(fmt.Sprintf("worker %d request %d;", worker, i))
 	if i%4 == 0 {
-		content = bytes.Repeat(content, longAnswer/len(content))
+		content = bytes.Repeat(content, longResponse/len(content))
 	}
 	var header http.Header
 	if i%3 == 0 {
--- a/test/flight_test.go
+++ b/test/firstflight_test.go
@@ -17,12 +17,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestFirstFlightOverDifferentViews sends the two datagrams of each caller's
+// TestSplitClientHelloWithDifferentTargetViews sends the two datagrams of each caller's
 // ClientHello, and what is sent again, to two entry hosts in turn that know no
 // target in common: one and the targets that it knows are cut off from control,
 // which has given them up and told the other of new ones. All of them take flows.
 // One target serves each caller, and no other begins with it.
-func TestFirstFlightOverDifferentViews(t *testing.T) {
+func TestSplitClientHelloWithDifferentTargetViews(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const callers, wayBack = 60, 10 * time.Millisecond // the whole first flight leaves before a Retry is back
@@ -46,16 +46,16 @@
 	for _, target := range targets {
 		d.callerOf(t, target) // takes flows, and has one from now on
 	}
-	d.candidates(t, 2)
+	d.waitCandidates(t, 2)
 	is.Equal(deaf.Candidates(), 2)
 
 	fabric := d.lodgement.Fabric
 	fabric.SendInTurn()
 	fabric.SetFaults(faultproxy.ToHost, faultproxy.Faults{Delay: wayBack, Drop: 0.03, Duplicate: 0.2})
 	fabric.SetFaults(faultproxy.ToCaller, faultproxy.Faults{Delay: wayBack, Drop: 0.05})
-	before := d.begun(t, targets)
-	served := d.servedBy(t, callers)
-	for i, now := range d.begun(t, targets) {
+	before := d.openedConnections(t, targets)
+	served := d.countServed(t, callers)
+	for i, now := range d.openedConnections(t, targets) {
 		t.Logf("%s: %v connections begun, %d callers served", targets[i].Name, now-before[i], served[targets[i].Name])
 		is.Equal(int(now-before[i]), served[targets[i].Name])
 	}
@@ -63,9 +63,9 @@
 	is.True(served[targets[2].Name]+served[targets[3].Name] > 0) // over the other one
 }
 
-// servedBy opens flows, some of them side by side, expects a whole answer on each and returns
+// countServed opens flows, some of them side by side, expects a whole answer on each and returns
 // how many each target serves.
-func (d *deployment) servedBy(t *testing.T, callers int) map[string]int {
+func (d *deployment) countServed(t *testing.T, callers int) map[string]int {
 	t.Helper()
 	is := is.New(t)
 	answers, errs := make([]*processtest.Answer, callers), make([]error, callers)
@@ -73,7 +73,7 @@
 	for i := range callers {
 		caller := d.lodgement.NewCaller()
 		all.Go(func() {
-			path := "/echo?text=" + url.QueryEscape(echoOf(i))
+			path := "/echo?text=" + url.QueryEscape(echoText(i))
 			answers[i], errs[i] = caller.Do(context.Background(), http.MethodGet, path, nil, nil)
 		})
 	}
@@ -83,18 +83,18 @@
 	for i, answer := range answers {
 		is.Equal(answer.Reason, "") // not refused
 		is.Equal(answer.Status, http.StatusOK)
-		is.Equal(string(answer.Body), echoOf(i))
+		is.Equal(string(answer.Body), echoText(i))
 		name, _, _ := strings.Cut(answer.Target, "/")
 		served[name]++
 	}
 	return served
 }
 
-func echoOf(i int) string { return strings.Repeat(fmt.Sprintf("caller %d;", i), 100) }
+func echoText(i int) string { return strings.Repeat(fmt.Sprintf("caller %d;", i), 100) }
 
-// begun returns how many connections of callers each target has begun, by a
+// openedConnections returns how many connections of callers each target has begun, by a
 // figure taken after the call: all have open flows, whose packets are counted.
-func (d *deployment) begun(t *testing.T, targets []*processtest.Target) []float64 {
+func (d *deployment) openedConnections(t *testing.T, targets []*processtest.Target) []float64 {
 	t.Helper()
 	frames := func(target *processtest.Target) float64 { return target.Agent.Reading("frames_received", "", "") }
 	var all []float64
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -18,15 +18,15 @@
 const (
 	// recordedDatagrams bounds what is replayed of each direction.
 	recordedDatagrams = 40
-	// frameForgery and packetForgery are bytes that a forger changes: one of
+	// forgedFrameByte and packetForgery are bytes that a forger changes: one of
 	// the header of a frame, one of the connection ID in a short packet.
-	frameForgery, packetForgery = 20, 5
+	forgedFrameByte, forgedPacketByte = 20, 5
 
 	floodDatagrams = 4000
-	firstBytes     = 1200
-	// mostGrowth is the memory that a flood may cost for good, in bytes. A
+	initialSize    = 1200
+	// maxGrowth is the memory that a flood may cost for good, in bytes. A
 	// table with an entry of 16 KB for each datagram would exceed it.
-	mostGrowth = 48 << 20
+	maxGrowth = 48 << 20
 )
 
 // sendAll sends datagrams from a fresh port of a stranger.
@@ -65,7 +65,7 @@
 	d := deployWith(t, 1, processtest.TargetOptions{Relayed: true})
 	caller := d.lodgement.NewCaller()
 	watch := caller.Watch()
-	target, _ := d.holder(t, watch)
+	target, _ := d.sessionTarget(t, watch)
 	relays := []*faultproxy.Relay{d.lodgement.Fabric, target.Path}
 	for _, relay := range relays {
 		relay.Record(recordedDatagrams)
@@ -86,9 +86,9 @@
 		refused[reason] = entry.Refused(reason)
 	}
 	for range 3 {
-		sendAll(t, entry.Public(d.lodgement), forged(packets, packetForgery))
-		sendAll(t, entry.Frames(), forged(replies, frameForgery))
-		sendAll(t, target.Frames, forged(frames, frameForgery))
+		sendAll(t, entry.Public(d.lodgement), forged(packets, forgedPacketByte))
+		sendAll(t, entry.Frames(), forged(replies, forgedFrameByte))
+		sendAll(t, target.Frames, forged(frames, forgedFrameByte))
 		sendAll(t, entry.Public(d.lodgement), packets)
 		sendAll(t, entry.Frames(), replies)
 		sendAll(t, target.Frames, frames)
@@ -105,10 +105,10 @@
 	}
 }
 
-// firstPacket returns a datagram that looks like the first one of a flow.
-func firstPacket() []byte {
+// initialPacket returns a datagram that looks like the first one of a flow.
+func initialPacket() []byte {
 	const idBytes = 8
-	b := make([]byte, firstBytes)
+	b := make([]byte, initialSize)
 	_, _ = rand.Read(b) // only its look counts, not its content
 	b[0] = 0xc0 | b[0]&0x0f
 	binary.BigEndian.PutUint32(b[1:], 1)
@@ -116,18 +116,18 @@
 	b[6+idBytes] = idBytes
 	at := 7 + 2*idBytes
 	b[at] = 0 // no token
-	binary.BigEndian.PutUint16(b[at+1:], 0x4000|uint16(firstBytes-at-3))
+	binary.BigEndian.PutUint16(b[at+1:], 0x4000|uint16(initialSize-at-3))
 	return b
 }
 
-// TestFloodOfFirstPackets sends first packets of flows that never open, beside
+// TestInitialPacketFlood sends first packets of flows that never open, beside
 // traffic and an open session.
-func TestFloodOfFirstPackets(t *testing.T) {
+func TestInitialPacketFlood(t *testing.T) {
 	is := is.New(t)
 	const rounds = 3
 	d := deploy(t, 1)
 	load := d.startLoad(t)
-	target, _ := d.holder(t, load.watch)
+	target, _ := d.sessionTarget(t, load.watch)
 	flood := func() {
 		var senders conc.WaitGroup
 		for _, e := range d.entries {
@@ -139,7 +139,7 @@
 				}
 				defer conn.Close()
 				for range floodDatagrams {
-					_, _ = conn.Write(firstPacket()) // a full buffer is a lost datagram
+					_, _ = conn.Write(initialPacket()) // a full buffer is a lost datagram
 				}
 			})
 		}
@@ -153,8 +153,8 @@
 	}
 	t.Logf("resident: agent %.0f to %.0f, entry host %.0f to %.0f bytes",
 		agent, target.Resident(), entry, d.entries[0].Resident())
-	is.True(target.Resident()-agent < mostGrowth)
-	is.True(d.entries[0].Resident()-entry < mostGrowth)
+	is.True(target.Resident()-agent < maxGrowth)
+	is.True(d.entries[0].Resident()-entry < maxGrowth)
 	processtest.Eventually(t, "no session is left of the flood", func() bool {
 		return target.Counted("sessions", "") <= 4 // the watch and the callers of the traffic
 	})
--- a/test/stalled_test.go
+++ b/test/frozenagent_test.go
@@ -13,14 +13,14 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// standstill is how long an agent is frozen: twice what it notices.
-const standstill = 2 * time.Second
+// freezeDuration is how long an agent is frozen: twice what it notices.
+const freezeDuration = 2 * time.Second
 
-// TestNotRunHoldsOverAFrozenAgent sends a key to a frozen agent, where it waits
+// TestNotRunOutcomeHoldsWithFrozenAgent sends a key to a frozen agent, where it waits
 // in the buffer of the socket, and again to another target, which has no slot
 // left and says that it was not run. The caller keeps the first attempt. After
 // the thaw the key does not run: its caller was told so.
-func TestNotRunHoldsOverAFrozenAgent(t *testing.T) {
+func TestNotRunOutcomeHoldsWithFrozenAgent(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -30,14 +30,14 @@
 	var held conc.WaitGroup
 	for range slots {
 		held.Go(func() {
-			_, _ = busy.Do(ctx, http.MethodPost, processtest.RunPath(endlessWork), timeoutHeader(farDeadline), nil)
+			_, _ = busy.Do(ctx, http.MethodPost, processtest.RunPath(longWork), timeoutHeader(longDeadline), nil)
 		})
 	}
 	processtest.Eventually(t, "all slots are taken", func() bool { return second.Running() == slots })
 
 	const key = "in the buffer"
 	send := func(caller *processtest.Caller) (*processtest.Answer, error) {
-		header := timeoutHeader(farDeadline)
+		header := timeoutHeader(longDeadline)
 		header.Set(processtest.HeaderKey, key)
 		return caller.Do(ctx, http.MethodPost, processtest.RunPath(0), header, []byte(key))
 	}
@@ -50,7 +50,7 @@
 	told, err := send(other)
 	is.NoErr(err)
 	is.Equal(told.Outcome, processtest.OutcomeNotRun)
-	processtest.Eventually(t, "the agent stood still", func() bool { return time.Since(began) > standstill })
+	processtest.Eventually(t, "the agent stood still", func() bool { return time.Since(began) > freezeDuration })
 	first.Agent.Thaw()
 
 	attempt.Wait()
--- a/test/groups_test.go
+++ b/test/grantgroups_test.go
@@ -15,36 +15,36 @@
 // control hosts, so that one host leads two.
 const grantGroups = 4
 
-// deployGroups is deploy with several groups of grants, whose leaders are
+// deployWithGroups is deploy with several groups of grants, whose leaders are
 // spread.
-func deployGroups(t *testing.T) *deployment {
+func deployWithGroups(t *testing.T) *deployment {
 	t.Helper()
-	d := deployAs(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
+	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
 		return c.StartControlsWith(3, grantGroups)
 	})
 	d.SpreadGrants(grantGroups)
 	return d
 }
 
-// callers returns a caller of each target of lodgement.
-func (d *deployment) callers(t *testing.T) (first, second *processtest.Caller) {
+// callersOfTargets returns a caller of each target of lodgement.
+func (d *deployment) callersOfTargets(t *testing.T) (first, second *processtest.Caller) {
 	t.Helper()
 	targets := d.targets[d.lodgement]
 	return d.callerOf(t, targets[0]), d.callerOf(t, targets[1])
 }
 
-// deployRunning is deployGroups with keys of all groups that have ended, and
+// deployWithRuns is deployGroups with keys of all groups that have ended, and
 // others that run, at the first target. It returns a caller of the second one.
-func deployRunning(t *testing.T) (d *deployment, other *processtest.Caller, attempts runs) {
+func deployWithRuns(t *testing.T) (d *deployment, other *processtest.Caller, attempts runs) {
 	t.Helper()
-	d = deployGroups(t)
-	caller, other := d.callers(t)
-	d.checkRun(t, caller, keysOf("ended")...)
-	return d, other, d.startRuns(t, caller, keysOf("running"))
+	d = deployWithGroups(t)
+	caller, other := d.callersOfTargets(t)
+	d.checkRunsOnce(t, caller, keyOfEachGroup("ended")...)
+	return d, other, d.startRuns(t, caller, keyOfEachGroup("running"))
 }
 
-// keyOf returns a key of lodgement that a group of grants decides on.
-func keyOf(group int, name string) string {
+// keyOfGroup returns a key of lodgement that a group of grants decides on.
+func keyOfGroup(group int, name string) string {
 	const lodgement = 1 // the first service that a deployment creates
 	table := grant.NewSlotTable(grantGroups)
 	for i := 0; ; i++ {
@@ -54,39 +54,39 @@
 	}
 }
 
-// keysOf returns one key of each group.
-func keysOf(name string) []string {
+// keyOfEachGroup returns one key of each group.
+func keyOfEachGroup(name string) []string {
 	var keys []string
 	for group := range grantGroups {
-		keys = append(keys, keyOf(group, name))
+		keys = append(keys, keyOfGroup(group, name))
 	}
 	return keys
 }
 
-// checkRun expects that each key is answered, and ran once.
-func (d *deployment) checkRun(t *testing.T, caller *processtest.Caller, keys ...string) {
+// checkRunsOnce expects that each key is answered, and ran once.
+func (d *deployment) checkRunsOnce(t *testing.T, caller *processtest.Caller, keys ...string) {
 	t.Helper()
 	is := is.New(t)
 	for _, key := range keys {
-		answer := d.resendThroughLoss(t, caller, key)
+		answer := d.resendUntilAnswered(t, caller, key)
 		is.Equal(string(answer.Body), key)
 		is.Equal(d.runs(key), 1)
 	}
 }
 
-// TestLeaderOfOneGroupKilled kills the leader of one group while keys of all
+// TestGrantGroupLeaderKilled kills the leader of one group while keys of all
 // groups run at one target. The other target serves new keys of the other groups
 // and of that one, and gets the answers of all.
-func TestLeaderOfOneGroupKilled(t *testing.T) {
-	d, other, attempts := deployRunning(t)
+func TestGrantGroupLeaderKilled(t *testing.T) {
+	d, other, attempts := deployWithRuns(t)
 	lost := d.LeaderOfGrants(1)
 	lost.Kill()
-	d.checkRun(t, other, keyOf(2, "beside"), keyOf(0, "beside"), keyOf(1, "after"))
-	d.checkRun(t, other, append(keysOf("ended"), keysOf("running")...)...)
-	attempts.giveUp()
+	d.checkRunsOnce(t, other, keyOfGroup(2, "beside"), keyOfGroup(0, "beside"), keyOfGroup(1, "after"))
+	d.checkRunsOnce(t, other, append(keyOfEachGroup("ended"), keyOfEachGroup("running")...)...)
+	attempts.abandon()
 	lost.Relaunch()
 	d.SpreadGrants(grantGroups) // it leads again what it should
-	d.checkRun(t, other, keysOf("back")...)
+	d.checkRunsOnce(t, other, keyOfEachGroup("back")...)
 }
 
 // startRuns starts a run of each key and waits until all run.
@@ -100,60 +100,60 @@
 	return all
 }
 
-type runs []*run
+type runs []*pendingRun
 
-func (all runs) giveUp() {
+func (all runs) abandon() {
 	for _, r := range all {
-		r.giveUp()
+		r.abandon()
 	}
 }
 
-// TestGroupsOutliveTwoLosses is TestGrantOutlivesTwoLosses for all groups: the
+// TestGrantGroupsSurviveTwoHostLosses is TestGrantOutlivesTwoLosses for all groups: the
 // leader of one of them loses its disk, and another host is killed right after
 // the repair.
-func TestGroupsOutliveTwoLosses(t *testing.T) {
-	d, other, attempts := deployRunning(t)
+func TestGrantGroupsSurviveTwoHostLosses(t *testing.T) {
+	d, other, attempts := deployWithRuns(t)
 	lost := d.LeaderOfGrants(2)
 	lost.Kill()
 	lost.LoseDisk()
-	d.checkRun(t, other, keysOf("ended")...)
+	d.checkRunsOnce(t, other, keyOfEachGroup("ended")...)
 	lost.Relaunch()
 	lost.Replace()
 	lost.Others()[0].Kill()
-	d.checkRun(t, other, append(keysOf("ended"), keysOf("running")...)...)
-	d.checkRun(t, other, keysOf("fresh")...)
-	attempts.giveUp()
+	d.checkRunsOnce(t, other, append(keyOfEachGroup("ended"), keyOfEachGroup("running")...)...)
+	d.checkRunsOnce(t, other, keyOfEachGroup("fresh")...)
+	attempts.abandon()
 }
 
-// TestGroupsRestart restarts all control hosts, by plan in turn and by kill -9
+// TestGrantGroupsSurviveRestart restarts all control hosts, by plan in turn and by kill -9
 // at once. What was decided holds.
-func TestGroupsRestart(t *testing.T) {
+func TestGrantGroupsSurviveRestart(t *testing.T) {
 	is := is.New(t)
-	d := deployGroups(t)
-	caller, other := d.callers(t)
-	d.checkRun(t, caller, keysOf("first")...)
+	d := deployWithGroups(t)
+	caller, other := d.callersOfTargets(t)
+	d.checkRunsOnce(t, caller, keyOfEachGroup("first")...)
 	for _, host := range d.controls {
 		d.SpreadGrants(grantGroups)
-		before, led := host.Logged(handedOverMessage), leads(host)
+		before, led := host.Logged(transferredMessage), groupsLed(host)
 		host.Terminate()
 		host.WaitExit()
 		is.True(led > 0)
-		is.True(host.Logged(handedOverMessage) >= before+led) // of every group
+		is.True(host.Logged(transferredMessage) >= before+led) // of every group
 		host.Relaunch()
 	}
-	d.checkRun(t, other, append(keysOf("first"), keysOf("second")...)...)
+	d.checkRunsOnce(t, other, append(keyOfEachGroup("first"), keyOfEachGroup("second")...)...)
 	for _, host := range d.controls {
 		host.Kill()
 	}
 	for _, host := range d.controls {
 		host.Launch()
 	}
-	d.checkRun(t, other, append(keysOf("first"), keysOf("second")...)...)
-	d.checkRun(t, caller, keysOf("third")...)
+	d.checkRunsOnce(t, other, append(keyOfEachGroup("first"), keyOfEachGroup("second")...)...)
+	d.checkRunsOnce(t, caller, keyOfEachGroup("third")...)
 }
 
-// leads returns how many groups of grants a host leads.
-func leads(host *processtest.Control) int {
+// groupsLed returns how many groups of grants a host leads.
+func groupsLed(host *processtest.Control) int {
 	n := 0
 	for _, group := range host.Status().Groups {
 		if group.Grants != nil && group.State == "leads" {
@@ -163,15 +163,15 @@
 	return n
 }
 
-// TestLostGroupStopsOnlyItsKeys takes one group away from two of three hosts
+// TestLostGrantGroupAffectsOnlyItsKeys takes one group away from two of three hosts
 // for good. Its keys do not run, the others are served, and so are requests
 // that may be repeated.
-func TestLostGroupStopsOnlyItsKeys(t *testing.T) {
+func TestLostGrantGroupAffectsOnlyItsKeys(t *testing.T) {
 	is := is.New(t)
-	d := deployGroups(t)
+	d := deployWithGroups(t)
 	const lost = 1
 	caller := d.callerOf(t, d.targets[d.lodgement][0])
-	d.checkRun(t, caller, keysOf("before")...)
+	d.checkRunsOnce(t, caller, keyOfEachGroup("before")...)
 	for _, host := range d.controls[1:] {
 		host.Kill()
 		host.LoseGroup(lost)
@@ -179,10 +179,10 @@
 	}
 	for group := range grantGroups {
 		if group != lost {
-			d.checkRun(t, caller, keyOf(group, "before"), keyOf(group, "after"))
+			d.checkRunsOnce(t, caller, keyOfGroup(group, "before"), keyOfGroup(group, "after"))
 		}
 	}
-	for _, key := range []string{keyOf(lost, "before"), keyOf(lost, "after")} {
+	for _, key := range []string{keyOfGroup(lost, "before"), keyOfGroup(lost, "after")} {
 		ran := d.runs(key)
 		answer, err := runKey(caller, key)
 		is.NoErr(err)
@@ -193,14 +193,14 @@
 	d.checkEchoes(t, "may be repeated", 3)
 }
 
-// TestOldSlotTable asks by another table than the agreed one: as an agent that
+// TestOutdatedSlotTableRefused asks by another table than the agreed one: as an agent that
 // knew the deployment before it was founded anew, and as a control host whose
 // settings name another number of groups.
-func TestOldSlotTable(t *testing.T) {
+func TestOutdatedSlotTableRefused(t *testing.T) {
 	is := is.New(t)
-	d := deployGroups(t)
+	d := deployWithGroups(t)
 	host := d.controls[0]
-	key := keyOf(3, "old")
+	key := keyOfGroup(3, "old")
 	acquire := &grantpb.Command{
 		Table: grant.NewSlotTable(grantGroups + 1).Digest(),
 		Body: &grantpb.Command_Acquire{Acquire: &grantpb.Acquire{
@@ -212,7 +212,7 @@
 	is.Equal(result.GetDecision(), grantpb.Decision_DECISION_TABLE)
 	is.Equal(result.GetTable(), grant.NewSlotTable(grantGroups).Digest())
 	processtest.Eventually(t, "the refusal is counted", func() bool { return host.Refused("slot_table") == 1 })
-	d.checkRun(t, d.callerOf(t, d.targets[d.lodgement][0]), key) // nothing was granted
+	d.checkRunsOnce(t, d.callerOf(t, d.targets[d.lodgement][0]), key) // nothing was granted
 
 	host.SetGrantGroups(2)
 	host.Restart()
@@ -223,22 +223,22 @@
 	host.Remove()
 	host.JoinUntil("invalid number of grant groups")
 	is.Equal(host.WaitEnd(), 1)
-	d.checkRun(t, d.callerOf(t, d.targets[d.lodgement][1]), keysOf("without it")...)
+	d.checkRunsOnce(t, d.callerOf(t, d.targets[d.lodgement][1]), keyOfEachGroup("without it")...)
 	host.Relaunch()
 	host.Join()
 	d.SpreadGrants(grantGroups)
 }
 
-// TestFormerDataFolder opens the folder of a deployment with one group under
+// TestExistingDataDirKeepsGroupCount opens the folder of a deployment with one group under
 // settings that ask for more. It keeps its one group and what that decided.
-func TestFormerDataFolder(t *testing.T) {
+func TestExistingDataDirKeepsGroupCount(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	caller := d.callerOf(t, d.targets[d.lodgement][0])
-	d.checkRun(t, caller, "decided before")
+	d.checkRunsOnce(t, caller, "decided before")
 	host := d.controls[0]
 	host.SetGrantGroups(grantGroups)
 	host.Restart()
-	d.checkRun(t, caller, "decided before", "decided after")
+	d.checkRunsOnce(t, caller, "decided before", "decided after")
 	is.Equal(len(host.Status().Groups), 2) // configuration and grants
 }
--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -8,11 +8,11 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestGrantOutlivesTwoLosses loses the leader of the grants with its disk
+// TestGrantsSurviveTwoHostLosses loses the leader of the grants with its disk
 // while a request runs, and another control host soon after the repair. A
 // resend over another entry host to another target never runs again, and a
 // request that ended before gets its answer.
-func TestGrantOutlivesTwoLosses(t *testing.T) {
+func TestGrantsSurviveTwoHostLosses(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -26,34 +26,34 @@
 	lost := d.GrantLeader()
 	lost.Kill()
 	lost.LoseDisk()
-	d.resendThroughLoss(t, other, "ended before")
+	d.resendUntilAnswered(t, other, "ended before")
 	lost.Launch()
 	lost.WaitReady()
 	lost.Replace()
 	lost.Others()[0].Kill()
 
 	for _, key := range []string{"ended before", "running"} {
-		answer := d.resendThroughLoss(t, other, key)
+		answer := d.resendUntilAnswered(t, other, key)
 		is.Equal(string(answer.Body), key)
 		is.Equal(d.runs(key), 1)
 	}
-	fresh := d.resendThroughLoss(t, other, "after the losses")
+	fresh := d.resendUntilAnswered(t, other, "after the losses")
 	is.Equal(string(fresh.Body), "after the losses")
 	is.Equal(d.runs("after the losses"), 1)
-	attempt.giveUp()
+	attempt.abandon()
 }
 
-// resendThroughLoss sends a key until its answer comes. While no quorum can be
+// resendUntilAnswered sends a key until its answer comes. While no quorum can be
 // asked, the outcome is unknown with a time to come back: it must not say that
 // the request was not run.
-func (d *deployment) resendThroughLoss(t *testing.T, caller *processtest.Caller, key string) *processtest.Answer {
+func (d *deployment) resendUntilAnswered(t *testing.T, caller *processtest.Caller, key string) *processtest.Answer {
 	t.Helper()
 	var last *processtest.Answer
 	processtest.Eventually(t, key+" is answered", func() bool {
 		answer, err := runKey(caller, key)
 		is.New(t).NoErr(err)
 		if answer.Outcome != processtest.OutcomeAnswered {
-			checkMayComeBack(t, answer)
+			checkUnknownWithRetryAfter(t, answer)
 		}
 		last = answer
 		return answer.Outcome == processtest.OutcomeAnswered
@@ -61,9 +61,9 @@
 	return last
 }
 
-// checkMayComeBack holds an answer to be unknown because an earlier attempt
+// checkUnknownWithRetryAfter holds an answer to be unknown because an earlier attempt
 // could not be asked about or still runs.
-func checkMayComeBack(t *testing.T, answer *processtest.Answer) {
+func checkUnknownWithRetryAfter(t *testing.T, answer *processtest.Answer) {
 	t.Helper()
 	is := is.New(t)
 	is.Equal(answer.Outcome, processtest.OutcomeUnknown)
@@ -71,10 +71,10 @@
 	is.True(answer.Header.Get(processtest.HeaderRetryAfter) != "")
 }
 
-// TestResendWithoutQuorumIsNotDenied sends a request that ran again while no
+// TestResendWithoutQuorumHasUnknownOutcome sends a request that ran again while no
 // control host is there: nobody knows that it ran, and nobody may deny it. A
 // new request can't be told from a resend, and both get their answer in the end.
-func TestResendWithoutQuorumIsNotDenied(t *testing.T) {
+func TestResendWithoutQuorumHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.callerOf(t, d.targets[d.lodgement][0]), d.callerOf(t, d.targets[d.lodgement][1])
@@ -86,20 +86,20 @@
 		answer, err := runKey(second, key)
 		is.NoErr(err)
 		t.Logf("%s: %d %s %s", key, answer.Status, answer.Outcome, answer.Reason)
-		checkMayComeBack(t, answer)
+		checkUnknownWithRetryAfter(t, answer)
 	}
 	is.Equal(d.runs("fresh"), 0)
 	d.controls[0].Launch()
 	for _, key := range []string{"ran", "fresh"} {
-		is.Equal(string(d.resendThroughLoss(t, second, key).Body), key)
+		is.Equal(string(d.resendUntilAnswered(t, second, key).Body), key)
 		is.Equal(d.runs(key), 1)
 	}
 }
 
-// TestHostWithoutDiskRestartsDuringRun kills the agent and the backend server
+// TestProcessesRestartDuringRun kills the agent and the backend server
 // of a host while a request runs there. The new processes know nothing of it,
 // and a resend to the same host must not run.
-func TestHostWithoutDiskRestartsDuringRun(t *testing.T) {
+func TestProcessesRestartDuringRun(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	target := d.targets[d.lodgement][0]
@@ -107,7 +107,7 @@
 	processtest.Eventually(t, "the request runs", func() bool { return target.Runs("amnesia") == 1 })
 	target.Agent.Kill()
 	target.Backend.Kill()
-	attempt.giveUp()
+	attempt.abandon()
 	target.LaunchBackend()
 	target.LaunchAgent()
 	target.WaitRegistered()
--- a/test/inflight_test.go
+++ b/test/inflight_test.go
@@ -12,28 +12,28 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// slowWork is long enough that a request is in flight while something else is
+// slowWorkTime is long enough that a request is in flight while something else is
 // brought about; no test depends on its length.
-const slowWork = 1500 * time.Millisecond
+const slowWorkTime = 1500 * time.Millisecond
 
-const whole = "whole"
+const completed = "whole"
 
 // requests are slow requests in flight at one target.
 type requests struct {
 	workers conc.WaitGroup
-	fates   []string
+	results []string
 }
 
 // startRequests starts slow requests and returns once the target runs all of
 // them.
 func (d *deployment) startRequests(t *testing.T, target *processtest.Target, count int) *requests {
 	t.Helper()
-	r := &requests{fates: make([]string, count)}
+	r := &requests{results: make([]string, count)}
 	for i := range count {
 		d.inFlight++
 		key := fmt.Sprint("in flight ", d.inFlight)
 		caller := d.callerOf(t, target)
-		r.workers.Go(func() { r.fates[i] = fateOfRun(caller, key) })
+		r.workers.Go(func() { r.results[i] = runToResult(caller, key) })
 		processtest.Eventually(t, key+" runs", func() bool { return target.Runs(key) == 1 })
 	}
 	return r
@@ -50,12 +50,12 @@
 	return caller
 }
 
-// fateOfRun sends a request that may not be repeated, again while its attempt is
+// runToResult sends a request that may not be repeated, again while its attempt is
 // said not to have run.
-func fateOfRun(caller *processtest.Caller, key string) string {
+func runToResult(caller *processtest.Caller, key string) string {
 	for {
 		answer, err := caller.Do(context.Background(), http.MethodPost,
-			processtest.RunPath(slowWork), processtest.KeyHeader(key), []byte(key))
+			processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 		switch {
 		case err != nil:
 			return err.Error()
@@ -64,12 +64,12 @@
 		case answer.Status != http.StatusOK || string(answer.Body) != key:
 			return fmt.Sprintf("status %d, %s, %s, %q", answer.Status, answer.Outcome, answer.Reason, answer.Body)
 		}
-		return whole
+		return completed
 	}
 }
 
 // wait returns the fates of all requests.
 func (r *requests) wait() []string {
 	r.workers.Wait()
-	return r.fates
+	return r.results
 }
--- a/test/rotation_test.go
+++ b/test/keyrotation_test.go
@@ -9,8 +9,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// holders returns the processes that hold keys.
-func (d *deployment) holders() []*processtest.Process {
+// keyHolders returns the processes that hold keys.
+func (d *deployment) keyHolders() []*processtest.Process {
 	var all []*processtest.Process
 	for _, host := range d.controls {
 		all = append(all, host.Process)
@@ -29,24 +29,24 @@
 	return all
 }
 
-// TestAuthorityRotationCutsNothing replaces the certificate authority and all
+// TestAuthorityRotationKeepsSessions replaces the certificate authority and all
 // certificates by the steps of the operators' page, beside traffic and an open
 // session. Afterwards links, flows and the operators' API work by the new one
 // alone.
-func TestAuthorityRotationCutsNothing(t *testing.T) {
+func TestAuthorityRotationKeepsSessions(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
 	folder := d.KeyFolder()
-	d.Renew(func() error { return keys.AddAuthority(folder) }, d.holders()...)
+	d.Renew(func() error { return keys.AddAuthority(folder) }, d.keyHolders()...)
 	load.progress()
 	is.NoErr(keys.PreferAuthority(folder))
 	d.RenewCallerCertificate(func() error {
-		d.Renew(d.IssueAgain, d.holders()...)
+		d.Renew(d.IssueAgain, d.keyHolders()...)
 		return nil
 	}, d.agents()...)
 	load.progress()
-	d.Renew(func() error { return keys.RemoveAuthority(folder) }, d.holders()...)
+	d.Renew(func() error { return keys.RemoveAuthority(folder) }, d.keyHolders()...)
 	load.progress()
 
 	d.controls[0].Terminate() // its links are made anew
@@ -58,10 +58,10 @@
 	load.stop()
 }
 
-// TestDataSecretRotationCutsNothing replaces the data secret beside traffic and
+// TestDataSecretRotationKeepsSessions replaces the data secret beside traffic and
 // an open session. Flows that began once the new secret was preferred outlive
 // the removal of the former one.
-func TestDataSecretRotationCutsNothing(t *testing.T) {
+func TestDataSecretRotationKeepsSessions(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	former := d.startLoad(t)
@@ -70,14 +70,14 @@
 	d.Renew(func() (err error) {
 		added, err = keys.AddDataSecret(folder)
 		return err
-	}, d.holders()...)
+	}, d.keyHolders()...)
 	former.progress()
 	is.True(added != 0)
-	d.Renew(func() error { return keys.PreferDataSecret(folder, added) }, d.holders()...)
+	d.Renew(func() error { return keys.PreferDataSecret(folder, added) }, d.keyHolders()...)
 	former.progress()
 	later := d.startLoad(t)
 	former.stop()
-	d.Renew(func() error { return keys.RemoveDataSecret(folder, 0) }, d.holders()...)
+	d.Renew(func() error { return keys.RemoveDataSecret(folder, 0) }, d.keyHolders()...)
 	later.progress()
 	d.checkEchoes(t, "by the new secret", 3)
 	later.stop()
--- a/test/handover_test.go
+++ b/test/leadershiptransfer_test.go
@@ -16,42 +16,42 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// handedOverMessage is the log message of a leader that stops.
-const handedOverMessage = "leadership transferred"
+// transferredMessage is the log message of a leader that stops.
+const transferredMessage = "leadership transferred"
 
-// stream submits one patch after the other until it is stopped.
-type stream struct {
+// patchStream submits one patch after the other until it is stopped.
+type patchStream struct {
 	d      *deployment
 	client *operator.Client
 	stop   atomic.Bool
-	work   conc.WaitGroup
+	worker conc.WaitGroup
 	// version is the last one accepted, gap the longest time between two.
 	version atomic.Uint64
-	gap     time.Duration
+	maxGap  time.Duration
 	next    chan struct{}
 }
 
-// awaitNext waits for the next accepted patch.
-func (s *stream) awaitNext() { <-s.next }
+// waitNext waits for the next accepted patch.
+func (s *patchStream) waitNext() { <-s.next }
 
-func (d *deployment) startStream(base uint64, through ...*processtest.Control) *stream {
-	s := &stream{d: d, client: d.Client(operators(through)...), next: make(chan struct{}, 1)}
+func (d *deployment) startStream(base uint64, through ...*processtest.Control) *patchStream {
+	s := &patchStream{d: d, client: d.Client(operatorAddresses(through)...), next: make(chan struct{}, 1)}
 	s.version.Store(base)
-	s.work.Go(s.run)
+	s.worker.Go(s.run)
 	return s
 }
 
-func (s *stream) run() {
+func (s *patchStream) run() {
 	last := time.Now()
 	for !s.stop.Load() {
 		base := s.version.Load()
-		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		out, err := s.client.Submit(ctx, putPatch(fmt.Sprint("stream-", base+1), base, s.d.lodgement))
 		cancel()
 		if err != nil || out.GetVerdict() != configpb.Verdict_VERDICT_ACCEPTED {
 			continue
 		}
-		s.gap = max(s.gap, time.Since(last))
+		s.maxGap = max(s.maxGap, time.Since(last))
 		last = time.Now()
 		s.version.Store(out.GetVersion())
 		select {
@@ -62,23 +62,23 @@
 }
 
 // advance waits for patches that were submitted after the call.
-func (s *stream) advance(t *testing.T) {
+func (s *patchStream) advance(t *testing.T) {
 	t.Helper()
 	before := s.version.Load()
 	processtest.Eventually(t, "patches are accepted", func() bool { return s.version.Load() >= before+5 })
 }
 
 // end stops the stream and returns the last version and the longest gap.
-func (s *stream) end() (uint64, time.Duration) {
+func (s *patchStream) end() (uint64, time.Duration) {
 	s.stop.Store(true)
-	s.work.Wait()
-	return s.version.Load(), s.gap
+	s.worker.Wait()
+	return s.version.Load(), s.maxGap
 }
 
-// TestPlannedStopHandsOver asks the leader to stop, time and again, while
+// TestShutdownTransfersLeadership asks the leader to stop, time and again, while
 // patches go through the other hosts: it hands over before it ends. The times
 // without an accepted patch are logged and judged by nothing.
-func TestPlannedStopHandsOver(t *testing.T) {
+func TestShutdownTransfersLeadership(t *testing.T) {
 	is := is.New(t)
 	const stops = 6
 	d := &deployment{Cluster: processtest.New(t)}
@@ -97,7 +97,7 @@
 		var gap time.Duration
 		version, gap = s.end()
 		gaps = append(gaps, gap.Round(time.Millisecond))
-		handedOver += min(leader.Logged(handedOverMessage), 1)
+		handedOver += min(leader.Logged(transferredMessage), 1)
 		leader.Launch()
 		leader.WaitReady()
 	}
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -10,9 +10,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// deployBesideLearner has three voters and a learner. The entry host and the
+// deployBehindLearner has three voters and a learner. The entry host and the
 // agents know the learner only.
-func deployBesideLearner(t *testing.T) (*deployment, *processtest.Control) {
+func deployBehindLearner(t *testing.T) (*deployment, *processtest.Control) {
 	t.Helper()
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t), targets: make(map[*processtest.Service][]*processtest.Target)}
@@ -24,7 +24,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		d.targets[d.lodgement] = append(d.targets[d.lodgement], d.lodgement.StartTarget(name, learner.Link))
 	}
-	d.candidates(t, 3)
+	d.waitCandidates(t, 3)
 	return d, learner
 }
 
@@ -39,9 +39,9 @@
 	return names
 }
 
-// learnerServes makes a version through the learner alone, which all that know
+// checkLearnerServes makes a version through the learner alone, which all that know
 // only the learner act on, and lets a key run once.
-func (d *deployment) learnerServes(t *testing.T, learner *processtest.Control, base uint64) {
+func (d *deployment) checkLearnerServes(t *testing.T, learner *processtest.Control, base uint64) {
 	t.Helper()
 	is := is.New(t)
 	id := fmt.Sprint("through-the-learner-", base)
@@ -52,21 +52,21 @@
 	})
 	is.Equal(o.Version, base+1)
 	is.Equal(d.Show(id, learner.Operator).Version, base+1)
-	d.checkHolds(t, learner, base+1)
+	d.waitVersion(t, learner, base+1)
 	d.InForce(base+1, d.subscribers()...)
 	is.Equal(len(learner.Status().Subscribers), len(d.subscribers())) // all of them here
-	d.checkRun(t, d.lodgement.NewCaller(), id)
+	d.checkRunsOnce(t, d.lodgement.NewCaller(), id)
 }
 
-// TestLearnerServesProcesses lets an entry host and agents live by a learner
+// TestLearnerServesSubscribers lets an entry host and agents live by a learner
 // alone, through its planned restart, its loss, and the loss of all voters: then
 // it says that it can't know, and what it knew goes on.
-func TestLearnerServesProcesses(t *testing.T) {
+func TestLearnerServesSubscribers(t *testing.T) {
 	is := is.New(t)
-	d, learner := deployBesideLearner(t)
+	d, learner := deployBehindLearner(t)
 	targets := d.targets[d.lodgement]
 	caller, watch := d.callerOf(t, targets[0]), d.callerOf(t, targets[1]).Watch()
-	d.learnerServes(t, learner, 1)
+	d.checkLearnerServes(t, learner, 1)
 	for _, voter := range d.controls {
 		is.Equal(voter.Status().Targets, 3) // what was announced to the learner
 		is.Equal(len(voter.Status().Subscribers), 0)
@@ -74,10 +74,10 @@
 	learner.Terminate()
 	learner.WaitExit()
 	learner.Launch()
-	d.learnerServes(t, learner, 2)
+	d.checkLearnerServes(t, learner, 2)
 	learner.Kill()
 	learner.Launch()
-	d.learnerServes(t, learner, 3)
+	d.checkLearnerServes(t, learner, 3)
 	watch.Advance()
 
 	for _, voter := range d.controls {
@@ -86,12 +86,12 @@
 	processtest.Eventually(t, "the learner knows that no host leads", func() bool {
 		return learner.Status().Groups[0].State == "no leader"
 	})
-	d.learnerKnowsNothingNew(t, learner)
+	d.checkLearnerWithoutQuorum(t, learner)
 	// It goes on telling of targets: one that dies leaves when its lease ends, and
 	// by then the others have renewed theirs.
 	lost := targets[2]
 	lost.Agent.Kill()
-	d.candidates(t, 2)
+	d.waitCandidates(t, 2)
 	is.Equal(learner.Status().Targets, 2)
 	for i := range 30 {
 		answer := d.lodgement.NewCaller().Echo(fmt.Sprint("new ", i))
@@ -103,9 +103,9 @@
 	is.Equal(d.entries[0].ActedOn(), []uint64{1, 2, 3, 4})
 }
 
-// learnerKnowsNothingNew expects that the learner refuses what needs a quorum,
+// checkLearnerWithoutQuorum expects that the learner refuses what needs a quorum,
 // each time as it has no leader: a call that waited to its end would be told so.
-func (d *deployment) learnerKnowsNothingNew(t *testing.T, learner *processtest.Control) {
+func (d *deployment) checkLearnerWithoutQuorum(t *testing.T, learner *processtest.Control) {
 	t.Helper()
 	is := is.New(t)
 	const noLeader = "no leader: not done"
@@ -120,30 +120,30 @@
 	is.True(strings.Contains(held.Stdout, "# version 4\n# no quorum confirmed"))
 	answer, err := runKey(d.lodgement.NewCaller(), "alone")
 	is.NoErr(err)
-	checkMayComeBack(t, answer)
+	checkUnknownWithRetryAfter(t, answer)
 	is.Equal(answer.Reason, "grant-unavailable")
 	is.Equal(d.runs("alone"), 0)
 }
 
-// TestFullControlHostsSendProcessesOn has entry hosts and agents for two of three
+// TestFullControlHostsRedirectSubscribers has entry hosts and agents for two of three
 // full control hosts. None stays without a place, also when one host is lost; then
 // one more is refused by both with a counted reason, and served when the lost one
 // is back.
-func TestFullControlHostsSendProcessesOn(t *testing.T) {
-	const places = 3
-	d := deployAs(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
-		return c.StartBoundedControls(3, places)
+func TestFullControlHostsRedirectSubscribers(t *testing.T) {
+	const links = 3
+	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
+		return c.StartBoundedControls(3, links)
 	})
 	// served waits until each has a place and acts on a new version.
 	served := func(names []string) {
 		t.Helper()
 		version := d.Patch(d.lodgement.Put())
 		d.InForce(version, names...)
-		processtest.Eventually(t, "each at one host", func() bool { return d.places(t, places) == len(names) })
+		processtest.Eventually(t, "each at one host", func() bool { return d.links(t, links) == len(names) })
 		d.checkEchoes(t, fmt.Sprint("version ", version), 1)
 	}
 	all := d.subscribers()
-	is.New(t).Equal(len(all), 2*places)
+	is.New(t).Equal(len(all), 2*links)
 	served(all)
 	lost := d.controls[0]
 	lost.Kill()
@@ -163,9 +163,9 @@
 	served(append(all, late.Host))
 }
 
-// places returns how many subscribers the running control hosts have, of which
+// links returns how many subscribers the running control hosts have, of which
 // none may have more than its bound.
-func (d *deployment) places(t *testing.T, bound int) int {
+func (d *deployment) links(t *testing.T, bound int) int {
 	t.Helper()
 	sum := 0
 	for _, host := range d.controls {
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -9,10 +9,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestLostLeaseKeepsEstablishedFlows cuts the control links of both targets of
+// TestExpiredLeaseKeepsEstablishedFlows cuts the control links of both targets of
 // a service in turn. The one without a lease takes no new flow, its open
 // session goes on, and it takes flows again once it can renew the lease.
-func TestLostLeaseKeepsEstablishedFlows(t *testing.T) {
+func TestExpiredLeaseKeepsEstablishedFlows(t *testing.T) {
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(1)
@@ -26,16 +26,16 @@
 		links = append(links, link)
 		targets = append(targets, d.lodgement.StartTarget(name, link.Addr()))
 	}
-	d.candidates(t, len(targets))
+	d.waitCandidates(t, len(targets))
 	for i, target := range targets {
 		watch := d.callerOf(t, target).Watch()
 		links[i].Cut()
 		processtest.Eventually(t, "the lease ends", func() bool { return d.controls[0].Status().Targets == 1 })
-		d.candidates(t, 1)
-		d.avoids(t, target)
+		d.waitCandidates(t, 1)
+		d.checkNoNewFlows(t, target)
 		watch.Advance()
 		links[i].Heal()
-		d.candidates(t, len(targets))
+		d.waitCandidates(t, len(targets))
 		d.callerOf(t, target) // takes new flows again
 		watch.Advance()
 	}
@@ -49,10 +49,10 @@
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
 	d.lodgement.StartTarget("c") // one ill target of two would be half of the service
-	_, flapping := d.holder(t, watch)
+	_, flapping := d.sessionTarget(t, watch)
 	for flows := 0; flows < manyFlows; {
 		processtest.Eventually(t, "a flow while the target is damped", func() bool {
-			more := d.avoidsDamped(t, flapping, manyFlows-flows)
+			more := d.checkNoFlowsWhileDamped(t, flapping, manyFlows-flows)
 			flows += more
 			return more > 0
 		})
@@ -67,19 +67,19 @@
 // damped tells whether the control host damps a target.
 func (d *deployment) damped() bool { return d.controls[0].Status().Damped == 1 }
 
-// avoidsDamped lets a target flap and opens up to that many flows while it is
+// checkNoFlowsWhileDamped lets a target flap and opens up to that many flows while it is
 // damped, none of which it may take. It returns how many those were: the damping
 // ends by the clock, so that on a slow machine there may be few.
-func (d *deployment) avoidsDamped(t *testing.T, flapping *processtest.Target, most int) int {
+func (d *deployment) checkNoFlowsWhileDamped(t *testing.T, flapping *processtest.Target, most int) int {
 	t.Helper()
-	d.onEntries(t, "no damping", func(e *processtest.Entry) bool { return e.Damped() == 0 })
+	d.eventuallyOnEntries(t, "no damping", func(e *processtest.Entry) bool { return e.Damped() == 0 })
 	flapping.Agent.Kill()
 	flapping.Flap(6)
 	flapping.LaunchAgent()
 	flapping.WaitRegistered()
-	d.onEntries(t, "damping", func(e *processtest.Entry) bool { return e.Damped() == 1 || !d.damped() })
+	d.eventuallyOnEntries(t, "damping", func(e *processtest.Entry) bool { return e.Damped() == 1 || !d.damped() })
 	for flows := range most {
-		taken := d.reaching(flapping, 1)
+		taken := d.countFlowsTo(flapping, 1)
 		if !d.damped() { // the flow may have come after the end
 			return flows
 		}
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -16,11 +16,11 @@
 
 const (
 	slots = 4
-	// endlessWork and farDeadline are longer than any test runs.
-	endlessWork = time.Hour
-	farDeadline = 30 * time.Minute
-	// soon is the deadline of a request that is to miss it.
-	soon = 300 * time.Millisecond
+	// longWork and farDeadline are longer than any test runs.
+	longWork     = time.Hour
+	longDeadline = 30 * time.Minute
+	// shortDeadline is the deadline of a request that is to miss it.
+	shortDeadline = 300 * time.Millisecond
 )
 
 func timeoutHeader(d time.Duration) http.Header {
@@ -29,33 +29,33 @@
 	return header
 }
 
-// TestDeadlineAndCancellationReachTheBackendServer ends work that would last
+// TestDeadlineAndCancellationReachBackendServer ends work that would last
 // an hour, of requests with and without a key.
-func TestDeadlineAndCancellationReachTheBackendServer(t *testing.T) {
+func TestDeadlineAndCancellationReachBackendServer(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	target := d.targets[d.lodgement][0]
 	caller := d.callerOf(t, target)
 	idle := func() bool { return target.Running() == 0 }
 	for _, key := range []string{"", "with a key"} {
-		header := timeoutHeader(soon)
+		header := timeoutHeader(shortDeadline)
 		if key != "" {
 			header.Set(processtest.HeaderKey, key)
 		}
-		answer := caller.MustDo(http.MethodPost, processtest.RunPath(endlessWork), header, nil)
+		answer := caller.MustDo(http.MethodPost, processtest.RunPath(longWork), header, nil)
 		// Whichever of agent and backend server notices first says so.
 		told := answer.Outcome == processtest.OutcomeUnknown && answer.Reason == "deadline"
 		is.True(told || answer.Status == http.StatusGatewayTimeout)
 		processtest.Eventually(t, "the deadline ends the work", idle)
 
-		header = timeoutHeader(farDeadline)
+		header = timeoutHeader(longDeadline)
 		if key != "" {
 			header.Set(processtest.HeaderKey, key+", cancelled")
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		var request conc.WaitGroup
 		request.Go(func() {
-			_, _ = caller.Do(ctx, http.MethodPost, processtest.RunPath(endlessWork), header, nil)
+			_, _ = caller.Do(ctx, http.MethodPost, processtest.RunPath(longWork), header, nil)
 		})
 		processtest.Eventually(t, "the request runs", func() bool { return target.Running() == 1 })
 		cancel()
@@ -65,10 +65,10 @@
 	checkEcho(t, d.lodgement, caller, "the connection goes on")
 }
 
-// TestOverloadIsShedAtOnce fills the slots of a target with work that does not
+// TestOverloadIsRefusedImmediately fills the slots of a target with work that does not
 // end, and sends more. Each is refused while all slots are still taken, so none
 // was held for one, and each is told when to come back.
-func TestOverloadIsShedAtOnce(t *testing.T) {
+func TestOverloadIsRefusedImmediately(t *testing.T) {
 	is := is.New(t)
 	const more = 30
 	d := deploy(t, 1)
@@ -82,7 +82,7 @@
 	var held conc.WaitGroup
 	for i := range slots {
 		held.Go(func() {
-			_, _ = callers[i%len(callers)].Do(ctx, http.MethodPost, processtest.RunPath(endlessWork), timeoutHeader(farDeadline), nil)
+			_, _ = callers[i%len(callers)].Do(ctx, http.MethodPost, processtest.RunPath(longWork), timeoutHeader(longDeadline), nil)
 		})
 	}
 	processtest.Eventually(t, "all slots are taken", func() bool { return target.Running() == slots })
@@ -90,7 +90,7 @@
 	answers := make([]*processtest.Answer, more)
 	var refused conc.WaitGroup
 	for i := range more {
-		header := timeoutHeader(farDeadline)
+		header := timeoutHeader(longDeadline)
 		header.Set(processtest.HeaderKey, fmt.Sprint("shed ", i))
 		refused.Go(func() {
 			answers[i], _ = callers[i%len(callers)].Do(ctx, http.MethodPost, processtest.RunPath(0), header, nil)
@@ -109,14 +109,14 @@
 	processtest.Eventually(t, "the slots are free again", func() bool { return target.Running() == 0 })
 	is.Equal(callers[0].MustDo(http.MethodPost, processtest.RunPath(0), nil, nil).Outcome, processtest.OutcomeAnswered)
 	processtest.Eventually(t, "each refusal is counted by its reason", func() bool {
-		return sum(target, "requests_refused", "slots-full", "queue-full", "wait-too-long") == more
+		return sumCounters(target, "requests_refused", "slots-full", "queue-full", "wait-too-long") == more
 	})
 	// The agent itself kept to the slots; the backend server refused nothing.
 	is.Equal(target.Counted("requests_refused", "backend-refused"), 0.0)
 }
 
-// sum adds up what an agent counted under several reasons.
-func sum(target *processtest.Target, counter string, reasons ...string) float64 {
+// sumCounters adds up what an agent counted under several reasons.
+func sumCounters(target *processtest.Target, counter string, reasons ...string) float64 {
 	total := 0.0
 	for _, reason := range reasons {
 		total += target.Counted(counter, reason)
@@ -136,7 +136,7 @@
 	is.Equal(answer.Reason, "backend-unreachable")
 	is.True(answer.Header.Get("Retry-After") != "")
 	processtest.Eventually(t, "retries are counted, and once why there was no other", func() bool {
-		ends := sum(target, "retries", "attempts-spent", "budget-spent", "deadline-too-close")
+		ends := sumCounters(target, "retries", "attempts-spent", "budget-spent", "deadline-too-close")
 		return target.Counted("retries", "connect") > 0 && ends == 1
 	})
 	is.Equal(target.Counted("requests_refused", "backend-unreachable"), 1.0)
--- a/test/history_test.go
+++ b/test/linearizability_test.go
@@ -14,9 +14,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// historyDeployment is control hosts behind relays with two entry hosts that
+// deployRelayed is control hosts behind relays with two entry hosts that
 // follow the configuration.
-func historyDeployment(t *testing.T) *deployment {
+func deployRelayed(t *testing.T) *deployment {
 	t.Helper()
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartRelayedControls(3)
@@ -33,9 +33,9 @@
 	return d
 }
 
-// checkFollowers expects that the newest version comes into force on all entry
+// checkSubscribers expects that the newest version comes into force on all entry
 // hosts and agents, and that none of them has gone back on the way.
-func (d *deployment) checkFollowers(t *testing.T, newest uint64) {
+func (d *deployment) checkSubscribers(t *testing.T, newest uint64) {
 	t.Helper()
 	names := d.entryNames()
 	var followers []*processtest.Process
@@ -48,21 +48,21 @@
 	}
 	d.InForce(newest, names...)
 	for _, p := range followers {
-		checkNeverBack(t, p.ActedOn(), newest)
+		checkMonotonic(t, p.ActedOn(), newest)
 	}
 }
 
-// trouble is something that befalls control hosts. It returns what undoes it.
-type trouble struct {
-	name string
-	do   func(*deployment, *rand.Rand) (undo func())
+// controlFault is something that befalls control hosts. It returns what undoes it.
+type controlFault struct {
+	name   string
+	inject func(*deployment, *rand.Rand) (undo func())
 }
 
 func (d *deployment) anyControl(random *rand.Rand) *processtest.Control {
 	return d.controls[random.IntN(len(d.controls))]
 }
 
-func killed(host *processtest.Control) func() {
+func killHost(host *processtest.Control) func() {
 	host.Kill()
 	return func() {
 		host.Launch()
@@ -70,30 +70,30 @@
 	}
 }
 
-func frozen(host *processtest.Control) func() {
+func freezeHost(host *processtest.Control) func() {
 	host.Freeze()
 	return host.Thaw
 }
 
-func cutOff(host *processtest.Control, ways ...faultproxy.Direction) func() {
+func cutPeerLinks(host *processtest.Control, ways ...faultproxy.Direction) func() {
 	for _, way := range ways {
 		host.Peers.SetFaults(way, faultproxy.Faults{Cut: true})
 	}
 	return host.Peers.Heal
 }
 
-var troubles = []trouble{
-	{"leader killed", func(d *deployment, _ *rand.Rand) func() { return killed(d.Leader()) }},
-	{"host killed", func(d *deployment, r *rand.Rand) func() { return killed(d.anyControl(r)) }},
-	{"leader frozen", func(d *deployment, _ *rand.Rand) func() { return frozen(d.Leader()) }},
+var controlFaults = []controlFault{
+	{"leader killed", func(d *deployment, _ *rand.Rand) func() { return killHost(d.Leader()) }},
+	{"host killed", func(d *deployment, r *rand.Rand) func() { return killHost(d.anyControl(r)) }},
+	{"leader frozen", func(d *deployment, _ *rand.Rand) func() { return freezeHost(d.Leader()) }},
 	{"leader hears nothing", func(d *deployment, _ *rand.Rand) func() {
-		return cutOff(d.Leader(), faultproxy.ToHost)
+		return cutPeerLinks(d.Leader(), faultproxy.ToHost)
 	}},
 	{"answers of a host are lost", func(d *deployment, r *rand.Rand) func() {
-		return cutOff(d.anyControl(r), faultproxy.ToCaller)
+		return cutPeerLinks(d.anyControl(r), faultproxy.ToCaller)
 	}},
 	{"leader cut off", func(d *deployment, _ *rand.Rand) func() {
-		return cutOff(d.Leader(), faultproxy.ToHost, faultproxy.ToCaller)
+		return cutPeerLinks(d.Leader(), faultproxy.ToHost, faultproxy.ToCaller)
 	}},
 }
 
@@ -107,26 +107,26 @@
 func TestHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			d := historyDeployment(t).withAgent()
-			history := &recorder{begin: time.Now(), newest: 1}
-			operators := d.historyOperators(t, history, seed)
+			d := deployRelayed(t).withAgent()
+			history := &recorder{start: time.Now(), newest: 1}
+			operators := d.newOperators(t, history, seed)
 			random := rand.New(rand.NewPCG(seed, 0))
-			order := random.Perm(len(troubles))
+			order := random.Perm(len(controlFaults))
 			for _, i := range order {
-				d.historyRound(t, history, operators, troubles[i], random)
+				d.runRound(t, history, operators, controlFaults[i], random)
 			}
-			history.check(t, modelFrom(1, "patch-1"))
-			d.checkFollowers(t, history.newestVersion())
+			history.check(t, newModel(1, "patch-1"))
+			d.checkSubscribers(t, history.newestVersion())
 		})
 	}
 }
 
-func (d *deployment) historyOperators(t *testing.T, history *recorder, seed uint64) []*operatorCaller {
+func (d *deployment) newOperators(t *testing.T, history *recorder, seed uint64) []*testOperator {
 	t.Helper()
 	const count = 6
-	var all []*operatorCaller
+	var all []*testOperator
 	for i := range count {
-		all = append(all, &operatorCaller{
+		all = append(all, &testOperator{
 			t: t, number: i, recorder: history, paths: d.operatorPaths(), service: d.lodgement,
 			random: rand.New(rand.NewPCG(seed, uint64(i+1))),
 		})
@@ -134,9 +134,9 @@
 	return all
 }
 
-// historyRound lets the operators work, brings trouble after a number of calls
+// runRound lets the operators work, brings trouble after a number of calls
 // drawn by chance and undoes it after they have ended.
-func (d *deployment) historyRound(t *testing.T, history *recorder, operators []*operatorCaller, what trouble, random *rand.Rand) {
+func (d *deployment) runRound(t *testing.T, history *recorder, operators []*testOperator, what controlFault, random *rand.Rand) {
 	t.Helper()
 	const calls = 20
 	before := history.finishedCalls()
@@ -146,14 +146,14 @@
 		work.Go(func() { o.work(calls) })
 	}
 	processtest.Eventually(t, "operators work", func() bool { return history.finishedCalls() >= start })
-	undo := what.do(d, random)
+	undo := what.inject(d, random)
 	t.Logf("%s after %d calls", what.name, history.finishedCalls()-before)
 	work.Wait()
 	undo()
 }
 
-// checkNeverBack expects rising versions that end with the newest one.
-func checkNeverBack(t *testing.T, versions []uint64, newest uint64) {
+// checkMonotonic expects rising versions that end with the newest one.
+func checkMonotonic(t *testing.T, versions []uint64, newest uint64) {
 	t.Helper()
 	is := is.New(t)
 	is.True(slices.IsSorted(versions))
--- a/test/model_test.go
+++ b/test/model_test.go
@@ -11,17 +11,17 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// checkLimit only bounds how long a history is looked at that has no quick
+// checkTimeout only bounds how long a history is looked at that has no quick
 // answer; an answer that is not known fails the test.
-const checkLimit = time.Minute
+const checkTimeout = time.Minute
 
 // kind is what an operator asks.
 type kind int
 
 const (
-	submitting kind = iota
-	showing
-	reading
+	callSubmit kind = iota
+	callShow
+	callRead
 )
 
 // call is one question to the control hosts.
@@ -42,28 +42,28 @@
 	return reply{verdict: o.GetVerdict(), version: o.GetVersion(), patch: o.GetVersionPatch()}
 }
 
-// agreed is the state that the control hosts agree on.
-type agreed struct {
+// modelState is the state that the control hosts agree on.
+type modelState struct {
 	version  uint64
 	patch    string
 	outcomes map[string]reply
 }
 
-func (a agreed) equal(b agreed) bool {
+func (a modelState) equal(b modelState) bool {
 	return a.version == b.version && a.patch == b.patch && maps.Equal(a.outcomes, b.outcomes)
 }
 
 // step makes the call in the state, all at once, and tells whether the reply
 // is the right one.
-func (a agreed) step(c call, r reply) (bool, agreed) {
+func (a modelState) step(c call, r reply) (bool, modelState) {
 	first, known := a.outcomes[c.id]
 	switch {
-	case c.kind == reading:
+	case c.kind == callRead:
 		return r == reply{version: a.version}, a
-	case c.kind == showing || known:
+	case c.kind == callShow || known:
 		return r == first, a
 	}
-	next := agreed{version: a.version, patch: a.patch, outcomes: maps.Clone(a.outcomes)}
+	next := modelState{version: a.version, patch: a.patch, outcomes: maps.Clone(a.outcomes)}
 	out := reply{verdict: configpb.Verdict_VERDICT_REFUSED_BASE, version: a.version, patch: a.patch}
 	if c.base == a.version {
 		next.version++
@@ -74,28 +74,28 @@
 	return r == out, next
 }
 
-// modelFrom returns the sequential specification of patches and reads, which
+// newModel returns the sequential specification of patches and reads, which
 // begins with the version that the patch made.
-func modelFrom(version uint64, patch string) porcupine.Model {
+func newModel(version uint64, patch string) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any {
-			return agreed{version: version, patch: patch, outcomes: map[string]reply{}}
+			return modelState{version: version, patch: patch, outcomes: map[string]reply{}}
 		},
 		Step: func(state, input, output any) (bool, any) {
-			return state.(agreed).step(input.(call), output.(reply))
+			return state.(modelState).step(input.(call), output.(reply))
 		},
-		Equal: func(a, b any) bool { return a.(agreed).equal(b.(agreed)) },
-		Hash:  func(state any) uint64 { return state.(agreed).version },
+		Equal: func(a, b any) bool { return a.(modelState).equal(b.(modelState)) },
+		Hash:  func(state any) uint64 { return state.(modelState).version },
 	}
 }
 
-// TestModelRefusesWrongHistories shows that the check can fail: each history
+// TestModelRejectsInvalidHistories shows that the check can fail: each history
 // breaks one promise.
-func TestModelRefusesWrongHistories(t *testing.T) {
+func TestModelRejectsInvalidHistories(t *testing.T) {
 	accepted := reply{verdict: configpb.Verdict_VERDICT_ACCEPTED, version: 2, patch: "a"}
 	refused := reply{verdict: configpb.Verdict_VERDICT_REFUSED_BASE, version: 2, patch: "a"}
-	submit := func(id string) call { return call{kind: submitting, id: id, base: 1} }
-	show := func(id string) call { return call{kind: showing, id: id} }
+	submit := func(id string) call { return call{kind: callSubmit, id: id, base: 1} }
+	show := func(id string) call { return call{kind: callShow, id: id} }
 	op := func(at int64, c call, r reply) porcupine.Operation {
 		return porcupine.Operation{Call: at, Return: at + 1, Input: c, Output: r}
 	}
@@ -105,7 +105,7 @@
 	}{
 		"right": {[]porcupine.Operation{
 			op(1, submit("a"), accepted), op(3, submit("b"), refused), op(5, submit("a"), accepted),
-			op(7, show("b"), refused), op(9, call{kind: reading}, reply{version: 2}),
+			op(7, show("b"), refused), op(9, call{kind: callRead}, reply{version: 2}),
 		}, true},
 		"two winners": {[]porcupine.Operation{
 			op(1, submit("a"), accepted),
@@ -114,10 +114,10 @@
 		"applied twice":   {[]porcupine.Operation{op(1, submit("a"), accepted), op(3, submit("a"), reply{verdict: accepted.verdict, version: 3, patch: "a"})}, false},
 		"refused later":   {[]porcupine.Operation{op(1, submit("a"), accepted), op(3, submit("a"), refused)}, false},
 		"outcome is lost": {[]porcupine.Operation{op(1, submit("a"), accepted), op(3, show("a"), reply{})}, false},
-		"stale read":      {[]porcupine.Operation{op(1, submit("a"), accepted), op(3, call{kind: reading}, reply{version: 1})}, false},
+		"stale read":      {[]porcupine.Operation{op(1, submit("a"), accepted), op(3, call{kind: callRead}, reply{version: 1})}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(porcupine.CheckOperations(modelFrom(1, "first"), test.history), test.right)
+			is.New(t).Equal(porcupine.CheckOperations(newModel(1, "first"), test.history), test.right)
 		})
 	}
 }
--- a/test/burst_test.go
+++ b/test/newtargets_test.go
@@ -9,9 +9,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestBurstsOfNewTargets adds targets in bursts while others drain. Sessions
+// TestTargetsAddedInBursts adds targets in bursts while others drain. Sessions
 // stay where they began; every new target takes flows.
-func TestBurstsOfNewTargets(t *testing.T) {
+func TestTargetsAddedInBursts(t *testing.T) {
 	is := is.New(t)
 	const bursts, size = 2, 4
 	d := deploy(t, 1)
@@ -40,9 +40,9 @@
 	load.stop()
 }
 
-// TestNewFlowsSpread counts where short flows go among six targets. Ramp and
+// TestNewFlowsAreDistributed counts where short flows go among six targets. Ramp and
 // load are nearly equal, so no target may get far more than its share.
-func TestNewFlowsSpread(t *testing.T) {
+func TestNewFlowsAreDistributed(t *testing.T) {
 	is := is.New(t)
 	const flows, most = 180, 3 // most: times the mean
 	d := deploy(t, 1)
--- a/test/once_test.go
+++ b/test/nonrepeatable_test.go
@@ -16,7 +16,7 @@
 // runKey sends a request that may not be repeated.
 func runKey(caller *processtest.Caller, key string) (*processtest.Answer, error) {
 	return caller.Do(context.Background(), http.MethodPost,
-		processtest.RunPath(slowWork), processtest.KeyHeader(key), []byte(key))
+		processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 }
 
 // runs counts the runs of a key at all targets of lodgement.
@@ -44,10 +44,10 @@
 	return last
 }
 
-// TestLostAnswerIsSentAgainElsewhere loses the answer of a run on its way back
+// TestResendAfterLostResponse loses the answer of a run on its way back
 // for good and sends the request again over the other entry host to the other
 // target.
-func TestLostAnswerIsSentAgainElsewhere(t *testing.T) {
+func TestResendAfterLostResponse(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -60,33 +60,33 @@
 	answer := d.resend(t, d.callerOf(t, second), "lost")
 	is.Equal(string(answer.Body), "lost")
 	is.Equal(d.runs("lost"), 1)
-	attempt.giveUp()
+	attempt.abandon()
 }
 
-// run is a request that may not be repeated and whose answer nobody reads.
-type run struct {
+// pendingRun is a request that may not be repeated and whose answer nobody reads.
+type pendingRun struct {
 	worker conc.WaitGroup
 	cancel context.CancelFunc
 }
 
-func startRun(caller *processtest.Caller, key string) *run {
+func startRun(caller *processtest.Caller, key string) *pendingRun {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &run{cancel: cancel}
+	r := &pendingRun{cancel: cancel}
 	r.worker.Go(func() {
 		// The tests that start a run take its answer away.
-		_, _ = caller.Do(ctx, http.MethodPost, processtest.RunPath(slowWork), processtest.KeyHeader(key), []byte(key))
+		_, _ = caller.Do(ctx, http.MethodPost, processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 	})
 	return r
 }
 
-func (r *run) giveUp() {
+func (r *pendingRun) abandon() {
 	r.cancel()
 	r.worker.Wait()
 }
 
-// TestAnswerIsReplayed loses the answer after the run ended: the resend at
+// TestRecordedResponseIsReplayed loses the answer after the run ended: the resend at
 // another target gets it from the record.
-func TestAnswerIsReplayed(t *testing.T) {
+func TestRecordedResponseIsReplayed(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -101,9 +101,9 @@
 	is.Equal(d.runs("ended"), 1)
 }
 
-// TestAgentLostDuringRun kills the agent that holds the right to run. Nobody
+// TestAgentKilledDuringRun kills the agent that holds the right to run. Nobody
 // knows what became of the run, so nobody runs it again.
-func TestAgentLostDuringRun(t *testing.T) {
+func TestAgentKilledDuringRun(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -122,7 +122,7 @@
 			first.WaitRegistered()
 		}
 	}
-	attempt.giveUp()
+	attempt.abandon()
 }
 
 // TestAgentFrozenDuringRuns freezes an agent while requests arrive and run,
@@ -134,7 +134,7 @@
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
 	caller, other := d.callerOf(t, first), d.callerOf(t, second)
 	key := func(i int) string { return fmt.Sprint("frozen ", i) }
-	var attempts []*run
+	var attempts []*pendingRun
 	for i := range keys {
 		attempts = append(attempts, startRun(caller, key(i)))
 	}
@@ -151,6 +151,6 @@
 		answer := d.resend(t, other, key(i))
 		is.Equal(string(answer.Body), key(i))
 		is.Equal(d.runs(key(i)), 1)
-		attempts[i].giveUp()
+		attempts[i].abandon()
 	}
 }
--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -17,87 +17,87 @@
 
 const (
 	killSeed = 4
-	// shortWork keeps requests in flight at any moment of a kill.
-	shortWork = 20 * time.Millisecond
-	// attemptLimit ends a request whose answer a killed process took along.
-	attemptLimit = 3 * time.Second
-	// keyTries is how often a request with a key is sent while its outcome is
+	// shortWorkTime keeps requests in flight at any moment of a kill.
+	shortWorkTime = 20 * time.Millisecond
+	// attemptTimeout ends a request whose answer a killed process took along.
+	attemptTimeout = 3 * time.Second
+	// maxKeyAttempts is how often a request with a key is sent while its outcome is
 	// not known.
-	keyTries = 3
-	// workersPerLoss is the number of requests that end while no quorum is
+	maxKeyAttempts = 3
+	// requestsPerQuorumLoss is the number of requests that end while no quorum is
 	// there: more than are in flight when it is lost.
-	workersPerLoss = 6
+	requestsPerQuorumLoss = 6
 )
 
 // Fates of one attempt, besides the outcomes of the caller protocol.
-const fateLost = "lost"
+const resultLost = "lost"
 
-// attempts remembers what the callers were told of each request.
-type attempts struct {
-	mu    sync.Mutex
-	fates map[string]string
+// resultLog remembers what the callers were told of each request.
+type resultLog struct {
+	mu      sync.Mutex
+	results map[string]string
 }
 
-func (a *attempts) tell(name, fate string) {
+func (a *resultLog) record(name, fate string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fates[name] = fate
+	a.results[name] = fate
 }
 
-func (a *attempts) count() map[string]int {
+func (a *resultLog) count() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	counts := make(map[string]int)
-	for _, fate := range a.fates {
+	for _, fate := range a.results {
 		counts[fate]++
 	}
 	return counts
 }
 
-// ended returns the number of requests whose fate is known.
-func (a *attempts) ended() int {
+// total returns the number of requests whose fate is known.
+func (a *resultLog) total() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.fates)
+	return len(a.results)
 }
 
 // send sends requests until the context ends. Every other one may not be
 // repeated: it is sent again, with its key, for as long as its outcome is not
 // known.
-func (a *attempts) send(ctx context.Context, s *processtest.Service, worker int) {
+func (a *resultLog) send(ctx context.Context, s *processtest.Service, worker int) {
 	caller := s.NewCaller()
 	for i := 0; ctx.Err() == nil; i++ {
 		name := fmt.Sprintf("worker %d request %d", worker, i)
-		path := processtest.RunPath(shortWork)
+		path := processtest.RunPath(shortWorkTime)
 		var header http.Header
 		tries := 1
 		if i%2 == 0 {
 			header = processtest.KeyHeader(name)
-			tries = keyTries
+			tries = maxKeyAttempts
 		} else {
 			path += "&key=" + url.QueryEscape(name)
 		}
-		fate := fateLost
+		fate := resultLost
 		for range tries {
 			fate = attemptOnce(caller, path, header, name)
-			if fate == fateLost {
+			if fate == resultLost {
 				caller = s.NewCaller() // its connection may hang
 			}
-			if fate != fateLost && fate != processtest.OutcomeUnknown {
+			if fate != resultLost && fate != processtest.OutcomeUnknown {
 				break
 			}
 		}
-		a.tell(name, fate)
+		a.record(name, fate)
 	}
 }
 
 func attemptOnce(caller *processtest.Caller, path string, header http.Header, name string) string {
-	try, cancel := context.WithTimeout(context.Background(), attemptLimit)
+	try, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	answer, err := caller.Do(try, http.MethodPost, path, header.Clone(), []byte(name))
 	switch {
 	case err != nil:
-		return fateLost
+		return resultLost
 	case answer.Outcome == processtest.OutcomeAnswered && string(answer.Body) != name:
 		return "wrong answer"
 	default:
@@ -105,16 +105,16 @@
 	}
 }
 
-// TestNotRunIsNeverFalse kills backend servers, agents and the control host in
+// TestNotRunOutcomeMatchesRuns kills backend servers, agents and the control host in
 // a seeded order under requests, and compares what the callers were told with
 // what the backend servers ran. Requests with a key are sent again while their
 // outcome is unknown, also to hosts that cannot ask whether they ran; a not-run
 // must hold for every attempt.
-func TestNotRunIsNeverFalse(t *testing.T) {
+func TestNotRunOutcomeMatchesRuns(t *testing.T) {
 	const kills, workers = 18, 6
 	d := deploy(t, 1)
 	random := rand.New(rand.NewPCG(killSeed, killSeed))
-	told := &attempts{fates: make(map[string]string)}
+	told := &resultLog{results: make(map[string]string)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var senders conc.WaitGroup
@@ -141,28 +141,28 @@
 	cancel()
 	senders.Wait()
 	t.Logf("told: %v", told.count())
-	for name, fate := range told.fates {
-		d.checkFate(t, name, fate)
+	for name, fate := range told.results {
+		d.checkResult(t, name, fate)
 	}
 }
 
 // loseQuorum kills the control host and a backend server, so that requests are
 // sent again whose first attempt is known to nobody, and starts both again once
 // requests have ended without a quorum.
-func (d *deployment) loseQuorum(t *testing.T, told *attempts) {
+func (d *deployment) loseQuorum(t *testing.T, told *resultLog) {
 	t.Helper()
 	d.controls[0].Kill()
 	target := d.targets[d.lodgement][0]
 	target.Backend.Kill()
 	target.LaunchBackend()
-	before := told.ended()
-	processtest.Eventually(t, "requests end without a quorum", func() bool { return told.ended() > before+workersPerLoss })
+	before := told.total()
+	processtest.Eventually(t, "requests end without a quorum", func() bool { return told.total() > before+requestsPerQuorumLoss })
 	d.controls[0].Launch()
 	d.controls[0].WaitReady()
 }
 
-// checkFate compares what a caller was told with the runs.
-func (d *deployment) checkFate(t *testing.T, name, fate string) {
+// checkResult compares what a caller was told with the runs.
+func (d *deployment) checkResult(t *testing.T, name, fate string) {
 	t.Helper()
 	runs := 0
 	for _, target := range d.targets[d.lodgement] {
@@ -175,7 +175,7 @@
 		right = runs == 1
 	case processtest.OutcomeNotRun:
 		right = runs == 0
-	case processtest.OutcomeUnknown, fateLost:
+	case processtest.OutcomeUnknown, resultLost:
 	default:
 		right = false
 	}
--- a/test/operatorpath_test.go
+++ b/test/operatorpath_test.go
@@ -41,59 +41,59 @@
 
 const (
 	_ pathFault = iota // none: the patch goes its way
-	// answerCut loses the answer after the patch took effect.
-	answerCut
-	// requestCut loses the request.
-	requestCut
+	// responseCut loses the answer after the patch took effect.
+	responseCut
+	// requestDropped loses the request.
+	requestDropped
 	// requestDelayed holds the request and its answer up.
 	requestDelayed
-	// requestDoubled sends the patch to two hosts at once, the second time
+	// requestDuplicated sends the patch to two hosts at once, the second time
 	// over a slow path.
-	requestDoubled
+	requestDuplicated
 	pathFaults
 )
 
 const (
 	// pathDelay is what each part of a delayed request and answer waits.
 	pathDelay = 20 * time.Millisecond
-	// lostLimit is when an operator gives up on a request that was lost.
-	lostLimit = 100 * time.Millisecond
-	// showPause is the time between two looks for an outcome.
-	showPause = 10 * time.Millisecond
+	// lostTimeout is when an operator gives up on a request that was lost.
+	lostTimeout = 100 * time.Millisecond
+	// pollInterval is the time between two looks for an outcome.
+	pollInterval = 10 * time.Millisecond
 )
 
-// disturbed sends the patch once, or twice, under a fault drawn by chance. What
+// submitWithFault sends the patch once, or twice, under a fault drawn by chance. What
 // the operator is told is recorded. It returns the path of a lost answer and
 // the outcome that was seen before the answer was cut.
-func (o *operatorCaller) disturbed(patch *configpb.Patch) (lost *operatorPath, seen *configpb.Outcome) {
+func (o *testOperator) submitWithFault(patch *configpb.Patch) (lost *operatorPath, seen *configpb.Outcome) {
 	path := o.path()
 	fault := pathFault(o.random.IntN(int(pathFaults)))
 	switch fault {
-	case answerCut:
-		return path, o.cutAnswer(path, patch)
-	case requestCut:
+	case responseCut:
+		return path, o.cutResponse(path, patch)
+	case requestDropped:
 		path.relay.SetFaults(faultproxy.ToHost, faultproxy.Faults{Cut: true})
-		o.try(path, patch, lostLimit)
+		o.submitOnce(path, patch, lostTimeout)
 		path.heal()
 	case requestDelayed:
-		o.slow(path)
-		o.try(path, patch, callLimit)
+		o.delay(path)
+		o.submitOnce(path, patch, callTimeout)
 		path.heal()
-	case requestDoubled:
+	case requestDuplicated:
 		o.sendTwice(path, patch)
 	}
 	return nil, nil
 }
 
-func (o *operatorCaller) slow(path *operatorPath) {
+func (o *testOperator) delay(path *operatorPath) {
 	for _, way := range []faultproxy.Direction{faultproxy.ToHost, faultproxy.ToCaller} {
 		path.relay.SetFaults(way, faultproxy.Faults{Delay: pathDelay})
 	}
 }
 
-// try sends the patch over one path. An answer is a call of its own in the
+// submitOnce sends the patch over one path. An answer is a call of its own in the
 // history.
-func (o *operatorCaller) try(path *operatorPath, patch *configpb.Patch, limit time.Duration) bool {
+func (o *testOperator) submitOnce(path *operatorPath, patch *configpb.Patch, limit time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	from := o.recorder.now()
@@ -101,30 +101,30 @@
 	if err != nil {
 		return false
 	}
-	o.recorder.note(o.number, from, submitCall(patch), replyOf(out))
+	o.recorder.record(o.number, from, submitCall(patch), replyOf(out))
 	return true
 }
 
 // sendTwice sends the patch over two paths at once.
-func (o *operatorCaller) sendTwice(path *operatorPath, patch *configpb.Patch) {
+func (o *testOperator) sendTwice(path *operatorPath, patch *configpb.Patch) {
 	other := o.otherPath(path)
-	o.slow(other)
+	o.delay(other)
 	var first, second bool
 	var both conc.WaitGroup
-	both.Go(func() { first = o.try(path, patch, callLimit) })
-	both.Go(func() { second = o.try(other, patch, callLimit) })
+	both.Go(func() { first = o.submitOnce(path, patch, callTimeout) })
+	both.Go(func() { second = o.submitOnce(other, patch, callTimeout) })
 	both.Wait()
 	other.heal()
 	if first && second {
-		o.recorder.count(func(r *recorder) { r.doubled++ })
+		o.recorder.update(func(r *recorder) { r.duplicated++ })
 	}
 }
 
-// cutAnswer sends the patch over a path that is cut behind it, and breaks the
+// cutResponse sends the patch over a path that is cut behind it, and breaks the
 // connection once another host tells the outcome. It returns that outcome, or
 // nil if none was told in time.
-func (o *operatorCaller) cutAnswer(path *operatorPath, patch *configpb.Patch) *configpb.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (o *testOperator) cutResponse(path *operatorPath, patch *configpb.Patch) *configpb.Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	defer path.heal()
 	if _, _, err := path.client.Config(ctx, 0); err != nil {
@@ -140,7 +140,7 @@
 	var seen *configpb.Outcome
 	for ctx.Err() == nil && seen == nil {
 		if seen = o.show(o.otherPath(path), patch.GetId()); seen == nil {
-			time.Sleep(showPause)
+			time.Sleep(pollInterval)
 		}
 	}
 	path.relay.CloseConnections()
@@ -152,14 +152,14 @@
 // host after the other until its outcome is told. All of this is one call of
 // the history: it takes effect once, or the history is wrong. A resend after an
 // answer that was cut is told what was seen then.
-func (o *operatorCaller) submit(id string, base uint64) {
+func (o *testOperator) submit(id string, base uint64) {
 	from := o.recorder.now()
 	patch := putPatch(id, base, o.service)
-	lost, seen := o.disturbed(patch)
+	lost, seen := o.submitWithFault(patch)
 	var out *configpb.Outcome
 	tries := 0
 	processtest.Eventually(o.t, "the outcome of "+id, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		tries++
 		path := o.path()
@@ -171,17 +171,17 @@
 		return err == nil
 	})
 	told := replyOf(out)
-	o.recorder.note(o.number, from, submitCall(patch), told)
-	o.recorder.count(func(r *recorder) { r.resent += tries - 1 })
+	o.recorder.record(o.number, from, submitCall(patch), told)
+	o.recorder.update(func(r *recorder) { r.resent += tries - 1 })
 	if seen == nil {
 		return
 	}
-	o.recorder.count(func(r *recorder) { r.cut++ })
+	o.recorder.update(func(r *recorder) { r.cutResponses++ })
 	if first := replyOf(seen); first != told {
 		o.t.Errorf("%s: %+v was in force when the answer was cut, the resend was told %+v", id, first, told)
 	}
 }
 
 func submitCall(p *configpb.Patch) call {
-	return call{kind: submitting, id: p.GetId(), base: p.GetBaseVersion()}
+	return call{kind: callSubmit, id: p.GetId(), base: p.GetBaseVersion()}
 }
--- a/test/stops_test.go
+++ b/test/plannedstops_test.go
@@ -8,14 +8,14 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestPlannedStopsTogether stops a process of each role at the same moment,
+// TestConcurrentPlannedStops stops a process of each role at the same moment,
 // beside requests in flight and open sessions, and starts an entry host. Of
 // three targets one is left, which is all that new flows need.
-func TestPlannedStopsTogether(t *testing.T) {
+func TestConcurrentPlannedStops(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
-	target, other := d.holder(t, load.watch)
+	target, other := d.sessionTarget(t, load.watch)
 	atOther := d.callerOf(t, other).Watch()
 	inFlight := []*requests{d.startRequests(t, target, 2), d.startRequests(t, other, 2)}
 	d.callerOf(t, d.lodgement.StartTarget("c"))
@@ -29,7 +29,7 @@
 	d.entries[0].Leave()
 	for _, r := range inFlight {
 		for _, fate := range r.wait() {
-			is.Equal(fate, whole)
+			is.Equal(fate, completed)
 		}
 	}
 	for _, p := range stopped {
--- a/test/ramp_test.go
+++ b/test/ramp_test.go
@@ -10,11 +10,11 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestColdTargetGetsMoreFlowsAsItAges adds a target to two that are past the
+// TestRampLimitsFlowsOfNewTarget adds a target to two that are past the
 // ramp. It gets fewer than half of an even share of the new flows while it has
 // passed a quarter of the ramp at most, and more than that later. The ramp is as
 // long as the others are old, so that a slow machine only makes it longer.
-func TestColdTargetGetsMoreFlowsAsItAges(t *testing.T) {
+func TestRampLimitsFlowsOfNewTarget(t *testing.T) {
 	is := is.New(t)
 	const flows, rounds = 120, 5
 	const half = flows / 3 / 2 // of the even share of one of three
@@ -27,17 +27,17 @@
 		d.InForce(d.Patch(d.lodgement.Put()+policy), d.entryNames()...)
 		launched := time.Now()
 		cold := d.lodgement.StartTarget(fmt.Sprint("cold-", round))
-		d.candidates(t, len(d.all())+1)
-		first := d.reaching(cold, flows)
+		d.waitCandidates(t, len(d.all())+1)
+		first := d.countFlowsTo(cold, flows)
 		if time.Since(launched) > ramp/4 {
 			cold.StopAgent() // too old by now
-			d.candidates(t, len(d.all()))
+			d.waitCandidates(t, len(d.all()))
 			continue
 		}
 		t.Logf("ramp %v: %d of %d flows", ramp, first, flows)
 		is.True(first < half)
 		processtest.Eventually(t, "the target gets its share", func() bool {
-			return d.reaching(cold, flows) >= half
+			return d.countFlowsTo(cold, flows) >= half
 		})
 		return
 	}
--- a/test/minutes_test.go
+++ b/test/recordage_test.go
@@ -9,10 +9,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// resendAfter is the age of the records when they are asked for. The clock of
+// recordAge is the age of the records when they are asked for. The clock of
 // the grants follows that of the machine, and the shortest time for which
 // records may be kept is longer than a test: nothing but time brings this about.
-const resendAfter = 2 * time.Minute
+const recordAge = 2 * time.Minute
 
 // TestResendAfterMinutes lets minutes pass after a run that ended and a run
 // whose agent was killed, with keys of other requests in between, and starts
@@ -32,7 +32,7 @@
 	first.Agent.Kill()
 	since := time.Now()
 
-	time.Sleep(resendAfter / 2) // the age is what is tested; nothing is waited for
+	time.Sleep(recordAge / 2) // the age is what is tested; nothing is waited for
 	between, err := runKey(other, "between")
 	is.NoErr(err)
 	is.Equal(between.Outcome, processtest.OutcomeAnswered)
@@ -41,7 +41,7 @@
 	control.WaitExit()
 	control.Launch()
 	control.WaitReady()
-	time.Sleep(resendAfter - time.Since(since))
+	time.Sleep(recordAge - time.Since(since))
 
 	again := d.resend(t, other, "ended")
 	is.Equal(again.Status, ended.Status)
@@ -52,5 +52,5 @@
 	for _, key := range []string{"ended", "killed", "between"} {
 		is.Equal(d.runs(key), 1)
 	}
-	attempt.giveUp()
+	attempt.abandon()
 }
--- a/test/recorder_test.go
+++ b/test/recorder_test.go
@@ -17,12 +17,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// callLimit is when an operator gives up on an answer, as when it is lost.
-const callLimit = 2 * time.Second
+// callTimeout is when an operator gives up on an answer, as when it is lost.
+const callTimeout = 2 * time.Second
 
 // recorder notes what operators ask and are told, and when.
 type recorder struct {
-	begin time.Time
+	start time.Time
 
 	mu       sync.Mutex
 	history  []porcupine.Operation
@@ -32,20 +32,20 @@
 	// resent counts calls after the first one of a patch, cut the answers that
 	// were cut after the patch took effect, and doubled the patches that were
 	// sent twice at once and answered twice.
-	resent, cut, doubled int
+	resent, cutResponses, duplicated int
 }
 
-func (r *recorder) now() int64 { return int64(time.Since(r.begin)) }
+func (r *recorder) now() int64 { return int64(time.Since(r.start)) }
 
-// note records a call that was answered.
-func (r *recorder) note(client int, from int64, c call, out reply) {
+// record records a call that was answered.
+func (r *recorder) record(client int, from int64, c call, out reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = append(r.history, porcupine.Operation{
 		ClientId: client, Input: c, Call: from, Output: out, Return: r.now(),
 	})
 	r.newest = max(r.newest, out.version)
-	if c.kind == submitting {
+	if c.kind == callSubmit {
 		r.ids = append(r.ids, c.id)
 	}
 }
@@ -66,8 +66,8 @@
 	return r.ids[random.IntN(len(r.ids))]
 }
 
-// count lets f change a counter.
-func (r *recorder) count(f func(*recorder)) {
+// update lets f change a counter.
+func (r *recorder) update(f func(*recorder)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r)
@@ -86,9 +86,9 @@
 	return &configpb.Patch{Id: id, BaseVersion: base, Operations: []*configpb.Operation{put}}
 }
 
-// operatorCaller is one operator. It asks a host drawn for each call, over a
+// testOperator is one operator. It asks a host drawn for each call, over a
 // path of its own.
-type operatorCaller struct {
+type testOperator struct {
 	t        *testing.T
 	number   int
 	random   *rand.Rand
@@ -98,10 +98,10 @@
 	patches  int
 }
 
-func (o *operatorCaller) path() *operatorPath { return o.paths[o.random.IntN(len(o.paths))] }
+func (o *testOperator) path() *operatorPath { return o.paths[o.random.IntN(len(o.paths))] }
 
 // otherPath returns a path to another host than this one leads to.
-func (o *operatorCaller) otherPath(not *operatorPath) *operatorPath {
+func (o *testOperator) otherPath(not *operatorPath) *operatorPath {
 	for {
 		if path := o.path(); path != not {
 			return path
@@ -111,30 +111,30 @@
 
 // show asks for the outcome of a patch. A call that no quorum confirms tells
 // nothing and is left out.
-func (o *operatorCaller) show(path *operatorPath, id string) *configpb.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (o *testOperator) show(path *operatorPath, id string) *configpb.Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	from := o.recorder.now()
 	out, err := path.client.Outcome(ctx, id)
 	if err == nil || errors.Is(err, operator.ErrNotFound) {
-		o.recorder.note(o.number, from, call{kind: showing, id: id}, replyOf(out))
+		o.recorder.record(o.number, from, call{kind: callShow, id: id}, replyOf(out))
 	}
 	return out
 }
 
 // read asks for the newest version.
-func (o *operatorCaller) read() {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (o *testOperator) read() {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	from := o.recorder.now()
 	cfg, confirmed, err := o.path().client.Config(ctx, 0)
 	if err == nil && confirmed {
-		o.recorder.note(o.number, from, call{kind: reading}, reply{version: cfg.GetVersion()})
+		o.recorder.record(o.number, from, call{kind: callRead}, reply{version: cfg.GetVersion()})
 	}
 }
 
 // work makes a number of calls, drawn by chance.
-func (o *operatorCaller) work(calls int) {
+func (o *testOperator) work(calls int) {
 	for range calls {
 		switch o.random.IntN(8) {
 		case 0, 1, 2:
@@ -149,17 +149,17 @@
 		default:
 			o.read()
 		}
-		o.recorder.count(func(r *recorder) { r.finished++ })
+		o.recorder.update(func(r *recorder) { r.finished++ })
 	}
 }
 
 // submitAgain repeats the operator's latest patch, under the base it had.
-func (o *operatorCaller) submitAgain() {
+func (o *testOperator) submitAgain() {
 	id := fmt.Sprintf("operator-%d-patch-%d", o.number, o.patches)
 	o.recorder.mu.Lock()
 	var base uint64
 	for _, op := range o.recorder.history {
-		if c := op.Input.(call); c.kind == submitting && c.id == id {
+		if c := op.Input.(call); c.kind == callSubmit && c.id == id {
 			base = c.base
 		}
 	}
@@ -183,10 +183,10 @@
 		}
 	}
 	t.Logf("%d calls: %d told accepted, %d told refused, %d others; %d sent again, %d answers cut, %d sent twice",
-		len(r.history), accepted, refused, reads, r.resent, r.cut, r.doubled)
+		len(r.history), accepted, refused, reads, r.resent, r.cutResponses, r.duplicated)
 	is := is.New(t)
-	is.True(r.cut > 0)     // answers of patches that took effect were lost
-	is.True(r.doubled > 0) // patches were sent twice
-	result := porcupine.CheckOperationsTimeout(model, r.history, checkLimit)
+	is.True(r.cutResponses > 0) // answers of patches that took effect were lost
+	is.True(r.duplicated > 0)   // patches were sent twice
+	result := porcupine.CheckOperationsTimeout(model, r.history, checkTimeout)
 	is.Equal(result, porcupine.Ok)
 }
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -11,11 +11,11 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestCallerWithoutTargetIsToldAtOnce opens flows to a service that has no
+// TestCallerWithoutTargetIsRefused opens flows to a service that has no
 // target yet, and to one that loses all of its targets. The callers are told by
 // the entry hosts, and not by their own timeout; flows of the other service go
 // on, and a first target serves new callers.
-func TestCallerWithoutTargetIsToldAtOnce(t *testing.T) {
+func TestCallerWithoutTargetIsRefused(t *testing.T) {
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(1)
@@ -26,17 +26,17 @@
 	d.certificates.StartTarget("a")
 	watch := d.certificates.NewCaller().Watch()
 
-	expectRefusals(t, d.lodgement) // no target yet
+	waitRefusals(t, d.lodgement) // no target yet
 	first := d.lodgement.StartTarget("a")
-	checkEcho(t, d.lodgement, servedCaller(t, d.lodgement), "the first target")
+	checkEcho(t, d.lodgement, waitServedCaller(t, d.lodgement), "the first target")
 
 	first.Agent.Kill()
 	first.Backend.Kill()
-	expectRefusals(t, d.lodgement) // its lease has ended
+	waitRefusals(t, d.lodgement) // its lease has ended
 	watch.Advance()
 
 	d.lodgement.StartTarget("b")
-	checkEcho(t, d.lodgement, servedCaller(t, d.lodgement), "served again")
+	checkEcho(t, d.lodgement, waitServedCaller(t, d.lodgement), "served again")
 	watch.Advance()
 	processtest.Eventually(t, "refusals are counted", func() bool {
 		sent, noTarget := 0.0, 0.0
@@ -48,11 +48,11 @@
 	})
 }
 
-// expectRefusals waits until a caller is refused. Entry hosts stay silent while
+// waitRefusals waits until a caller is refused. Entry hosts stay silent while
 // they are not sure: while a control host that has just started still collects
 // the targets, and until a lost lease ends. From then on no caller is left to
 // its own timeout.
-func expectRefusals(t *testing.T, s *processtest.Service) {
+func waitRefusals(t *testing.T, s *processtest.Service) {
 	t.Helper()
 	processtest.Eventually(t, "callers are refused", func() bool { return isRefused(firstRequest(s)) })
 	for range 4 {
@@ -73,9 +73,9 @@
 	return errors.As(err, &fault) && fault.Remote && fault.ErrorCode == quic.ConnectionRefused
 }
 
-// servedCaller waits until entry hosts know of a target and returns a caller
+// waitServedCaller waits until entry hosts know of a target and returns a caller
 // that it serves.
-func servedCaller(t *testing.T, s *processtest.Service) *processtest.Caller {
+func waitServedCaller(t *testing.T, s *processtest.Service) *processtest.Caller {
 	t.Helper()
 	var caller *processtest.Caller
 	processtest.Eventually(t, "callers are served", func() bool {
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -9,9 +9,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestEveryProcessRestartsInTurn restarts control hosts, entry hosts and agents
+// TestRollingRestart restarts control hosts, entry hosts and agents
 // one after the other, by plan, under traffic and an open session.
-func TestEveryProcessRestartsInTurn(t *testing.T) {
+func TestRollingRestart(t *testing.T) {
 	d := deploy(t, 3)
 	load := d.startLoad(t)
 	for _, host := range d.controls {
@@ -64,10 +64,10 @@
 	load.stop()
 }
 
-// TestEverythingKilledAtOnce kills every process at the same time and starts
+// TestAllProcessesKilledAtOnce kills every process at the same time and starts
 // all of them again: the configuration is as accepted, a request that may not
 // be repeated is not run again, and new sessions open.
-func TestEverythingKilledAtOnce(t *testing.T) {
+func TestAllProcessesKilledAtOnce(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -97,7 +97,7 @@
 	is.Equal(again.Outcome, processtest.OutcomeAnswered) // the recorded answer
 	is.Equal(string(again.Body), string(ran.Body))
 	is.True(d.runs("once") <= 1) // the new processes did not run it
-	load.discard()
+	load.stopUnchecked()
 }
 
 // launchAll starts every process and waits until all of them are ready.
@@ -123,8 +123,8 @@
 	}
 }
 
-// discard ends the load without a look at its fate.
-func (l *load) discard() {
+// stopUnchecked ends the load without a look at its fate.
+func (l *load) stopUnchecked() {
 	l.watch.Close()
 	for _, traffic := range l.traffic {
 		traffic.Stop()
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -18,9 +18,9 @@
 	exitUnknown  = 4
 )
 
-// TestRolesServeAndEnd ends every process with SIGTERM, those first that others
+// TestProcessesStopOnSIGTERM ends every process with SIGTERM, those first that others
 // do without.
-func TestRolesServeAndEnd(t *testing.T) {
+func TestProcessesStopOnSIGTERM(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	d.checkEchoes(t, "before the end", 1)
@@ -34,13 +34,13 @@
 		for _, p := range role {
 			is.True(strings.Contains(p.Metrics(), "# TYPE")) // counters are served
 		}
-		endAll(role)
+		terminateAll(role)
 	}
-	endAll(backends)
+	terminateAll(backends)
 }
 
-// endAll ends processes side by side.
-func endAll(all []*processtest.Process) {
+// terminateAll ends processes side by side.
+func terminateAll(all []*processtest.Process) {
 	for _, p := range all {
 		p.Terminate()
 	}
@@ -49,13 +49,13 @@
 	}
 }
 
-// TestSecondSignalEndsAgentWithItsSessions is the forced end of sessions, the
+// TestSecondSignalForcesAgentExit is the forced end of sessions, the
 // operator's explicit choice.
-func TestSecondSignalEndsAgentWithItsSessions(t *testing.T) {
+func TestSecondSignalForcesAgentExit(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
-	target, _ := d.holder(t, watch)
+	target, _ := d.sessionTarget(t, watch)
 	target.StopAgent()
 	watch.Advance()
 	is.True(target.Agent.Running())
@@ -63,9 +63,9 @@
 	is.Equal(target.Agent.WaitEnd(), exitForced)
 }
 
-// TestOperatorLearnsLostOutcome cuts the answer to a patch that was accepted,
+// TestOperatorRecoversLostOutcome cuts the answer to a patch that was accepted,
 // and runs what the command prints.
-func TestOperatorLearnsLostOutcome(t *testing.T) {
+func TestOperatorRecoversLostOutcome(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	cut := d.CutAnswers()
--- a/test/stale_test.go
+++ b/test/stalehost_test.go
@@ -21,9 +21,9 @@
 	leavingMessage = "leaving an isolated control host"
 )
 
-// manyVersions makes versions after base through the hosts and returns the
+// createVersions makes versions after base through the hosts and returns the
 // last one.
-func (d *deployment) manyVersions(t *testing.T, base uint64, through ...*processtest.Control) uint64 {
+func (d *deployment) createVersions(t *testing.T, base uint64, through ...*processtest.Control) uint64 {
 	t.Helper()
 	s := d.startStream(base, through...)
 	processtest.Eventually(t, "hundreds of versions", func() bool {
@@ -33,31 +33,31 @@
 	return version
 }
 
-// staleDeployment has a control host that missed hundreds of versions.
-func staleDeployment(t *testing.T) (d *deployment, stale *processtest.Control, undo func(), newest uint64) {
+// deployWithStaleHost has a control host that missed hundreds of versions.
+func deployWithStaleHost(t *testing.T) (d *deployment, stale *processtest.Control, undo func(), newest uint64) {
 	t.Helper()
-	d = historyDeployment(t)
+	d = deployRelayed(t)
 	stale = d.Leader().Others()[0]
-	d.checkHolds(t, stale, 1)
-	undo = cutOff(stale, faultproxy.ToHost, faultproxy.ToCaller)
+	d.waitVersion(t, stale, 1)
+	undo = cutPeerLinks(stale, faultproxy.ToHost, faultproxy.ToCaller)
 	processtest.Eventually(t, "the host knows that it is cut off", func() bool {
 		s := stale.Status()
 		return s != nil && s.Groups[0].Leader == ""
 	})
-	newest = d.manyVersions(t, 1, stale.Others()...)
+	newest = d.createVersions(t, 1, stale.Others()...)
 	return d, stale, undo, newest
 }
 
-// TestStaleHostReturns cuts a control host off through hundreds of versions and
+// TestStaleControlHostRejoins cuts a control host off through hundreds of versions and
 // lets it return: it unseats nobody and serves no old read, and the entry host
 // beside it, which nothing else told more, goes to the newest version in one
 // step.
-func TestStaleHostReturns(t *testing.T) {
+func TestStaleControlHostRejoins(t *testing.T) {
 	is := is.New(t)
-	d, stale, undo, newest := staleDeployment(t)
+	d, stale, undo, newest := deployWithStaleHost(t)
 	beside := d.StartEntry(stale.Link) // acts on what no quorum confirmed, after a while
 	is.Equal(beside.ActedOn(), []uint64{1})
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	cfg, confirmed, err := d.Client(stale.Operator).Config(ctx, 0)
 	is.NoErr(err)
@@ -68,20 +68,20 @@
 
 	undo()
 	d.InForce(newest, beside.Host)
-	d.checkHolds(t, stale, newest)
+	d.waitVersion(t, stale, newest)
 	is.Equal(beside.ActedOn(), []uint64{1, newest}) // no version in between
 	for _, e := range d.entries {
-		checkNeverBack(t, e.ActedOn(), newest)
+		checkMonotonic(t, e.ActedOn(), newest)
 	}
 }
 
-// TestRestartBesideStaleHost restarts an entry host that reaches the stale
+// TestEntryHostRestartWithStaleControlHost restarts an entry host that reaches the stale
 // control host and one that knows more, until it began beside the stale one
 // several times: it never acts on the old version.
-func TestRestartBesideStaleHost(t *testing.T) {
+func TestEntryHostRestartWithStaleControlHost(t *testing.T) {
 	is := is.New(t)
 	const moves, most = 3, 40
-	d, stale, _, newest := staleDeployment(t)
+	d, stale, _, newest := deployWithStaleHost(t)
 	e := d.LaunchEntry(stale.Link, stale.Others()[0].Link)
 	moved, starts := 0, 0
 	for ; moved < moves && starts < most; starts++ {
@@ -96,20 +96,20 @@
 	is.True(moved >= moves)
 }
 
-// TestEntryCatchesUpInOneStep cuts an entry host off through hundreds of
+// TestEntryHostCatchesUpInOneStep cuts an entry host off through hundreds of
 // versions. When the path works again it may still get the one version that was
 // on its way when the cut came, and then goes to the newest.
-func TestEntryCatchesUpInOneStep(t *testing.T) {
+func TestEntryHostCatchesUpInOneStep(t *testing.T) {
 	is := is.New(t)
-	d := historyDeployment(t)
+	d := deployRelayed(t)
 	link := d.controls[0].Relay()
 	e := d.StartEntry(link.Addr())
 	link.Cut()
-	newest := d.manyVersions(t, 1, d.controls...)
+	newest := d.createVersions(t, 1, d.controls...)
 	link.Heal()
 	d.InForce(newest, e.Host)
 	acted := e.ActedOn()
-	checkNeverBack(t, acted, newest)
+	checkMonotonic(t, acted, newest)
 	is.Equal(acted[0], uint64(1))
 	is.True(len(acted) <= 3)
 }
--- a/test/silence_test.go
+++ b/test/unresponsive_test.go
@@ -12,28 +12,28 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestFlowsBegunAfterAKillAreServed loses one of two agents without a word.
+// TestNewFlowsServedAfterAgentKill loses one of two agents without a word.
 // Every flow begun from then on is served, also while its lease still runs.
-func TestFlowsBegunAfterAKillAreServed(t *testing.T) {
+func TestNewFlowsServedAfterAgentKill(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	lost := d.targets[d.lodgement][0]
 	d.callerOf(t, lost)
 	lost.Agent.Kill()
-	failed := d.beginFlows(6)
+	failed := d.openFlows(6)
 	t.Logf("%d of 24 failed", len(failed))
 	is.Equal(failed, nil)
 }
 
-// TestFrozenAgentGetsFlowsAgain freezes an agent until entry hosts hold it for
+// TestThawedAgentGetsFlowsAgain freezes an agent until entry hosts hold it for
 // silent, and thaws it. It is found again without any flow of its own.
-func TestFrozenAgentGetsFlowsAgain(t *testing.T) {
+func TestThawedAgentGetsFlowsAgain(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	frozen := d.targets[d.lodgement][0]
 	frozen.Agent.Freeze()
 	processtest.Eventually(t, "the frozen agent is silent", func() bool {
-		is.Equal(d.beginFlows(1), nil)
+		is.Equal(d.openFlows(1), nil)
 		silent := 0.0
 		for _, e := range d.entries {
 			silent += e.Reading("entry_first_forwarded", "reason", "silent")
@@ -44,9 +44,9 @@
 	d.callerOf(t, frozen)
 }
 
-// beginFlows begins four times so many flows, four at a time, and returns the
+// openFlows begins four times so many flows, four at a time, and returns the
 // failures.
-func (d *deployment) beginFlows(each int) []string {
+func (d *deployment) openFlows(each int) []string {
 	var mu sync.Mutex
 	var failed []string
 	var workers conc.WaitGroup
