--- a/test/address_test.go
+++ b/test/address_test.go
@@ -11,17 +11,17 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// tryTimeout ends a request that nobody answers; either end is good there.
+// tryTimeout ends a request that gets no response.
 const tryTimeout = time.Second
 
-// TestAddressReassignedToAnotherService gives lodgement's public address to
-// certificates while one entry host can't hear of it. Each flow's packets keep
-// reaching both entry hosts, which disagree on what the address stands for.
+// TestAddressReassignedToAnotherService moves lodgement's public address to
+// certificates while one entry host is cut off from control. No flow may reach the
+// wrong service, although the packets of each flow arrive at both entry hosts.
 func TestAddressReassignedToAnotherService(t *testing.T) {
 	d := deploy(t, 1)
 	link := d.controls[0].Relay()
 	d.entries[1].Leave()
-	behind := d.StartEntry(link.Addr())
+	lagging := d.StartEntry(link.Addr())
 	established := d.lodgement.NewCaller()
 	checkEcho(t, d.lodgement, established, "before")
 
@@ -35,12 +35,12 @@
 		d.checkNotServedBy(t, d.lodgement.NewCallerAs(d.certificates.Name), d.lodgement, fmt.Sprint("certificates ", i))
 	}
 	link.Heal()
-	d.InForce(version, behind.Host)
+	d.InForce(version, lagging.Host)
 	caller := d.lodgement.NewCallerAs(d.certificates.Name)
-	checkEcho(t, d.certificates, caller, "the address stands for certificates")
+	checkEcho(t, d.certificates, caller, "address reassigned to certificates")
 }
 
-// reassignAddress gives lodgement another public address and its old one to
+// reassignAddress gives lodgement a new public address and its old one to
 // certificates.
 func (d *deployment) reassignAddress() uint64 {
 	return d.Patch(
@@ -49,13 +49,12 @@
 	)
 }
 
-// TestSessionSurvivesAddressChange changes what a public address stands
-// for under an open session. New flows follow the change at once, the
-// established one stays with its target.
+// TestSessionSurvivesAddressChange reassigns or replaces a public address under an
+// open session. The session stays with its target.
 func TestSessionSurvivesAddressChange(t *testing.T) {
 	for name, change := range map[string]func(*deployment) uint64{
-		"address passes to another service": (*deployment).reassignAddress,
-		"address is replaced by another one": func(d *deployment) uint64 {
+		"address reassigned to another service": (*deployment).reassignAddress,
+		"address replaced": func(d *deployment) uint64 {
 			return d.Patch(d.lodgement.Put(d.NewAddress()))
 		},
 	} {
@@ -69,8 +68,8 @@
 	}
 }
 
-// checkNotServedBy sends a request, which may fail, and checks that the service
-// does not answer it.
+// checkNotServedBy sends a request, which may fail, and checks that the service does
+// not answer it.
 func (d *deployment) checkNotServedBy(t *testing.T, caller *processtest.Caller, s *processtest.Service, text string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -6,8 +6,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// BenchmarkPatches measures patches of one operator, each against the version
-// that the one before made, on three control hosts.
+// BenchmarkPatches measures sequential patches of one operator on three control hosts.
 func BenchmarkPatches(b *testing.B) {
 	d := &deployment{Cluster: processtest.New(b)}
 	d.controls = d.StartControls(3)
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -21,9 +21,8 @@
 	return all
 }
 
-// TestLeaderKilledDuringPatches kills the leader while patches follow each other
-// and sends each one again until its outcome is known: each applies exactly
-// once, in order.
+// TestLeaderKilledDuringPatches kills the leader during a sequence of patches and
+// resends each one until its outcome is known. Each applies exactly once, in order.
 func TestLeaderKilledDuringPatches(t *testing.T) {
 	is := is.New(t)
 	const rounds, patches = 4, 6
@@ -55,7 +54,7 @@
 }
 
 // TestControlHostsRollingRestart stops each control host gracefully while
-// requests that may not be repeated run: none is cut and none runs twice.
+// non-repeatable requests run. None is interrupted and none runs twice.
 func TestControlHostsRollingRestart(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
@@ -65,8 +64,8 @@
 		inFlight := d.startRequests(t, target, 2)
 		host.Terminate()
 		host.WaitExit()
-		for _, fate := range inFlight.wait() {
-			is.Equal(fate, completed)
+		for _, result := range inFlight.wait() {
+			is.Equal(result, completed)
 		}
 		host.Launch()
 		host.WaitReady()
@@ -79,8 +78,8 @@
 	load.stop()
 }
 
-// TestControlHostDiskLoss brings a host back with an empty data folder and
-// then kills another one: no accepted patch may be gone.
+// TestControlHostDiskLoss replaces a host with an empty data directory and then kills
+// another one. No accepted patch may be lost.
 func TestControlHostDiskLoss(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
@@ -103,23 +102,23 @@
 }
 
 // TestConcurrentOperators submits patches against one version through all control
-// hosts at once: one wins, the others learn by which version.
+// hosts at once. Exactly one is accepted; the others learn which one.
 func TestConcurrentOperators(t *testing.T) {
 	is := is.New(t)
-	const rounds, racers = 4, 6
+	const rounds, submitters = 4, 6
 	d := deploy(t, 3)
 	base := uint64(1)
 	for round := range rounds {
-		outcomes := make([]processtest.Outcome, racers)
-		var race conc.WaitGroup
-		for i := range racers {
+		outcomes := make([]processtest.Outcome, submitters)
+		var submissions conc.WaitGroup
+		for i := range submitters {
 			host := d.controls[i%len(d.controls)]
-			race.Go(func() {
+			submissions.Go(func() {
 				id := fmt.Sprintf("round-%d-racer-%d", round, i)
 				outcomes[i] = d.Submit(base, id, []string{d.lodgement.Put()}, host.Operator)
 			})
 		}
-		race.Wait()
+		submissions.Wait()
 		winner := ""
 		for i, o := range outcomes {
 			if o.Verdict == processtest.Accepted {
@@ -140,9 +139,9 @@
 	d.InForce(base, d.entryNames()...)
 }
 
-// TestMinorityRefusesPatches leaves one of three control hosts: it accepts nothing
-// and says so, established work goes on, and nothing of the refused patch is
-// left when the others return.
+// TestMinorityRefusesPatches leaves one of three control hosts. It accepts nothing,
+// established flows go on, and the refused patch leaves no trace when the others
+// return.
 func TestMinorityRefusesPatches(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
@@ -157,20 +156,20 @@
 	answer := d.lodgement.NewCaller().MustDo(http.MethodPost,
 		processtest.RunPath(0), processtest.KeyHeader("minority"), nil)
 	checkUnknownWithRetryAfter(t, answer)
-	is.Equal(answer.Reason, "grant-unavailable") // nobody holds the key
+	is.Equal(answer.Reason, "grant-unavailable") // no attempt holds the key
 	is.Equal(d.runs("minority"), 0)
 	load.progress()
 	for _, host := range last.Others() {
 		host.Launch()
 		host.WaitReady()
 	}
-	is.Equal(d.Settle(1, "minority", d.lodgement.Put()).Version, uint64(2)) // once, whatever was answered
+	is.Equal(d.Settle(1, "minority", d.lodgement.Put()).Version, uint64(2)) // exactly once, whatever the first reply was
 	d.InForce(2, d.entryNames()...)
 	load.stop()
 }
 
-// TestFrozenLeaderResumes thaws a leader after the others went on without it.
-// It has to know at once that it is behind.
+// TestFrozenLeaderResumes thaws a leader after the others have elected a new one. It
+// must not accept a patch against the old version.
 func TestFrozenLeaderResumes(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
@@ -187,7 +186,7 @@
 	frozen.Thaw()
 	stale := d.Submit(1, "stale", []string{d.certificates.Put()}, frozen.Operator)
 	is.True(stale.Verdict != processtest.Accepted)
-	processtest.Eventually(t, "the thawed host tells the outcome", func() bool {
+	processtest.Eventually(t, "the thawed host returns the outcome", func() bool {
 		o = d.Show("without-the-frozen", frozen.Operator)
 		return o.Verdict != processtest.Unknown
 	})
--- a/test/controllinks_test.go
+++ b/test/controllinks_test.go
@@ -7,13 +7,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestUnresponsiveControlLinks makes every open control link silent for good, in one
-// direction or both, while new ones work.
+// TestUnresponsiveControlLinks drops all packets of every open control link, in one
+// direction or both, while new links work.
 func TestUnresponsiveControlLinks(t *testing.T) {
-	for name, ways := range map[string][]faultproxy.Direction{
-		"both ways":             {faultproxy.ToHost, faultproxy.ToCaller},
-		"towards control":       {faultproxy.ToHost},
-		"away from the control": {faultproxy.ToCaller},
+	for name, directions := range map[string][]faultproxy.Direction{
+		"both ways":    {faultproxy.ToHost, faultproxy.ToCaller},
+		"to control":   {faultproxy.ToHost},
+		"from control": {faultproxy.ToCaller},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // each deployment has its own addresses
@@ -28,7 +28,7 @@
 				s.StartTarget("a", link.Addr())
 			}
 			load := d.startLoad(t)
-			link.CutExisting(ways...)
+			link.CutExisting(directions...)
 			version := d.Patch(d.lodgement.Put())
 			d.InForce(version, entry.Host, "lodgement-a", "certificates-a")
 			load.progress()
--- a/test/crashpoints_test.go
+++ b/test/crashpoints_test.go
@@ -12,33 +12,33 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// attempt is one patch on its way through the leader, which is then killed.
+// attempt is one patch submitted to a leader that is then killed.
 type attempt struct {
 	d      *deployment
 	leader *processtest.Control
 	others []*processtest.Control
-	// address is where the operator calls the leader.
+	// address is the relay through which the operator reaches the leader.
 	address *faultproxy.TCPRelay
-	// logSizes is the size of each host's log before the patch.
+	// logSizes has the size of each host's log before the patch.
 	logSizes map[*processtest.Control]int64
 }
 
-// hasWritten tells whether the host's log has grown since before the patch.
+// hasWritten reports whether the host's log has grown since before the patch.
 func (a *attempt) hasWritten(host *processtest.Control) bool {
 	return host.LogBytes() > a.logSizes[host]
 }
 
-// crashPoint is how far a patch has come when its leader is killed.
+// crashPoint is the progress of a patch when its leader is killed.
 type crashPoint struct {
-	// hold keeps the patch from coming further.
+	// hold keeps the patch from further progress.
 	hold func(*attempt)
-	// reached tells that it has come as far as that.
+	// reached reports whether the patch has come this far.
 	reached func(*attempt) bool
 }
 
-// crashPoints lists the steps of a patch. A kill -9 leaves what was written to the
-// operating system, so that it cannot tell a write before its sync from one
-// after it: the crash tests of the packages wal and replica do.
+// crashPoints lists the steps of a patch. Written data survives kill -9, so that write
+// and sync can't be told apart here: the crash tests of the packages wal and replica
+// do that.
 var crashPoints = map[string]crashPoint{
 	"request lost before the leader": {
 		hold: func(a *attempt) {
@@ -54,7 +54,7 @@
 		},
 		reached: func(a *attempt) bool { return a.hasWritten(a.leader) },
 	},
-	"written by one other, not acknowledged": {
+	"written by the leader and one follower, not acknowledged": {
 		hold: func(a *attempt) {
 			cutPeerLinks(a.others[0], faultproxy.ToHost)
 			cutPeerLinks(a.leader, faultproxy.ToHost)
@@ -67,7 +67,7 @@
 			return a.hasWritten(a.leader) && a.hasWritten(a.others[0]) && a.hasWritten(a.others[1])
 		},
 	},
-	"in force, not answered": {
+	"applied, no reply": {
 		hold: func(a *attempt) {
 			a.address.SetFaults(faultproxy.ToCaller, faultproxy.Faults{Cut: true})
 		},
@@ -78,9 +78,9 @@
 	},
 }
 
-// TestLeaderKilledAtEachStepOfPatch holds a patch at each step of its way through
-// the leader and kills the leader there. Sent again through the others the
-// patch becomes version 2, once, and every host tells so.
+// TestLeaderKilledAtEachStepOfPatch kills the leader at each step of a patch. Resent
+// to the other hosts, the patch becomes version 2 exactly once, and every host returns
+// that outcome.
 func TestLeaderKilledAtEachStepOfPatch(t *testing.T) {
 	for name, p := range crashPoints {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			client := a.d.Client(a.address.Addr())
-			_, _, err := client.Config(ctx, 0) // the connection is there before the fault
+			_, _, err := client.Config(ctx, 0) // connects before the fault
 			is.NoErr(err)
 			p.hold(a)
 			for _, host := range a.d.controls {
@@ -102,7 +102,7 @@
 			a.leader.Kill()
 			cancel()
 			call.Wait()
-			is.True(first != nil) // the answer is lost
+			is.True(first != nil) // the reply is lost
 			for _, host := range a.d.controls {
 				host.Peers.Heal()
 			}
@@ -122,14 +122,14 @@
 	}
 }
 
-// checkOnce sends the patch again, brings the leader back and expects one
-// outcome everywhere.
+// checkOnce resends the patch, restarts the leader and expects the same outcome from
+// every host.
 func (a *attempt) checkOnce(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
 	others := a.d.Client(a.others[0].Operator, a.others[1].Operator)
 	again := func() (out *configpb.Outcome) {
-		processtest.Eventually(t, "the outcome is told", func() bool {
+		processtest.Eventually(t, "a reply with the outcome", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			defer cancel()
 			var err error
@@ -145,7 +145,7 @@
 	is.Equal(replyOf(again()), want)
 	for _, host := range a.d.controls {
 		o := processtest.Outcome{}
-		processtest.Eventually(t, "each host tells the outcome", func() bool {
+		processtest.Eventually(t, "each host returns the outcome", func() bool {
 			o = a.d.Show("held", host.Operator)
 			return o.Verdict != processtest.NotDone && o.Verdict != processtest.Unknown
 		})
--- a/test/datadir_test.go
+++ b/test/datadir_test.go
@@ -12,7 +12,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// deployControls starts control hosts and makes some versions.
+// deployControls starts control hosts and creates some versions.
 func deployControls(t *testing.T) *deployment {
 	t.Helper()
 	const versions = 8
@@ -25,17 +25,17 @@
 	return d
 }
 
-// waitVersion expects the host itself to be at the version.
+// waitVersion waits until the host itself has the version.
 func (d *deployment) waitVersion(t *testing.T, host *processtest.Control, version uint64) {
 	t.Helper()
-	processtest.Eventually(t, fmt.Sprintf("%s holds version %d", host.Name, version), func() bool {
+	processtest.Eventually(t, fmt.Sprintf("%s has version %d", host.Name, version), func() bool {
 		s := host.Status()
 		return s != nil && s.Version == version
 	})
 }
 
-// TestControlHostStartsWithTornLogTail leaves a record that was cut off in the middle at the end
-// of a host's log, as a crash does that comes between write and sync.
+// TestControlHostStartsWithTornLogTail appends a partial record to a host's log, as a
+// crash between write and sync does.
 func TestControlHostStartsWithTornLogTail(t *testing.T) {
 	is := is.New(t)
 	d := deployControls(t)
@@ -54,15 +54,15 @@
 
 func latest(paths []string) string { return paths[len(paths)-1] }
 
-// TestCorruptedFilePreventsStart flips one byte in each kind of file. The host refuses to
-// start, with exit code 1 and an error that names file and offset, the others
-// go on; with the byte flipped back it starts and catches up.
+// TestCorruptedFilePreventsStart flips one bit in each kind of file. The host refuses
+// to start with an error that names file and offset. Repaired, it starts and catches
+// up.
 func TestCorruptedFilePreventsStart(t *testing.T) {
 	d := deployControls(t)
 	host := d.controls[0]
 	for name, test := range map[string]struct {
 		pattern string
-		// part of the file's length at which the byte stands.
+		// part is the position of the byte as a fraction of the file's length.
 		part float64
 	}{
 		"middle of a log segment": {processtest.SegmentFiles, 0.5},
@@ -89,7 +89,7 @@
 	}
 }
 
-// flip changes one bit of a file and returns what changes it back.
+// flip changes one bit of a file and returns the function that restores it.
 func flip(t *testing.T, path string, part float64) (restore func()) {
 	t.Helper()
 	is := is.New(t)
@@ -104,9 +104,8 @@
 	return change
 }
 
-// TestFullDiskStopsControlHost lets no file of one host grow any more. That host stops
-// with a clear error and exit code 1, what it had acknowledged is there when
-// it comes back, and the others go on.
+// TestFullDiskStopsControlHost limits the file size on one host. It stops with a clear
+// error, keeps what it acknowledged, and the other hosts go on.
 func TestFullDiskStopsControlHost(t *testing.T) {
 	for name, pick := range map[string]func(*deployment) *processtest.Control{
 		"leader":   (*deployment).Leader,
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -14,7 +14,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// lossy is a bad path on which every flow still makes progress.
+// lossy are path faults under which every flow still makes progress.
 var lossy = faultproxy.Faults{
 	Drop:      0.02,
 	Duplicate: 0.05,
@@ -28,7 +28,7 @@
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
 	for i := range 5 {
-		d.checkEchoes(t, fmt.Sprint("calm ", i), 3)
+		d.checkEchoes(t, fmt.Sprint("no faults ", i), 3)
 	}
 	for _, s := range d.services() {
 		s.Fabric.SetFaults(faultproxy.ToHost, lossy)
@@ -51,20 +51,20 @@
 	watch := d.lodgement.NewCaller().Watch()
 	for i := range 3 {
 		d.Garbage(d.all()...)
-		d.checkEchoes(t, fmt.Sprint("garbage ", i), 2)
+		d.checkEchoes(t, fmt.Sprint("invalid datagrams ", i), 2)
 	}
 	watch.Advance()
 	d.Patch(d.lodgement.Put()) // the control host still works
 	for _, e := range d.entries {
-		processtest.Eventually(t, e.Host+" counts what it refused", func() bool { return e.Counted("entry_refused") > 0 })
+		processtest.Eventually(t, e.Host+" counts refusals", func() bool { return e.Counted("entry_refused") > 0 })
 	}
 	for _, host := range d.controls {
 		for _, counter := range []string{"link_server_refused_datagrams", "operator_refused_handshakes"} {
-			processtest.Eventually(t, host.Name+" counts what it refused", func() bool { return host.Counted(counter) > 0 })
+			processtest.Eventually(t, host.Name+" counts refusals", func() bool { return host.Counted(counter) > 0 })
 		}
 	}
 	for _, target := range d.all() {
-		processtest.Eventually(t, target.Name+" counts what it refused", func() bool {
+		processtest.Eventually(t, target.Name+" counts refusals", func() bool {
 			return target.Agent.Counted("frames_refused") > 0
 		})
 	}
@@ -77,8 +77,8 @@
 	is := is.New(t)
 	d := deploy(t, 1)
 
-	// A caller of a service that does not stand behind the address learns it
-	// from the certificate, before it sends anything.
+	// A caller that expects another service fails at the certificate, before it sends
+	// a request.
 	stranger := d.lodgement.NewCallerAs("unknown")
 	_, err := stranger.Do(t.Context(), http.MethodGet, "/echo?text=x", nil, nil)
 	var hostname x509.HostnameError
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -11,8 +11,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// deployment is what most tests start from: two services with two targets
-// each behind two entry hosts.
+// deployment is the usual test setup: two services with two targets each behind two
+// entry hosts.
 type deployment struct {
 	*processtest.Cluster
 	controls                []*processtest.Control
@@ -20,7 +20,7 @@
 	lodgement, certificates *processtest.Service
 	targets                 map[*processtest.Service][]*processtest.Target
 
-	// inFlight numbers the keys of startRequests.
+	// inFlight is the number of requests started by startRequests, used in their keys.
 	inFlight int
 }
 
@@ -35,7 +35,7 @@
 	return deployOn(t, options, func(c *processtest.Cluster) []*processtest.Control { return c.StartControls(controls) })
 }
 
-// deployOn is deployWith on control hosts that start starts.
+// deployOn is deployWith on the control hosts that start returns.
 func deployOn(t *testing.T, options processtest.TargetOptions, start func(*processtest.Cluster) []*processtest.Control) *deployment {
 	t.Helper()
 	t.Parallel() // each deployment has its own addresses
@@ -63,8 +63,8 @@
 	return append(d.targets[d.lodgement], d.targets[d.certificates]...)
 }
 
-// checkEchoes opens a flow to each service and expects whole answers of the
-// right one.
+// checkEchoes opens a flow to each service and expects complete responses of that
+// service.
 func (d *deployment) checkEchoes(t *testing.T, label string, requests int) {
 	t.Helper()
 	for _, s := range d.services() {
@@ -101,7 +101,7 @@
 	return all
 }
 
-// load is traffic on both services beside an open watch.
+// load is traffic on both services plus an open watch.
 type load struct {
 	t       *testing.T
 	watch   *processtest.Watch
@@ -118,7 +118,7 @@
 	return l
 }
 
-// progress waits until the watch and both services have gone on.
+// progress waits until the watch and both services have made progress.
 func (l *load) progress() {
 	l.t.Helper()
 	l.watch.Advance()
@@ -127,7 +127,7 @@
 	}
 }
 
-// stop expects that no request had a bad fate and that the watch goes on.
+// stop expects that no request failed and that the watch goes on.
 func (l *load) stop() {
 	l.t.Helper()
 	l.watch.Advance()
@@ -135,13 +135,13 @@
 		report := traffic.Stop()
 		l.t.Logf("answered %d, refused %d", report.Answered, report.Refused)
 		if len(report.Wrong) > 0 {
-			l.t.Errorf("%d requests of %d had a bad fate, the first: %s",
+			l.t.Errorf("%d of %d requests failed, the first: %s",
 				len(report.Wrong), len(report.Wrong)+report.Answered+report.Refused, report.Wrong[0])
 		}
 	}
 }
 
-// entryNames names the entry hosts, on which versions come into force.
+// entryNames returns the names of the entry hosts.
 func (d *deployment) entryNames() []string {
 	var names []string
 	for _, e := range d.entries {
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -10,8 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// subscribedControl returns the running control host that serves a subscriber, nil if
-// there is none.
+// subscribedControl returns the running control host that serves a subscriber, or nil.
 func (d *deployment) subscribedControl(name string) *processtest.Control {
 	for _, host := range d.controls {
 		if !host.Running() {
@@ -24,9 +23,9 @@
 	return nil
 }
 
-// TestReconnectSendsDirectoryDifferences kills the control host of an entry host
-// that knows hundreds of targets: from the next one it gets what differs, and
-// every later change, but not the list again.
+// TestReconnectSendsDirectoryDifferences kills the control host of an entry host that
+// knows hundreds of targets. The next control host sends only the differences, not the
+// whole directory.
 func TestReconnectSendsDirectoryDifferences(t *testing.T) {
 	is := is.New(t)
 	const standIns = 300
@@ -38,21 +37,21 @@
 	}
 	total := standIns + len(d.all())
 	received := func() float64 { return entry.Counted("subscriber_directory_records") }
-	processtest.Eventually(t, "the list at the entry host", known(total))
+	processtest.Eventually(t, "the directory at the entry host", known(total))
 
 	lost := d.subscribedControl(entry.Host)
 	lost.Kill()
 	processtest.Eventually(t, "another control host", func() bool { return d.subscribedControl(entry.Host) != nil })
 	d.lodgement.AnnounceStandIns(1)
-	processtest.Eventually(t, "a target announced since", known(total+1))
-	processtest.Eventually(t, "its record in the counters", func() bool { return received() > float64(total) })
-	t.Logf("%v records received in all, %d targets", received(), total)
-	is.True(received() < 1.25*float64(total)) // another list would be twice as many
+	processtest.Eventually(t, "a newly announced target", known(total+1))
+	processtest.Eventually(t, "its record is counted", func() bool { return received() > float64(total) })
+	t.Logf("%v records received, %d targets", received(), total)
+	is.True(received() < 1.25*float64(total)) // a second full directory would double it
 }
 
-// TestEntryHostLimitedToFailureDomains restricts an entry host to the failure domains of
-// two targets, while flows are open to all. Every flow stays where it is through
-// that host alone, and new ones begin at the targets that it knows.
+// TestEntryHostLimitedToFailureDomains restricts an entry host to the failure domains
+// of two targets. Established flows keep their targets through that host; new flows
+// use only the targets inside.
 func TestEntryHostLimitedToFailureDomains(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -63,21 +62,21 @@
 	}
 	var flows []flow
 	for _, s := range d.services() {
-		met := map[string]bool{}
+		reached := map[string]bool{}
 		processtest.Eventually(t, "a flow to each target of "+s.Name, func() bool {
 			caller := s.NewCaller()
 			answer := caller.Echo("begins")
 			flows = append(flows, flow{s, caller, answer.Target})
-			met[answer.Target] = true
-			return len(met) == len(d.targets[s])
+			reached[answer.Target] = true
+			return len(reached) == len(d.targets[s])
 		})
 	}
 
 	entry := d.entries[0]
-	// The failure domain of a target bears its name.
+	// Each target has a failure domain of its own name.
 	inside := []*processtest.Target{d.targets[d.lodgement][0], d.targets[d.certificates][0]}
 	entry.Restrict(inside[0].Name, inside[1].Name)
-	processtest.Eventually(t, "the targets inside", func() bool {
+	processtest.Eventually(t, "the targets in the failure domains", func() bool {
 		return entry.Reading("subscriber_targets", "", "") == float64(len(inside))
 	})
 	d.entries[1].Leave()
@@ -95,8 +94,8 @@
 	}
 }
 
-// TestSubscribersAreRebalanced loses all control hosts but one, which then has all
-// subscribers, and brings the others back: they get theirs.
+// TestSubscribersAreRebalanced restarts all control hosts but one. Subscribers move
+// back to the restarted hosts.
 func TestSubscribersAreRebalanced(t *testing.T) {
 	const subscribers = 24
 	d := deploy(t, 3)
@@ -111,9 +110,10 @@
 		host.Launch()
 		host.WaitReady()
 	}
-	// A quarter and eight over the mean are left alone, see membership.Spread.
+	// The rebalancer tolerates a quarter plus eight above the mean, see
+	// membership.Rebalancer.
 	share := all*5/4/len(d.controls) + 8
-	processtest.Eventually(t, "a like number at each host", func() bool {
+	processtest.Eventually(t, "a balanced number at each host", func() bool {
 		sum := 0
 		for _, host := range d.controls {
 			n := len(host.Status().Subscribers)
--- a/test/diskloss_test.go
+++ b/test/diskloss_test.go
@@ -9,7 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// loseDisk kills the host and brings it back with an empty data folder.
+// loseDisk kills the host and restarts it with an empty data directory.
 func loseDisk(host *processtest.Control) {
 	host.Kill()
 	host.LoseDisk()
@@ -17,7 +17,7 @@
 	host.WaitReady()
 }
 
-// checkOutcomes expects every patch so far to have its outcome.
+// checkOutcomes expects an outcome for every patch up to the newest version.
 func (d *deployment) checkOutcomes(t *testing.T, newest uint64) {
 	t.Helper()
 	is := is.New(t)
@@ -31,9 +31,8 @@
 	}
 }
 
-// TestDisksLostOneAfterAnother loses the data folder of one host after the
-// other, each right after the one before was replaced, until none of the first
-// replicas is left: nothing that was accepted is lost.
+// TestDisksLostOneAfterAnother loses the data directory of each host in turn, right
+// after the previous one was replaced. Nothing accepted is lost.
 func TestDisksLostOneAfterAnother(t *testing.T) {
 	d := deployControls(t)
 	hosts := append([]*processtest.Control{d.Leader()}, d.Leader().Others()...)
@@ -49,9 +48,9 @@
 	}
 }
 
-// TestEmptyReplicaDoesNotCountForQuorum loses a data folder and then stops another host
-// before the repair. The empty replica may not stand in for a quorum: nothing
-// is accepted until the other host is back, and then nothing is lost.
+// TestEmptyReplicaDoesNotCountForQuorum loses a data directory and stops another host
+// before the repair. Nothing is accepted until the other host is back, and nothing is
+// lost.
 func TestEmptyReplicaDoesNotCountForQuorum(t *testing.T) {
 	is := is.New(t)
 	d := deployControls(t)
@@ -59,9 +58,9 @@
 	second := empty.Others()[0]
 	last := empty.Others()[1]
 	loseDisk(empty)
-	version := d.Patch(d.lodgement.Put()) // the two others go on
+	version := d.Patch(d.lodgement.Put()) // the other two go on
 	second.Kill()
-	processtest.Eventually(t, "the last host knows that it is alone", func() bool {
+	processtest.Eventually(t, "the last host has no leader", func() bool {
 		s := last.Status()
 		return s != nil && s.Groups[0].Leader == ""
 	})
--- a/test/doc.go
+++ b/test/doc.go
@@ -1,3 +1,3 @@
-// Package test proves promises of the system with real processes behind
-// fault-injecting relays. It has no code of its own besides the tests.
+// Package test holds end-to-end tests with real processes behind fault-injecting
+// relays.
 package test
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -10,7 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// sessionTarget returns the target of lodgement that the watch is with, and the other
+// sessionTarget returns the target of lodgement that serves the watch, and the other
 // one.
 func (d *deployment) sessionTarget(t *testing.T, watch *processtest.Watch) (sessionTarget, other *processtest.Target) {
 	t.Helper()
@@ -20,7 +20,7 @@
 			return target, targets[1-i]
 		}
 	}
-	t.Fatalf("the watch is with %q", watch.Target())
+	t.Fatalf("the watch is served by %q", watch.Target())
 	return nil, nil
 }
 
@@ -86,7 +86,7 @@
 }
 
 // TestDrainingTargetBehindPartitionedEntryHost sends every packet through an entry
-// host that can't hear of the leaving.
+// host that is cut off from control and does not learn of the draining.
 func TestDrainingTargetBehindPartitionedEntryHost(t *testing.T) {
 	d := deploy(t, 1)
 	link := d.controls[0].Relay()
@@ -103,9 +103,9 @@
 	load.stop()
 }
 
-// checkNoNewFlows opens many flows, none of which the target may take. What keeps it
-// from new flows has to be in force: that no flow of a round reached the target
-// says nothing, as a load report makes the other one look better for as long.
+// checkNoNewFlows opens many flows, none of which the target may take. Callers make
+// sure that the target is already excluded: without that, load reports alone can keep
+// flows away for a while.
 func (d *deployment) checkNoNewFlows(t *testing.T, target *processtest.Target) {
 	t.Helper()
 	is.New(t).Equal(d.countFlowsTo(target, manyFlows), 0)
@@ -113,7 +113,7 @@
 
 const manyFlows = 100
 
-// countFlowsTo opens flows and returns how many of them the target took.
+// countFlowsTo opens flows and returns how many the target took.
 func (d *deployment) countFlowsTo(target *processtest.Target, flows int) int {
 	taken := 0
 	for i := range flows {
@@ -125,7 +125,7 @@
 	return taken
 }
 
-// waitCandidates waits until all entry hosts decide between so many targets.
+// waitCandidates waits until all entry hosts have that many candidates.
 func (d *deployment) waitCandidates(t *testing.T, count int) {
 	t.Helper()
 	d.eventuallyOnEntries(t, fmt.Sprint(count, " candidates"), func(e *processtest.Entry) bool {
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -10,13 +10,13 @@
 	d := deploy(t, 1)
 	load := d.startLoad(t)
 	d.entries[0].Kill()
-	load.progress() // the fabric still sends half of the packets nowhere
+	load.progress() // the fabric still sends half of the packets to the killed host
 	d.entries[0].Leave()
 	d.StartEntry()
 	load.progress()
 	d.entries[1].Kill()
 	d.entries[1].Leave()
-	load.progress() // nothing is left of the entry hosts where the flows began
+	load.progress() // no original entry host is left
 	load.stop()
 }
 
@@ -39,7 +39,7 @@
 	const patches = 200
 	d := deploy(t, 1)
 	link := d.controls[0].Relay()
-	behind := d.StartEntry(link.Addr())
+	lagging := d.StartEntry(link.Addr())
 	load := d.startLoad(t)
 	link.Cut()
 	var version uint64
@@ -54,9 +54,9 @@
 		e.Leave() // only the host that missed every patch is left
 	}
 	load.progress()
-	d.checkEchoes(t, "old view", 3)
+	d.checkEchoes(t, "old version", 3)
 	link.Heal()
-	d.InForce(version, behind.Host)
+	d.InForce(version, lagging.Host)
 	load.stop()
-	is.True(behind.Running())
+	is.True(lagging.Running())
 }
--- a/test/faultyresponses_test.go
+++ b/test/faultyresponses_test.go
@@ -14,50 +14,50 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// faultyResponses are the flags of a backend server that holds back, cuts short and
-// doubles some of its answers. The intervals have no common divisor, so that
-// each combination occurs.
+// faultyResponses are the flags of a backend server that delays or truncates some of
+// its responses, or sends a stray one after them. The intervals have no common
+// divisor, so that each combination occurs.
 var faultyResponses = []string{
 	"--fault-late-every=5", "--fault-late-by=80ms",
 	"--fault-truncate-every=7", "--fault-cross-every=3",
 }
 
-// longResponse is more than an agent holds back until it is whole.
+// longResponse is larger than an agent's response buffer.
 const longResponse = 200 << 10
 
-// TestFaultyResponsesAreNotDelivered sends requests of many callers to such backend
-// servers. Each gets its own answer as a whole, or is told that the outcome is
-// unknown, or sees its stream reset.
+// TestFaultyResponsesAreNotDelivered sends requests of many callers to faulty backend
+// servers. Each caller gets its own complete response, an unknown outcome or a stream
+// reset.
 func TestFaultyResponsesAreNotDelivered(t *testing.T) {
 	is := is.New(t)
 	const workers, requests = 8, 40
 	d := deployWith(t, 1, processtest.TargetOptions{Faults: faultyResponses})
-	fates := make([]map[string]int, workers)
+	results := make([]map[string]int, workers)
 	var senders conc.WaitGroup
 	for worker := range workers {
-		fates[worker] = make(map[string]int)
+		results[worker] = make(map[string]int)
 		caller := d.lodgement.NewCaller()
 		senders.Go(func() {
 			for i := range requests {
-				fates[worker][faultyResponseResult(caller, worker, i)]++
+				results[worker][faultyResponseResult(caller, worker, i)]++
 			}
 		})
 	}
 	senders.Wait()
 	total := make(map[string]int)
-	for _, counts := range fates {
-		for fate, n := range counts {
-			total[fate] += n
+	for _, counts := range results {
+		for result, n := range counts {
+			total[result] += n
 		}
 	}
-	t.Logf("fates: %v", total)
+	t.Logf("results: %v", total)
 	is.Equal(total["wrong"], 0)
 	is.True(total[processtest.OutcomeAnswered] > 0)
 	is.True(total[processtest.OutcomeUnknown+" answer-truncated"] > 0)
 	is.True(total["reset"] > 0)
 }
 
-// faultyResponseResult sends a request whose answer tells it from any other one.
+// faultyResponseResult sends a request with unique content and returns its result.
 func faultyResponseResult(caller *processtest.Caller, worker, i int) string {
 	content := []byte(fmt.Sprintf("worker %d request %d;", worker, i))
 	if i%4 == 0 {
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// recordedDatagrams bounds what is replayed of each direction.
+	// recordedDatagrams bounds the datagrams recorded in each direction.
 	recordedDatagrams = 40
-	// forgedFrameByte and packetForgery are bytes that a forger changes: one of
-	// the header of a frame, one of the connection ID in a short packet.
+	// forgedFrameByte is in the header of a frame, forgedPacketByte in the connection
+	// ID of a short packet.
 	forgedFrameByte, forgedPacketByte = 20, 5
 
 	floodDatagrams = 4000
 	initialSize    = 1200
-	// maxGrowth is the memory that a flood may cost for good, in bytes. A
-	// table with an entry of 16 KB for each datagram would exceed it.
+	// maxGrowth bounds the memory growth of a flood, in bytes. A table entry of 16 KB
+	// for each datagram would exceed it.
 	maxGrowth = 48 << 20
 )
 
-// sendAll sends datagrams from a fresh port of a stranger.
+// sendAll sends datagrams from a new port.
 func sendAll(t *testing.T, to netip.AddrPort, datagrams [][]byte) {
 	t.Helper()
 	is := is.New(t)
@@ -42,8 +42,8 @@
 	}
 }
 
-// forged returns copies with one byte changed; those that are too short for it
-// are left out.
+// forged returns copies with one byte changed, without the datagrams that are too
+// short.
 func forged(datagrams [][]byte, at int) [][]byte {
 	var all [][]byte
 	for _, datagram := range datagrams {
@@ -56,10 +56,9 @@
 	return all
 }
 
-// TestForgedAndReplayedDatagrams replays what was recorded on the paths of an
-// established session, as it is and with a changed byte, from a stranger's
-// address. A forged one costs a counter, a replayed one runs nothing again,
-// and the session goes on.
+// TestForgedAndReplayedDatagrams replays recorded datagrams of an established session
+// from another address, unchanged and forged. Forged ones are counted, replayed ones
+// run nothing again, and the session goes on.
 func TestForgedAndReplayedDatagrams(t *testing.T) {
 	is := is.New(t)
 	d := deployWith(t, 1, processtest.TargetOptions{Relayed: true})
@@ -105,11 +104,12 @@
 	}
 }
 
-// initialPacket returns a datagram that looks like the first one of a flow.
+// initialPacket returns a datagram with the header of a QUIC Initial and random
+// content.
 func initialPacket() []byte {
 	const idBytes = 8
 	b := make([]byte, initialSize)
-	_, _ = rand.Read(b) // only its look counts, not its content
+	_, _ = rand.Read(b) // only the header matters
 	b[0] = 0xc0 | b[0]&0x0f
 	binary.BigEndian.PutUint32(b[1:], 1)
 	b[5] = idBytes
@@ -120,8 +120,8 @@
 	return b
 }
 
-// TestInitialPacketFlood sends first packets of flows that never open, beside
-// traffic and an open session.
+// TestInitialPacketFlood sends Initial packets of flows that never open, beside
+// traffic and an open session. Memory stays bounded and no session is left.
 func TestInitialPacketFlood(t *testing.T) {
 	is := is.New(t)
 	const rounds = 3
@@ -139,23 +139,23 @@
 				}
 				defer conn.Close()
 				for range floodDatagrams {
-					_, _ = conn.Write(initialPacket()) // a full buffer is a lost datagram
+					_, _ = conn.Write(initialPacket()) // a full send buffer drops the datagram
 				}
 			})
 		}
 		senders.Wait()
 		load.progress()
 	}
-	flood() // buffers and pools grow once
-	agent, entry := target.Resident(), d.entries[0].Resident()
+	flood() // warms up buffers and pools
+	agentBefore, entryBefore := target.Resident(), d.entries[0].Resident()
 	for range rounds {
 		flood()
 	}
 	t.Logf("resident: agent %.0f to %.0f, entry host %.0f to %.0f bytes",
-		agent, target.Resident(), entry, d.entries[0].Resident())
-	is.True(target.Resident()-agent < maxGrowth)
-	is.True(d.entries[0].Resident()-entry < maxGrowth)
-	processtest.Eventually(t, "no session is left of the flood", func() bool {
+		agentBefore, target.Resident(), entryBefore, d.entries[0].Resident())
+	is.True(target.Resident()-agentBefore < maxGrowth)
+	is.True(d.entries[0].Resident()-entryBefore < maxGrowth)
+	processtest.Eventually(t, "no session of the flood is left", func() bool {
 		return target.Counted("sessions", "") <= 4 // the watch and the callers of the traffic
 	})
 	load.stop()
--- a/test/frozenagent_test.go
+++ b/test/frozenagent_test.go
@@ -13,13 +13,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// freezeDuration is how long an agent is frozen: twice what it notices.
+// freezeDuration is twice the stall threshold of an agent.
 const freezeDuration = 2 * time.Second
 
 // TestNotRunOutcomeHoldsWithFrozenAgent sends a key to a frozen agent, where it waits
-// in the buffer of the socket, and again to another target, which has no slot
-// left and says that it was not run. The caller keeps the first attempt. After
-// the thaw the key does not run: its caller was told so.
+// in the socket buffer, and to another target, which refuses it as not run. The thawed
+// agent must not run the key.
 func TestNotRunOutcomeHoldsWithFrozenAgent(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -42,29 +41,29 @@
 		return caller.Do(ctx, http.MethodPost, processtest.RunPath(0), header, []byte(key))
 	}
 	first.Agent.Freeze()
-	began, waiting := time.Now(), first.Waiting()
-	var early *processtest.Answer
+	frozenAt, waiting := time.Now(), first.Waiting()
+	var firstAnswer *processtest.Answer
 	var attempt conc.WaitGroup
-	attempt.Go(func() { early, _ = send(caller) })
+	attempt.Go(func() { firstAnswer, _ = send(caller) })
 	processtest.Eventually(t, "the request is in the buffer", func() bool { return first.Waiting() > waiting })
-	told, err := send(other)
+	refused, err := send(other)
 	is.NoErr(err)
-	is.Equal(told.Outcome, processtest.OutcomeNotRun)
-	processtest.Eventually(t, "the agent stood still", func() bool { return time.Since(began) > freezeDuration })
+	is.Equal(refused.Outcome, processtest.OutcomeNotRun)
+	processtest.Eventually(t, "the agent has stalled", func() bool { return time.Since(frozenAt) > freezeDuration })
 	first.Agent.Thaw()
 
 	attempt.Wait()
-	is.True(early != nil)
-	t.Logf("the first attempt: %d %s %s", early.Status, early.Outcome, early.Reason)
-	is.Equal(d.runs(key), 0) // told not run
-	is.Equal(early.Outcome, processtest.OutcomeUnknown)
-	is.Equal(early.Reason, "agent-stalled")
-	is.True(early.Header.Get(processtest.HeaderRetryAfter) != "")
+	is.True(firstAnswer != nil)
+	t.Logf("the first attempt: %d %s %s", firstAnswer.Status, firstAnswer.Outcome, firstAnswer.Reason)
+	is.Equal(d.runs(key), 0) // the caller got not-run
+	is.Equal(firstAnswer.Outcome, processtest.OutcomeUnknown)
+	is.Equal(firstAnswer.Reason, "agent-stalled")
+	is.True(firstAnswer.Header.Get(processtest.HeaderRetryAfter) != "")
 	processtest.Eventually(t, "the refusal is counted", func() bool {
 		return first.Counted("requests_unknown", "agent-stalled") == 1
 	})
 
-	// Who comes after the thaw is served.
+	// New requests are served after the thaw.
 	late, err := send(d.callerOf(t, first))
 	is.NoErr(err)
 	is.Equal(fmt.Sprint(late.Outcome, late.Reason), processtest.OutcomeAnswered)
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -11,12 +11,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// grantGroups is the number of groups of grants in these tests: more than the
-// control hosts, so that one host leads two.
+// grantGroups is the number of grant groups: more than the control hosts, so that one
+// host leads two.
 const grantGroups = 4
 
-// deployWithGroups is deploy with several groups of grants, whose leaders are
-// spread.
+// deployWithGroups is deploy with several grant groups, whose leaders are balanced
+// over the hosts.
 func deployWithGroups(t *testing.T) *deployment {
 	t.Helper()
 	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
@@ -33,8 +33,8 @@
 	return d.callerOf(t, targets[0]), d.callerOf(t, targets[1])
 }
 
-// deployWithRuns is deployGroups with keys of all groups that have ended, and
-// others that run, at the first target. It returns a caller of the second one.
+// deployWithRuns is deployWithGroups with finished and running keys of all groups at
+// the first target. It returns a caller of the second one.
 func deployWithRuns(t *testing.T) (d *deployment, other *processtest.Caller, attempts runs) {
 	t.Helper()
 	d = deployWithGroups(t)
@@ -43,7 +43,7 @@
 	return d, other, d.startRuns(t, caller, keyOfEachGroup("running"))
 }
 
-// keyOfGroup returns a key of lodgement that a group of grants decides on.
+// keyOfGroup returns a key of lodgement that belongs to a grant group.
 func keyOfGroup(group int, name string) string {
 	const lodgement = 1 // the first service that a deployment creates
 	table := grant.NewSlotTable(grantGroups)
@@ -63,7 +63,7 @@
 	return keys
 }
 
-// checkRunsOnce expects that each key is answered, and ran once.
+// checkRunsOnce expects that each key is answered and ran once.
 func (d *deployment) checkRunsOnce(t *testing.T, caller *processtest.Caller, keys ...string) {
 	t.Helper()
 	is := is.New(t)
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestGrantGroupLeaderKilled kills the leader of one group while keys of all
-// groups run at one target. The other target serves new keys of the other groups
-// and of that one, and gets the answers of all.
+// TestGrantGroupLeaderKilled kills the leader of one group while keys of all groups
+// run. Another target serves new keys of every group and returns the recorded
+// responses.
 func TestGrantGroupLeaderKilled(t *testing.T) {
 	d, other, attempts := deployWithRuns(t)
 	lost := d.LeaderOfGrants(1)
@@ -85,11 +85,11 @@
 	d.checkRunsOnce(t, other, append(keyOfEachGroup("ended"), keyOfEachGroup("running")...)...)
 	attempts.abandon()
 	lost.Relaunch()
-	d.SpreadGrants(grantGroups) // it leads again what it should
+	d.SpreadGrants(grantGroups) // the restarted host leads its groups again
 	d.checkRunsOnce(t, other, keyOfEachGroup("back")...)
 }
 
-// startRuns starts a run of each key and waits until all run.
+// startRuns sends each key and waits until all of them run.
 func (d *deployment) startRuns(t *testing.T, caller *processtest.Caller, keys []string) runs {
 	t.Helper()
 	var all runs
@@ -108,9 +108,8 @@
 	}
 }
 
-// TestGrantGroupsSurviveTwoHostLosses is TestGrantOutlivesTwoLosses for all groups: the
-// leader of one of them loses its disk, and another host is killed right after
-// the repair.
+// TestGrantGroupsSurviveTwoHostLosses is TestGrantsSurviveTwoHostLosses for several
+// groups.
 func TestGrantGroupsSurviveTwoHostLosses(t *testing.T) {
 	d, other, attempts := deployWithRuns(t)
 	lost := d.LeaderOfGrants(2)
@@ -125,8 +124,8 @@
 	attempts.abandon()
 }
 
-// TestGrantGroupsSurviveRestart restarts all control hosts, by plan in turn and by kill -9
-// at once. What was decided holds.
+// TestGrantGroupsSurviveRestart restarts all control hosts, first gracefully in turn,
+// then after a simultaneous kill. Recorded responses stay.
 func TestGrantGroupsSurviveRestart(t *testing.T) {
 	is := is.New(t)
 	d := deployWithGroups(t)
@@ -152,7 +151,7 @@
 	d.checkRunsOnce(t, caller, keyOfEachGroup("third")...)
 }
 
-// groupsLed returns how many groups of grants a host leads.
+// groupsLed returns how many grant groups a host leads.
 func groupsLed(host *processtest.Control) int {
 	n := 0
 	for _, group := range host.Status().Groups {
@@ -163,9 +162,8 @@
 	return n
 }
 
-// TestLostGrantGroupAffectsOnlyItsKeys takes one group away from two of three hosts
-// for good. Its keys do not run, the others are served, and so are requests
-// that may be repeated.
+// TestLostGrantGroupAffectsOnlyItsKeys removes one group from two of three hosts. Its
+// keys do not run; other keys and repeatable requests are served.
 func TestLostGrantGroupAffectsOnlyItsKeys(t *testing.T) {
 	is := is.New(t)
 	d := deployWithGroups(t)
@@ -190,12 +188,11 @@
 		is.Equal(answer.Reason, "grant-unavailable")
 		is.Equal(d.runs(key), ran)
 	}
-	d.checkEchoes(t, "may be repeated", 3)
+	d.checkEchoes(t, "repeatable", 3)
 }
 
-// TestOutdatedSlotTableRefused asks by another table than the agreed one: as an agent that
-// knew the deployment before it was founded anew, and as a control host whose
-// settings name another number of groups.
+// TestOutdatedSlotTableRefused sends a command with a different slot table, and starts
+// a control host whose settings have a different number of groups.
 func TestOutdatedSlotTableRefused(t *testing.T) {
 	is := is.New(t)
 	d := deployWithGroups(t)
@@ -216,21 +213,21 @@
 
 	host.SetGrantGroups(2)
 	host.Restart()
-	d.SpreadGrants(grantGroups) // it took the agreed number
+	d.SpreadGrants(grantGroups) // uses the agreed number
 	host.Kill()
 	host.LoseDisk()
 	host.Relaunch()
 	host.Remove()
 	host.JoinUntil("invalid number of grant groups")
 	is.Equal(host.WaitEnd(), 1)
-	d.checkRunsOnce(t, d.callerOf(t, d.targets[d.lodgement][1]), keyOfEachGroup("without it")...)
+	d.checkRunsOnce(t, d.callerOf(t, d.targets[d.lodgement][1]), keyOfEachGroup("without the host")...)
 	host.Relaunch()
 	host.Join()
 	d.SpreadGrants(grantGroups)
 }
 
-// TestExistingDataDirKeepsGroupCount opens the folder of a deployment with one group under
-// settings that ask for more. It keeps its one group and what that decided.
+// TestExistingDataDirKeepsGroupCount restarts a deployment with one group under
+// settings that have more. It keeps its one group and the recorded responses.
 func TestExistingDataDirKeepsGroupCount(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -8,10 +8,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestGrantsSurviveTwoHostLosses loses the leader of the grants with its disk
-// while a request runs, and another control host soon after the repair. A
-// resend over another entry host to another target never runs again, and a
-// request that ended before gets its answer.
+// TestGrantsSurviveTwoHostLosses loses the grant leader with its disk while a request
+// runs, and another control host after the repair. No key runs twice, and a finished
+// one returns its recorded response.
 func TestGrantsSurviveTwoHostLosses(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
@@ -43,9 +42,8 @@
 	attempt.abandon()
 }
 
-// resendUntilAnswered sends a key until its answer comes. While no quorum can be
-// asked, the outcome is unknown with a time to come back: it must not say that
-// the request was not run.
+// resendUntilAnswered sends a key until it gets its response. Without a quorum the
+// outcome is unknown, never not-run.
 func (d *deployment) resendUntilAnswered(t *testing.T, caller *processtest.Caller, key string) *processtest.Answer {
 	t.Helper()
 	var last *processtest.Answer
@@ -61,8 +59,8 @@
 	return last
 }
 
-// checkUnknownWithRetryAfter holds an answer to be unknown because an earlier attempt
-// could not be asked about or still runs.
+// checkUnknownWithRetryAfter expects an unknown outcome with Retry-After, since an
+// earlier attempt could not be looked up or still runs.
 func checkUnknownWithRetryAfter(t *testing.T, answer *processtest.Answer) {
 	t.Helper()
 	is := is.New(t)
@@ -71,9 +69,9 @@
 	is.True(answer.Header.Get(processtest.HeaderRetryAfter) != "")
 }
 
-// TestResendWithoutQuorumHasUnknownOutcome sends a request that ran again while no
-// control host is there: nobody knows that it ran, and nobody may deny it. A
-// new request can't be told from a resend, and both get their answer in the end.
+// TestResendWithoutQuorumHasUnknownOutcome resends a request that ran while no control
+// host is available. Resends and new requests are indistinguishable and have an
+// unknown outcome.
 func TestResendWithoutQuorumHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -96,9 +94,8 @@
 	}
 }
 
-// TestProcessesRestartDuringRun kills the agent and the backend server
-// of a host while a request runs there. The new processes know nothing of it,
-// and a resend to the same host must not run.
+// TestProcessesRestartDuringRun kills the agent and the backend server of a host while
+// a request runs. A resend to the restarted processes must not run.
 func TestProcessesRestartDuringRun(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
--- a/test/inflight_test.go
+++ b/test/inflight_test.go
@@ -12,11 +12,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// slowWorkTime is long enough that a request is in flight while something else is
-// brought about; no test depends on its length.
+// slowWorkTime keeps a request in flight while a test changes something else. No test
+// depends on its length.
 const slowWorkTime = 1500 * time.Millisecond
 
-const completed = "whole"
+// completed is the result of a request with the expected response.
+const completed = "completed"
 
 // requests are slow requests in flight at one target.
 type requests struct {
@@ -24,8 +25,7 @@
 	results []string
 }
 
-// startRequests starts slow requests and returns once the target runs all of
-// them.
+// startRequests starts slow requests and waits until the target runs all of them.
 func (d *deployment) startRequests(t *testing.T, target *processtest.Target, count int) *requests {
 	t.Helper()
 	r := &requests{results: make([]string, count)}
@@ -39,7 +39,7 @@
 	return r
 }
 
-// callerOf returns a caller whose flow is with the target.
+// callerOf returns a caller whose flow is on the target.
 func (d *deployment) callerOf(t *testing.T, target *processtest.Target) *processtest.Caller {
 	t.Helper()
 	var caller *processtest.Caller
@@ -50,8 +50,8 @@
 	return caller
 }
 
-// runToResult sends a request that may not be repeated, again while its attempt is
-// said not to have run.
+// runToResult sends a non-repeatable request and returns its result. It resends as
+// long as the attempt did not run.
 func runToResult(caller *processtest.Caller, key string) string {
 	for {
 		answer, err := caller.Do(context.Background(), http.MethodPost,
@@ -68,7 +68,7 @@
 	}
 }
 
-// wait returns the fates of all requests.
+// wait returns the results of all requests.
 func (r *requests) wait() []string {
 	r.workers.Wait()
 	return r.results
--- a/test/keyrotation_test.go
+++ b/test/keyrotation_test.go
@@ -9,7 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// keyHolders returns the processes that hold keys.
+// keyHolders returns the processes that have keys.
 func (d *deployment) keyHolders() []*processtest.Process {
 	var all []*processtest.Process
 	for _, host := range d.controls {
@@ -30,55 +30,54 @@
 }
 
 // TestAuthorityRotationKeepsSessions replaces the certificate authority and all
-// certificates by the steps of the operators' page, beside traffic and an open
-// session. Afterwards links, flows and the operators' API work by the new one
-// alone.
+// certificates under traffic and an open session. Afterwards links, flows and the
+// operators' API work with the new authority alone.
 func TestAuthorityRotationKeepsSessions(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
-	folder := d.KeyFolder()
-	d.Renew(func() error { return keys.AddAuthority(folder) }, d.keyHolders()...)
+	keyDir := d.KeyFolder()
+	d.Renew(func() error { return keys.AddAuthority(keyDir) }, d.keyHolders()...)
 	load.progress()
-	is.NoErr(keys.PreferAuthority(folder))
+	is.NoErr(keys.PreferAuthority(keyDir))
 	d.RenewCallerCertificate(func() error {
 		d.Renew(d.IssueAgain, d.keyHolders()...)
 		return nil
 	}, d.agents()...)
 	load.progress()
-	d.Renew(func() error { return keys.RemoveAuthority(folder) }, d.keyHolders()...)
+	d.Renew(func() error { return keys.RemoveAuthority(keyDir) }, d.keyHolders()...)
 	load.progress()
 
-	d.controls[0].Terminate() // its links are made anew
+	d.controls[0].Terminate() // forces new links
 	d.controls[0].WaitExit()
 	d.controls[0].Relaunch()
 	d.StartEntry()
 	d.Patch(d.lodgement.Put())
-	d.checkEchoes(t, "by the new authority", 3)
+	d.checkEchoes(t, "with the new authority", 3)
 	load.stop()
 }
 
-// TestDataSecretRotationKeepsSessions replaces the data secret beside traffic and
-// an open session. Flows that began once the new secret was preferred outlive
-// the removal of the former one.
+// TestDataSecretRotationKeepsSessions replaces the data secret under traffic and an
+// open session. Flows opened with the new secret survive the removal of the previous
+// one.
 func TestDataSecretRotationKeepsSessions(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
-	former := d.startLoad(t)
-	folder := d.KeyFolder()
+	oldLoad := d.startLoad(t)
+	keyDir := d.KeyFolder()
 	var added uint8
 	d.Renew(func() (err error) {
-		added, err = keys.AddDataSecret(folder)
+		added, err = keys.AddDataSecret(keyDir)
 		return err
 	}, d.keyHolders()...)
-	former.progress()
+	oldLoad.progress()
 	is.True(added != 0)
-	d.Renew(func() error { return keys.PreferDataSecret(folder, added) }, d.keyHolders()...)
-	former.progress()
-	later := d.startLoad(t)
-	former.stop()
-	d.Renew(func() error { return keys.RemoveDataSecret(folder, 0) }, d.keyHolders()...)
-	later.progress()
-	d.checkEchoes(t, "by the new secret", 3)
-	later.stop()
+	d.Renew(func() error { return keys.PreferDataSecret(keyDir, added) }, d.keyHolders()...)
+	oldLoad.progress()
+	newLoad := d.startLoad(t)
+	oldLoad.stop()
+	d.Renew(func() error { return keys.RemoveDataSecret(keyDir, 0) }, d.keyHolders()...)
+	newLoad.progress()
+	d.checkEchoes(t, "with the new secret", 3)
+	newLoad.stop()
 }
--- a/test/leadershiptransfer_test.go
+++ b/test/leadershiptransfer_test.go
@@ -16,7 +16,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// transferredMessage is the log message of a leader that stops.
+// transferredMessage is the log message of a leader that transferred its leadership.
 const transferredMessage = "leadership transferred"
 
 // patchStream submits one patch after the other until it is stopped.
@@ -25,7 +25,7 @@
 	client *operator.Client
 	stop   atomic.Bool
 	worker conc.WaitGroup
-	// version is the last one accepted, gap the longest time between two.
+	// version is the last accepted one, maxGap the longest time between two.
 	version atomic.Uint64
 	maxGap  time.Duration
 	next    chan struct{}
@@ -61,7 +61,7 @@
 	}
 }
 
-// advance waits for patches that were submitted after the call.
+// advance waits for patches submitted after the call.
 func (s *patchStream) advance(t *testing.T) {
 	t.Helper()
 	before := s.version.Load()
@@ -75,9 +75,9 @@
 	return s.version.Load(), s.maxGap
 }
 
-// TestShutdownTransfersLeadership asks the leader to stop, time and again, while
-// patches go through the other hosts: it hands over before it ends. The times
-// without an accepted patch are logged and judged by nothing.
+// TestShutdownTransfersLeadership stops the leader repeatedly while patches are
+// submitted through the other hosts. Each leader transfers its leadership before it
+// exits. Gaps between patches are only logged.
 func TestShutdownTransfersLeadership(t *testing.T) {
 	is := is.New(t)
 	const stops = 6
@@ -86,7 +86,7 @@
 	d.lodgement = d.NewService("lodgement")
 	version := d.Patch(d.lodgement.Put())
 	var gaps []time.Duration
-	handedOver := 0
+	transferred := 0
 	for range stops {
 		leader := d.Leader()
 		s := d.startStream(version, leader.Others()...)
@@ -97,11 +97,11 @@
 		var gap time.Duration
 		version, gap = s.end()
 		gaps = append(gaps, gap.Round(time.Millisecond))
-		handedOver += min(leader.Logged(transferredMessage), 1)
+		transferred += min(leader.Logged(transferredMessage), 1)
 		leader.Launch()
 		leader.WaitReady()
 	}
 	slices.Sort(gaps)
-	t.Logf("longest times without an accepted patch: %v", gaps)
-	is.Equal(handedOver, stops)
+	t.Logf("longest gaps between accepted patches: %v", gaps)
+	is.Equal(transferred, stops)
 }
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -10,8 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// deployBehindLearner has three voters and a learner. The entry host and the
-// agents know the learner only.
+// deployBehindLearner starts three voters and a learner. The entry host and the agents
+// know only the learner.
 func deployBehindLearner(t *testing.T) (*deployment, *processtest.Control) {
 	t.Helper()
 	t.Parallel()
@@ -39,8 +39,8 @@
 	return names
 }
 
-// checkLearnerServes makes a version through the learner alone, which all that know
-// only the learner act on, and lets a key run once.
+// checkLearnerServes creates a version through the learner, waits until all its
+// subscribers use it, and runs a key once.
 func (d *deployment) checkLearnerServes(t *testing.T, learner *processtest.Control, base uint64) {
 	t.Helper()
 	is := is.New(t)
@@ -54,13 +54,13 @@
 	is.Equal(d.Show(id, learner.Operator).Version, base+1)
 	d.waitVersion(t, learner, base+1)
 	d.InForce(base+1, d.subscribers()...)
-	is.Equal(len(learner.Status().Subscribers), len(d.subscribers())) // all of them here
+	is.Equal(len(learner.Status().Subscribers), len(d.subscribers())) // all on the learner
 	d.checkRunsOnce(t, d.lodgement.NewCaller(), id)
 }
 
-// TestLearnerServesSubscribers lets an entry host and agents live by a learner
-// alone, through its planned restart, its loss, and the loss of all voters: then
-// it says that it can't know, and what it knew goes on.
+// TestLearnerServesSubscribers runs an entry host and agents on a learner alone,
+// through its restart, its kill and the loss of all voters. Without voters the learner
+// refuses what needs a quorum, and established state keeps working.
 func TestLearnerServesSubscribers(t *testing.T) {
 	is := is.New(t)
 	d, learner := deployBehindLearner(t)
@@ -68,7 +68,7 @@
 	caller, watch := d.callerOf(t, targets[0]), d.callerOf(t, targets[1]).Watch()
 	d.checkLearnerServes(t, learner, 1)
 	for _, voter := range d.controls {
-		is.Equal(voter.Status().Targets, 3) // what was announced to the learner
+		is.Equal(voter.Status().Targets, 3) // announced to the learner
 		is.Equal(len(voter.Status().Subscribers), 0)
 	}
 	learner.Terminate()
@@ -83,12 +83,12 @@
 	for _, voter := range d.controls {
 		voter.Kill()
 	}
-	processtest.Eventually(t, "the learner knows that no host leads", func() bool {
+	processtest.Eventually(t, "the learner knows that there is no leader", func() bool {
 		return learner.Status().Groups[0].State == "no leader"
 	})
 	d.checkLearnerWithoutQuorum(t, learner)
-	// It goes on telling of targets: one that dies leaves when its lease ends, and
-	// by then the others have renewed theirs.
+	// It still distributes target changes: a killed target is removed when its lease
+	// expires, while the others renew theirs.
 	lost := targets[2]
 	lost.Agent.Kill()
 	d.waitCandidates(t, 2)
@@ -103,8 +103,8 @@
 	is.Equal(d.entries[0].ActedOn(), []uint64{1, 2, 3, 4})
 }
 
-// checkLearnerWithoutQuorum expects that the learner refuses what needs a quorum,
-// each time as it has no leader: a call that waited to its end would be told so.
+// checkLearnerWithoutQuorum expects that the learner refuses what needs a quorum with
+// "no leader". A call that only timed out would report something else.
 func (d *deployment) checkLearnerWithoutQuorum(t *testing.T, learner *processtest.Control) {
 	t.Helper()
 	is := is.New(t)
@@ -125,21 +125,20 @@
 	is.Equal(d.runs("alone"), 0)
 }
 
-// TestFullControlHostsRedirectSubscribers has entry hosts and agents for two of three
-// full control hosts. None stays without a place, also when one host is lost; then
-// one more is refused by both with a counted reason, and served when the lost one
-// is back.
+// TestFullControlHostsRedirectSubscribers fills two of three control hosts with
+// subscribers. All stay connected when one host is lost. Another subscriber is refused
+// with a counted reason and served when the host is back.
 func TestFullControlHostsRedirectSubscribers(t *testing.T) {
 	const links = 3
 	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
 		return c.StartBoundedControls(3, links)
 	})
-	// served waits until each has a place and acts on a new version.
+	// served waits until each subscriber is connected and uses a new version.
 	served := func(names []string) {
 		t.Helper()
 		version := d.Patch(d.lodgement.Put())
 		d.InForce(version, names...)
-		processtest.Eventually(t, "each at one host", func() bool { return d.links(t, links) == len(names) })
+		processtest.Eventually(t, "each subscriber is connected once", func() bool { return d.links(t, links) == len(names) })
 		d.checkEchoes(t, fmt.Sprint("version ", version), 1)
 	}
 	all := d.subscribers()
@@ -155,7 +154,7 @@
 		})
 	}
 	is.New(t).Equal(late.Logged("ready"), 0)
-	served(all) // they keep their places
+	served(all) // they stay connected
 	lost.Launch()
 	lost.WaitReady()
 	late.WaitReady()
@@ -163,8 +162,8 @@
 	served(append(all, late.Host))
 }
 
-// links returns how many subscribers the running control hosts have, of which
-// none may have more than its bound.
+// links returns the number of subscribers on the running control hosts and checks that
+// none exceeds its bound.
 func (d *deployment) links(t *testing.T, bound int) int {
 	t.Helper()
 	sum := 0
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -9,9 +9,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestExpiredLeaseKeepsEstablishedFlows cuts the control links of both targets of
-// a service in turn. The one without a lease takes no new flow, its open
-// session goes on, and it takes flows again once it can renew the lease.
+// TestExpiredLeaseKeepsEstablishedFlows cuts the control link of each target in turn.
+// A target without a lease takes no new flows, keeps its session, and takes flows
+// again after it renews the lease.
 func TestExpiredLeaseKeepsEstablishedFlows(t *testing.T) {
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t)}
@@ -30,7 +30,7 @@
 	for i, target := range targets {
 		watch := d.callerOf(t, target).Watch()
 		links[i].Cut()
-		processtest.Eventually(t, "the lease ends", func() bool { return d.controls[0].Status().Targets == 1 })
+		processtest.Eventually(t, "the lease expires", func() bool { return d.controls[0].Status().Targets == 1 })
 		d.waitCandidates(t, 1)
 		d.checkNoNewFlows(t, target)
 		watch.Advance()
@@ -41,14 +41,14 @@
 	}
 }
 
-// TestFlappingTargetIsDamped lets a target turn ill and well many times at once
-// and then starts its agent anew: it is kept from new flows although the agent
-// serves, and gets them again when it has been calm for a while.
+// TestFlappingTargetIsDamped alternates a target between healthy and unhealthy and
+// restarts its agent. The target gets no new flows while damped, and gets them again
+// afterwards.
 func TestFlappingTargetIsDamped(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
-	d.lodgement.StartTarget("c") // one ill target of two would be half of the service
+	d.lodgement.StartTarget("c") // one unhealthy target of two would cause panic mode
 	_, flapping := d.sessionTarget(t, watch)
 	for flows := 0; flows < manyFlows; {
 		processtest.Eventually(t, "a flow while the target is damped", func() bool {
@@ -58,19 +58,19 @@
 		})
 	}
 	is.True(flapping.Agent.Running())
-	watch.Advance() // the other target's flows are not touched
-	processtest.Eventually(t, "the damping ends", func() bool { return !d.damped() })
+	watch.Advance() // flows of the other target go on
+	processtest.Eventually(t, "damping ends", func() bool { return !d.damped() })
 	d.callerOf(t, flapping)
 	watch.Advance()
 }
 
-// damped tells whether the control host damps a target.
+// damped reports whether the control host damps a target.
 func (d *deployment) damped() bool { return d.controls[0].Status().Damped == 1 }
 
-// checkNoFlowsWhileDamped lets a target flap and opens up to that many flows while it is
-// damped, none of which it may take. It returns how many those were: the damping
-// ends by the clock, so that on a slow machine there may be few.
-func (d *deployment) checkNoFlowsWhileDamped(t *testing.T, flapping *processtest.Target, most int) int {
+// checkNoFlowsWhileDamped makes a target flap and opens up to most flows while it is
+// damped, none of which it may take. It returns how many those were: on a slow machine
+// damping may end early.
+func (d *deployment) checkNoFlowsWhileDamped(t *testing.T, flapping *processtest.Target, maxFlows int) int {
 	t.Helper()
 	d.eventuallyOnEntries(t, "no damping", func(e *processtest.Entry) bool { return e.Damped() == 0 })
 	flapping.Agent.Kill()
@@ -78,12 +78,12 @@
 	flapping.LaunchAgent()
 	flapping.WaitRegistered()
 	d.eventuallyOnEntries(t, "damping", func(e *processtest.Entry) bool { return e.Damped() == 1 || !d.damped() })
-	for flows := range most {
+	for flows := range maxFlows {
 		taken := d.countFlowsTo(flapping, 1)
-		if !d.damped() { // the flow may have come after the end
+		if !d.damped() { // damping may have ended before the flow
 			return flows
 		}
 		is.New(t).Equal(taken, 0)
 	}
-	return most
+	return maxFlows
 }
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -16,10 +16,10 @@
 
 const (
 	slots = 4
-	// longWork and farDeadline are longer than any test runs.
+	// longWork and longDeadline exceed the duration of any test.
 	longWork     = time.Hour
 	longDeadline = 30 * time.Minute
-	// shortDeadline is the deadline of a request that is to miss it.
+	// shortDeadline is the deadline of a request that has to miss it.
 	shortDeadline = 300 * time.Millisecond
 )
 
@@ -29,8 +29,8 @@
 	return header
 }
 
-// TestDeadlineAndCancellationReachBackendServer ends work that would last
-// an hour, of requests with and without a key.
+// TestDeadlineAndCancellationReachBackendServer lets the deadline and the caller's
+// cancellation end long work, of requests with and without a key.
 func TestDeadlineAndCancellationReachBackendServer(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -43,9 +43,9 @@
 			header.Set(processtest.HeaderKey, key)
 		}
 		answer := caller.MustDo(http.MethodPost, processtest.RunPath(longWork), header, nil)
-		// Whichever of agent and backend server notices first says so.
-		told := answer.Outcome == processtest.OutcomeUnknown && answer.Reason == "deadline"
-		is.True(told || answer.Status == http.StatusGatewayTimeout)
+		// Either the agent or the backend server notices the deadline first.
+		deadlineReported := answer.Outcome == processtest.OutcomeUnknown && answer.Reason == "deadline"
+		is.True(deadlineReported || answer.Status == http.StatusGatewayTimeout)
 		processtest.Eventually(t, "the deadline ends the work", idle)
 
 		header = timeoutHeader(longDeadline)
@@ -65,12 +65,11 @@
 	checkEcho(t, d.lodgement, caller, "the connection goes on")
 }
 
-// TestOverloadIsRefusedImmediately fills the slots of a target with work that does not
-// end, and sends more. Each is refused while all slots are still taken, so none
-// was held for one, and each is told when to come back.
+// TestOverloadIsRefusedImmediately fills the slots of a target and sends more
+// requests. Each is refused with Retry-After, without waiting for a slot.
 func TestOverloadIsRefusedImmediately(t *testing.T) {
 	is := is.New(t)
-	const more = 30
+	const extra = 30
 	d := deploy(t, 1)
 	target := d.targets[d.lodgement][0]
 	var callers []*processtest.Caller
@@ -87,9 +86,9 @@
 	}
 	processtest.Eventually(t, "all slots are taken", func() bool { return target.Running() == slots })
 
-	answers := make([]*processtest.Answer, more)
+	answers := make([]*processtest.Answer, extra)
 	var refused conc.WaitGroup
-	for i := range more {
+	for i := range extra {
 		header := timeoutHeader(longDeadline)
 		header.Set(processtest.HeaderKey, fmt.Sprint("shed ", i))
 		refused.Go(func() {
@@ -97,7 +96,7 @@
 		})
 	}
 	refused.Wait()
-	is.Equal(target.Running(), slots) // no slot became free: the refusals did not wait for one
+	is.Equal(target.Running(), slots) // the refusals did not wait for a slot
 	for i, answer := range answers {
 		is.True(answer != nil)
 		is.Equal(answer.Outcome, processtest.OutcomeNotRun)
@@ -109,13 +108,13 @@
 	processtest.Eventually(t, "the slots are free again", func() bool { return target.Running() == 0 })
 	is.Equal(callers[0].MustDo(http.MethodPost, processtest.RunPath(0), nil, nil).Outcome, processtest.OutcomeAnswered)
 	processtest.Eventually(t, "each refusal is counted by its reason", func() bool {
-		return sumCounters(target, "requests_refused", "slots-full", "queue-full", "wait-too-long") == more
+		return sumCounters(target, "requests_refused", "slots-full", "queue-full", "wait-too-long") == extra
 	})
-	// The agent itself kept to the slots; the backend server refused nothing.
+	// The agent enforced the limit; the backend server refused nothing.
 	is.Equal(target.Counted("requests_refused", "backend-refused"), 0.0)
 }
 
-// sumCounters adds up what an agent counted under several reasons.
+// sumCounters adds up an agent's counter over several reasons.
 func sumCounters(target *processtest.Target, counter string, reasons ...string) float64 {
 	total := 0.0
 	for _, reason := range reasons {
@@ -124,7 +123,7 @@
 	return total
 }
 
-// TestRetriesAreCountedByReason ends a backend server under its agent.
+// TestRetriesAreCountedByReason kills a backend server whose agent keeps running.
 func TestRetriesAreCountedByReason(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -135,7 +134,7 @@
 	is.Equal(answer.Outcome, processtest.OutcomeNotRun)
 	is.Equal(answer.Reason, "backend-unreachable")
 	is.True(answer.Header.Get("Retry-After") != "")
-	processtest.Eventually(t, "retries are counted, and once why there was no other", func() bool {
+	processtest.Eventually(t, "retries and the reason of the last one are counted", func() bool {
 		ends := sumCounters(target, "retries", "attempts-spent", "budget-spent", "deadline-too-close")
 		return target.Counted("retries", "connect") > 0 && ends == 1
 	})
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -14,8 +14,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// deployRelayed is control hosts behind relays with two entry hosts that
-// follow the configuration.
+// deployRelayed starts control hosts behind relays and two entry hosts.
 func deployRelayed(t *testing.T) *deployment {
 	t.Helper()
 	d := &deployment{Cluster: processtest.New(t)}
@@ -26,15 +25,15 @@
 	return d
 }
 
-// withAgent adds an agent, which follows the configuration too.
+// withAgent adds a target, whose agent subscribes too.
 func (d *deployment) withAgent() *deployment {
 	target := d.lodgement.StartTarget("a")
 	d.targets = map[*processtest.Service][]*processtest.Target{d.lodgement: {target}}
 	return d
 }
 
-// checkSubscribers expects that the newest version comes into force on all entry
-// hosts and agents, and that none of them has gone back on the way.
+// checkSubscribers expects that all entry hosts and agents activate the newest version
+// and that none of them ever went back.
 func (d *deployment) checkSubscribers(t *testing.T, newest uint64) {
 	t.Helper()
 	names := d.entryNames()
@@ -52,7 +51,7 @@
 	}
 }
 
-// controlFault is something that befalls control hosts. It returns what undoes it.
+// controlFault is a fault of control hosts. inject returns the function that ends it.
 type controlFault struct {
 	name   string
 	inject func(*deployment, *rand.Rand) (undo func())
@@ -75,9 +74,9 @@
 	return host.Thaw
 }
 
-func cutPeerLinks(host *processtest.Control, ways ...faultproxy.Direction) func() {
-	for _, way := range ways {
-		host.Peers.SetFaults(way, faultproxy.Faults{Cut: true})
+func cutPeerLinks(host *processtest.Control, directions ...faultproxy.Direction) func() {
+	for _, direction := range directions {
+		host.Peers.SetFaults(direction, faultproxy.Faults{Cut: true})
 	}
 	return host.Peers.Heal
 }
@@ -86,10 +85,10 @@
 	{"leader killed", func(d *deployment, _ *rand.Rand) func() { return killHost(d.Leader()) }},
 	{"host killed", func(d *deployment, r *rand.Rand) func() { return killHost(d.anyControl(r)) }},
 	{"leader frozen", func(d *deployment, _ *rand.Rand) func() { return freezeHost(d.Leader()) }},
-	{"leader hears nothing", func(d *deployment, _ *rand.Rand) func() {
+	{"leader receives nothing", func(d *deployment, _ *rand.Rand) func() {
 		return cutPeerLinks(d.Leader(), faultproxy.ToHost)
 	}},
-	{"answers of a host are lost", func(d *deployment, r *rand.Rand) func() {
+	{"replies of a host are lost", func(d *deployment, r *rand.Rand) func() {
 		return cutPeerLinks(d.anyControl(r), faultproxy.ToCaller)
 	}},
 	{"leader cut off", func(d *deployment, _ *rand.Rand) func() {
@@ -97,13 +96,9 @@
 	}},
 }
 
-// TestHistoryIsLinearizable lets six operators submit, resend, show and read at
-// all control hosts while hosts are killed, frozen and cut off one way or both,
-// in each round at a moment drawn from the seed. Most patches also meet a fault
-// on the operator's own path: the answer is cut after the patch took effect, the
-// request is lost, delayed or doubled. One order of all calls has to explain
-// every answer, a resend has to be told the first outcome, and no entry host's
-// or agent's version may go back.
+// TestHistoryIsLinearizable runs concurrent operators while hosts and operator
+// connections fail at seeded random moments. All replies must be linearizable, a
+// resend must get the first outcome, and no subscriber's version may go back.
 func TestHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -134,9 +129,9 @@
 	return all
 }
 
-// runRound lets the operators work, brings trouble after a number of calls
-// drawn by chance and undoes it after they have ended.
-func (d *deployment) runRound(t *testing.T, history *recorder, operators []*testOperator, what controlFault, random *rand.Rand) {
+// runRound starts the operators, injects the fault after a random number of calls and
+// ends it once they have finished.
+func (d *deployment) runRound(t *testing.T, history *recorder, operators []*testOperator, fault controlFault, random *rand.Rand) {
 	t.Helper()
 	const calls = 20
 	before := history.finishedCalls()
@@ -146,13 +141,13 @@
 		work.Go(func() { o.work(calls) })
 	}
 	processtest.Eventually(t, "operators work", func() bool { return history.finishedCalls() >= start })
-	undo := what.inject(d, random)
-	t.Logf("%s after %d calls", what.name, history.finishedCalls()-before)
+	undo := fault.inject(d, random)
+	t.Logf("%s after %d calls", fault.name, history.finishedCalls()-before)
 	work.Wait()
 	undo()
 }
 
-// checkMonotonic expects rising versions that end with the newest one.
+// checkMonotonic expects ascending versions that end with the newest one.
 func checkMonotonic(t *testing.T, versions []uint64, newest uint64) {
 	t.Helper()
 	is := is.New(t)
--- a/test/model_test.go
+++ b/test/model_test.go
@@ -11,11 +11,10 @@
 	"eelgrasswharf.example/eelgrasswharf/api/configpb"
 )
 
-// checkTimeout only bounds how long a history is looked at that has no quick
-// answer; an answer that is not known fails the test.
+// checkTimeout bounds the check of a history. A timeout fails the test.
 const checkTimeout = time.Minute
 
-// kind is what an operator asks.
+// kind is the kind of an operator's call.
 type kind int
 
 const (
@@ -24,14 +23,14 @@
 	callRead
 )
 
-// call is one question to the control hosts.
+// call is one call of an operator to the control hosts.
 type call struct {
 	kind kind
 	id   string
 	base uint64
 }
 
-// reply is its answer. Without a verdict the outcome of a patch is not there.
+// reply is the reply to a call. It has no verdict if the patch has no outcome.
 type reply struct {
 	verdict configpb.Verdict
 	version uint64
@@ -42,7 +41,7 @@
 	return reply{verdict: o.GetVerdict(), version: o.GetVersion(), patch: o.GetVersionPatch()}
 }
 
-// modelState is the state that the control hosts agree on.
+// modelState is the replicated state as the model has it.
 type modelState struct {
 	version  uint64
 	patch    string
@@ -53,8 +52,7 @@
 	return a.version == b.version && a.patch == b.patch && maps.Equal(a.outcomes, b.outcomes)
 }
 
-// step makes the call in the state, all at once, and tells whether the reply
-// is the right one.
+// step applies the call and reports whether the reply is correct.
 func (a modelState) step(c call, r reply) (bool, modelState) {
 	first, known := a.outcomes[c.id]
 	switch {
@@ -74,8 +72,8 @@
 	return r == out, next
 }
 
-// newModel returns the sequential specification of patches and reads, which
-// begins with the version that the patch made.
+// newModel returns the sequential specification of patches and reads, starting with
+// the version that the patch created.
 func newModel(version uint64, patch string) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any {
@@ -89,8 +87,7 @@
 	}
 }
 
-// TestModelRejectsInvalidHistories shows that the check can fail: each history
-// breaks one promise.
+// TestModelRejectsInvalidHistories checks that the model detects violations.
 func TestModelRejectsInvalidHistories(t *testing.T) {
 	accepted := reply{verdict: configpb.Verdict_VERDICT_ACCEPTED, version: 2, patch: "a"}
 	refused := reply{verdict: configpb.Verdict_VERDICT_REFUSED_BASE, version: 2, patch: "a"}
--- a/test/newtargets_test.go
+++ b/test/newtargets_test.go
@@ -9,15 +9,15 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestTargetsAddedInBursts adds targets in bursts while others drain. Sessions
-// stay where they began; every new target takes flows.
+// TestTargetsAddedInBursts adds targets in bursts while others drain. Sessions keep
+// their targets; every new target takes flows.
 func TestTargetsAddedInBursts(t *testing.T) {
 	is := is.New(t)
 	const bursts, size = 2, 4
 	d := deploy(t, 1)
 	load := d.startLoad(t)
 	caller := d.lodgement.NewCaller()
-	began := caller.Echo("before").Target
+	firstTarget := caller.Echo("before").Target
 	var draining *processtest.Target
 	for burst := range bursts {
 		var added []*processtest.Target
@@ -34,17 +34,17 @@
 			d.callerOf(t, target)
 		}
 		load.progress()
-		is.Equal(caller.Echo("after a burst").Target, began)
+		is.Equal(caller.Echo("after a burst").Target, firstTarget)
 		draining = added[0]
 	}
 	load.stop()
 }
 
-// TestNewFlowsAreDistributed counts where short flows go among six targets. Ramp and
-// load are nearly equal, so no target may get far more than its share.
+// TestNewFlowsAreDistributed opens short flows to six equally loaded targets. None may
+// get far more than its share.
 func TestNewFlowsAreDistributed(t *testing.T) {
 	is := is.New(t)
-	const flows, most = 180, 3 // most: times the mean
+	const flows, maxShare = 180, 3 // maxShare is a multiple of the mean
 	d := deploy(t, 1)
 	d.InForce(d.Patch(d.lodgement.Put()+"ramp_ms = 1\n"), d.entryNames()...)
 	for _, name := range []string{"c", "d", "e", "f"} {
@@ -55,13 +55,13 @@
 		target.WaitRegistered()
 		d.callerOf(t, target)
 	}
-	took := make(map[string]int)
+	taken := make(map[string]int)
 	for i := range flows {
-		took[d.lodgement.NewCaller().Echo(fmt.Sprint(i)).Target]++
+		taken[d.lodgement.NewCaller().Echo(fmt.Sprint(i)).Target]++
 	}
-	t.Logf("flows by target: %v", took)
-	is.Equal(len(took), len(targets))
-	for _, n := range took {
-		is.True(n <= most*flows/len(targets))
+	t.Logf("flows by target: %v", taken)
+	is.Equal(len(taken), len(targets))
+	for _, n := range taken {
+		is.True(n <= maxShare*flows/len(targets))
 	}
 }
--- a/test/nonrepeatable_test.go
+++ b/test/nonrepeatable_test.go
@@ -13,13 +13,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// runKey sends a request that may not be repeated.
+// runKey sends a non-repeatable request.
 func runKey(caller *processtest.Caller, key string) (*processtest.Answer, error) {
 	return caller.Do(context.Background(), http.MethodPost,
 		processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 }
 
-// runs counts the runs of a key at all targets of lodgement.
+// runs returns the number of runs of a key on all targets of lodgement.
 func (d *deployment) runs(key string) int {
 	n := 0
 	for _, target := range d.targets[d.lodgement] {
@@ -28,8 +28,8 @@
 	return n
 }
 
-// resend sends a key until its answer comes. While the run lasts the system
-// says that it does not know; it must not say that the request was not run.
+// resend sends a key until it gets its response. While the run lasts the outcome is
+// unknown, never not-run.
 func (d *deployment) resend(t *testing.T, caller *processtest.Caller, key string) *processtest.Answer {
 	t.Helper()
 	is := is.New(t)
@@ -44,9 +44,8 @@
 	return last
 }
 
-// TestResendAfterLostResponse loses the answer of a run on its way back
-// for good and sends the request again over the other entry host to the other
-// target.
+// TestResendAfterLostResponse drops the response of a run and resends the request
+// through the other entry host to the other target.
 func TestResendAfterLostResponse(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -63,7 +62,7 @@
 	attempt.abandon()
 }
 
-// pendingRun is a request that may not be repeated and whose answer nobody reads.
+// pendingRun is a non-repeatable request whose response is not read.
 type pendingRun struct {
 	worker conc.WaitGroup
 	cancel context.CancelFunc
@@ -73,7 +72,6 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &pendingRun{cancel: cancel}
 	r.worker.Go(func() {
-		// The tests that start a run take its answer away.
 		_, _ = caller.Do(ctx, http.MethodPost, processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 	})
 	return r
@@ -84,8 +82,8 @@
 	r.worker.Wait()
 }
 
-// TestRecordedResponseIsReplayed loses the answer after the run ended: the resend at
-// another target gets it from the record.
+// TestRecordedResponseIsReplayed resends a finished request to another target, which
+// returns the recorded response.
 func TestRecordedResponseIsReplayed(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -101,8 +99,8 @@
 	is.Equal(d.runs("ended"), 1)
 }
 
-// TestAgentKilledDuringRun kills the agent that holds the right to run. Nobody
-// knows what became of the run, so nobody runs it again.
+// TestAgentKilledDuringRun kills the agent that holds the grant. The outcome of the
+// run is unknown, so no other target may run it.
 func TestAgentKilledDuringRun(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -125,8 +123,8 @@
 	attempt.abandon()
 }
 
-// TestAgentFrozenDuringRuns freezes an agent while requests arrive and run,
-// and thaws it after all of them were sent again elsewhere.
+// TestAgentFrozenDuringRuns freezes an agent while requests arrive and run, and thaws
+// it after all of them were resent to another target.
 func TestAgentFrozenDuringRuns(t *testing.T) {
 	is := is.New(t)
 	const keys = 3
--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -19,75 +19,75 @@
 	killSeed = 4
 	// shortWorkTime keeps requests in flight at any moment of a kill.
 	shortWorkTime = 20 * time.Millisecond
-	// attemptTimeout ends a request whose answer a killed process took along.
+	// attemptTimeout ends an attempt whose response was lost with a killed process.
 	attemptTimeout = 3 * time.Second
-	// maxKeyAttempts is how often a request with a key is sent while its outcome is
-	// not known.
+	// maxKeyAttempts bounds the attempts of a request with a key while its outcome is
+	// unknown.
 	maxKeyAttempts = 3
-	// requestsPerQuorumLoss is the number of requests that end while no quorum is
-	// there: more than are in flight when it is lost.
+	// requestsPerQuorumLoss is the number of requests that end without a quorum: more
+	// than are in flight when it is lost.
 	requestsPerQuorumLoss = 6
 )
 
-// Fates of one attempt, besides the outcomes of the caller protocol.
+// resultLost is the result of an attempt without a response, beside the outcomes of
+// the caller protocol.
 const resultLost = "lost"
 
-// resultLog remembers what the callers were told of each request.
+// resultLog records the result that the caller of each request got.
 type resultLog struct {
 	mu      sync.Mutex
 	results map[string]string
 }
 
-func (a *resultLog) record(name, fate string) {
+func (a *resultLog) record(name, result string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.results[name] = fate
+	a.results[name] = result
 }
 
 func (a *resultLog) count() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	counts := make(map[string]int)
-	for _, fate := range a.results {
-		counts[fate]++
+	for _, result := range a.results {
+		counts[result]++
 	}
 	return counts
 }
 
-// total returns the number of requests whose fate is known.
+// total returns the number of requests with a result.
 func (a *resultLog) total() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.results)
 }
 
-// send sends requests until the context ends. Every other one may not be
-// repeated: it is sent again, with its key, for as long as its outcome is not
-// known.
+// send sends requests until the context ends. Every other one has a key and is resent
+// while its outcome is unknown.
 func (a *resultLog) send(ctx context.Context, s *processtest.Service, worker int) {
 	caller := s.NewCaller()
 	for i := 0; ctx.Err() == nil; i++ {
 		name := fmt.Sprintf("worker %d request %d", worker, i)
 		path := processtest.RunPath(shortWorkTime)
 		var header http.Header
-		tries := 1
+		maxAttempts := 1
 		if i%2 == 0 {
 			header = processtest.KeyHeader(name)
-			tries = maxKeyAttempts
+			maxAttempts = maxKeyAttempts
 		} else {
 			path += "&key=" + url.QueryEscape(name)
 		}
-		fate := resultLost
-		for range tries {
-			fate = attemptOnce(caller, path, header, name)
-			if fate == resultLost {
+		result := resultLost
+		for range maxAttempts {
+			result = attemptOnce(caller, path, header, name)
+			if result == resultLost {
 				caller = s.NewCaller() // its connection may hang
 			}
-			if fate != resultLost && fate != processtest.OutcomeUnknown {
+			if result != resultLost && result != processtest.OutcomeUnknown {
 				break
 			}
 		}
-		a.record(name, fate)
+		a.record(name, result)
 	}
 }
 
@@ -99,29 +99,27 @@
 	case err != nil:
 		return resultLost
 	case answer.Outcome == processtest.OutcomeAnswered && string(answer.Body) != name:
-		return "wrong answer"
+		return "wrong response"
 	default:
 		return answer.Outcome
 	}
 }
 
-// TestNotRunOutcomeMatchesRuns kills backend servers, agents and the control host in
-// a seeded order under requests, and compares what the callers were told with
-// what the backend servers ran. Requests with a key are sent again while their
-// outcome is unknown, also to hosts that cannot ask whether they ran; a not-run
-// must hold for every attempt.
+// TestNotRunOutcomeMatchesRuns kills backend servers, agents and the control host
+// under load and compares the outcomes of the callers with the runs on the backend
+// servers. A not-run outcome must hold for every attempt of a key.
 func TestNotRunOutcomeMatchesRuns(t *testing.T) {
 	const kills, workers = 18, 6
 	d := deploy(t, 1)
 	random := rand.New(rand.NewPCG(killSeed, killSeed))
-	told := &resultLog{results: make(map[string]string)}
+	log := &resultLog{results: make(map[string]string)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var senders conc.WaitGroup
 	for worker := range workers {
-		senders.Go(func() { told.send(ctx, d.lodgement, worker) })
+		senders.Go(func() { log.send(ctx, d.lodgement, worker) })
 	}
-	answered := func() int { return told.count()[processtest.OutcomeAnswered] }
+	answered := func() int { return log.count()[processtest.OutcomeAnswered] }
 	for range kills {
 		before := answered()
 		processtest.Eventually(t, "requests run", func() bool { return answered() > before+workers })
@@ -135,34 +133,34 @@
 			target.LaunchAgent()
 			target.WaitRegistered()
 		default:
-			d.loseQuorum(t, told)
+			d.loseQuorum(t, log)
 		}
 	}
 	cancel()
 	senders.Wait()
-	t.Logf("told: %v", told.count())
-	for name, fate := range told.results {
-		d.checkResult(t, name, fate)
+	t.Logf("results: %v", log.count())
+	for name, result := range log.results {
+		d.checkResult(t, name, result)
 	}
 }
 
-// loseQuorum kills the control host and a backend server, so that requests are
-// sent again whose first attempt is known to nobody, and starts both again once
-// requests have ended without a quorum.
-func (d *deployment) loseQuorum(t *testing.T, told *resultLog) {
+// loseQuorum kills the control host and a backend server, so that resends find no
+// record of the first attempt, and restarts both once requests have ended without a
+// quorum.
+func (d *deployment) loseQuorum(t *testing.T, log *resultLog) {
 	t.Helper()
 	d.controls[0].Kill()
 	target := d.targets[d.lodgement][0]
 	target.Backend.Kill()
 	target.LaunchBackend()
-	before := told.total()
-	processtest.Eventually(t, "requests end without a quorum", func() bool { return told.total() > before+requestsPerQuorumLoss })
+	before := log.total()
+	processtest.Eventually(t, "requests end without a quorum", func() bool { return log.total() > before+requestsPerQuorumLoss })
 	d.controls[0].Launch()
 	d.controls[0].WaitReady()
 }
 
-// checkResult compares what a caller was told with the runs.
-func (d *deployment) checkResult(t *testing.T, name, fate string) {
+// checkResult compares the result of a request with its runs.
+func (d *deployment) checkResult(t *testing.T, name, result string) {
 	t.Helper()
 	runs := 0
 	for _, target := range d.targets[d.lodgement] {
@@ -170,7 +168,7 @@
 		runs += target.Runs(name)
 	}
 	right := runs <= 1
-	switch fate {
+	switch result {
 	case processtest.OutcomeAnswered:
 		right = runs == 1
 	case processtest.OutcomeNotRun:
@@ -180,6 +178,6 @@
 		right = false
 	}
 	if !right {
-		t.Errorf("%s: told %q, ran %d times", name, fate, runs)
+		t.Errorf("%s: result %q, ran %d times", name, result, runs)
 	}
 }
--- a/test/operatorpath_test.go
+++ b/test/operatorpath_test.go
@@ -12,8 +12,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// operatorPath is one operator's way to one control host, through a relay of
-// its own.
+// operatorPath connects one operator to one control host through a relay.
 type operatorPath struct {
 	relay  *faultproxy.TCPRelay
 	client *operator.Client
@@ -28,43 +27,43 @@
 	return all
 }
 
-// heal takes the faults away, and the connections that lack bytes with them.
+// heal removes the faults and closes the connections that have lost bytes.
 func (p *operatorPath) heal() {
 	p.relay.CloseConnections()
-	for _, way := range []faultproxy.Direction{faultproxy.ToHost, faultproxy.ToCaller} {
-		p.relay.SetFaults(way, faultproxy.Faults{})
+	for _, direction := range []faultproxy.Direction{faultproxy.ToHost, faultproxy.ToCaller} {
+		p.relay.SetFaults(direction, faultproxy.Faults{})
 	}
 }
 
-// pathFault is what befalls a patch on its way from an operator.
+// pathFault is a fault on the path of a patch from an operator.
 type pathFault int
 
 const (
-	_ pathFault = iota // none: the patch goes its way
-	// responseCut loses the answer after the patch took effect.
+	_ pathFault = iota // no fault
+	// responseCut loses the reply after the patch took effect.
 	responseCut
 	// requestDropped loses the request.
 	requestDropped
-	// requestDelayed holds the request and its answer up.
+	// requestDelayed delays the request and its reply.
 	requestDelayed
-	// requestDuplicated sends the patch to two hosts at once, the second time
+	// requestDuplicated sends the patch to two hosts at once, to one of them
 	// over a slow path.
 	requestDuplicated
 	pathFaults
 )
 
 const (
-	// pathDelay is what each part of a delayed request and answer waits.
+	// pathDelay is the delay of a request or reply in each direction.
 	pathDelay = 20 * time.Millisecond
-	// lostTimeout is when an operator gives up on a request that was lost.
+	// lostTimeout ends a request that was lost.
 	lostTimeout = 100 * time.Millisecond
-	// pollInterval is the time between two looks for an outcome.
+	// pollInterval is the time between two queries for an outcome.
 	pollInterval = 10 * time.Millisecond
 )
 
-// submitWithFault sends the patch once, or twice, under a fault drawn by chance. What
-// the operator is told is recorded. It returns the path of a lost answer and
-// the outcome that was seen before the answer was cut.
+// submitWithFault sends the patch once or twice under a random fault and records the
+// replies. It returns the path of a lost reply and the outcome seen before it was
+// lost.
 func (o *testOperator) submitWithFault(patch *configpb.Patch) (lost *operatorPath, seen *configpb.Outcome) {
 	path := o.path()
 	fault := pathFault(o.random.IntN(int(pathFaults)))
@@ -86,12 +85,12 @@
 }
 
 func (o *testOperator) delay(path *operatorPath) {
-	for _, way := range []faultproxy.Direction{faultproxy.ToHost, faultproxy.ToCaller} {
-		path.relay.SetFaults(way, faultproxy.Faults{Delay: pathDelay})
+	for _, direction := range []faultproxy.Direction{faultproxy.ToHost, faultproxy.ToCaller} {
+		path.relay.SetFaults(direction, faultproxy.Faults{Delay: pathDelay})
 	}
 }
 
-// submitOnce sends the patch over one path. An answer is a call of its own in the
+// submitOnce sends the patch over one path. A reply is a call of its own in the
 // history.
 func (o *testOperator) submitOnce(path *operatorPath, patch *configpb.Patch, limit time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -105,7 +104,7 @@
 	return true
 }
 
-// sendTwice sends the patch over two paths at once.
+// sendTwice sends the patch over two paths concurrently.
 func (o *testOperator) sendTwice(path *operatorPath, patch *configpb.Patch) {
 	other := o.otherPath(path)
 	o.delay(other)
@@ -120,9 +119,9 @@
 	}
 }
 
-// cutResponse sends the patch over a path that is cut behind it, and breaks the
-// connection once another host tells the outcome. It returns that outcome, or
-// nil if none was told in time.
+// cutResponse sends the patch over a path that drops the reply, and closes the
+// connection once another host has the outcome. It returns that outcome, or nil after
+// a timeout.
 func (o *testOperator) cutResponse(path *operatorPath, patch *configpb.Patch) *configpb.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -134,7 +133,7 @@
 	var call conc.WaitGroup
 	call.Go(func() {
 		if _, err := path.client.Submit(ctx, patch); err == nil {
-			o.t.Error("an answer came over a cut path")
+			o.t.Error("a reply arrived over a cut path")
 		}
 	})
 	var seen *configpb.Outcome
@@ -148,10 +147,9 @@
 	return seen
 }
 
-// submit sends a patch, in most cases under a fault at first, and then to one
-// host after the other until its outcome is told. All of this is one call of
-// the history: it takes effect once, or the history is wrong. A resend after an
-// answer that was cut is told what was seen then.
+// submit sends a patch, usually under a fault first, and then to one host after the
+// other until it has the outcome. The history has this as one call. A resend must get
+// the outcome that was seen before the reply was lost.
 func (o *testOperator) submit(id string, base uint64) {
 	from := o.recorder.now()
 	patch := putPatch(id, base, o.service)
@@ -170,15 +168,15 @@
 		out, err = path.client.Submit(ctx, patch)
 		return err == nil
 	})
-	told := replyOf(out)
-	o.recorder.record(o.number, from, submitCall(patch), told)
+	final := replyOf(out)
+	o.recorder.record(o.number, from, submitCall(patch), final)
 	o.recorder.update(func(r *recorder) { r.resent += tries - 1 })
 	if seen == nil {
 		return
 	}
 	o.recorder.update(func(r *recorder) { r.cutResponses++ })
-	if first := replyOf(seen); first != told {
-		o.t.Errorf("%s: %+v was in force when the answer was cut, the resend was told %+v", id, first, told)
+	if first := replyOf(seen); first != final {
+		o.t.Errorf("%s: outcome %+v when the reply was cut, %+v after the resend", id, first, final)
 	}
 }
 
--- a/test/plannedstops_test.go
+++ b/test/plannedstops_test.go
@@ -8,9 +8,9 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestConcurrentPlannedStops stops a process of each role at the same moment,
-// beside requests in flight and open sessions, and starts an entry host. Of
-// three targets one is left, which is all that new flows need.
+// TestConcurrentPlannedStops stops a process of each role at once, under requests in
+// flight and open sessions, and starts an entry host. New flows go to the one
+// remaining target.
 func TestConcurrentPlannedStops(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
@@ -28,8 +28,8 @@
 	d.StartEntry()
 	d.entries[0].Leave()
 	for _, r := range inFlight {
-		for _, fate := range r.wait() {
-			is.Equal(fate, completed)
+		for _, result := range r.wait() {
+			is.Equal(result, completed)
 		}
 	}
 	for _, p := range stopped {
--- a/test/ramp_test.go
+++ b/test/ramp_test.go
@@ -10,17 +10,17 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestRampLimitsFlowsOfNewTarget adds a target to two that are past the
-// ramp. It gets fewer than half of an even share of the new flows while it has
-// passed a quarter of the ramp at most, and more than that later. The ramp is as
-// long as the others are old, so that a slow machine only makes it longer.
+// TestRampLimitsFlowsOfNewTarget adds a cold target to two warm ones. It gets less
+// than half of an even share of new flows in the first quarter of the ramp, and at
+// least that later. The ramp is as long as the others are old, so a slow machine only
+// makes it longer.
 func TestRampLimitsFlowsOfNewTarget(t *testing.T) {
 	is := is.New(t)
 	const flows, rounds = 120, 5
-	const half = flows / 3 / 2 // of the even share of one of three
+	const half = flows / 3 / 2 // half of an even share of three targets
 	d := deploy(t, 1)
 	registered := time.Now()
-	processtest.Eventually(t, "the others are old", func() bool { return time.Since(registered) >= 10*time.Second })
+	processtest.Eventually(t, "the other targets are old", func() bool { return time.Since(registered) >= 10*time.Second })
 	for round := range rounds {
 		ramp := time.Since(registered)
 		policy := fmt.Sprintf("ramp_ms = %d\n", ramp.Milliseconds())
@@ -30,7 +30,7 @@
 		d.waitCandidates(t, len(d.all())+1)
 		first := d.countFlowsTo(cold, flows)
 		if time.Since(launched) > ramp/4 {
-			cold.StopAgent() // too old by now
+			cold.StopAgent() // no longer cold
 			d.waitCandidates(t, len(d.all()))
 			continue
 		}
@@ -41,5 +41,5 @@
 		})
 		return
 	}
-	t.Fatal("no target was seen while it was cold")
+	t.Fatal("no target was observed while it was cold")
 }
--- a/test/recordage_test.go
+++ b/test/recordage_test.go
@@ -9,15 +9,12 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// recordAge is the age of the records when they are asked for. The clock of
-// the grants follows that of the machine, and the shortest time for which
-// records may be kept is longer than a test: nothing but time brings this about.
+// recordAge is the age of the records at the resend. The clock of the grants follows
+// the machine's, so the test has to wait.
 const recordAge = 2 * time.Minute
 
-// TestResendAfterMinutes lets minutes pass after a run that ended and a run
-// whose agent was killed, with keys of other requests in between, and starts
-// the control host anew. At the other target the first request gets its answer
-// and the outcome of the second stays unknown; neither runs again.
+// TestResendAfterMinutes resends a finished request and one whose agent was killed,
+// minutes later and after a restart of the control host. Neither runs again.
 func TestResendAfterMinutes(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -26,13 +23,13 @@
 	ended, err := runKey(caller, "ended")
 	is.NoErr(err)
 	is.Equal(ended.Outcome, processtest.OutcomeAnswered)
-	other := d.callerOf(t, second) // a flow begun after the kill may go to the dead agent until its lease ends
+	other := d.callerOf(t, second) // a flow opened after the kill may reach the dead agent until its lease expires
 	attempt := startRun(caller, "killed")
 	processtest.Eventually(t, "the request runs", func() bool { return first.Runs("killed") == 1 })
 	first.Agent.Kill()
 	since := time.Now()
 
-	time.Sleep(recordAge / 2) // the age is what is tested; nothing is waited for
+	time.Sleep(recordAge / 2) // lets the records age
 	between, err := runKey(other, "between")
 	is.NoErr(err)
 	is.Equal(between.Outcome, processtest.OutcomeAnswered)
--- a/test/recorder_test.go
+++ b/test/recorder_test.go
@@ -17,10 +17,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// callTimeout is when an operator gives up on an answer, as when it is lost.
+// callTimeout bounds an operator's call.
 const callTimeout = 2 * time.Second
 
-// recorder notes what operators ask and are told, and when.
+// recorder records the operators' calls and replies with their times.
 type recorder struct {
 	start time.Time
 
@@ -29,15 +29,15 @@
 	ids      []string
 	newest   uint64
 	finished int
-	// resent counts calls after the first one of a patch, cut the answers that
-	// were cut after the patch took effect, and doubled the patches that were
-	// sent twice at once and answered twice.
+	// resent counts the repeated calls of a patch, cutResponses the replies lost after
+	// the patch took effect, duplicated the patches sent twice at once with two
+	// replies.
 	resent, cutResponses, duplicated int
 }
 
 func (r *recorder) now() int64 { return int64(time.Since(r.start)) }
 
-// record records a call that was answered.
+// record appends a call that got a reply.
 func (r *recorder) record(client int, from int64, c call, out reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,7 @@
 	return r.newest
 }
 
-// anyID returns the identifier of a patch whose outcome was told, or of none.
+// anyID returns the ID of a random patch with an outcome, or an ID without a patch.
 func (r *recorder) anyID(random *rand.Rand) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +66,7 @@
 	return r.ids[random.IntN(len(r.ids))]
 }
 
-// update lets f change a counter.
+// update calls f with the lock held.
 func (r *recorder) update(f func(*recorder)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,15 +79,14 @@
 	return r.finished
 }
 
-// putPatch returns a patch that puts the service as it is.
+// putPatch returns a patch that puts the service unchanged.
 func putPatch(id string, base uint64, s *processtest.Service) *configpb.Patch {
 	service := &configpb.Service{Name: s.Name, Addresses: []string{s.Address.String()}, Slots: 4}
 	put := &configpb.Operation{Body: &configpb.Operation_PutService{PutService: service}}
 	return &configpb.Patch{Id: id, BaseVersion: base, Operations: []*configpb.Operation{put}}
 }
 
-// testOperator is one operator. It asks a host drawn for each call, over a
-// path of its own.
+// testOperator is one operator. It sends each call to a random host over its own path.
 type testOperator struct {
 	t        *testing.T
 	number   int
@@ -100,7 +99,7 @@
 
 func (o *testOperator) path() *operatorPath { return o.paths[o.random.IntN(len(o.paths))] }
 
-// otherPath returns a path to another host than this one leads to.
+// otherPath returns a path to another host.
 func (o *testOperator) otherPath(not *operatorPath) *operatorPath {
 	for {
 		if path := o.path(); path != not {
@@ -109,8 +108,7 @@
 	}
 }
 
-// show asks for the outcome of a patch. A call that no quorum confirms tells
-// nothing and is left out.
+// show queries the outcome of a patch. Calls without a quorum are not recorded.
 func (o *testOperator) show(path *operatorPath, id string) *configpb.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -122,7 +120,7 @@
 	return out
 }
 
-// read asks for the newest version.
+// read queries the newest version.
 func (o *testOperator) read() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -133,7 +131,7 @@
 	}
 }
 
-// work makes a number of calls, drawn by chance.
+// work makes a number of random calls.
 func (o *testOperator) work(calls int) {
 	for range calls {
 		switch o.random.IntN(8) {
@@ -141,7 +139,7 @@
 			o.patches++
 			o.submit(fmt.Sprintf("operator-%d-patch-%d", o.number, o.patches), o.recorder.newestVersion())
 		case 3:
-			if o.patches > 0 { // an answered patch, sent again by its operator
+			if o.patches > 0 { // a patch with an outcome
 				o.submitAgain()
 			}
 		case 4, 5:
@@ -153,7 +151,7 @@
 	}
 }
 
-// submitAgain repeats the operator's latest patch, under the base it had.
+// submitAgain resends the operator's latest patch with its original base.
 func (o *testOperator) submitAgain() {
 	id := fmt.Sprintf("operator-%d-patch-%d", o.number, o.patches)
 	o.recorder.mu.Lock()
@@ -167,8 +165,7 @@
 	o.submit(id, base)
 }
 
-// check fails the test unless some order of the calls, each at one moment
-// between question and answer, explains all answers.
+// check fails the test unless the history is linearizable.
 func (r *recorder) check(t *testing.T, model porcupine.Model) {
 	t.Helper()
 	accepted, refused, reads := 0, 0, 0
@@ -182,10 +179,10 @@
 			reads++
 		}
 	}
-	t.Logf("%d calls: %d told accepted, %d told refused, %d others; %d sent again, %d answers cut, %d sent twice",
+	t.Logf("%d calls: %d accepted, %d refused, %d others; %d resent, %d replies cut, %d sent twice",
 		len(r.history), accepted, refused, reads, r.resent, r.cutResponses, r.duplicated)
 	is := is.New(t)
-	is.True(r.cutResponses > 0) // answers of patches that took effect were lost
+	is.True(r.cutResponses > 0) // replies of applied patches were lost
 	is.True(r.duplicated > 0)   // patches were sent twice
 	result := porcupine.CheckOperationsTimeout(model, r.history, checkTimeout)
 	is.Equal(result, porcupine.Ok)
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -11,10 +11,10 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestCallerWithoutTargetIsRefused opens flows to a service that has no
-// target yet, and to one that loses all of its targets. The callers are told by
-// the entry hosts, and not by their own timeout; flows of the other service go
-// on, and a first target serves new callers.
+// TestCallerWithoutTargetIsRefused opens flows to a service that has no target yet,
+// and to one that lost its targets. Entry hosts refuse the callers instead of letting
+// them time out. Flows of another service go on, and a first target serves new
+// callers.
 func TestCallerWithoutTargetIsRefused(t *testing.T) {
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t)}
@@ -32,7 +32,7 @@
 
 	first.Agent.Kill()
 	first.Backend.Kill()
-	waitRefusals(t, d.lodgement) // its lease has ended
+	waitRefusals(t, d.lodgement) // its lease has expired
 	watch.Advance()
 
 	d.lodgement.StartTarget("b")
@@ -48,16 +48,15 @@
 	})
 }
 
-// waitRefusals waits until a caller is refused. Entry hosts stay silent while
-// they are not sure: while a control host that has just started still collects
-// the targets, and until a lost lease ends. From then on no caller is left to
-// its own timeout.
+// waitRefusals waits until a caller is refused. Entry hosts drop packets silently
+// until their directory is complete and lost leases have expired. From then on every
+// caller is refused.
 func waitRefusals(t *testing.T, s *processtest.Service) {
 	t.Helper()
 	processtest.Eventually(t, "callers are refused", func() bool { return isRefused(firstRequest(s)) })
 	for range 4 {
 		if err := firstRequest(s); !isRefused(err) {
-			t.Fatalf("a caller of a service without target was told %v", err)
+			t.Fatalf("a caller of a service without target got %v", err)
 		}
 	}
 }
@@ -73,8 +72,8 @@
 	return errors.As(err, &fault) && fault.Remote && fault.ErrorCode == quic.ConnectionRefused
 }
 
-// waitServedCaller waits until entry hosts know of a target and returns a caller
-// that it serves.
+// waitServedCaller waits until entry hosts know a target and returns a caller that it
+// serves.
 func waitServedCaller(t *testing.T, s *processtest.Service) *processtest.Caller {
 	t.Helper()
 	var caller *processtest.Caller
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -9,8 +9,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestRollingRestart restarts control hosts, entry hosts and agents
-// one after the other, by plan, under traffic and an open session.
+// TestRollingRestart gracefully restarts control hosts, entry hosts and agents in
+// turn, under traffic and an open session.
 func TestRollingRestart(t *testing.T) {
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -39,8 +39,8 @@
 	load.stop()
 }
 
-// TestControlAndEntryHostsKilledInTurn does the same with kill -9, for the
-// hosts that hold no session.
+// TestControlAndEntryHostsKilledInTurn does the same with kill -9 for control and
+// entry hosts.
 func TestControlAndEntryHostsKilledInTurn(t *testing.T) {
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -64,9 +64,9 @@
 	load.stop()
 }
 
-// TestAllProcessesKilledAtOnce kills every process at the same time and starts
-// all of them again: the configuration is as accepted, a request that may not
-// be repeated is not run again, and new sessions open.
+// TestAllProcessesKilledAtOnce kills and restarts every process. The accepted
+// configuration stays, a non-repeatable request does not run again, and new sessions
+// open.
 func TestAllProcessesKilledAtOnce(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
@@ -94,7 +94,7 @@
 	d.lodgement.NewCaller().Watch().Advance()
 	again, err := runKey(d.lodgement.NewCaller(), "once")
 	is.NoErr(err)
-	is.Equal(again.Outcome, processtest.OutcomeAnswered) // the recorded answer
+	is.Equal(again.Outcome, processtest.OutcomeAnswered) // the recorded response
 	is.Equal(string(again.Body), string(ran.Body))
 	is.True(d.runs("once") <= 1) // the new processes did not run it
 	load.stopUnchecked()
@@ -123,7 +123,7 @@
 	}
 }
 
-// stopUnchecked ends the load without a look at its fate.
+// stopUnchecked ends the load without checking its results.
 func (l *load) stopUnchecked() {
 	l.watch.Close()
 	for _, traffic := range l.traffic {
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -10,7 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// Exit statuses that the operator commands document.
+// Exit statuses of the operator commands.
 const (
 	exitAccepted = 0
 	exitForced   = 1
@@ -18,8 +18,8 @@
 	exitUnknown  = 4
 )
 
-// TestProcessesStopOnSIGTERM ends every process with SIGTERM, those first that others
-// do without.
+// TestProcessesStopOnSIGTERM ends every process with SIGTERM, agents first and backend
+// servers last.
 func TestProcessesStopOnSIGTERM(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -32,14 +32,14 @@
 	entries := []*processtest.Process{d.entries[0].Process, d.entries[1].Process}
 	for _, role := range [][]*processtest.Process{agents, entries, {d.controls[0].Process}} {
 		for _, p := range role {
-			is.True(strings.Contains(p.Metrics(), "# TYPE")) // counters are served
+			is.True(strings.Contains(p.Metrics(), "# TYPE")) // metrics are served
 		}
 		terminateAll(role)
 	}
 	terminateAll(backends)
 }
 
-// terminateAll ends processes side by side.
+// terminateAll ends processes concurrently.
 func terminateAll(all []*processtest.Process) {
 	for _, p := range all {
 		p.Terminate()
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestSecondSignalForcesAgentExit is the forced end of sessions, the
-// operator's explicit choice.
+// TestSecondSignalForcesAgentExit sends a second SIGTERM to an agent with an open
+// session.
 func TestSecondSignalForcesAgentExit(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -63,30 +63,29 @@
 	is.Equal(target.Agent.WaitEnd(), exitForced)
 }
 
-// TestOperatorRecoversLostOutcome cuts the answer to a patch that was accepted,
-// and runs what the command prints.
+// TestOperatorRecoversLostOutcome loses the reply to an accepted patch and runs the
+// command that the operator's tool prints.
 func TestOperatorRecoversLostOutcome(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	cut := d.CutAnswers()
 
 	o := d.Submit(1, "cut-json", []string{d.lodgement.Put()}, cut)
-	is.Equal(o.Verdict, processtest.Unknown) // Submit holds it to exit status 4
-	told := d.Paste(o.Next)
-	is.Equal(told.Status, exitAccepted)
-	is.True(strings.Contains(told.Stdout, "patch cut-json: accepted as version 2"))
+	is.Equal(o.Verdict, processtest.Unknown) // Submit checks for exit status 4
+	output := d.Paste(o.Next)
+	is.Equal(output.Status, exitAccepted)
+	is.True(strings.Contains(output.Stdout, "patch cut-json: accepted as version 2"))
 
 	printed := d.Operate(d.SubmitArgs(1, "cut-text", d.lodgement.Put()), cut)
 	is.Equal(printed.Status, exitUnknown)
 	_, next, found := strings.Cut(printed.Stdout, "To learn it run:\n  ")
 	is.True(found)
-	told = d.Paste(next)
-	is.Equal(told.Status, exitRefused)
-	is.True(strings.Contains(told.Stdout, "the current version is 2, made by patch cut-json"))
+	output = d.Paste(next)
+	is.Equal(output.Status, exitRefused)
+	is.True(strings.Contains(output.Stdout, "the current version is 2, made by patch cut-json"))
 }
 
-// TestOperatorCommands runs the operator's side against a deployment, for
-// people and for programs.
+// TestOperatorCommands runs the operator's commands with text and JSON output.
 func TestOperatorCommands(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -107,7 +106,7 @@
 	wrong := d.Operate(d.SubmitArgs(2, "wrong",
 		"[service lodgement]\naddresses = 192.0.2.1:443\nslots = 0\n", "[remove nobody]\n"))
 	is.Equal(wrong.Status, exitRefused)
-	is.Equal(strings.Count(wrong.Stdout, "wrong.ini:"), 2) // every finding with its place
+	is.Equal(strings.Count(wrong.Stdout, "wrong.ini:"), 2) // each finding with its place
 	base := d.Operate(append(d.SubmitArgs(1, "old-base", d.lodgement.Put()), "--json"))
 	is.Equal(base.Status, exitRefused)
 	is.True(json.Valid([]byte(base.Stdout)))
--- a/test/stalehost_test.go
+++ b/test/stalehost_test.go
@@ -10,19 +10,18 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// missedVersions is how many versions a stale host misses.
+// missedVersions is the number of versions that a stale host misses.
 const missedVersions = 300
 
-// Log messages of a subscriber that leaves a stale host: because another one is known
-// to have a newer version, or because the host says that it knows no leader. Which one
-// comes first depends on how long the host has been cut off.
+// Log messages of a subscriber that moves from a stale host, because another host has
+// a newer version or because the stale one knows no leader.
 const (
 	movingMessage  = "moving to a control host with a newer version"
 	leavingMessage = "leaving an isolated control host"
 )
 
-// createVersions makes versions after base through the hosts and returns the
-// last one.
+// createVersions creates versions after base through the hosts and returns the last
+// one.
 func (d *deployment) createVersions(t *testing.T, base uint64, through ...*processtest.Control) uint64 {
 	t.Helper()
 	s := d.startStream(base, through...)
@@ -33,58 +32,58 @@
 	return version
 }
 
-// deployWithStaleHost has a control host that missed hundreds of versions.
-func deployWithStaleHost(t *testing.T) (d *deployment, stale *processtest.Control, undo func(), newest uint64) {
+// deployWithStaleHost starts a deployment with a control host that missed hundreds of
+// versions.
+func deployWithStaleHost(t *testing.T) (d *deployment, stale *processtest.Control, heal func(), newest uint64) {
 	t.Helper()
 	d = deployRelayed(t)
 	stale = d.Leader().Others()[0]
 	d.waitVersion(t, stale, 1)
-	undo = cutPeerLinks(stale, faultproxy.ToHost, faultproxy.ToCaller)
-	processtest.Eventually(t, "the host knows that it is cut off", func() bool {
+	heal = cutPeerLinks(stale, faultproxy.ToHost, faultproxy.ToCaller)
+	processtest.Eventually(t, "the cut-off host has no leader", func() bool {
 		s := stale.Status()
 		return s != nil && s.Groups[0].Leader == ""
 	})
 	newest = d.createVersions(t, 1, stale.Others()...)
-	return d, stale, undo, newest
+	return d, stale, heal, newest
 }
 
-// TestStaleControlHostRejoins cuts a control host off through hundreds of versions and
-// lets it return: it unseats nobody and serves no old read, and the entry host
-// beside it, which nothing else told more, goes to the newest version in one
-// step.
+// TestStaleControlHostRejoins partitions a control host for hundreds of versions and
+// heals it. It forces no election, marks its reads as unconfirmed, and its subscriber
+// goes to the newest version in one step.
 func TestStaleControlHostRejoins(t *testing.T) {
 	is := is.New(t)
-	d, stale, undo, newest := deployWithStaleHost(t)
-	beside := d.StartEntry(stale.Link) // acts on what no quorum confirmed, after a while
-	is.Equal(beside.ActedOn(), []uint64{1})
+	d, stale, heal, newest := deployWithStaleHost(t)
+	entry := d.StartEntry(stale.Link) // activates the unconfirmed version after a delay
+	is.Equal(entry.ActedOn(), []uint64{1})
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	cfg, confirmed, err := d.Client(stale.Operator).Config(ctx, 0)
 	is.NoErr(err)
 	is.Equal(cfg.GetVersion(), uint64(1))
-	is.Equal(confirmed, false) // it says that it may be old
-	// Only a higher term could unseat a leader.
+	is.Equal(confirmed, false) // the version may be old
+	// Only a higher term could depose the leader.
 	is.True(stale.Status().Groups[0].Term <= stale.Others()[0].Status().Groups[0].Term)
 
-	undo()
-	d.InForce(newest, beside.Host)
+	heal()
+	d.InForce(newest, entry.Host)
 	d.waitVersion(t, stale, newest)
-	is.Equal(beside.ActedOn(), []uint64{1, newest}) // no version in between
+	is.Equal(entry.ActedOn(), []uint64{1, newest}) // no version in between
 	for _, e := range d.entries {
 		checkMonotonic(t, e.ActedOn(), newest)
 	}
 }
 
-// TestEntryHostRestartWithStaleControlHost restarts an entry host that reaches the stale
-// control host and one that knows more, until it began beside the stale one
-// several times: it never acts on the old version.
+// TestEntryHostRestartWithStaleControlHost restarts an entry host that reaches a stale
+// and a current control host, until it connected to the stale one first several times.
+// It never activates the old version.
 func TestEntryHostRestartWithStaleControlHost(t *testing.T) {
 	is := is.New(t)
-	const moves, most = 3, 40
+	const moves, maxStarts = 3, 40
 	d, stale, _, newest := deployWithStaleHost(t)
 	e := d.LaunchEntry(stale.Link, stale.Others()[0].Link)
 	moved, starts := 0, 0
-	for ; moved < moves && starts < most; starts++ {
+	for ; moved < moves && starts < maxStarts; starts++ {
 		e.WaitReady()
 		d.InForce(newest, e.Host)
 		is.Equal(e.ActedOn(), []uint64{newest})
@@ -92,13 +91,13 @@
 		e.Kill()
 		e.Launch()
 	}
-	t.Logf("%d of %d starts began beside the stale host", moved, starts)
+	t.Logf("%d of %d starts connected to the stale host first", moved, starts)
 	is.True(moved >= moves)
 }
 
-// TestEntryHostCatchesUpInOneStep cuts an entry host off through hundreds of
-// versions. When the path works again it may still get the one version that was
-// on its way when the cut came, and then goes to the newest.
+// TestEntryHostCatchesUpInOneStep cuts the control link of an entry host for hundreds
+// of versions. After healing it may activate one version that was in flight, then the
+// newest.
 func TestEntryHostCatchesUpInOneStep(t *testing.T) {
 	is := is.New(t)
 	d := deployRelayed(t)
--- a/test/unresponsive_test.go
+++ b/test/unresponsive_test.go
@@ -12,8 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestNewFlowsServedAfterAgentKill loses one of two agents without a word.
-// Every flow begun from then on is served, also while its lease still runs.
+// TestNewFlowsServedAfterAgentKill kills one of two agents. Every new flow is served,
+// also while the lease of the killed one is valid.
 func TestNewFlowsServedAfterAgentKill(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
@@ -25,26 +25,26 @@
 	is.Equal(failed, nil)
 }
 
-// TestThawedAgentGetsFlowsAgain freezes an agent until entry hosts hold it for
-// silent, and thaws it. It is found again without any flow of its own.
+// TestThawedAgentGetsFlowsAgain freezes an agent until entry hosts consider it
+// unresponsive, and thaws it. It gets new flows again without having flows of its own.
 func TestThawedAgentGetsFlowsAgain(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	frozen := d.targets[d.lodgement][0]
 	frozen.Agent.Freeze()
-	processtest.Eventually(t, "the frozen agent is silent", func() bool {
+	processtest.Eventually(t, "the frozen agent is unresponsive", func() bool {
 		is.Equal(d.openFlows(1), nil)
-		silent := 0.0
+		unresponsive := 0.0
 		for _, e := range d.entries {
-			silent += e.Reading("entry_first_forwarded", "reason", "silent")
+			unresponsive += e.Reading("entry_first_forwarded", "reason", "silent")
 		}
-		return silent > 0
+		return unresponsive > 0
 	})
 	frozen.Agent.Thaw()
 	d.callerOf(t, frozen)
 }
 
-// openFlows begins four times so many flows, four at a time, and returns the
+// openFlows opens flows from four workers, each opening that many, and returns the
 // failures.
 func (d *deployment) openFlows(each int) []string {
 	var mu sync.Mutex
