--- a/api/doc.go
+++ b/api/doc.go
@@ -1,5 +1,5 @@
-// Package api groups the schema of settings and messages. The code in its
-// subpackages is generated from the .proto files beside it.
+// Package api holds the schemas of settings and messages. The code in its subpackages is
+// generated from their .proto files.
 package api
 
 //go:generate go run ./internal/generate
--- a/api/internal/generate/main.go
+++ b/api/internal/generate/main.go
@@ -1,9 +1,8 @@
-// Command generate makes the Go code of every schema below api/, and the descriptors
-// of the settings with their comments, for generated example files and pages.
+// Command generate generates the Go code of every schema below api/, and the settings
+// descriptors with comments, used for example files and documentation. It invokes the Go
+// plugin, a tool of go.mod, as protoc does.
 //
-//	go run ./internal/generate (in the folder api)
-//
-// It runs the Go plugin, a tool of go.mod, as protoc would.
+//	go run ./internal/generate (in the directory api)
 package main
 
 import (
@@ -25,14 +24,14 @@
 )
 
 const (
-	// parameter makes the plugin write below the module's root.
-	parameter = "module=eelgrasswharf.example/eelgrasswharf"
-	// descriptors is where the schemas with their comments are kept.
-	descriptors = "settingspb/settings.binpb"
+	// pluginParameter makes the plugin write relative to the module's root.
+	pluginParameter = "module=eelgrasswharf.example/eelgrasswharf"
+	// descriptorFile is the file of the schemas with their comments.
+	descriptorFile = "settingspb/settings.binpb"
 )
 
-// described are the schemas whose comments are kept.
-var described = []string{"configpb/config.proto", "settingspb/settings.proto"}
+// documentedSchemas lists the schemas whose comments are kept.
+var documentedSchemas = []string{"configpb/config.proto", "settingspb/settings.proto"}
 
 func main() {
 	log := zap.Must(zap.NewDevelopment())
@@ -54,23 +53,23 @@
 	if err != nil {
 		return errors.Wrap(err, "compile schemas")
 	}
-	var all collection
+	var all schemaList
 	for _, f := range files {
 		all.add(f)
 	}
-	if err := all.describe(); err != nil {
+	if err := all.writeDescriptors(); err != nil {
 		return err
 	}
-	return all.code(ctx, schemas)
+	return all.writeCode(ctx, schemas)
 }
 
-// collection is a list of schemas in which each stands behind those that it imports.
-type collection struct {
+// schemaList is a list of schemas in which each one follows its imports.
+type schemaList struct {
 	files []*descriptorpb.FileDescriptorProto
 	seen  map[string]bool
 }
 
-func (c *collection) add(f protoreflect.FileDescriptor) {
+func (c *schemaList) add(f protoreflect.FileDescriptor) {
 	if c.seen[f.Path()] {
 		return
 	}
@@ -85,11 +84,11 @@
 	c.files = append(c.files, protodesc.ToFileDescriptorProto(f))
 }
 
-// describe writes the schemas whose comments are read by the product.
-func (c *collection) describe() error {
+// writeDescriptors writes the schemas with comments.
+func (c *schemaList) writeDescriptors() error {
 	set := &descriptorpb.FileDescriptorSet{}
 	for _, f := range c.files {
-		if slices.Contains(described, f.GetName()) {
+		if slices.Contains(documentedSchemas, f.GetName()) {
 			set.File = append(set.File, f)
 		}
 	}
@@ -97,17 +96,17 @@
 	if err != nil {
 		return errors.Wrap(err, "encode descriptors")
 	}
-	if err := os.WriteFile(descriptors, data, 0o600); err != nil {
+	if err := os.WriteFile(descriptorFile, data, 0o600); err != nil {
 		return errors.Wrap(err, "write descriptors")
 	}
 	return nil
 }
 
-// code has the plugin make the code and writes it.
-func (c *collection) code(ctx context.Context, schemas []string) error {
+// writeCode runs the plugin and writes the generated code.
+func (c *schemaList) writeCode(ctx context.Context, schemas []string) error {
 	request, err := proto.Marshal(&pluginpb.CodeGeneratorRequest{
 		FileToGenerate: schemas,
-		Parameter:      proto.String(parameter),
+		Parameter:      proto.String(pluginParameter),
 		ProtoFile:      c.files,
 	})
 	if err != nil {
--- a/api/settingspb/source.go
+++ b/api/settingspb/source.go
@@ -3,8 +3,7 @@
 import _ "embed"
 
 // SourceDescriptor is the FileDescriptorSet of settings.proto and config.proto
-// with the comments of the schemas, which the generated Go descriptors leave
-// out.
+// including comments, which the generated Go descriptors omit.
 //
 //go:embed settings.binpb
 var SourceDescriptor []byte
