--- a/internal/repotest/comments_test.go
+++ b/internal/repotest/comments_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// measurementPackages lists packages whose subject is measurement.
+// measurementPackages are excluded: their subject is measurement.
 var measurementPackages = []string{"internal/capacity", "internal/experiment"}
 
-// history matches what belongs into a commit or a page: dates, numbers of issues, seeds
-// and how a figure was found.
+// history matches dates, issue numbers, seeds and measurements, which belong in
+// commits or documentation.
 var history = regexp.MustCompile(`(?i)\b20[0-9]{2}-[01][0-9]-[0-3][0-9]\b|\bissue [0-9]+|#[0-9]+\b|\bseed [0-9]+|\b(trial|measured)\b|\bof all worth\b|\bone run each\b`)
 
-// TestCommentsContainNoHistory expects that comments give reasons, not the story of a change
-// or of a figure.
+// TestCommentsContainNoHistory expects comments without the history of a change or
+// figure.
 func TestCommentsContainNoHistory(t *testing.T) {
 	for name, s := range sources(t) {
 		if slices.Contains(measurementPackages, name) || strings.HasPrefix(name, "api/") {
--- a/internal/repotest/doc.go
+++ b/internal/repotest/doc.go
@@ -1,3 +1,3 @@
-// Package repotest holds the tests that look at the repository as a whole:
-// which package may import which, and whether the pages name what the code has.
+// Package repotest holds tests of the whole repository: rules for imports, and the
+// documentation against the code.
 package repotest
--- a/internal/repotest/fixedseed_test.go
+++ b/internal/repotest/fixedseed_test.go
@@ -16,11 +16,11 @@
 	seedPath  = module + "internal/fixedseed"
 )
 
-// TestPropertyTestsHaveAFixedSeed expects that each folder whose tests draw from
-// rapid fixes its seed: it is random otherwise, and the verdict with it.
+// TestPropertyTestsHaveAFixedSeed expects that each directory whose tests use rapid
+// fixes its seed, so that results are reproducible.
 func TestPropertyTestsHaveAFixedSeed(t *testing.T) {
 	is := is.New(t)
-	draws, fixes := map[string]bool{}, map[string]bool{}
+	usesRapid, fixesSeed := map[string]bool{}, map[string]bool{}
 	is.NoErr(filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
 			return err
@@ -30,14 +30,14 @@
 			return err
 		}
 		for _, spec := range file.Imports {
-			draws[filepath.Dir(path)] = draws[filepath.Dir(path)] || spec.Path.Value == `"`+rapidPath+`"`
-			fixes[filepath.Dir(path)] = fixes[filepath.Dir(path)] || spec.Path.Value == `"`+seedPath+`"`
+			usesRapid[filepath.Dir(path)] = usesRapid[filepath.Dir(path)] || spec.Path.Value == `"`+rapidPath+`"`
+			fixesSeed[filepath.Dir(path)] = fixesSeed[filepath.Dir(path)] || spec.Path.Value == `"`+seedPath+`"`
 		}
 		return nil
 	}))
-	for folder, drawn := range draws {
-		if drawn && !fixes[folder] {
-			t.Errorf("%s draws from rapid without %s", folder, seedPath)
+	for dir, uses := range usesRapid {
+		if uses && !fixesSeed[dir] {
+			t.Errorf("%s uses rapid without %s", dir, seedPath)
 		}
 	}
 }
--- a/internal/repotest/imports_test.go
+++ b/internal/repotest/imports_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// Layers of packages; imports go down only, or stay within one.
+// Layers of packages. A package imports only its own layer and lower ones.
 const (
 	layerAPI = iota
 	layerDecision
@@ -33,17 +33,17 @@
 	return layerDecision
 }
 
-// forbiddenImports is what a decision package may not import: sockets, files, processes,
-// chance and logs come as arguments.
+// forbiddenImports are prefixes of imports with side effects: sockets, files,
+// processes, random numbers, logs. Decision packages get these as arguments.
 var forbiddenImports = []string{"net", "os", "syscall", "unsafe", "log", "crypto/rand", "io/ioutil", "database", "go.uber.org", "github.com/uber-go", "github.com/quic-go", "github.com/sourcegraph", "golang.org/x/sys", "golang.org/x/net"}
 
-// allowedImports are exceptions: types without any I/O.
+// allowedImports are exceptions from forbiddenImports without I/O.
 var allowedImports = []string{"net/netip"}
 
-// clockCalls are the functions of package time that read or wait for a clock.
+// clockCalls are the functions of package time that read the clock or wait.
 var clockCalls = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"}
 
-// globalRandom are functions of math/rand that use the shared generator.
+// globalRandom lists functions of math/rand that use the global generator.
 var globalRandom = []string{"Int", "IntN", "Intn", "Int64", "Int64N", "Uint32", "Uint64", "Float64", "N", "Perm", "Shuffle", "NormFloat64", "ExpFloat64"}
 
 func TestImportLayers(t *testing.T) {
@@ -55,10 +55,10 @@
 				continue
 			}
 			if layer(local) > layer(name) {
-				t.Errorf("%s imports %s, which is above it", name, local)
+				t.Errorf("%s imports %s, which is in a higher layer", name, local)
 			}
 			if layer(name) == layerCommand && local != "internal/cli" && layer(local) != layerPlatform {
-				t.Errorf("%s imports %s; commands call internal/cli and platform only", name, local)
+				t.Errorf("%s imports %s; commands may import only internal/cli and platform", name, local)
 			}
 		}
 	}
@@ -80,11 +80,11 @@
 		}
 		s.inspect(func(n ast.Node) {
 			if what := forbiddenUse(n); what != "" {
-				t.Errorf("%s has %s", name, what)
+				t.Errorf("%s uses %s", name, what)
 			}
 		})
 	}
-	is.New(t).True(decisions >= 13) // looked at them
+	is.New(t).True(decisions >= 13) // sanity check
 }
 
 func hasPrefix(imported string, prefixes []string) bool {
@@ -93,7 +93,8 @@
 	})
 }
 
-// forbiddenUse names what a decision package may not do.
+// forbiddenUse describes a construct that a decision package may not use, or returns
+// "".
 func forbiddenUse(n ast.Node) string {
 	if _, ok := n.(*ast.GoStmt); ok {
 		return "a goroutine"
@@ -108,15 +109,15 @@
 	}
 	switch {
 	case pkg.Name == "time" && slices.Contains(clockCalls, sel.Sel.Name):
-		return "a clock: time." + sel.Sel.Name
+		return "a clock call: time." + sel.Sel.Name
 	case pkg.Name == "rand" && slices.Contains(globalRandom, sel.Sel.Name):
-		return "chance of its own: rand." + sel.Sel.Name
+		return "unseeded random numbers: rand." + sel.Sel.Name
 	}
 	return ""
 }
 
-// TestImportDiagramListsEveryPackage holds the picture of CONTRIBUTING.md to the
-// code: each package stands on one line, above all that it imports.
+// TestImportDiagramListsEveryPackage compares the diagram of CONTRIBUTING.md with the
+// code: each package has one line, above all packages that it imports.
 func TestImportDiagramListsEveryPackage(t *testing.T) {
 	text := page(t, "CONTRIBUTING.md")
 	_, after, found := strings.Cut(text, "<!-- imports -->")
@@ -133,13 +134,13 @@
 	}
 	all := sources(t)
 	for name, s := range all {
-		short := diagramName(name)
-		if short == "" {
+		shortName := diagramName(name)
+		if shortName == "" {
 			continue
 		}
-		at, ok := row[short]
+		rowIndex, ok := row[shortName]
 		if !ok {
-			t.Errorf("the picture of CONTRIBUTING.md has no %s", short)
+			t.Errorf("the diagram of CONTRIBUTING.md lacks %s", shortName)
 			continue
 		}
 		for _, imported := range s.imports() {
@@ -147,20 +148,20 @@
 			if !ok {
 				continue
 			}
-			if below, ok := row[diagramName(local)]; ok && below <= at {
-				t.Errorf("the picture has %s above %s, which imports it", local, name)
+			if importRow, ok := row[diagramName(local)]; ok && importRow <= rowIndex {
+				t.Errorf("the diagram has %s above %s, which imports it", local, name)
 			}
 		}
 	}
 	for name := range row {
 		if !slices.ContainsFunc(keys(all), func(have string) bool { return diagramName(have) == name }) {
-			t.Errorf("the picture names %s, which is no package", name)
+			t.Errorf("the diagram has %s, which is not a package", name)
 		}
 	}
 }
 
-// diagramName is the name of a package in the picture, empty if it has none:
-// generators and packages of tests alone.
+// diagramName returns the name of a package in the diagram. It is empty for generators
+// and test-only packages.
 func diagramName(name string) string {
 	if strings.Contains(name, "/internal/") || name == "internal/repotest" || name == "test" || name == "api" {
 		return ""
--- a/internal/repotest/named_test.go
+++ b/internal/repotest/named_test.go
@@ -14,13 +14,14 @@
 )
 
 var (
-	// testWord finds tests by name anywhere in a page, in commands too.
+	// testWord matches test names anywhere in a page, including commands.
 	testWord  = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
 	codeSpan  = regexp.MustCompile("`([^`]+)`")
 	slopeName = regexp.MustCompile("`([a-z]+(?:\\.[a-z]+)+)(\\.\\*)?`")
 )
 
-// testNamesByPackage returns the names of all tests, benchmarks and fuzz targets by package.
+// testNamesByPackage returns the names of tests, benchmarks and fuzz targets by
+// package.
 func testNamesByPackage(t *testing.T) map[string][]string {
 	t.Helper()
 	is := is.New(t)
@@ -32,17 +33,17 @@
 			text, err := os.ReadFile(file)
 			is.NoErr(err)
 			pkg := filepath.Base(filepath.Dir(file))
-			for _, match := range testNames.FindAllStringSubmatch(string(text), -1) {
+			for _, match := range testDeclaration.FindAllStringSubmatch(string(text), -1) {
 				out[pkg] = append(out[pkg], match[1])
 			}
 		}
 	}
-	is.True(len(out) > 20) // found them
+	is.True(len(out) > 20) // sanity check
 	return out
 }
 
-// TestMentionedTestsExist looks for every word of a page that has the form of a
-// test's name. Commands may name tests by their beginning.
+// TestMentionedTestsExist expects that each word of a page in the form of a test name
+// is the prefix of a test name. Commands may name tests by prefix.
 func TestMentionedTestsExist(t *testing.T) {
 	is := is.New(t)
 	all := testNamesByPackage(t)
@@ -55,29 +56,29 @@
 			is.NoErr(err)
 			for _, word := range testWord.FindAllString(string(text), -1) {
 				words++
-				begins := func(name string) bool { return strings.HasPrefix(name, word) }
+				hasWordPrefix := func(name string) bool { return strings.HasPrefix(name, word) }
 				found := false
 				for _, names := range all {
-					found = found || slices.ContainsFunc(names, begins)
+					found = found || slices.ContainsFunc(names, hasWordPrefix)
 				}
 				if !found {
-					t.Errorf("%s names %s, with which no test begins", from, word)
+					t.Errorf("%s has %s, which is no prefix of a test name", from, word)
 				}
 			}
 		}
 	}
-	is.True(words > 100) // found them
+	is.True(words > 100) // sanity check
 }
 
-// TestProofsNameTestsOfTheirPackages reads the column of tests in
-// docs/PROOFS.md: parts between semicolons, whose tests are of the packages
-// named in the same part, and of package test where none is.
+// TestProofsNameTestsOfTheirPackages checks the tests column of docs/PROOFS.md: its
+// parts are separated by semicolons, and the tests of a part belong to the packages
+// named there, by default to package test.
 func TestProofsNameTestsOfTheirPackages(t *testing.T) {
 	all := testNamesByPackage(t)
 	checked := 0
-	for _, row := range strings.Split(page(t, "docs/PROOFS.md"), "\n") {
-		cells := strings.Split(row, " | ")
-		if !strings.HasPrefix(row, "| ") || len(cells) < 4 {
+	for _, line := range strings.Split(page(t, "docs/PROOFS.md"), "\n") {
+		cells := strings.Split(line, " | ")
+		if !strings.HasPrefix(line, "| ") || len(cells) < 4 {
 			continue
 		}
 		for _, part := range strings.Split(cells[2], ";") {
@@ -102,19 +103,19 @@
 			}
 		}
 	}
-	is.New(t).True(checked > 80) // found them
+	is.New(t).True(checked > 80) // sanity check
 }
 
-// hasTest looks for a name, or for a beginning that ends in a star.
+// hasTest reports whether a test has the name, or the prefix if want ends in a star.
 func hasTest(names []string, want string) bool {
-	beginning, isPattern := strings.CutSuffix(want, "*")
+	prefix, isPattern := strings.CutSuffix(want, "*")
 	return slices.ContainsFunc(names, func(name string) bool {
-		return name == want || isPattern && strings.HasPrefix(name, beginning)
+		return name == want || isPattern && strings.HasPrefix(name, prefix)
 	})
 }
 
-// TestNamedSlopesAreMeasured looks for every slope that docs/CAPACITY.md names
-// in the strings of the measurements, whole or as its beginning and its end.
+// TestNamedSlopesAreMeasured expects that every slope in docs/CAPACITY.md is a string
+// literal of the measurements, complete or composed of prefix and suffix.
 func TestNamedSlopesAreMeasured(t *testing.T) {
 	is := is.New(t)
 	have := map[string]bool{}
@@ -135,8 +136,8 @@
 			composed = slices.ContainsFunc(slices.Collect(maps.Keys(have)), func(s string) bool { return strings.HasPrefix(s, name+".") })
 		}
 		if !have[name] && !composed {
-			t.Errorf("docs/CAPACITY.md names %s, which nothing measures", name)
+			t.Errorf("docs/CAPACITY.md has %s, which is not measured", name)
 		}
 	}
-	is.True(slopes > 50) // found them
+	is.True(slopes > 50) // sanity check
 }
--- a/internal/repotest/pages_test.go
+++ b/internal/repotest/pages_test.go
@@ -13,23 +13,22 @@
 	"github.com/matryer/is"
 )
 
-// developmentPackages lists packages whose metrics and log lines no deployment has.
+// developmentPackages lists packages that are not part of a deployment.
 var developmentPackages = []string{
 	"internal/backend", "internal/capacity", "internal/dev", "internal/experiment",
 	"internal/faultproxy", "internal/loadgen", "internal/processtest",
 }
 
-// pagePatterns find the pages.
+// pagePatterns are the globs of the documentation pages.
 var pagePatterns = []string{"*.md", "docs/*.md", "docs/design/*.md", "examples/*.md"}
 
-// metricKinds are the methods of a tally.Scope that make a metric.
+// metricKinds are the methods of a tally.Scope that create a metric.
 var metricKinds = []string{"Counter", "Gauge", "Timer", "Histogram"}
 
-// logLevels are the methods of a zap.Logger that write a line.
+// logLevels are the methods of a zap.Logger that write a message.
 var logLevels = []string{"Debug", "Info", "Warn", "Error"}
 
-// firstCell is the name in the first cell of a table row; a level may stand
-// before it.
+// firstCell matches a table row with a name in its first cell, or after a log level.
 var firstCell = regexp.MustCompile("(?m)^\\| (?:(debug|info|warn|error) \\| )?`([^`]+)` \\|")
 
 func deployedPackages(t *testing.T) []*source {
@@ -43,9 +42,9 @@
 	return out
 }
 
-// metricNames returns the names of metrics, without their scopes: literal
-// arguments of the methods that make them, constants called metric..., and the
-// values of the agent's table counterNames.
+// metricNames returns the names of metrics without their scopes: literal arguments of
+// the methods that create them, constants with the prefix metric, and the values of
+// the agent's table counterNames.
 func metricNames(s *source) map[string]bool {
 	out := map[string]bool{}
 	for name, value := range s.constants() {
@@ -96,10 +95,10 @@
 	}
 	for _, row := range rows {
 		if !used[row] {
-			t.Errorf("docs/COUNTERS.md names %s, which no package counts", row)
+			t.Errorf("docs/COUNTERS.md has %s, which no package counts", row)
 		}
 	}
-	is.True(names > 50) // found them
+	is.True(names > 50) // sanity check
 }
 
 func TestLogsPageIsComplete(t *testing.T) {
@@ -121,7 +120,7 @@
 				text, ok = constants[name.Name]
 			}
 			if !ok || strings.HasPrefix(s.name, "internal/cli") && text == "draining" {
-				return // the built-in backend server's line
+				return // a message of the built-in backend server
 			}
 			used[text] = true
 			if !slices.Contains(rows[text], strings.ToLower(level)) {
@@ -131,10 +130,10 @@
 	}
 	for text := range rows {
 		if !used[text] {
-			t.Errorf("docs/LOGS.md names %q, which no package writes", text)
+			t.Errorf("docs/LOGS.md has %q, which no package writes", text)
 		}
 	}
-	is.True(len(used) > 30) // found them
+	is.True(len(used) > 30) // sanity check
 }
 
 var (
@@ -143,7 +142,7 @@
 	notSlug = regexp.MustCompile(`[^a-z0-9 _-]`)
 )
 
-// TestLinksResolve follows every link between pages, with its heading.
+// TestLinksResolve checks every link between pages, including its heading.
 func TestLinksResolve(t *testing.T) {
 	is := is.New(t)
 	links := 0
@@ -164,7 +163,7 @@
 			}
 		}
 	}
-	is.True(links > 20) // found them
+	is.True(links > 20) // sanity check
 }
 
 func checkLink(to, anchor string) string {
@@ -188,11 +187,11 @@
 }
 
 var (
-	quotedTestName = regexp.MustCompile("`(?:([a-z]+)\\.)?((?:Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9]*)`")
-	testNames      = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)[A-Za-z0-9]+)\(`)
+	quotedTestName  = regexp.MustCompile("`(?:([a-z]+)\\.)?((?:Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9]*)`")
+	testDeclaration = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)[A-Za-z0-9]+)\(`)
 )
 
-// TestNamedTestsExist looks for every test that a page names.
+// TestNamedTestsExist checks every test name in backquotes on a page.
 func TestNamedTestsExist(t *testing.T) {
 	is := is.New(t)
 	have := map[string]bool{}
@@ -202,7 +201,7 @@
 		for _, file := range files {
 			text, err := os.ReadFile(file)
 			is.NoErr(err)
-			for _, match := range testNames.FindAllStringSubmatch(string(text), -1) {
+			for _, match := range testDeclaration.FindAllStringSubmatch(string(text), -1) {
 				have[match[1]] = true
 				have[filepath.Base(filepath.Dir(file))+"."+match[1]] = true
 			}
@@ -220,7 +219,7 @@
 					name = match[1] + "." + name
 				}
 				if !have[name] {
-					t.Errorf("%s names %s, which is no test", from, name)
+					t.Errorf("%s has %s, which is not a test", from, name)
 				}
 			}
 		}
@@ -229,8 +228,8 @@
 
 var conflictMarker = regexp.MustCompile(`(?m)^(<{7} |={7}$|>{7} )`)
 
-// TestNoConflictMarkers looks for merges that were not finished. Go files show
-// theirs by not compiling.
+// TestNoConflictMarkers looks for conflict markers in text files. In Go files they
+// break the build.
 func TestNoConflictMarkers(t *testing.T) {
 	is := is.New(t)
 	checked := 0
@@ -246,5 +245,5 @@
 		return err
 	})
 	is.NoErr(err)
-	is.True(checked > 20) // found them
+	is.True(checked > 20) // sanity check
 }
--- a/internal/repotest/size_test.go
+++ b/internal/repotest/size_test.go
@@ -14,15 +14,15 @@
 	"github.com/matryer/is"
 )
 
-// Limits in lines. Functions of tests are left out of maxFunction: the length
-// of a table test is the number of its cases.
+// Limits in lines. Test functions have no limit: the length of a table test depends on
+// its cases.
 const (
 	maxFile     = 500
 	maxFunction = 60
 )
 
-// TestFileAndFunctionLengths holds every file outside generated code, and
-// every function outside tests, to its limit.
+// TestFileAndFunctionLengths checks every file except generated code, and every
+// function outside tests.
 func TestFileAndFunctionLengths(t *testing.T) {
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, ".pb.go") {
--- a/internal/repotest/source_test.go
+++ b/internal/repotest/source_test.go
@@ -20,9 +20,9 @@
 	module = "eelgrasswharf.example/eelgrasswharf/"
 )
 
-// source is the code of one package without its tests.
+// source is the code of one package, without tests.
 type source struct {
-	// name is the folder below the root.
+	// name is the directory relative to the root.
 	name  string
 	files []*ast.File
 }
@@ -52,11 +52,11 @@
 		return nil
 	})
 	is.NoErr(err)
-	is.True(len(out) > 10) // found the code
+	is.True(len(out) > 10) // sanity check
 	return out
 }
 
-// imports lists what the package imports, sorted.
+// imports returns the imports of the package, sorted.
 func (s *source) imports() []string {
 	var out []string
 	for _, file := range s.files {
@@ -109,7 +109,7 @@
 	return text, err == nil
 }
 
-// method returns the name of the called method and its arguments.
+// method returns the name and arguments of a method call.
 func method(n ast.Node) (string, []ast.Expr) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok {
