--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -125,16 +125,16 @@
 	is.Equal(d.runs("alone"), 0)
 }
 
-// TestFullControlHostsRedirectSubscribers fills two of three control hosts with
-// subscribers. All stay connected when one host is lost. Another subscriber is refused
-// with a counted reason and served when the host is back.
+// TestFullControlHostsRedirectSubscribers starts as many subscribers as two of three
+// control hosts hold. All stay connected when one host is lost. Another subscriber is
+// refused with a counted reason and served when the host is back.
 func TestFullControlHostsRedirectSubscribers(t *testing.T) {
 	const links = 3
 	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
 		return c.StartBoundedControls(3, links)
 	})
-	// served waits until each subscriber is connected and uses a new version.
-	served := func(names []string) {
+	// waitServed waits until each subscriber is connected and uses a new version.
+	waitServed := func(names []string) {
 		t.Helper()
 		version := d.Patch(d.lodgement.Put())
 		d.InForce(version, names...)
@@ -143,10 +143,10 @@
 	}
 	all := d.subscribers()
 	is.New(t).Equal(len(all), 2*links)
-	served(all)
+	waitServed(all)
 	lost := d.controls[0]
 	lost.Kill()
-	served(all)
+	waitServed(all)
 	late := d.LaunchEntry()
 	for _, host := range lost.Others() {
 		processtest.Eventually(t, host.Name+" refuses it", func() bool {
@@ -154,12 +154,12 @@
 		})
 	}
 	is.New(t).Equal(late.Logged("ready"), 0)
-	served(all) // they stay connected
+	waitServed(all) // they stay connected
 	lost.Launch()
 	lost.WaitReady()
 	late.WaitReady()
 	late.Join()
-	served(append(all, late.Host))
+	waitServed(append(all, late.Host))
 }
 
 // links returns the number of subscribers on the running control hosts and checks that
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -67,7 +67,7 @@
 // damped reports whether the control host damps a target.
 func (d *deployment) damped() bool { return d.controls[0].Status().Damped == 1 }
 
-// checkNoFlowsWhileDamped makes a target flap and opens up to most flows while it is
+// checkNoFlowsWhileDamped makes a target flap and opens up to maxFlows flows while it is
 // damped, none of which it may take. It returns how many those were: on a slow machine
 // damping may end early.
 func (d *deployment) checkNoFlowsWhileDamped(t *testing.T, flapping *processtest.Target, maxFlows int) int {
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -37,16 +37,16 @@
 func (d *deployment) checkSubscribers(t *testing.T, newest uint64) {
 	t.Helper()
 	names := d.entryNames()
-	var followers []*processtest.Process
+	var processes []*processtest.Process
 	for _, e := range d.entries {
-		followers = append(followers, e.Process)
+		processes = append(processes, e.Process)
 	}
 	for _, target := range d.targets[d.lodgement] {
 		names = append(names, target.Name)
-		followers = append(followers, target.Agent)
+		processes = append(processes, target.Agent)
 	}
 	d.InForce(newest, names...)
-	for _, p := range followers {
+	for _, p := range processes {
 		checkMonotonic(t, p.ActedOn(), newest)
 	}
 }
--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -39,32 +39,32 @@
 	results map[string]string
 }
 
-func (a *resultLog) record(name, result string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.results[name] = result
+func (l *resultLog) record(name, result string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.results[name] = result
 }
 
-func (a *resultLog) count() map[string]int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (l *resultLog) count() map[string]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	counts := make(map[string]int)
-	for _, result := range a.results {
+	for _, result := range l.results {
 		counts[result]++
 	}
 	return counts
 }
 
 // total returns the number of requests with a result.
-func (a *resultLog) total() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return len(a.results)
+func (l *resultLog) total() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.results)
 }
 
 // send sends requests until the context ends. Every other one has a key and is resent
 // while its outcome is unknown.
-func (a *resultLog) send(ctx context.Context, s *processtest.Service, worker int) {
+func (l *resultLog) send(ctx context.Context, s *processtest.Service, worker int) {
 	caller := s.NewCaller()
 	for i := 0; ctx.Err() == nil; i++ {
 		name := fmt.Sprintf("worker %d request %d", worker, i)
@@ -87,14 +87,14 @@
 				break
 			}
 		}
-		a.record(name, result)
+		l.record(name, result)
 	}
 }
 
 func attemptOnce(caller *processtest.Caller, path string, header http.Header, name string) string {
-	try, cancel := context.WithTimeout(context.Background(), attemptTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
-	answer, err := caller.Do(try, http.MethodPost, path, header.Clone(), []byte(name))
+	answer, err := caller.Do(ctx, http.MethodPost, path, header.Clone(), []byte(name))
 	switch {
 	case err != nil:
 		return resultLost
--- a/test/operatorpath_test.go
+++ b/test/operatorpath_test.go
@@ -92,8 +92,8 @@
 
 // submitOnce sends the patch over one path. A reply is a call of its own in the
 // history.
-func (o *testOperator) submitOnce(path *operatorPath, patch *configpb.Patch, limit time.Duration) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func (o *testOperator) submitOnce(path *operatorPath, patch *configpb.Patch, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	from := o.recorder.now()
 	out, err := path.client.Submit(ctx, patch)
@@ -155,11 +155,11 @@
 	patch := putPatch(id, base, o.service)
 	lost, seen := o.submitWithFault(patch)
 	var out *configpb.Outcome
-	tries := 0
+	attempts := 0
 	processtest.Eventually(o.t, "the outcome of "+id, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
-		tries++
+		attempts++
 		path := o.path()
 		if lost != nil {
 			path = o.otherPath(lost)
@@ -170,7 +170,7 @@
 	})
 	final := replyOf(out)
 	o.recorder.record(o.number, from, submitCall(patch), final)
-	o.recorder.update(func(r *recorder) { r.resent += tries - 1 })
+	o.recorder.update(func(r *recorder) { r.resent += attempts - 1 })
 	if seen == nil {
 		return
 	}
