--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -124,7 +124,7 @@
 		Log:              log,
 		Scope:            scope,
 		DialTimeout:      dialTimeout,
-		DialPatience:     dialAttemptTimeout,
+		AttemptTimeout:   dialAttemptTimeout,
 		HeartbeatPeriod:  linkHeartbeat,
 		HeartbeatTimeout: linkTimeout,
 		BackoffMax:       maxBackoff,
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -51,8 +51,8 @@
 	// DialTimeout is how long an attempt, handshake and first heartbeat, has no answer
 	// before the next server is tried. DialPatience bounds the attempt, which goes on
 	// beside the next ones; by default it is DialTimeout.
-	DialTimeout  time.Duration
-	DialPatience time.Duration
+	DialTimeout    time.Duration
+	AttemptTimeout time.Duration
 	// HedgeAfter is how long an attempt has no answer before another one is made
 	// beside it; zero means one attempt at a time. It is for links that everything
 	// waits for: a server in need gets more handshakes to do.
@@ -83,7 +83,7 @@
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	o.DialTimeout = cmp.Or(o.DialTimeout, DefaultDialTimeout)
-	o.DialPatience = max(o.DialPatience, o.DialTimeout)
+	o.AttemptTimeout = max(o.AttemptTimeout, o.DialTimeout)
 	o.HeartbeatPeriod = cmp.Or(o.HeartbeatPeriod, DefaultHeartbeatPeriod)
 	o.HeartbeatTimeout = cmp.Or(o.HeartbeatTimeout, DefaultHeartbeatTimeout)
 	o.BackoffMin = cmp.Or(o.BackoffMin, DefaultBackoffMin)
--- a/internal/link/reach.go
+++ b/internal/link/reach.go
@@ -60,7 +60,7 @@
 	s.running++
 	number := s.newest
 	s.client.wg.Go(func() {
-		conn, err := s.client.dial(s.ctx, addr, s.client.opts.DialPatience)
+		conn, err := s.client.dial(s.ctx, addr, s.client.opts.AttemptTimeout)
 		s.results <- reached{dialed: dialed{conn: conn, err: err}, number: number, addr: addr}
 	})
 }
--- a/internal/link/reach_test.go
+++ b/internal/link/reach_test.go
@@ -35,7 +35,7 @@
 	addr := behind(t, d, "c1", 300*time.Millisecond)
 	opts := quick()
 	opts.DialTimeout = 100 * time.Millisecond
-	opts.DialPatience = testLimit
+	opts.AttemptTimeout = testLimit
 	opts.HeartbeatTimeout = testLimit
 	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, addr)
 	mustAsk(t, c)
@@ -49,7 +49,7 @@
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(), ServerOptions{})
 	opts := quick()
 	opts.DialTimeout = 50 * time.Millisecond
-	opts.DialPatience = 10 * testLimit
+	opts.AttemptTimeout = 10 * testLimit
 	c, scope := startClient(t, d.credentials(keys.RoleEntry, "e1"), opts, startSilent(t), startSilent(t), s.Addr().String())
 	mustAsk(t, c)
 	is.Equal(c.Address(), s.Addr().String())
@@ -80,7 +80,7 @@
 	d := newDeployment(t)
 	opts := quick()
 	opts.DialTimeout = 10 * time.Millisecond
-	opts.DialPatience = time.Hour
+	opts.AttemptTimeout = time.Hour
 	var silent []string
 	for range 2 * maxAttempts {
 		silent = append(silent, startSilent(t))
