--- a/internal/controld/peers.go
+++ b/internal/controld/peers.go
@@ -252,15 +252,15 @@
 
 func newPeer(addr string, owner *peers) *peer {
 	options := link.ClientOptions{
-		Scope:            owner.scope,
-		Log:              owner.log,
-		DialTimeout:      peerDialTimeout,
-		HedgeAfter:       peerHedge,
-		HeartbeatPeriod:  peerHeartbeat,
-		HeartbeatTimeout: peerHeartbeatTimeout,
-		BackoffMax:       peerBackoff,
-		MaxRequestBytes:  maxPeerMessage,
-		MaxResponseBytes: maxPeerMessage,
+		Scope:             owner.scope,
+		Log:               owner.log,
+		DialTimeout:       peerDialTimeout,
+		HedgeAfter:        peerHedge,
+		HeartbeatInterval: peerHeartbeat,
+		HeartbeatTimeout:  peerHeartbeatTimeout,
+		BackoffMax:        peerBackoff,
+		MaxRequestBytes:   maxPeerMessage,
+		MaxResponseBytes:  maxPeerMessage,
 	}
 	p := &peer{
 		client:   link.NewClient([]string{addr}, owner.creds, options),
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -114,12 +114,12 @@
 func (d *Daemon) standbyLoop() {
 	address := d.memberAddress(seedHost{name: d.name, address: d.settings.GetReplica().GetListen()})
 	client := link.NewClient(d.seedAddresses(), d.creds, link.ClientOptions{
-		Scope:            d.scope.SubScope("standby"),
-		Log:              d.log,
-		DialTimeout:      standbyDialTimeout,
-		HeartbeatPeriod:  peerHeartbeat,
-		HeartbeatTimeout: peerHeartbeatTimeout,
-		BackoffMax:       bootstrapRetry,
+		Scope:             d.scope.SubScope("standby"),
+		Log:               d.log,
+		DialTimeout:       standbyDialTimeout,
+		HeartbeatInterval: peerHeartbeat,
+		HeartbeatTimeout:  peerHeartbeatTimeout,
+		BackoffMax:        bootstrapRetry,
 	})
 	d.standby.setClient(client)
 	defer client.Close()
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -121,13 +121,13 @@
 // linkOptions returns the options for links of entry hosts and agents.
 func linkOptions(log *zap.Logger, scope tally.Scope) link.ClientOptions {
 	return link.ClientOptions{
-		Log:              log,
-		Scope:            scope,
-		DialTimeout:      dialTimeout,
-		AttemptTimeout:   dialAttemptTimeout,
-		HeartbeatPeriod:  linkHeartbeat,
-		HeartbeatTimeout: linkTimeout,
-		BackoffMax:       maxBackoff,
+		Log:               log,
+		Scope:             scope,
+		DialTimeout:       dialTimeout,
+		AttemptTimeout:    dialAttemptTimeout,
+		HeartbeatInterval: linkHeartbeat,
+		HeartbeatTimeout:  linkTimeout,
+		BackoffMax:        maxBackoff,
 	}
 }
 
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -57,11 +57,11 @@
 	// beside it; zero means one attempt at a time. It is for links that everything
 	// waits for: a server in need gets more handshakes to do.
 	HedgeAfter time.Duration
-	// HeartbeatPeriod is the time between heartbeats on a connection, and
+	// HeartbeatInterval is the time between heartbeats on a connection, and
 	// HeartbeatTimeout how long an answer may take before the path counts as
 	// silent.
-	HeartbeatPeriod  time.Duration
-	HeartbeatTimeout time.Duration
+	HeartbeatInterval time.Duration
+	HeartbeatTimeout  time.Duration
 	// BackoffMin and BackoffMax bound the pause between rounds of attempts.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
@@ -84,7 +84,7 @@
 	}
 	o.DialTimeout = cmp.Or(o.DialTimeout, DefaultDialTimeout)
 	o.AttemptTimeout = max(o.AttemptTimeout, o.DialTimeout)
-	o.HeartbeatPeriod = cmp.Or(o.HeartbeatPeriod, DefaultHeartbeatPeriod)
+	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, DefaultHeartbeatPeriod)
 	o.HeartbeatTimeout = cmp.Or(o.HeartbeatTimeout, DefaultHeartbeatTimeout)
 	o.BackoffMin = cmp.Or(o.BackoffMin, DefaultBackoffMin)
 	o.BackoffMax = cmp.Or(o.BackoffMax, DefaultBackoffMax)
@@ -400,6 +400,6 @@
 }
 
 func (c *Client) quicConfig() *quic.Config {
-	idle := c.opts.HeartbeatPeriod + c.opts.HeartbeatTimeout
+	idle := c.opts.HeartbeatInterval + c.opts.HeartbeatTimeout
 	return quicConfig(2*idle, clientStreams)
 }
--- a/internal/link/connection.go
+++ b/internal/link/connection.go
@@ -157,7 +157,7 @@
 // answering or the client moves on. It returns why.
 func (c *Client) watch(conn *connection) string {
 	for {
-		timer := time.NewTimer(c.jitter(c.opts.HeartbeatPeriod))
+		timer := time.NewTimer(c.jitter(c.opts.HeartbeatInterval))
 		select {
 		case <-c.ctx.Done():
 			timer.Stop()
--- a/internal/link/fixture_test.go
+++ b/internal/link/fixture_test.go
@@ -140,13 +140,13 @@
 // quick are client options whose heartbeats and pauses are short.
 func quick() ClientOptions {
 	return ClientOptions{
-		LocalIP:          loopback,
-		DialTimeout:      500 * time.Millisecond,
-		HeartbeatPeriod:  50 * time.Millisecond,
-		HeartbeatTimeout: 300 * time.Millisecond,
-		BackoffMin:       10 * time.Millisecond,
-		BackoffMax:       50 * time.Millisecond,
-		Rand:             rand.New(rand.NewPCG(1, 2)),
+		LocalIP:           loopback,
+		DialTimeout:       500 * time.Millisecond,
+		HeartbeatInterval: 50 * time.Millisecond,
+		HeartbeatTimeout:  300 * time.Millisecond,
+		BackoffMin:        10 * time.Millisecond,
+		BackoffMax:        50 * time.Millisecond,
+		Rand:              rand.New(rand.NewPCG(1, 2)),
 	}
 }
 
--- a/internal/subscriber/fixture_test.go
+++ b/internal/subscriber/fixture_test.go
@@ -196,13 +196,13 @@
 	}
 	creds := d.Credentials(keys.Identity{Role: keys.RoleAgent, Name: "a1", Service: "lodgement"})
 	c := link.NewClient(addrs, creds, link.ClientOptions{
-		LocalIP:          netip.MustParseAddr("127.0.0.1"),
-		DialTimeout:      500 * time.Millisecond,
-		HeartbeatPeriod:  50 * time.Millisecond,
-		HeartbeatTimeout: testTimeout, // not tested here
-		BackoffMin:       10 * time.Millisecond,
-		BackoffMax:       50 * time.Millisecond,
-		Rand:             rand.New(rand.NewPCG(5, 6)),
+		LocalIP:           netip.MustParseAddr("127.0.0.1"),
+		DialTimeout:       500 * time.Millisecond,
+		HeartbeatInterval: 50 * time.Millisecond,
+		HeartbeatTimeout:  testTimeout, // not tested here
+		BackoffMin:        10 * time.Millisecond,
+		BackoffMax:        50 * time.Millisecond,
+		Rand:              rand.New(rand.NewPCG(5, 6)),
 	})
 	d.t.Cleanup(c.Close)
 	return c
