--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -25,11 +25,11 @@
 	// A subscriber of a control host that dies without a word notices within
 	// 1.2 periods and a timeout, 4.4 s, and has to act on the version that
 	// the others accept meanwhile within 7 s.
-	DefaultHeartbeatPeriod  = 2 * time.Second
-	DefaultHeartbeatTimeout = 2 * time.Second
-	DefaultBackoffMin       = 100 * time.Millisecond
-	DefaultBackoffMax       = 5 * time.Second
-	DefaultMaxResponseBytes = 16 << 20
+	DefaultHeartbeatInterval = 2 * time.Second
+	DefaultHeartbeatTimeout  = 2 * time.Second
+	DefaultBackoffMin        = 100 * time.Millisecond
+	DefaultBackoffMax        = 5 * time.Second
+	DefaultMaxResponseBytes  = 16 << 20
 
 	// clientStreams is negative because servers open no streams; 0 would mean
 	// the library's default.
@@ -84,7 +84,7 @@
 	}
 	o.DialTimeout = cmp.Or(o.DialTimeout, DefaultDialTimeout)
 	o.AttemptTimeout = max(o.AttemptTimeout, o.DialTimeout)
-	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, DefaultHeartbeatPeriod)
+	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, DefaultHeartbeatInterval)
 	o.HeartbeatTimeout = cmp.Or(o.HeartbeatTimeout, DefaultHeartbeatTimeout)
 	o.BackoffMin = cmp.Or(o.BackoffMin, DefaultBackoffMin)
 	o.BackoffMax = cmp.Or(o.BackoffMax, DefaultBackoffMax)
--- a/internal/link/idle_test.go
+++ b/internal/link/idle_test.go
@@ -26,7 +26,7 @@
 	idleAddrEnv  = "LINK_IDLE_ADDR"
 	idleDirEnv   = "LINK_IDLE_KEYS"
 	// idleSettle lets heartbeats go round before memory is read.
-	idleSettle = 3 * DefaultHeartbeatPeriod
+	idleSettle = 3 * DefaultHeartbeatInterval
 )
 
 // residentKB returns the resident memory of this process.
