--- a/internal/entryd/daemon_test.go
+++ b/internal/entryd/daemon_test.go
@@ -31,7 +31,7 @@
 	if err := s.Send(h.update); err != nil {
 		return err
 	}
-	ticker := time.NewTicker(link.SubscriptionHeartbeat)
+	ticker := time.NewTicker(link.SubscriptionHeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/link/stream.go
+++ b/internal/link/stream.go
@@ -11,9 +11,9 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// SubscriptionHeartbeat is the longest time that a control host leaves a
+// SubscriptionHeartbeatInterval is the longest time that a control host leaves a
 // subscription without a message.
-const SubscriptionHeartbeat = 5 * time.Second
+const SubscriptionHeartbeatInterval = 5 * time.Second
 
 // ServerStream is the control host's end of a subscription.
 type ServerStream struct {
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -25,7 +25,7 @@
 	DefaultQueryDelay       = 1500 * time.Millisecond
 	DefaultQueryTimeout     = 3 * time.Second
 	DefaultUnconfirmedDelay = 5 * time.Second
-	DefaultReceiveTimeout   = 3 * link.SubscriptionHeartbeat
+	DefaultReceiveTimeout   = 3 * link.SubscriptionHeartbeatInterval
 	DefaultMaxLagTime       = 10 * time.Second
 	DefaultReportPeriod     = 5 * time.Second
 	DefaultRetryMin         = 100 * time.Millisecond
