--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -220,9 +220,9 @@
 	return c.current.addr
 }
 
-// Opened returns a channel that is closed when the client has another
+// Reconnected returns a channel that is closed when the client has another
 // connection than now.
-func (c *Client) Opened() <-chan struct{} {
+func (c *Client) Reconnected() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opened
--- a/internal/subscriber/announcer.go
+++ b/internal/subscriber/announcer.go
@@ -230,7 +230,7 @@
 	}
 	backoff := a.opts.RetryMin
 	for {
-		reconnected := a.opts.Client.Opened()
+		reconnected := a.opts.Client.Reconnected()
 		lease, err := a.announce()
 		wait := jitter(a.opts.Rand, lease/renewalsPerLease)
 		if err != nil {
