--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -161,7 +161,7 @@
 	if len(hosts) == 0 {
 		return bootstrapRetry // accepted as a member
 	}
-	client.Learn(hosts)
+	client.SetLearnedAddresses(hosts)
 	if !slices.Contains(hosts, client.Address()) {
 		client.Move(randomHost(hosts))
 		return bootstrapRetry
@@ -182,7 +182,7 @@
 		d.peers.closeUnused(nil, 0)
 		d.log.Info("entered standby", zap.Strings("serving", hosts))
 	}
-	client.Learn(hosts)
+	client.SetLearnedAddresses(hosts)
 	if address := client.Address(); address != "" && !slices.Contains(hosts, address) {
 		client.Move(randomHost(hosts))
 	}
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -129,7 +129,7 @@
 		return u.GetMove() != nil
 	})
 	is.Equal(len(hosts), 3)
-	c.Learn(hosts)
+	c.SetLearnedAddresses(hosts)
 	c.Move(hosts[0])
 	eventually(t, "the link to a serving host", func() bool { return c.Address() == hosts[0] })
 	d.subscribe(c, &controlpb.Subscribe{}).awaitVersion(1)
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -169,10 +169,10 @@
 	c.nameAddresses()
 }
 
-// Learn adds servers that a server named to those that the client may use, in place of
+// SetLearnedAddresses adds servers that a server named to those that the client may use, in place of
 // what it learned before. They are tried first: a few servers that all clients were
 // given need not be the ones that serve.
-func (c *Client) Learn(addrs []string) {
+func (c *Client) SetLearnedAddresses(addrs []string) {
 	if len(addrs) == 0 {
 		return
 	}
@@ -283,7 +283,7 @@
 	if len(hosts) == 0 {
 		return
 	}
-	c.Learn(hosts)
+	c.SetLearnedAddresses(hosts)
 	c.randMu.Lock()
 	to := hosts[c.opts.Rand.IntN(len(hosts))]
 	c.randMu.Unlock()
--- a/internal/link/reach_test.go
+++ b/internal/link/reach_test.go
@@ -60,7 +60,7 @@
 // A client that is given no server waits until it learns of one.
 func TestClientWithoutAddressLearnsOne(t *testing.T) {
 	for name, tell := range map[string]func(*Client, string){
-		"learned": func(c *Client, addr string) { c.Learn([]string{addr}) },
+		"learned": func(c *Client, addr string) { c.SetLearnedAddresses([]string{addr}) },
 		"set":     func(c *Client, addr string) { c.SetAddresses([]string{addr}) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/subscriber/subscriber.go
+++ b/internal/subscriber/subscriber.go
@@ -274,7 +274,7 @@
 		}
 		changed = changed || activated
 	}
-	s.opts.Client.Learn(u.GetHosts().GetAddresses())
+	s.opts.Client.SetLearnedAddresses(u.GetHosts().GetAddresses())
 	if d := u.GetDirectory(); d != nil {
 		changed = s.applyDirectory(d, now) || changed
 	}
