--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -304,8 +304,8 @@
 	return s, err
 }
 
-// Answer is what one server answered to CallEach.
-type Answer struct {
+// CallResult is what one server answered to CallEach.
+type CallResult struct {
 	Address  string
 	Response *controlpb.Response
 	Err      error
@@ -314,9 +314,9 @@
 // CallEach sends a request to every server of the list, each over a
 // connection of its own that is closed afterwards. It returns one answer an
 // address once all have answered or failed, or the context ends.
-func (c *Client) CallEach(ctx context.Context, req *controlpb.Request) []Answer {
+func (c *Client) CallEach(ctx context.Context, req *controlpb.Request) []CallResult {
 	addrs := c.Addresses()
-	answers := make([]Answer, len(addrs))
+	answers := make([]CallResult, len(addrs))
 	var wg conc.WaitGroup
 	for i, addr := range addrs {
 		wg.Go(func() {
@@ -327,14 +327,14 @@
 	return answers
 }
 
-func (c *Client) callOnce(ctx context.Context, addr string, req *controlpb.Request) Answer {
+func (c *Client) callOnce(ctx context.Context, addr string, req *controlpb.Request) CallResult {
 	conn, err := c.dial(ctx, addr, c.opts.DialTimeout)
 	if err != nil {
-		return Answer{Address: addr, Err: notSent(err)}
+		return CallResult{Address: addr, Err: notSent(err)}
 	}
 	defer conn.close(codeNone)
 	res, err := conn.call(ctx, req)
-	return Answer{Address: addr, Response: res, Err: err}
+	return CallResult{Address: addr, Response: res, Err: err}
 }
 
 // await returns the current connection, waiting for one if need be.
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -128,11 +128,11 @@
 	}
 	s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{DrainTimeout: testLimit})
 	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
-	answers := make(chan Answer, 1)
+	answers := make(chan CallResult, 1)
 	ctx := limited(t)
 	go func() {
 		res, err := c.Call(ctx, versionQuery())
-		answers <- Answer{Response: res, Err: err}
+		answers <- CallResult{Response: res, Err: err}
 	}()
 	<-running
 	closed := make(chan error, 1)
@@ -172,10 +172,10 @@
 			}
 			eventually(t, "with the slow server", func() bool { return c.Address() == a.Addr().String() })
 			ctx := limited(t)
-			answers := make(chan Answer, 1)
+			answers := make(chan CallResult, 1)
 			go func() {
 				res, err := c.Call(ctx, versionQuery())
-				answers <- Answer{Response: res, Err: err}
+				answers <- CallResult{Response: res, Err: err}
 			}()
 			<-running
 			closed := make(chan error, 1)
