--- a/internal/agentd/fakes_test.go
+++ b/internal/agentd/fakes_test.go
@@ -77,7 +77,7 @@
 	res := f.apply(req)
 	if mode == controlLosesReplies {
 		<-ctx.Done()
-		return nil, link.ErrUnknown
+		return nil, link.ErrOutcomeUnknown
 	}
 	return res, nil
 }
--- a/internal/link/admission_test.go
+++ b/internal/link/admission_test.go
@@ -77,21 +77,21 @@
 		want error
 	}{
 		{&quic.ApplicationError{Remote: true, ErrorCode: codeBusy}, ErrNotSent},
-		{&quic.ApplicationError{Remote: false, ErrorCode: codeBusy}, ErrUnknown},
-		{&quic.ApplicationError{Remote: true, ErrorCode: codeShutdown}, ErrUnknown},
+		{&quic.ApplicationError{Remote: false, ErrorCode: codeBusy}, ErrOutcomeUnknown},
+		{&quic.ApplicationError{Remote: true, ErrorCode: codeShutdown}, ErrOutcomeUnknown},
 		{&quic.StreamError{Remote: true, ErrorCode: streamNotDone}, ErrNotSent},
 		{&quic.StreamError{Remote: true, ErrorCode: streamMalformed}, ErrNotSent},
-		{&quic.StreamError{Remote: true, ErrorCode: streamFailed}, ErrUnknown},
-		{&quic.StreamError{Remote: false, ErrorCode: streamNotDone}, ErrUnknown},
+		{&quic.StreamError{Remote: true, ErrorCode: streamFailed}, ErrOutcomeUnknown},
+		{&quic.StreamError{Remote: false, ErrorCode: streamNotDone}, ErrOutcomeUnknown},
 		{&quic.TransportError{Remote: true, ErrorCode: quic.ConnectionRefused}, ErrNotSent},
-		{&quic.TransportError{Remote: true, ErrorCode: quic.InternalError}, ErrUnknown},
-		{&quic.IdleTimeoutError{}, ErrUnknown},
-		{&quic.StatelessResetError{}, ErrUnknown},
-		{context.Canceled, ErrUnknown},
+		{&quic.TransportError{Remote: true, ErrorCode: quic.InternalError}, ErrOutcomeUnknown},
+		{&quic.IdleTimeoutError{}, ErrOutcomeUnknown},
+		{&quic.StatelessResetError{}, ErrOutcomeUnknown},
+		{context.Canceled, ErrOutcomeUnknown},
 	} {
 		got := outcomeError(errors.Wrap(tc.err, "read message"))
 		is.True(errors.Is(got, tc.want))
-		is.True(errors.Is(got, ErrNotSent) != errors.Is(got, ErrUnknown))
+		is.True(errors.Is(got, ErrNotSent) != errors.Is(got, ErrOutcomeUnknown))
 		is.True(errors.Is(got, tc.err)) // the cause is kept
 	}
 }
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -380,7 +380,7 @@
 	switch {
 	case errors.Is(err, ErrNotSent):
 		c.countReason("not_sent")
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrOutcomeUnknown):
 		c.countReason("unknown")
 	case errors.Is(err, ErrTooLarge):
 		c.countReason("too_large")
--- a/internal/link/errors.go
+++ b/internal/link/errors.go
@@ -17,9 +17,9 @@
 	// ErrNotSent is returned for a request that certainly was not acted on: no
 	// connection, no stream, or the server refused it before reading it.
 	ErrNotSent = errors.New("request not sent")
-	// ErrUnknown is returned for a request that was sent and not answered: it
+	// ErrOutcomeUnknown is returned for a request that was sent and not answered: it
 	// is not known whether it was acted on.
-	ErrUnknown = errors.New("outcome of request unknown")
+	ErrOutcomeUnknown = errors.New("outcome of request unknown")
 	// ErrClosed is returned on a closed client or server.
 	ErrClosed = errors.New("link closed")
 	// ErrTooLarge is returned for a message above the size bound.
@@ -91,7 +91,7 @@
 
 func notSent(cause error) error { return &outcome{kind: ErrNotSent, cause: cause} }
 
-func unknown(cause error) error { return &outcome{kind: ErrUnknown, cause: cause} }
+func unknown(cause error) error { return &outcome{kind: ErrOutcomeUnknown, cause: cause} }
 
 // outcomeError wraps an error that came after the request was handed to the
 // connection.
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -68,7 +68,7 @@
 	defer cancel()
 	_, err := c.Call(ctx, versionQuery())
 	is.True(errors.Is(err, ErrNotSent))
-	is.True(!errors.Is(err, ErrUnknown))
+	is.True(!errors.Is(err, ErrOutcomeUnknown))
 	is.Equal(h.calls(), 0)
 }
 
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, err = c.Call(ctx, versionQuery())
-	is.True(errors.Is(err, ErrUnknown))
+	is.True(errors.Is(err, ErrOutcomeUnknown))
 	is.Equal(count(scope, metricCallFailures, "unknown"), int64(1))
 	select {
 	case <-cancelled:
@@ -111,7 +111,7 @@
 	s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), h, ServerOptions{})
 	c, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
 	_, err := c.Call(limited(t), &controlpb.Request{Body: &controlpb.Request_Announce{Announce: &controlpb.Announce{}}})
-	is.True(errors.Is(err, ErrUnknown))
+	is.True(errors.Is(err, ErrOutcomeUnknown))
 	mustAsk(t, c)
 	is.Equal(count(scope, "link_server_panics", ""), int64(1))
 }
