--- a/internal/controld/leadership.go
+++ b/internal/controld/leadership.go
@@ -76,7 +76,7 @@
 		req := &controlpb.Request{Body: &controlpb.Request_TakeOver{TakeOver: &controlpb.TakeOver{Group: group}}}
 		res, err := p.calls.Call(ctx, req)
 		if err == nil {
-			err = link.FaultOf(res)
+			err = link.ResponseError(res)
 		}
 		if err != nil {
 			d.scope.Counter("failed_take_overs").Inc(1)
--- a/internal/controld/standby.go
+++ b/internal/controld/standby.go
@@ -149,7 +149,7 @@
 	join := &controlpb.Join{Address: address, Transient: true, StandBy: true}
 	res, err := client.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Join{Join: join}})
 	if err == nil {
-		err = link.FaultOf(res)
+		err = link.ResponseError(res)
 	}
 	if err != nil {
 		// Try another host.
--- a/internal/controld/standby_test.go
+++ b/internal/controld/standby_test.go
@@ -141,7 +141,7 @@
 	d := newStandbyDeployment(t, 1, 1, "d1")
 	d.awaitStandby("s1")
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "s1")
-	fault := link.FaultOf(call(t, agent, registerRequest("lodgement", "t1", "x")))
+	fault := link.ResponseError(call(t, agent, registerRequest("lodgement", "t1", "x")))
 	is.True(fault != nil)
 	is.Equal(d.hosts["s1"].refusals("stands_by"), int64(1))
 	d.accept(d.operator("d1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
--- a/internal/controld/sync.go
+++ b/internal/controld/sync.go
@@ -58,7 +58,7 @@
 	defer cancel()
 	res, err := p.client.Call(ctx, &controlpb.Request{Body: &controlpb.Request_DirectorySync{DirectorySync: m}})
 	if err == nil {
-		err = link.FaultOf(res)
+		err = link.ResponseError(res)
 	}
 	if err != nil {
 		p.scope.Counter(metricFailedSyncs).Inc(1)
--- a/internal/link/errors.go
+++ b/internal/link/errors.go
@@ -64,8 +64,8 @@
 	return fmt.Sprintf("control host answered %s: %s", e.Kind, e.Text)
 }
 
-// FaultOf returns the fault of a response as an error, or nil if it is none.
-func FaultOf(res *controlpb.Response) error {
+// ResponseError returns the fault of a response as an error, or nil if it is none.
+func ResponseError(res *controlpb.Response) error {
 	f := res.GetFault()
 	if f == nil {
 		return nil
--- a/internal/link/stream.go
+++ b/internal/link/stream.go
@@ -93,7 +93,7 @@
 	if err := readMessage(s.stream, res, s.limit); err != nil {
 		return nil, err
 	}
-	if err := FaultOf(res); err != nil {
+	if err := ResponseError(res); err != nil {
 		return nil, err
 	}
 	if res.GetUpdate() == nil {
--- a/internal/processtest/grants.go
+++ b/internal/processtest/grants.go
@@ -92,7 +92,7 @@
 		res, err = client.Call(ctx, &controlpb.Request{Body: &controlpb.Request_Grant{Grant: command}})
 		return err == nil
 	})
-	if err := link.FaultOf(res); err != nil {
+	if err := link.ResponseError(res); err != nil {
 		return nil, err
 	}
 	return res.GetGrant(), nil
--- a/internal/subscriber/announcer.go
+++ b/internal/subscriber/announcer.go
@@ -206,7 +206,7 @@
 	if err != nil {
 		return err
 	}
-	return link.FaultOf(res)
+	return link.ResponseError(res)
 }
 
 const pollInterval = 20 * time.Millisecond
@@ -327,7 +327,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return res, link.FaultOf(res)
+	return res, link.ResponseError(res)
 }
 
 func (a *Announcer) record(now time.Time) *controlpb.TargetRecord {
