--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -25,7 +25,7 @@
 	DefaultMaxHandshakes   = 256
 	DefaultAdmitPerSecond  = 100
 	DefaultAdmitBurst      = 200
-	DefaultLongestRetry    = 30 * time.Second
+	DefaultMaxRetryAfter   = 30 * time.Second
 	DefaultMaxRequestBytes = 1 << 20
 	DefaultMaxPeerBytes    = 16 << 20
 	DefaultServerIdle      = 15 * time.Second
@@ -100,7 +100,7 @@
 	o.MaxHandshakes = cmp.Or(o.MaxHandshakes, DefaultMaxHandshakes)
 	o.AdmitPerSecond = cmp.Or(o.AdmitPerSecond, DefaultAdmitPerSecond)
 	o.AdmitBurst = cmp.Or(o.AdmitBurst, DefaultAdmitBurst)
-	o.LongestRetry = cmp.Or(o.LongestRetry, DefaultLongestRetry)
+	o.LongestRetry = cmp.Or(o.LongestRetry, DefaultMaxRetryAfter)
 	o.MaxRequestBytes = cmp.Or(o.MaxRequestBytes, DefaultMaxRequestBytes)
 	o.MaxPeerBytes = cmp.Or(o.MaxPeerBytes, DefaultMaxPeerBytes)
 	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, o.MaxPeerBytes)
