--- a/internal/link/fault_test.go
+++ b/internal/link/fault_test.go
@@ -402,7 +402,7 @@
 	is := is.New(t)
 	d := newDeployment(t)
 	s, _ := startServer(t, anyPort, d.credentials(keys.RoleControl, "c1"), newFakeHandler(),
-		ServerOptions{AdmitPerSecond: 0.001, AdmitBurst: 1, MaxConnections: 1, LongestRetry: time.Hour})
+		ServerOptions{AdmitPerSecond: 0.001, AdmitBurst: 1, MaxConnections: 1, MaxRetryAfter: time.Hour})
 	entry, _ := startClient(t, d.credentials(keys.RoleEntry, "e1"), quick(), s.Addr().String())
 	mustAsk(t, entry)
 	peer, _ := startClient(t, d.credentials(keys.RoleControl, "c2"), quick(), s.Addr().String())
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -72,8 +72,8 @@
 	// hosts are admitted.
 	AdmitPerSecond float64
 	AdmitBurst     int
-	// LongestRetry bounds the time that a refused peer is told to wait.
-	LongestRetry time.Duration
+	// MaxRetryAfter bounds the time that a refused peer is told to wait.
+	MaxRetryAfter time.Duration
 	// MaxRequestBytes bounds a request; MaxPeerBytes one of a control host.
 	MaxRequestBytes int
 	MaxPeerBytes    int
@@ -100,7 +100,7 @@
 	o.MaxHandshakes = cmp.Or(o.MaxHandshakes, DefaultMaxHandshakes)
 	o.AdmitPerSecond = cmp.Or(o.AdmitPerSecond, DefaultAdmitPerSecond)
 	o.AdmitBurst = cmp.Or(o.AdmitBurst, DefaultAdmitBurst)
-	o.LongestRetry = cmp.Or(o.LongestRetry, DefaultMaxRetryAfter)
+	o.MaxRetryAfter = cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)
 	o.MaxRequestBytes = cmp.Or(o.MaxRequestBytes, DefaultMaxRequestBytes)
 	o.MaxPeerBytes = cmp.Or(o.MaxPeerBytes, DefaultMaxPeerBytes)
 	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, o.MaxPeerBytes)
@@ -155,7 +155,7 @@
 		creds:     creds,
 		handler:   h,
 		counters:  newServerCounters(opts.Scope),
-		admission: newAdmission(opts.AdmitPerSecond, opts.AdmitBurst, opts.MaxConnections, opts.LongestRetry),
+		admission: newAdmission(opts.AdmitPerSecond, opts.AdmitBurst, opts.MaxConnections, opts.MaxRetryAfter),
 		socket:    socket,
 		conns:     make(map[*quic.Conn]struct{}),
 	}
--- a/internal/link/spread_test.go
+++ b/internal/link/spread_test.go
@@ -24,7 +24,7 @@
 	var addrs []string
 	for i := range servers {
 		s, scope := startServer(t, anyPort, d.credentials(keys.RoleControl, fmt.Sprint("c", i)), newFakeHandler(),
-			ServerOptions{MaxConnections: limit, AdmitPerSecond: 1000, LongestRetry: 100 * time.Millisecond})
+			ServerOptions{MaxConnections: limit, AdmitPerSecond: 1000, MaxRetryAfter: 100 * time.Millisecond})
 		all, scopes, addrs = append(all, s), append(scopes, scope), append(addrs, s.Addr().String())
 	}
 	var connected []*Client
