--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -28,7 +28,7 @@
 	DefaultMaxRetryAfter   = 30 * time.Second
 	DefaultMaxRequestBytes = 1 << 20
 	DefaultMaxPeerBytes    = 16 << 20
-	DefaultServerIdle      = 15 * time.Second
+	DefaultIdleTimeout     = 15 * time.Second
 	DefaultRequestTimeout  = 5 * time.Second
 	DefaultSendTimeout     = 5 * time.Second
 	DefaultDrainTimeout    = 5 * time.Second
@@ -104,7 +104,7 @@
 	o.MaxRequestBytes = cmp.Or(o.MaxRequestBytes, DefaultMaxRequestBytes)
 	o.MaxPeerBytes = cmp.Or(o.MaxPeerBytes, DefaultMaxPeerBytes)
 	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, o.MaxPeerBytes)
-	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultServerIdle)
+	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultIdleTimeout)
 	o.RequestTimeout = cmp.Or(o.RequestTimeout, DefaultRequestTimeout)
 	o.SendTimeout = cmp.Or(o.SendTimeout, DefaultSendTimeout)
 	o.DrainTimeout = cmp.Or(o.DrainTimeout, DefaultDrainTimeout)
