--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -20,18 +20,18 @@
 
 // Defaults of ServerOptions.
 const (
-	DefaultMaxConnections  = 2000
-	DefaultMaxStreams      = 64
-	DefaultMaxHandshakes   = 256
-	DefaultAdmitPerSecond  = 100
-	DefaultAdmitBurst      = 200
-	DefaultMaxRetryAfter   = 30 * time.Second
-	DefaultMaxRequestBytes = 1 << 20
-	DefaultMaxPeerBytes    = 16 << 20
-	DefaultIdleTimeout     = 15 * time.Second
-	DefaultRequestTimeout  = 5 * time.Second
-	DefaultSendTimeout     = 5 * time.Second
-	DefaultDrainTimeout    = 5 * time.Second
+	DefaultMaxConnections         = 2000
+	DefaultMaxStreams             = 64
+	DefaultMaxHandshakes          = 256
+	DefaultAdmitPerSecond         = 100
+	DefaultAdmitBurst             = 200
+	DefaultMaxRetryAfter          = 30 * time.Second
+	DefaultMaxRequestBytes        = 1 << 20
+	DefaultMaxControlRequestBytes = 16 << 20
+	DefaultIdleTimeout            = 15 * time.Second
+	DefaultRequestTimeout         = 5 * time.Second
+	DefaultSendTimeout            = 5 * time.Second
+	DefaultDrainTimeout           = 5 * time.Second
 )
 
 // Peer is the far end of a link, as its certificate names it.
@@ -102,7 +102,7 @@
 	o.AdmitBurst = cmp.Or(o.AdmitBurst, DefaultAdmitBurst)
 	o.MaxRetryAfter = cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)
 	o.MaxRequestBytes = cmp.Or(o.MaxRequestBytes, DefaultMaxRequestBytes)
-	o.MaxPeerBytes = cmp.Or(o.MaxPeerBytes, DefaultMaxPeerBytes)
+	o.MaxPeerBytes = cmp.Or(o.MaxPeerBytes, DefaultMaxControlRequestBytes)
 	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, o.MaxPeerBytes)
 	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultIdleTimeout)
 	o.RequestTimeout = cmp.Or(o.RequestTimeout, DefaultRequestTimeout)
