--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -179,10 +179,10 @@
 	var err error
 	listen := d.settings.GetReplica().GetListen()
 	d.server, err = link.Listen(listen, d.creds, (*handler)(d), link.ServerOptions{
-		Scope:          d.scope,
-		Log:            d.log,
-		MaxPeerBytes:   maxPeerMessage,
-		MaxConnections: int(d.settings.GetReplica().GetMaxLinks()),
+		Scope:                  d.scope,
+		Log:                    d.log,
+		MaxControlRequestBytes: maxPeerMessage,
+		MaxConnections:         int(d.settings.GetReplica().GetMaxLinks()),
 	})
 	if err != nil {
 		return err
--- a/internal/link/serve.go
+++ b/internal/link/serve.go
@@ -145,7 +145,7 @@
 
 func (s *Server) limitFor(peer Peer) int {
 	if peer.Role == keys.RoleControl {
-		return s.opts.MaxPeerBytes
+		return s.opts.MaxControlRequestBytes
 	}
 	return s.opts.MaxRequestBytes
 }
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -75,8 +75,8 @@
 	// MaxRetryAfter bounds the time that a refused peer is told to wait.
 	MaxRetryAfter time.Duration
 	// MaxRequestBytes bounds a request; MaxPeerBytes one of a control host.
-	MaxRequestBytes int
-	MaxPeerBytes    int
+	MaxRequestBytes        int
+	MaxControlRequestBytes int
 	// MaxResponseBytes bounds what is sent; by default MaxPeerBytes.
 	MaxResponseBytes int
 	// IdleTimeout ends a connection on which nothing arrives.
@@ -102,8 +102,8 @@
 	o.AdmitBurst = cmp.Or(o.AdmitBurst, DefaultAdmitBurst)
 	o.MaxRetryAfter = cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)
 	o.MaxRequestBytes = cmp.Or(o.MaxRequestBytes, DefaultMaxRequestBytes)
-	o.MaxPeerBytes = cmp.Or(o.MaxPeerBytes, DefaultMaxControlRequestBytes)
-	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, o.MaxPeerBytes)
+	o.MaxControlRequestBytes = cmp.Or(o.MaxControlRequestBytes, DefaultMaxControlRequestBytes)
+	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, o.MaxControlRequestBytes)
 	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultIdleTimeout)
 	o.RequestTimeout = cmp.Or(o.RequestTimeout, DefaultRequestTimeout)
 	o.SendTimeout = cmp.Or(o.SendTimeout, DefaultSendTimeout)
