--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -72,7 +72,7 @@
 		return role, settings.CheckPatch(path)
 	}
 	if role == "" {
-		guessed, err := settings.GuessRole(path)
+		guessed, err := settings.DetectRole(path)
 		if err != nil {
 			return "", err
 		}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -102,10 +102,10 @@
 	return c.err()
 }
 
-// GuessRole tells the role of a settings file by the section that only this
+// DetectRole tells the role of a settings file by the section that only this
 // role has, or else by one whose name is nearly that. The error is Findings, or
 // what kept the file from being read.
-func GuessRole(path string) (Role, error) {
+func DetectRole(path string) (Role, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", errors.Wrap(err, "read settings")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -104,7 +104,7 @@
 			text, err := settings.Example(role)
 			is.NoErr(err)
 			path := write(t, text)
-			guessed, err := settings.GuessRole(path)
+			guessed, err := settings.DetectRole(path)
 			is.NoErr(err)
 			is.Equal(guessed, role)
 			m, err := settings.NewMessage(role)
@@ -194,7 +194,7 @@
 	is := is.New(t)
 	_, err := settings.Example("broker")
 	is.True(errors.Is(err, settings.ErrUnknownRole))
-	_, err = settings.GuessRole(filepath.Join(t.TempDir(), "missing.ini"))
+	_, err = settings.DetectRole(filepath.Join(t.TempDir(), "missing.ini"))
 	is.True(errors.Is(err, os.ErrNotExist))
 }
 
@@ -206,7 +206,7 @@
 	} {
 		t.Run(section, func(t *testing.T) {
 			is := is.New(t)
-			guessed, err := settings.GuessRole(write(t, "[host]\nname = a\n["+section+"]\n"))
+			guessed, err := settings.DetectRole(write(t, "[host]\nname = a\n["+section+"]\n"))
 			is.NoErr(err)
 			is.Equal(guessed, role)
 		})
@@ -216,7 +216,7 @@
 func TestNoRoleIsFinding(t *testing.T) {
 	is := is.New(t)
 	path := write(t, "just words\n[host]\nname = a\n[metrcs]\n")
-	_, err := settings.GuessRole(path)
+	_, err := settings.DetectRole(path)
 	is.Equal(findings(t, err), []string{
 		path + ":1: neither a section, nor key = value, nor a comment",
 		path + ":1: no section tells the role: [replica], [forwarding], [agent] or [site]",
