--- a/internal/dev/control.go
+++ b/internal/dev/control.go
@@ -72,7 +72,7 @@
 			OperatorListen: freePort,
 		},
 	}
-	settings.Defaults(h.settings)
+	settings.ApplyDefaults(h.settings)
 	if d.opts.Network == nil {
 		return h, nil
 	}
--- a/internal/dev/entry.go
+++ b/internal/dev/entry.go
@@ -61,7 +61,7 @@
 			AgentNetworks: []string{loopback},
 		},
 	}
-	settings.Defaults(h.settings)
+	settings.ApplyDefaults(h.settings)
 	return h, nil
 }
 
--- a/internal/dev/target.go
+++ b/internal/dev/target.go
@@ -63,7 +63,7 @@
 			FlowCapacity:      d.opts.FlowCapacity,
 		},
 	}
-	settings.Defaults(t.settings)
+	settings.ApplyDefaults(t.settings)
 	if err := d.launchAgent(t); err != nil {
 		return nil, err
 	}
--- a/internal/experiment/site_test.go
+++ b/internal/experiment/site_test.go
@@ -17,7 +17,7 @@
 	s := &settingspb.ExperimentSettings{Site: &settingspb.Site{
 		Name: name, FailureDomains: []string{"one", "two"}, Targets: []string{"main=2", "second=1"},
 	}}
-	settings.Defaults(s)
+	settings.ApplyDefaults(s)
 	patch := &configpb.Patch{}
 	for _, service := range []string{"second", "main"} {
 		patch.Operations = append(patch.Operations, &configpb.Operation{Body: &configpb.Operation_PutService{
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -160,7 +160,7 @@
 	}
 	checkRequired(m, c, lines)
 	checkTogether(m.Interface(), c, lines)
-	Defaults(m.Interface())
+	ApplyDefaults(m.Interface())
 	return lines
 }
 
@@ -231,9 +231,9 @@
 	return ok && taken.GetUnauthenticated()
 }
 
-// Defaults sets every key of the root message m that is unset and has a
+// ApplyDefaults sets every key of the root message m that is unset and has a
 // default. Messages that were made in code need it; Load and Parse apply it.
-func Defaults(m proto.Message) {
+func ApplyDefaults(m proto.Message) {
 	root := m.ProtoReflect()
 	sections := root.Descriptor().Fields()
 	for i := range sections.Len() {
