--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -126,7 +126,7 @@
 	}{
 		{"unreadable", func(f *Files) { f.Certificate = filepath.Join(dir, "none") }, fs.ErrNotExist},
 		{"another one's key", func(f *Files) { f.PrivateKey = other.PrivateKey }, ErrMismatch},
-		{"another authority", func(f *Files) { f.Authority = other.Authority }, ErrStranger},
+		{"another authority", func(f *Files) { f.Authority = other.Authority }, ErrUnknownAuthority},
 		{"key in place of certificate", func(f *Files) { f.Certificate = f.PrivateKey }, ErrFormat},
 		{"certificate in place of key", func(f *Files) { f.PrivateKey = f.Certificate }, ErrFormat},
 		{"leaf in place of authority", func(f *Files) { f.Authority = f.Certificate }, ErrFormat},
--- a/internal/keys/rotation_test.go
+++ b/internal/keys/rotation_test.go
@@ -19,7 +19,7 @@
 	certs, err := readCertificates(certificate)
 	is.NoErr(err)
 	_, err = verify(certs[0], nil, creds.current.Load().authorities, certs[0].NotBefore)
-	is.True(err == nil || errors.Is(err, ErrStranger))
+	is.True(err == nil || errors.Is(err, ErrUnknownAuthority))
 	return err == nil
 }
 
@@ -40,7 +40,7 @@
 	is.NoErr(RemoveAuthority(dir))
 	is.True(!knows(t, renewed, old.Certificate))
 	_, err := Load(old)
-	is.True(errors.Is(err, ErrStranger)) // not even its own process takes it
+	is.True(errors.Is(err, ErrUnknownAuthority)) // not even its own process takes it
 	// The next rotation works alike.
 	is.NoErr(AddAuthority(dir))
 	is.NoErr(PreferAuthority(dir))
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -14,9 +14,9 @@
 var (
 	// ErrNoCertificate is returned for a peer that shows no certificate.
 	ErrNoCertificate = errors.New("peer shows no certificate")
-	// ErrStranger is returned for a peer whose certificate none of our
+	// ErrUnknownAuthority is returned for a peer whose certificate none of our
 	// authorities signed.
-	ErrStranger = errors.New("no authority of ours signed the certificate")
+	ErrUnknownAuthority = errors.New("no authority of ours signed the certificate")
 )
 
 // ServerTLS returns the configuration of a listener that admits peers of the
@@ -132,7 +132,7 @@
 		return Identity{}, errors.Wrap(ErrExpired, "authority")
 	}
 	if err != nil {
-		return Identity{}, errors.Wrapf(ErrStranger, "%s: %v", leaf.Subject, err)
+		return Identity{}, errors.Wrapf(ErrUnknownAuthority, "%s: %v", leaf.Subject, err)
 	}
 	return IdentityOf(leaf)
 }
--- a/internal/link/counters.go
+++ b/internal/link/counters.go
@@ -55,7 +55,7 @@
 	switch {
 	case errors.Is(err, keys.ErrNoCertificate):
 		reason = "no_certificate"
-	case errors.Is(err, keys.ErrStranger):
+	case errors.Is(err, keys.ErrUnknownAuthority):
 		reason = "stranger"
 	case errors.Is(err, keys.ErrExpired):
 		reason = "expired"
