--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -32,8 +32,8 @@
 
 // Errors of identities.
 var (
-	// ErrRole is returned for an unknown role, or one that is not allowed here.
-	ErrRole = errors.New("role not allowed")
+	// ErrRoleNotAllowed is returned for an unknown role, or one that is not allowed here.
+	ErrRoleNotAllowed = errors.New("role not allowed")
 	// ErrName is returned for a name that is empty, too long or has characters
 	// outside of A-Z, a-z, 0-9, dot, underscore and hyphen.
 	ErrName = errors.New("invalid name")
@@ -56,7 +56,7 @@
 	case RoleControl, RoleEntry, RoleAgent, RoleOperator, RoleCaller:
 		return r, nil
 	}
-	return "", errors.Wrapf(ErrRole, "%q", s)
+	return "", errors.Wrapf(ErrRoleNotAllowed, "%q", s)
 }
 
 // URI returns the identity in the form that certificates carry.
@@ -79,7 +79,7 @@
 		return err
 	}
 	if i.Role == RoleCaller {
-		return errors.Wrap(ErrRole, "a caller certificate is no process identity")
+		return errors.Wrap(ErrRoleNotAllowed, "a caller certificate is no process identity")
 	}
 	if !namePattern.MatchString(i.Name) {
 		return errors.Wrapf(ErrName, "process name %q", i.Name)
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -75,7 +75,7 @@
 		id   Identity
 		want error
 	}{
-		{"unknown role", Identity{Role: "king", Name: "k"}, ErrRole},
+		{"unknown role", Identity{Role: "king", Name: "k"}, ErrRoleNotAllowed},
 		{"empty name", Identity{Role: RoleEntry}, ErrName},
 		{"path in name", Identity{Role: RoleEntry, Name: "../x"}, ErrName},
 		{"agent without service", Identity{Role: RoleAgent, Name: "a"}, ErrName},
@@ -247,7 +247,7 @@
 	is.NoErr(err)
 	is.Equal(id.Name, "e1")
 	_, err = creds.VerifyPeer(state, RoleControl, RoleAgent)
-	is.True(errors.Is(err, ErrRole))
+	is.True(errors.Is(err, ErrRoleNotAllowed))
 	_, err = creds.VerifyPeer(tls.ConnectionState{}, RoleEntry)
 	is.True(errors.Is(err, ErrNoCertificate))
 	_, err = creds.VerifyPeer(tls.ConnectionState{PeerCertificates: []*x509.Certificate{a.cert}}, RoleEntry)
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -68,7 +68,7 @@
 		return Identity{}, err
 	}
 	if !slices.Contains(allowed, id.Role) {
-		return Identity{}, errors.Wrapf(ErrRole, "%s", id)
+		return Identity{}, errors.Wrapf(ErrRoleNotAllowed, "%s", id)
 	}
 	return id, nil
 }
--- a/internal/link/counters.go
+++ b/internal/link/counters.go
@@ -59,7 +59,7 @@
 		reason = "stranger"
 	case errors.Is(err, keys.ErrExpired):
 		reason = "expired"
-	case errors.Is(err, keys.ErrRole):
+	case errors.Is(err, keys.ErrRoleNotAllowed):
 		reason = "role"
 	case errors.Is(err, keys.ErrNoIdentity):
 		reason = "no_identity"
--- a/internal/link/redial.go
+++ b/internal/link/redial.go
@@ -170,7 +170,7 @@
 	var transport *quic.TransportError
 	switch {
 	case errors.Is(err, keys.ErrUnknownAuthority), errors.Is(err, keys.ErrExpired),
-		errors.Is(err, keys.ErrRole), errors.Is(err, keys.ErrNoIdentity):
+		errors.Is(err, keys.ErrRoleNotAllowed), errors.Is(err, keys.ErrNoIdentity):
 		return "server_certificate"
 	case errors.As(err, &idle), errors.As(err, &handshake), errors.Is(err, context.DeadlineExceeded):
 		return reasonTimeout
