--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -95,7 +95,7 @@
 // DNS name is the service's name.
 func (a *Authority) Caller(service string, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
 	if !namePattern.MatchString(service) {
-		return nil, errors.Wrapf(ErrName, "service name %q", service)
+		return nil, errors.Wrapf(ErrInvalidName, "service name %q", service)
 	}
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: service},
--- a/internal/keys/dir.go
+++ b/internal/keys/dir.go
@@ -138,7 +138,7 @@
 		DataSecrets: filepath.Join(dir, DataSecretsFile),
 	}
 	if files.Certificate == files.Authority || filepath.Base(files.PrivateKey) == NextAuthorityKeyFile {
-		return Files{}, errors.Wrapf(ErrName, "%q is the authority's", name)
+		return Files{}, errors.Wrapf(ErrInvalidName, "%q is the authority's", name)
 	}
 	if err := writeFile(files.PrivateKey, pair.PrivateKey, privateMode); err != nil {
 		return Files{}, err
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -34,9 +34,9 @@
 var (
 	// ErrRoleNotAllowed is returned for an unknown role, or one that is not allowed here.
 	ErrRoleNotAllowed = errors.New("role not allowed")
-	// ErrName is returned for a name that is empty, too long or has characters
+	// ErrInvalidName is returned for a name that is empty, too long or has characters
 	// outside of A-Z, a-z, 0-9, dot, underscore and hyphen.
-	ErrName = errors.New("invalid name")
+	ErrInvalidName = errors.New("invalid name")
 	// ErrNoIdentity is returned for a certificate without a process identity.
 	ErrNoIdentity = errors.New("certificate carries no process identity")
 )
@@ -82,13 +82,13 @@
 		return errors.Wrap(ErrRoleNotAllowed, "a caller certificate is no process identity")
 	}
 	if !namePattern.MatchString(i.Name) {
-		return errors.Wrapf(ErrName, "process name %q", i.Name)
+		return errors.Wrapf(ErrInvalidName, "process name %q", i.Name)
 	}
 	if i.Role == RoleAgent && !namePattern.MatchString(i.Service) {
-		return errors.Wrapf(ErrName, "service name %q", i.Service)
+		return errors.Wrapf(ErrInvalidName, "service name %q", i.Service)
 	}
 	if i.Role != RoleAgent && i.Service != "" {
-		return errors.Wrapf(ErrName, "role %s has no service, got %q", i.Role, i.Service)
+		return errors.Wrapf(ErrInvalidName, "role %s has no service, got %q", i.Role, i.Service)
 	}
 	return nil
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -76,12 +76,12 @@
 		want error
 	}{
 		{"unknown role", Identity{Role: "king", Name: "k"}, ErrRoleNotAllowed},
-		{"empty name", Identity{Role: RoleEntry}, ErrName},
-		{"path in name", Identity{Role: RoleEntry, Name: "../x"}, ErrName},
-		{"agent without service", Identity{Role: RoleAgent, Name: "a"}, ErrName},
-		{"entry host with service", Identity{Role: RoleEntry, Name: "e", Service: "s"}, ErrName},
-		{"name of the authority", Identity{Role: RoleEntry, Name: "authority"}, ErrName},
-		{"caller without service", Identity{Role: RoleCaller}, ErrName},
+		{"empty name", Identity{Role: RoleEntry}, ErrInvalidName},
+		{"path in name", Identity{Role: RoleEntry, Name: "../x"}, ErrInvalidName},
+		{"agent without service", Identity{Role: RoleAgent, Name: "a"}, ErrInvalidName},
+		{"entry host with service", Identity{Role: RoleEntry, Name: "e", Service: "s"}, ErrInvalidName},
+		{"name of the authority", Identity{Role: RoleEntry, Name: "authority"}, ErrInvalidName},
+		{"caller without service", Identity{Role: RoleCaller}, ErrInvalidName},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/keys/rotation_test.go
+++ b/internal/keys/rotation_test.go
@@ -66,5 +66,5 @@
 	_, err = LoadAuthority(dir)
 	is.NoErr(err)
 	_, err = Issue(dir, RoleEntry, "authority-next", "", nil, DefaultValidity)
-	is.True(errors.Is(err, ErrName))
+	is.True(errors.Is(err, ErrInvalidName))
 }
