--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -27,8 +27,8 @@
 	serialBits = 120
 )
 
-// ErrValidity is returned for a validity that is not positive.
-var ErrValidity = errors.New("validity must be positive")
+// ErrInvalidValidity is returned for a validity that is not positive.
+var ErrInvalidValidity = errors.New("validity must be positive")
 
 // Authority signs the certificates of one deployment.
 type Authority struct {
@@ -45,7 +45,7 @@
 // NewAuthority makes an authority in memory.
 func NewAuthority(now time.Time, validity time.Duration) (*Authority, error) {
 	if validity <= 0 {
-		return nil, ErrValidity
+		return nil, ErrInvalidValidity
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -107,7 +107,7 @@
 
 func (a *Authority) issue(template *x509.Certificate, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
 	if validity <= 0 {
-		return nil, ErrValidity
+		return nil, ErrInvalidValidity
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -168,7 +168,7 @@
 	is.NoErr(err)
 	is.True(!certs[0].NotAfter.After(a.cert.NotAfter))
 	_, err = a.Process(Identity{Role: RoleEntry, Name: "e1"}, nil, now, 0)
-	is.True(errors.Is(err, ErrValidity))
+	is.True(errors.Is(err, ErrInvalidValidity))
 }
 
 func TestReload(t *testing.T) {
