--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -291,7 +291,7 @@
 	}
 	for _, a := range authorities {
 		if !a.IsCA {
-			return nil, errors.Wrapf(ErrFormat, "authority %s: %s is no authority", files.Authority, a.Subject)
+			return nil, errors.Wrapf(ErrMalformed, "authority %s: %s is no authority", files.Authority, a.Subject)
 		}
 		m.authorities.AddCert(a)
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -127,11 +127,11 @@
 		{"unreadable", func(f *Files) { f.Certificate = filepath.Join(dir, "none") }, fs.ErrNotExist},
 		{"another one's key", func(f *Files) { f.PrivateKey = other.PrivateKey }, ErrMismatch},
 		{"another authority", func(f *Files) { f.Authority = other.Authority }, ErrUnknownAuthority},
-		{"key in place of certificate", func(f *Files) { f.Certificate = f.PrivateKey }, ErrFormat},
-		{"certificate in place of key", func(f *Files) { f.PrivateKey = f.Certificate }, ErrFormat},
-		{"leaf in place of authority", func(f *Files) { f.Authority = f.Certificate }, ErrFormat},
-		{"secrets in place of certificate", func(f *Files) { f.Certificate = f.DataSecrets }, ErrFormat},
-		{"malformed secrets", func(f *Files) { f.DataSecrets = secrets }, ErrFormat},
+		{"key in place of certificate", func(f *Files) { f.Certificate = f.PrivateKey }, ErrMalformed},
+		{"certificate in place of key", func(f *Files) { f.PrivateKey = f.Certificate }, ErrMalformed},
+		{"leaf in place of authority", func(f *Files) { f.Authority = f.Certificate }, ErrMalformed},
+		{"secrets in place of certificate", func(f *Files) { f.Certificate = f.DataSecrets }, ErrMalformed},
+		{"malformed secrets", func(f *Files) { f.DataSecrets = secrets }, ErrMalformed},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -200,7 +200,7 @@
 	// A broken file leaves the former keys in use.
 	is.NoErr(os.WriteFile(files.Certificate, []byte("broken"), publicMode))
 	changed, err = creds.Reload()
-	is.True(errors.Is(err, ErrFormat))
+	is.True(errors.Is(err, ErrMalformed))
 	is.True(!changed)
 	is.Equal(creds.Identity().Name, "e1")
 	is.Equal(changes, 2)
@@ -225,7 +225,7 @@
 	})
 	is.NoErr(os.WriteFile(files.Certificate, []byte("broken"), publicMode))
 	r := <-reports
-	is.True(errors.Is(r.err, ErrFormat))
+	is.True(errors.Is(r.err, ErrMalformed))
 	issue(t, dir, RoleEntry, "e1", "")
 	r = <-reports
 	is.NoErr(r.err)
@@ -271,11 +271,11 @@
 		"0", "0 " + hex64 + " x", "0 " + hex64 + "\n0 " + hex64,
 	} {
 		_, err := ParseSecrets([]byte(bad))
-		is.True(errors.Is(err, ErrFormat))
+		is.True(errors.Is(err, ErrMalformed))
 		is.True(!strings.Contains(err.Error(), "abab")) // no secret in errors
 	}
 	_, err = NewSecret(MaxSecretID + 1)
-	is.True(errors.Is(err, ErrFormat))
+	is.True(errors.Is(err, ErrMalformed))
 }
 
 func TestSecretIDsRunOut(t *testing.T) {
--- a/internal/keys/pem.go
+++ b/internal/keys/pem.go
@@ -15,8 +15,8 @@
 
 // Errors of key files.
 var (
-	// ErrFormat is returned for a file that is not in the expected form.
-	ErrFormat = errors.New("malformed file")
+	// ErrMalformed is returned for a file that is not in the expected form.
+	ErrMalformed = errors.New("malformed file")
 	// ErrMismatch is returned for files that do not belong together.
 	ErrMismatch = errors.New("files do not belong together")
 	// ErrExpired is returned for a certificate outside of its validity.
@@ -45,16 +45,16 @@
 		}
 		data = rest
 		if block.Type != blockCertificate {
-			return nil, errors.Wrapf(ErrFormat, "expected a certificate, found %q", block.Type)
+			return nil, errors.Wrapf(ErrMalformed, "expected a certificate, found %q", block.Type)
 		}
 		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
-			return nil, errors.Wrapf(ErrFormat, "certificate %d: %v", len(out)+1, err)
+			return nil, errors.Wrapf(ErrMalformed, "certificate %d: %v", len(out)+1, err)
 		}
 		out = append(out, cert)
 	}
 	if len(out) == 0 {
-		return nil, errors.Wrap(ErrFormat, "no PEM certificate")
+		return nil, errors.Wrap(ErrMalformed, "no PEM certificate")
 	}
 	return out, nil
 }
@@ -62,18 +62,18 @@
 func parseKey(data []byte) (*ecdsa.PrivateKey, error) {
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return nil, errors.Wrap(ErrFormat, "no PEM private key")
+		return nil, errors.Wrap(ErrMalformed, "no PEM private key")
 	}
 	if block.Type != blockKey {
-		return nil, errors.Wrapf(ErrFormat, "expected a private key, found %q", block.Type)
+		return nil, errors.Wrapf(ErrMalformed, "expected a private key, found %q", block.Type)
 	}
 	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, errors.Wrapf(ErrFormat, "private key: %v", err)
+		return nil, errors.Wrapf(ErrMalformed, "private key: %v", err)
 	}
 	ec, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, errors.Wrapf(ErrFormat, "private key is %T, expected ECDSA", key)
+		return nil, errors.Wrapf(ErrMalformed, "private key is %T, expected ECDSA", key)
 	}
 	return ec, nil
 }
--- a/internal/keys/secret.go
+++ b/internal/keys/secret.go
@@ -37,7 +37,7 @@
 func NewSecret(id uint8) (Secret, error) {
 	s := Secret{ID: id}
 	if id > MaxSecretID {
-		return s, errors.Wrapf(ErrFormat, "data secret ID %d is above %d", id, MaxSecretID)
+		return s, errors.Wrapf(ErrMalformed, "data secret ID %d is above %d", id, MaxSecretID)
 	}
 	if _, err := rand.Read(s.Key[:]); err != nil {
 		return s, errors.Wrap(err, "generate data secret")
@@ -61,13 +61,13 @@
 			return nil, errors.Wrapf(err, "line %d", i+1)
 		}
 		if used[s.ID] {
-			return nil, errors.Wrapf(ErrFormat, "line %d: ID %d appears twice", i+1, s.ID)
+			return nil, errors.Wrapf(ErrMalformed, "line %d: ID %d appears twice", i+1, s.ID)
 		}
 		used[s.ID] = true
 		out = append(out, s)
 	}
 	if len(out) == 0 {
-		return nil, errors.Wrap(ErrFormat, "no data secret")
+		return nil, errors.Wrap(ErrMalformed, "no data secret")
 	}
 	return out, nil
 }
@@ -75,15 +75,15 @@
 func parseSecret(line string) (Secret, error) {
 	fields := strings.Fields(line)
 	if len(fields) != 2 {
-		return Secret{}, errors.Wrapf(ErrFormat, "expected an ID and a secret, found %d fields", len(fields))
+		return Secret{}, errors.Wrapf(ErrMalformed, "expected an ID and a secret, found %d fields", len(fields))
 	}
 	id, err := strconv.ParseUint(fields[0], 10, 8)
 	if err != nil || id > MaxSecretID {
-		return Secret{}, errors.Wrapf(ErrFormat, "ID is not a number from 0 to %d", MaxSecretID)
+		return Secret{}, errors.Wrapf(ErrMalformed, "ID is not a number from 0 to %d", MaxSecretID)
 	}
 	key, err := hex.DecodeString(fields[1])
 	if err != nil || len(key) != SecretLength {
-		return Secret{}, errors.Wrapf(ErrFormat, "secret is not %d bytes in hex", SecretLength)
+		return Secret{}, errors.Wrapf(ErrMalformed, "secret is not %d bytes in hex", SecretLength)
 	}
 	s := Secret{ID: uint8(id)}
 	copy(s.Key[:], key)
