--- a/internal/keys/rotation.go
+++ b/internal/keys/rotation.go
@@ -13,8 +13,8 @@
 // does not sign yet.
 const NextAuthorityKeyFile = "authority-next.key.pem"
 
-// ErrNoRotation is returned for a step of a rotation that is out of order.
-var ErrNoRotation = errors.New("rotation step out of order")
+// ErrRotationOrder is returned for a step of a rotation that is out of order.
+var ErrRotationOrder = errors.New("rotation step out of order")
 
 // AddAuthority makes a second authority in a folder. The authority file then
 // holds both certificates; the former one signs until PreferAuthority, since
@@ -55,7 +55,7 @@
 	nextPath := filepath.Join(dir, NextAuthorityKeyFile)
 	data, err := os.ReadFile(nextPath)
 	if os.IsNotExist(err) {
-		return errors.Wrap(ErrNoRotation, "no authority was added")
+		return errors.Wrap(ErrRotationOrder, "no authority was added")
 	}
 	if err != nil {
 		return errors.Wrap(err, "read authority key")
@@ -74,7 +74,7 @@
 func RemoveAuthority(dir string) error {
 	nextPath := filepath.Join(dir, NextAuthorityKeyFile)
 	if _, err := os.Lstat(nextPath); err == nil {
-		return errors.Wrap(ErrNoRotation, "the authority that was added does not sign yet")
+		return errors.Wrap(ErrRotationOrder, "the authority that was added does not sign yet")
 	}
 	signing, err := LoadAuthority(dir)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	after := signing.CertificatePEM()
 	if bytes.Equal(before, after) {
-		return errors.Wrap(ErrNoRotation, "there is no former authority")
+		return errors.Wrap(ErrRotationOrder, "there is no former authority")
 	}
 	return writeFile(certPath, after, publicMode)
 }
--- a/internal/keys/rotation_test.go
+++ b/internal/keys/rotation_test.go
@@ -53,13 +53,13 @@
 	path := filepath.Join(dir, AuthorityFile)
 	before, err := os.ReadFile(path)
 	is.NoErr(err)
-	is.True(errors.Is(PreferAuthority(dir), ErrNoRotation))
-	is.True(errors.Is(RemoveAuthority(dir), ErrNoRotation))
+	is.True(errors.Is(PreferAuthority(dir), ErrRotationOrder))
+	is.True(errors.Is(RemoveAuthority(dir), ErrRotationOrder))
 	after, err := os.ReadFile(path)
 	is.NoErr(err)
 	is.Equal(after, before)
 	is.NoErr(AddAuthority(dir))
-	is.True(errors.Is(RemoveAuthority(dir), ErrNoRotation)) // would drop the added one
+	is.True(errors.Is(RemoveAuthority(dir), ErrRotationOrder)) // would drop the added one
 	// A key whose certificate is missing never becomes the signing one.
 	is.NoErr(os.WriteFile(path, before, publicMode))
 	is.True(errors.Is(PreferAuthority(dir), ErrMismatch))
