--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -287,7 +287,7 @@
 		is.Equal(int(got), id)
 	}
 	_, err := AddDataSecret(dir)
-	is.True(errors.Is(err, ErrSecretsFull))
+	is.True(errors.Is(err, ErrNoFreeSecretID))
 	is.NoErr(RemoveDataSecret(dir, 4))
 	got, err := AddDataSecret(dir)
 	is.NoErr(err)
--- a/internal/keys/secret.go
+++ b/internal/keys/secret.go
@@ -19,8 +19,8 @@
 	MaxSecretID = 7
 )
 
-// ErrSecretsFull is returned when every ID of a data secret is in use.
-var ErrSecretsFull = errors.New("all IDs of data secrets are in use")
+// ErrNoFreeSecretID is returned when every ID of a data secret is in use.
+var ErrNoFreeSecretID = errors.New("all IDs of data secrets are in use")
 
 // ErrSecretsUnchanged is returned for a step that cannot be taken with the data
 // secrets that there are.
@@ -117,5 +117,5 @@
 		}
 		return append(secrets, s), s, nil
 	}
-	return nil, Secret{}, ErrSecretsFull
+	return nil, Secret{}, ErrNoFreeSecretID
 }
