--- a/internal/keys/dir.go
+++ b/internal/keys/dir.go
@@ -202,11 +202,11 @@
 		others := append(append([]Secret{}, secrets[:i]...), secrets[i+1:]...)
 		result := edit(s, others)
 		if len(result) == 0 {
-			return errors.Wrapf(ErrSecretsUnchanged, "%s: the last data secret cannot be removed", path)
+			return errors.Wrapf(ErrInvalidSecretChange, "%s: the last data secret cannot be removed", path)
 		}
 		return writeFile(path, FormatSecrets(result), privateMode)
 	}
-	return errors.Wrapf(ErrSecretsUnchanged, "%s: no data secret has ID %d", path, id)
+	return errors.Wrapf(ErrInvalidSecretChange, "%s: no data secret has ID %d", path, id)
 }
 
 // writeFile replaces a file in one step, so that a process that reloads its
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -295,8 +295,8 @@
 	items, err := InspectFile(filepath.Join(dir, DataSecretsFile))
 	is.NoErr(err)
 	is.Equal(items[0].SecretIDs, []uint8{0, 1, 2, 3, 5, 6, 7, 4})
-	is.True(errors.Is(PreferDataSecret(newDir(t), 5), ErrSecretsUnchanged)) // no such secret
-	is.True(errors.Is(RemoveDataSecret(newDir(t), 0), ErrSecretsUnchanged)) // the last one
+	is.True(errors.Is(PreferDataSecret(newDir(t), 5), ErrInvalidSecretChange)) // no such secret
+	is.True(errors.Is(RemoveDataSecret(newDir(t), 0), ErrInvalidSecretChange)) // the last one
 }
 
 func TestSeveralAuthorities(t *testing.T) {
--- a/internal/keys/secret.go
+++ b/internal/keys/secret.go
@@ -22,9 +22,9 @@
 // ErrNoFreeSecretID is returned when every ID of a data secret is in use.
 var ErrNoFreeSecretID = errors.New("all IDs of data secrets are in use")
 
-// ErrSecretsUnchanged is returned for a step that cannot be taken with the data
+// ErrInvalidSecretChange is returned for a step that cannot be taken with the data
 // secrets that there are.
-var ErrSecretsUnchanged = errors.New("data secrets unchanged")
+var ErrInvalidSecretChange = errors.New("data secrets unchanged")
 
 // Secret protects connection IDs and frames.
 type Secret struct {
