--- a/internal/agentd/connect.go
+++ b/internal/agentd/connect.go
@@ -88,7 +88,7 @@
 	}
 	client := link.NewClient(s.GetControl().GetAddresses(), credentials, link.ClientOptions{Scope: scope, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
-	go credentials.Watch(ctx, keys.ReloadPeriod, keys.Report(log))
+	go credentials.Watch(ctx, keys.ReloadPeriod, keys.LogReload(log))
 	go caller.watch(ctx, log)
 	return deps{
 		control:         client,
--- a/internal/entryd/daemon.go
+++ b/internal/entryd/daemon.go
@@ -88,7 +88,7 @@
 
 	watching, stop := context.WithCancel(ctx)
 	var watch conc.WaitGroup
-	watch.Go(func() { d.creds.Watch(watching, d.keysReloadInterval, keys.Report(d.log)) })
+	watch.Go(func() { d.creds.Watch(watching, d.keysReloadInterval, keys.LogReload(d.log)) })
 	defer watch.Wait()
 	defer stop()
 	return d.forwarder.Run(ctx)
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// Report returns a function for Watch that logs what it hears.
-func Report(log *zap.Logger) func(changed bool, err error) {
+// LogReload returns a function for Watch that logs what it hears.
+func LogReload(log *zap.Logger) func(changed bool, err error) {
 	return func(_ bool, err error) {
 		if err != nil {
 			log.Warn("keys not renewed, the former ones stay in use", zap.Error(err))
