--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -77,9 +77,9 @@
 	return encodeCertificate(a.cert)
 }
 
-// Process signs a certificate for a process of the deployment. The IP numbers
+// IssueProcess signs a certificate for a process of the deployment. The IP numbers
 // are optional; control links do not check them.
-func (a *Authority) Process(id Identity, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
+func (a *Authority) IssueProcess(id Identity, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
 	if err := id.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pair, err := authority.Process(id, nil, now, DefaultAuthorityValidity)
+	pair, err := authority.IssueProcess(id, nil, now, DefaultAuthorityValidity)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/keys/dir.go
+++ b/internal/keys/dir.go
@@ -126,7 +126,7 @@
 		base = callerPrefix + service
 		pair, err = a.Caller(service, ips, time.Now(), validity)
 	} else {
-		pair, err = a.Process(Identity{Role: role, Name: name, Service: service}, ips, time.Now(), validity)
+		pair, err = a.IssueProcess(Identity{Role: role, Name: name, Service: service}, ips, time.Now(), validity)
 	}
 	if err != nil {
 		return Files{}, err
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -149,7 +149,7 @@
 	a, err := NewAuthority(time.Now(), time.Hour)
 	is.NoErr(err)
 	for _, made := range []time.Duration{-2 * time.Hour, 2 * time.Hour} {
-		pair, err := a.Process(Identity{Role: RoleEntry, Name: "e1"}, nil, time.Now().Add(made), 30*time.Minute)
+		pair, err := a.IssueProcess(Identity{Role: RoleEntry, Name: "e1"}, nil, time.Now().Add(made), 30*time.Minute)
 		is.NoErr(err)
 		_, err = InMemory(a.CertificatePEM(), pair, nil)
 		is.True(errors.Is(err, ErrExpired))
@@ -162,12 +162,12 @@
 	now := time.Now()
 	a, err := NewAuthority(now, time.Hour)
 	is.NoErr(err)
-	pair, err := a.Process(Identity{Role: RoleEntry, Name: "e1"}, nil, now, 48*time.Hour)
+	pair, err := a.IssueProcess(Identity{Role: RoleEntry, Name: "e1"}, nil, now, 48*time.Hour)
 	is.NoErr(err)
 	certs, err := parseCertificates(pair.Certificate)
 	is.NoErr(err)
 	is.True(!certs[0].NotAfter.After(a.cert.NotAfter))
-	_, err = a.Process(Identity{Role: RoleEntry, Name: "e1"}, nil, now, 0)
+	_, err = a.IssueProcess(Identity{Role: RoleEntry, Name: "e1"}, nil, now, 0)
 	is.True(errors.Is(err, ErrInvalidValidity))
 }
 
@@ -236,7 +236,7 @@
 	is := is.New(t)
 	a, err := NewAuthority(time.Now(), time.Hour)
 	is.NoErr(err)
-	pair, err := a.Process(Identity{Role: RoleEntry, Name: "e1"}, nil, time.Now(), time.Hour)
+	pair, err := a.IssueProcess(Identity{Role: RoleEntry, Name: "e1"}, nil, time.Now(), time.Hour)
 	is.NoErr(err)
 	creds, err := InMemory(a.CertificatePEM(), pair, nil)
 	is.NoErr(err)
--- a/internal/link/bench_test.go
+++ b/internal/link/bench_test.go
@@ -25,7 +25,7 @@
 	a, err := keys.NewAuthority(time.Now(), time.Hour)
 	is.NoErr(err)
 	creds := func(id keys.Identity) *keys.Credentials {
-		pair, err := a.Process(id, nil, time.Now(), time.Hour)
+		pair, err := a.IssueProcess(id, nil, time.Now(), time.Hour)
 		is.NoErr(err)
 		c, err := keys.InMemory(a.CertificatePEM(), pair, nil)
 		is.NoErr(err)
--- a/internal/unittest/unittest.go
+++ b/internal/unittest/unittest.go
@@ -88,7 +88,7 @@
 // Pair issues a certificate that is valid for an hour from a time on.
 func (a *Authority) Pair(id keys.Identity, from time.Time) *keys.Pair {
 	a.t.Helper()
-	pair, err := a.Process(id, nil, from, time.Hour)
+	pair, err := a.IssueProcess(id, nil, from, time.Hour)
 	Must(a.t, err)
 	return pair
 }
