--- a/internal/agentd/fixture_test.go
+++ b/internal/agentd/fixture_test.go
@@ -75,7 +75,7 @@
 	tc.secrets = []connid.Secret{{ID: 1, Key: [connid.SecretLength]byte{1, 2, 3}}}
 	authority, err := keys.NewAuthority(time.Now(), time.Hour)
 	must(t, err)
-	pair, err := authority.Caller(testService, []netip.Addr{netip.MustParseAddr("127.0.0.1")}, time.Now(), time.Hour)
+	pair, err := authority.IssueCaller(testService, []netip.Addr{netip.MustParseAddr("127.0.0.1")}, time.Now(), time.Hour)
 	must(t, err)
 	tc.cert, err = keys.ParseCallerCertificate(pair)
 	must(t, err)
--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -91,9 +91,9 @@
 	return a.issue(template, ips, now, validity)
 }
 
-// Caller signs a certificate that agents of a service show to callers. Its
+// IssueCaller signs a certificate that agents of a service show to callers. Its
 // DNS name is the service's name.
-func (a *Authority) Caller(service string, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
+func (a *Authority) IssueCaller(service string, ips []netip.Addr, now time.Time, validity time.Duration) (*Pair, error) {
 	if !namePattern.MatchString(service) {
 		return nil, errors.Wrapf(ErrInvalidName, "service name %q", service)
 	}
--- a/internal/keys/dir.go
+++ b/internal/keys/dir.go
@@ -124,7 +124,7 @@
 	base := name
 	if role == RoleCaller {
 		base = callerPrefix + service
-		pair, err = a.Caller(service, ips, time.Now(), validity)
+		pair, err = a.IssueCaller(service, ips, time.Now(), validity)
 	} else {
 		pair, err = a.IssueProcess(Identity{Role: role, Name: name, Service: service}, ips, time.Now(), validity)
 	}
--- a/internal/loadgen/reject_test.go
+++ b/internal/loadgen/reject_test.go
@@ -35,7 +35,7 @@
 func serveRefusals(t *testing.T, a authority, how refusal) string {
 	t.Helper()
 	is := is.New(t)
-	pair, err := a.Caller(service, nil, time.Now(), time.Hour)
+	pair, err := a.IssueCaller(service, nil, time.Now(), time.Hour)
 	is.NoErr(err)
 	cert, err := keys.ParseCallerCertificate(pair)
 	is.NoErr(err)
--- a/internal/loadgen/server_test.go
+++ b/internal/loadgen/server_test.go
@@ -105,7 +105,7 @@
 func (a authority) serve(t *testing.T, name string, h http.Handler) *farEnd {
 	t.Helper()
 	is := is.New(t)
-	pair, err := a.Caller(name, nil, time.Now(), time.Hour)
+	pair, err := a.IssueCaller(name, nil, time.Now(), time.Hour)
 	is.NoErr(err)
 	cert, err := keys.ParseCallerCertificate(pair)
 	is.NoErr(err)
