--- a/internal/agentd/connect.go
+++ b/internal/agentd/connect.go
@@ -88,7 +88,7 @@
 	}
 	client := link.NewClient(s.GetControl().GetAddresses(), credentials, link.ClientOptions{Scope: scope, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
-	go credentials.Watch(ctx, keys.ReloadPeriod, keys.LogReload(log))
+	go credentials.Watch(ctx, keys.ReloadInterval, keys.LogReload(log))
 	go caller.watch(ctx, log)
 	return deps{
 		control:         client,
@@ -183,7 +183,7 @@
 // example during their replacement, the previous certificate stays in use.
 func (c *callerCertificate) watch(ctx context.Context, log *zap.Logger) {
 	failed := false
-	for pause(ctx, keys.ReloadPeriod) {
+	for pause(ctx, keys.ReloadInterval) {
 		previous := c.get()
 		err := c.load()
 		if err != nil && !failed {
--- a/internal/entryd/daemon.go
+++ b/internal/entryd/daemon.go
@@ -63,7 +63,7 @@
 		scope:              scope,
 		creds:              creds,
 		forwarder:          f,
-		keysReloadInterval: keys.ReloadPeriod,
+		keysReloadInterval: keys.ReloadInterval,
 	}, nil
 }
 
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -20,8 +20,8 @@
 
 const statelessResetLabel = "eelgrasswharf stateless reset"
 
-// ReloadPeriod is the time between two looks at the key files of a process.
-const ReloadPeriod = 10 * time.Second
+// ReloadInterval is the time between two looks at the key files of a process.
+const ReloadInterval = 10 * time.Second
 
 // Credentials are the loaded keys of one process. All methods may be called
 // concurrently.
