--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -25,9 +25,9 @@
 	flushTimeout = 500 * time.Millisecond
 )
 
-// Ring passes lines on to a writer that may be slow or stopped. Who logs never waits:
+// AsyncWriter passes lines on to a writer that may be slow or stopped. Who logs never waits:
 // a line that finds no room is dropped and counted.
-type Ring struct {
+type AsyncWriter struct {
 	lines   chan []byte
 	out     io.Writer
 	dropped atomic.Int64
@@ -39,14 +39,14 @@
 }
 
 // NewRing starts passing lines on to out.
-func NewRing(out io.Writer) *Ring {
-	r := &Ring{lines: make(chan []byte, ringLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
+func NewRing(out io.Writer) *AsyncWriter {
+	r := &AsyncWriter{lines: make(chan []byte, ringLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
 	go r.run()
 	return r
 }
 
 // Write implements io.Writer. It keeps a copy.
-func (r *Ring) Write(p []byte) (int, error) {
+func (r *AsyncWriter) Write(p []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), p...):
 	default:
@@ -56,10 +56,10 @@
 }
 
 // Sync implements zapcore.WriteSyncer. Lines are on their way.
-func (r *Ring) Sync() error { return nil }
+func (r *AsyncWriter) Sync() error { return nil }
 
 // Close waits for the lines under way, but not for a reader that has stopped.
-func (r *Ring) Close() {
+func (r *AsyncWriter) Close() {
 	r.once.Do(func() { close(r.closing) })
 	select {
 	case <-r.done:
@@ -67,7 +67,7 @@
 	}
 }
 
-func (r *Ring) run() {
+func (r *AsyncWriter) run() {
 	defer close(r.done)
 	ticker := time.NewTicker(reportPeriod)
 	defer ticker.Stop()
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *Ring) drain() {
+func (r *AsyncWriter) drain() {
 	for {
 		select {
 		case line := <-r.lines:
@@ -98,10 +98,10 @@
 
 // write passes a line on. Where the log itself cannot be written there is no place
 // left to say so.
-func (r *Ring) write(line []byte) { _, _ = r.out.Write(line) }
+func (r *AsyncWriter) write(line []byte) { _, _ = r.out.Write(line) }
 
 // report tells how many lines were dropped since the last time.
-func (r *Ring) report() {
+func (r *AsyncWriter) report() {
 	dropped, limited := r.dropped.Swap(0), r.limited.Swap(0)
 	if dropped+limited == 0 {
 		return
@@ -112,7 +112,7 @@
 
 // NewBounded is New with a bound on the lines of each message, over a Ring that the
 // caller closes.
-func NewBounded(s *settingspb.Log, w io.Writer) (*zap.Logger, *Ring, error) {
+func NewBounded(s *settingspb.Log, w io.Writer) (*zap.Logger, *AsyncWriter, error) {
 	ring := NewRing(w)
 	log, err := New(s, ring)
 	if err != nil {
