--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -110,9 +110,9 @@
 		time.Now().Format(time.RFC3339Nano), dropped, limited))
 }
 
-// NewBounded is New with a bound on the lines of each message, over a Ring that the
+// NewRateLimited is New with a bound on the lines of each message, over a Ring that the
 // caller closes.
-func NewBounded(s *settingspb.Log, w io.Writer) (*zap.Logger, *AsyncWriter, error) {
+func NewRateLimited(s *settingspb.Log, w io.Writer) (*zap.Logger, *AsyncWriter, error) {
 	ring := NewRing(w)
 	log, err := New(s, ring)
 	if err != nil {
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -34,7 +34,7 @@
 func TestLinesOfAMessageAreBounded(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	log, ring, err := logging.NewBounded(nil, &out)
+	log, ring, err := logging.NewRateLimited(nil, &out)
 	is.NoErr(err)
 	for range 1000 {
 		log.Info("frequent")
@@ -50,7 +50,7 @@
 
 // BenchmarkDroppedLine is what a line over its bound costs on the path of a packet.
 func BenchmarkDroppedLine(b *testing.B) {
-	log, ring, err := logging.NewBounded(nil, io.Discard)
+	log, ring, err := logging.NewRateLimited(nil, io.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 
 func TestDroppedLineAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	log, ring, err := logging.NewBounded(nil, io.Discard)
+	log, ring, err := logging.NewRateLimited(nil, io.Discard)
 	is.NoErr(err)
 	defer ring.Close()
 	for range 2 * logging.LinesPerSecond {
