--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -16,9 +16,9 @@
 const (
 	// ringLines bounds the lines that wait for the reader of the log: some 1 MB.
 	ringLines = 4096
-	// LinesPerSecond bounds the lines of one message a second. The first of each
+	// MaxLinesPerSecond bounds the lines of one message a second. The first of each
 	// second are kept, so a rare message is never lost to a frequent one.
-	LinesPerSecond = 40
+	MaxLinesPerSecond = 40
 	// reportPeriod is the time between two lines that tell how many were dropped.
 	reportPeriod = time.Second
 	// flushTimeout bounds how long a process that ends waits for the reader.
@@ -120,7 +120,7 @@
 		return nil, nil, err
 	}
 	bounded := zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(core, time.Second, LinesPerSecond, 0,
+		return zapcore.NewSamplerWithOptions(core, time.Second, MaxLinesPerSecond, 0,
 			zapcore.SamplerHook(func(_ zapcore.Entry, decision zapcore.SamplingDecision) {
 				if decision&zapcore.LogDropped != 0 {
 					ring.limited.Add(1)
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -43,8 +43,8 @@
 	ring.Close()
 	is.Equal(strings.Count(out.String(), "rare"), 1)
 	frequent := strings.Count(out.String(), "frequent")
-	is.True(frequent >= logging.LinesPerSecond)
-	is.True(frequent <= 2*logging.LinesPerSecond) // a second may have ended meanwhile
+	is.True(frequent >= logging.MaxLinesPerSecond)
+	is.True(frequent <= 2*logging.MaxLinesPerSecond) // a second may have ended meanwhile
 	is.True(strings.Contains(out.String(), `"over_bound":`))
 }
 
@@ -68,7 +68,7 @@
 	log, ring, err := logging.NewRateLimited(nil, io.Discard)
 	is.NoErr(err)
 	defer ring.Close()
-	for range 2 * logging.LinesPerSecond {
+	for range 2 * logging.MaxLinesPerSecond {
 		log.Info("flow")
 	}
 	allocated := testing.AllocsPerRun(20, func() {
