--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,8 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/api/settingspb"
 )
 
-// ErrLevel reports a level that zap does not know.
-var ErrLevel = errors.New("unknown log level")
+// ErrUnknownLevel reports a level that zap does not know.
+var ErrUnknownLevel = errors.New("unknown log level")
 
 // New makes a logger that writes to w. An empty level is info. It returns
 // ErrLevel for a level that is none of debug, info, warn and error.
@@ -20,7 +20,7 @@
 	if text := s.GetLevel(); text != "" {
 		parsed, err := zapcore.ParseLevel(text)
 		if err != nil {
-			return nil, errors.Wrapf(ErrLevel, "%q", text)
+			return nil, errors.Wrapf(ErrUnknownLevel, "%q", text)
 		}
 		level = parsed
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -41,7 +41,7 @@
 func TestUnknownLevel(t *testing.T) {
 	is := is.New(t)
 	_, err := logging.New(&settingspb.Log{Level: "loud"}, &bytes.Buffer{})
-	is.True(errors.Is(err, logging.ErrLevel))
+	is.True(errors.Is(err, logging.ErrUnknownLevel))
 }
 
 // A stack helps with a fault of this release, which is logged as an error. Below
