--- a/internal/controld/daemon.go
+++ b/internal/controld/daemon.go
@@ -123,8 +123,8 @@
 		isolation:       isolation{changed: newNotifier()},
 		standby:         newStandby(),
 	}
-	d.replacements = d.scope.Histogram("replacement_seconds", metrics.Durations)
-	d.activations = d.scope.Histogram("in_force_seconds", metrics.Durations)
+	d.replacements = d.scope.Histogram("replacement_seconds", metrics.DurationBuckets)
+	d.activations = d.scope.Histogram("in_force_seconds", metrics.DurationBuckets)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.subscribers = d.directory.subscribers
 	d.peers = newPeers(creds, initialVoters, d.directory, log, d.scope)
--- a/internal/flowd/latency.go
+++ b/internal/flowd/latency.go
@@ -14,8 +14,8 @@
 
 func newLatency(scope tally.Scope) latency {
 	return latency{
-		openings: scope.Histogram("opening_seconds", metrics.Durations),
-		requests: scope.Histogram("request_seconds", metrics.Durations),
+		openings: scope.Histogram("opening_seconds", metrics.DurationBuckets),
+		requests: scope.Histogram("request_seconds", metrics.DurationBuckets),
 	}
 }
 
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -78,7 +78,7 @@
 }
 
 func newPlacer(log *zap.Logger, scope tally.Scope) *placer {
-	loadAge := scope.Histogram("load_age_seconds", metrics.Durations)
+	loadAge := scope.Histogram("load_age_seconds", metrics.DurationBuckets)
 	return &placer{log: log, loadAge: loadAge, startedAt: time.Now(), loads: routing.NewLoadReports(nil, nil), routes: map[flow.Endpoint]*placement.Route{}, targets: map[uint32]*serviceTargets{}}
 }
 
--- a/internal/flowd/socket.go
+++ b/internal/flowd/socket.go
@@ -54,7 +54,7 @@
 		failed:   scope.Counter("failed_sends"),
 		in:       newTraffic(scope, from, received),
 		out:      newTraffic(scope, from, sent),
-		handling: scope.Tagged(map[string]string{"from": from}).Histogram("handling_seconds", metrics.Durations),
+		handling: scope.Tagged(map[string]string{"from": from}).Histogram("handling_seconds", metrics.DurationBuckets),
 	}, nil
 }
 
--- a/internal/metrics/durations.go
+++ b/internal/metrics/durations.go
@@ -16,6 +16,6 @@
 	durationBounds = 20
 )
 
-// Durations are the bounds of every histogram of times, so that histograms of several
+// DurationBuckets are the bounds of every histogram of times, so that histograms of several
 // processes can be added up.
-var Durations = tally.MustMakeExponentialDurationBuckets(shortestDuration, 2, durationBounds)
+var DurationBuckets = tally.MustMakeExponentialDurationBuckets(shortestDuration, 2, durationBounds)
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -49,7 +49,7 @@
 	}
 	return counters{
 		diskFull:    scope.Counter("room_lost"),
-		syncSeconds: scope.Histogram("sync_seconds", metrics.Durations),
+		syncSeconds: scope.Histogram("sync_seconds", metrics.DurationBuckets),
 		proposals:   scope.Counter("proposals"),
 		forwarded:   scope.Counter("proposals_forwarded"),
 		noLeader:    refused("no_leader"),
