--- a/internal/agentd/fixture_test.go
+++ b/internal/agentd/fixture_test.go
@@ -30,7 +30,7 @@
 
 const (
 	testService = "lodgement"
-	waitTimeout = unittest.Patience
+	waitTimeout = unittest.Timeout
 )
 
 func testTiming() timing {
--- a/internal/controld/daemon_test.go
+++ b/internal/controld/daemon_test.go
@@ -23,7 +23,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-const waitTimeout = unittest.Patience
+const waitTimeout = unittest.Timeout
 
 // deployment is a set of control hosts in this process.
 type deployment struct {
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -15,7 +15,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-const waitLimit = unittest.Patience
+const waitLimit = unittest.Timeout
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
--- a/internal/link/fixture_test.go
+++ b/internal/link/fixture_test.go
@@ -17,7 +17,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-const testLimit = unittest.Patience
+const testLimit = unittest.Timeout
 
 var loopback = netip.MustParseAddr("127.0.0.1")
 
--- a/internal/subscriber/fixture_test.go
+++ b/internal/subscriber/fixture_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	testTimeout = unittest.Patience
+	testTimeout = unittest.Timeout
 	anyPort     = "127.0.0.1:0"
 )
 
--- a/internal/unittest/unittest.go
+++ b/internal/unittest/unittest.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// Patience bounds every wait for what must come, however busy the machine
+	// Timeout bounds every wait for what must come, however busy the machine
 	// is. It measures nothing: no test passes by it.
-	Patience = 2 * time.Minute
+	Timeout = 2 * time.Minute
 
 	pollEvery = 5 * time.Millisecond
 )
@@ -51,7 +51,7 @@
 // Poll reports whether the condition came to hold. Goroutines besides the test's
 // own use it in place of Eventually.
 func Poll(condition func() bool) bool {
-	for end := time.Now().Add(Patience); !condition(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(Timeout); !condition(); time.Sleep(pollEvery) {
 		if time.Now().After(end) {
 			return false
 		}
