--- a/internal/agentd/deployment_test.go
+++ b/internal/agentd/deployment_test.go
@@ -25,7 +25,7 @@
 // deployment is a control host with one service, and a key folder.
 type deployment struct {
 	t       *testing.T
-	keys    *unittest.KeyFolder
+	keys    *unittest.KeyDir
 	control *controld.Daemon
 }
 
--- a/internal/controld/daemon_test.go
+++ b/internal/controld/daemon_test.go
@@ -28,7 +28,7 @@
 // deployment is a set of control hosts in this process.
 type deployment struct {
 	t       testing.TB
-	keys    *unittest.KeyFolder
+	keys    *unittest.KeyDir
 	hosts   map[string]*host
 	voters  []string
 	address map[string]string
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -80,7 +80,7 @@
 // deployment has the keys of a test deployment.
 type deployment struct {
 	t    *testing.T
-	keys *unittest.KeyFolder
+	keys *unittest.KeyDir
 }
 
 func newDeployment(t *testing.T) *deployment {
--- a/internal/unittest/unittest.go
+++ b/internal/unittest/unittest.go
@@ -101,22 +101,22 @@
 	return credentials
 }
 
-// KeyFolder is a folder of keys on the disk, as an operator has it.
-type KeyFolder struct {
+// KeyDir is a folder of keys on the disk, as an operator has it.
+type KeyDir struct {
 	dir string
 	t   testing.TB
 }
 
 // NewKeyFolder makes a folder with an authority and a data secret.
-func NewKeyFolder(t testing.TB) *KeyFolder {
+func NewKeyFolder(t testing.TB) *KeyDir {
 	t.Helper()
-	f := &KeyFolder{dir: t.TempDir(), t: t}
+	f := &KeyDir{dir: t.TempDir(), t: t}
 	Must(t, keys.InitAuthority(f.dir))
 	return f
 }
 
 // Issue writes a certificate for a process on loopback.
-func (f *KeyFolder) Issue(role keys.Role, name, service string) keys.Files {
+func (f *KeyDir) Issue(role keys.Role, name, service string) keys.Files {
 	f.t.Helper()
 	loopback := []netip.Addr{netip.MustParseAddr("127.0.0.1")}
 	files, err := keys.Issue(f.dir, role, name, service, loopback, time.Hour)
@@ -125,7 +125,7 @@
 }
 
 // Credentials issues a certificate and loads it.
-func (f *KeyFolder) Credentials(role keys.Role, name, service string) *keys.Credentials {
+func (f *KeyDir) Credentials(role keys.Role, name, service string) *keys.Credentials {
 	f.t.Helper()
 	credentials, err := keys.Load(f.Issue(role, name, service))
 	Must(f.t, err)
