--- a/internal/processtest/caller.go
+++ b/internal/processtest/caller.go
@@ -53,8 +53,8 @@
 	conn atomic.Pointer[quic.Conn]
 }
 
-// Answer is a whole answer.
-type Answer struct {
+// Response is a whole answer.
+type Response struct {
 	Status  int
 	Outcome string
 	Reason  string
@@ -100,7 +100,7 @@
 }
 
 // Do sends a request and reads its whole answer.
-func (c *Caller) Do(ctx context.Context, method, path string, header http.Header, body []byte) (*Answer, error) {
+func (c *Caller) Do(ctx context.Context, method, path string, header http.Header, body []byte) (*Response, error) {
 	resp, err := c.open(ctx, method, path, header, body)
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Answer{
+	return &Response{
 		Status:  resp.StatusCode,
 		Outcome: resp.Header.Get(HeaderOutcome),
 		Reason:  resp.Header.Get(HeaderReason),
@@ -132,7 +132,7 @@
 }
 
 // MustDo is Do within the wait limit; an error fails the test.
-func (c *Caller) MustDo(method, path string, header http.Header, body []byte) *Answer {
+func (c *Caller) MustDo(method, path string, header http.Header, body []byte) *Response {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
@@ -144,7 +144,7 @@
 }
 
 // Echo asks for the text back.
-func (c *Caller) Echo(text string) *Answer {
+func (c *Caller) Echo(text string) *Response {
 	c.t.Helper()
 	return c.MustDo(http.MethodGet, "/echo?text="+url.QueryEscape(text), nil, nil)
 }
--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -165,7 +165,7 @@
 }
 
 // Answered tells whether the target gave the answer.
-func (t *Target) Answered(a *Answer) bool {
+func (t *Target) Answered(a *Response) bool {
 	return IsTarget(a.Target, t)
 }
 
--- a/test/firstflight_test.go
+++ b/test/firstflight_test.go
@@ -66,7 +66,7 @@
 func (d *deployment) countServed(t *testing.T, callers int) map[string]int {
 	t.Helper()
 	is := is.New(t)
-	answers, errs := make([]*processtest.Answer, callers), make([]error, callers)
+	answers, errs := make([]*processtest.Response, callers), make([]error, callers)
 	all := pool.New().WithMaxGoroutines(slots) // a single target refuses more
 	for i := range callers {
 		caller := d.lodgement.NewCaller()
--- a/test/frozenagent_test.go
+++ b/test/frozenagent_test.go
@@ -35,14 +35,14 @@
 	processtest.Eventually(t, "all slots are taken", func() bool { return second.Running() == slots })
 
 	const key = "in the buffer"
-	send := func(caller *processtest.Caller) (*processtest.Answer, error) {
+	send := func(caller *processtest.Caller) (*processtest.Response, error) {
 		header := timeoutHeader(longDeadline)
 		header.Set(processtest.HeaderKey, key)
 		return caller.Do(ctx, http.MethodPost, processtest.RunPath(0), header, []byte(key))
 	}
 	first.Agent.Freeze()
 	frozenAt, waiting := time.Now(), first.Waiting()
-	var firstAnswer *processtest.Answer
+	var firstAnswer *processtest.Response
 	var attempt conc.WaitGroup
 	attempt.Go(func() { firstAnswer, _ = send(caller) })
 	processtest.Eventually(t, "the request is in the buffer", func() bool { return first.Waiting() > waiting })
--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -44,9 +44,9 @@
 
 // resendUntilAnswered sends a key until it gets its response. Without a quorum the
 // outcome is unknown, never not-run.
-func (d *deployment) resendUntilAnswered(t *testing.T, caller *processtest.Caller, key string) *processtest.Answer {
+func (d *deployment) resendUntilAnswered(t *testing.T, caller *processtest.Caller, key string) *processtest.Response {
 	t.Helper()
-	var last *processtest.Answer
+	var last *processtest.Response
 	processtest.Eventually(t, key+" is answered", func() bool {
 		answer, err := runKey(caller, key)
 		is.New(t).NoErr(err)
@@ -61,7 +61,7 @@
 
 // checkUnknownWithRetryAfter expects an unknown outcome with Retry-After, since an
 // earlier attempt could not be looked up or still runs.
-func checkUnknownWithRetryAfter(t *testing.T, answer *processtest.Answer) {
+func checkUnknownWithRetryAfter(t *testing.T, answer *processtest.Response) {
 	t.Helper()
 	is := is.New(t)
 	is.Equal(answer.Outcome, processtest.OutcomeUnknown)
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -86,7 +86,7 @@
 	}
 	processtest.Eventually(t, "all slots are taken", func() bool { return target.Running() == slots })
 
-	answers := make([]*processtest.Answer, extra)
+	answers := make([]*processtest.Response, extra)
 	var refused conc.WaitGroup
 	for i := range extra {
 		header := timeoutHeader(longDeadline)
--- a/test/nonrepeatable_test.go
+++ b/test/nonrepeatable_test.go
@@ -14,7 +14,7 @@
 )
 
 // runKey sends a non-repeatable request.
-func runKey(caller *processtest.Caller, key string) (*processtest.Answer, error) {
+func runKey(caller *processtest.Caller, key string) (*processtest.Response, error) {
 	return caller.Do(context.Background(), http.MethodPost,
 		processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 }
@@ -30,10 +30,10 @@
 
 // resend sends a key until it gets its response. While the run lasts the outcome is
 // unknown, never not-run.
-func (d *deployment) resend(t *testing.T, caller *processtest.Caller, key string) *processtest.Answer {
+func (d *deployment) resend(t *testing.T, caller *processtest.Caller, key string) *processtest.Response {
 	t.Helper()
 	is := is.New(t)
-	var last *processtest.Answer
+	var last *processtest.Response
 	processtest.Eventually(t, key+" is answered", func() bool {
 		answer, err := runKey(caller, key)
 		is.NoErr(err)
