--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -164,8 +164,8 @@
 	})
 }
 
-// Answered tells whether the target gave the answer.
-func (t *Target) Answered(a *Response) bool {
+// Served tells whether the target gave the answer.
+func (t *Target) Served(a *Response) bool {
 	return IsTarget(a.Target, t)
 }
 
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -74,7 +74,7 @@
 	// tries, as two of three of its packets are lost.
 	processtest.Eventually(t, "another flow reaches "+target.Name, func() bool {
 		answer, err := d.lodgement.NewCaller().Do(t.Context(), http.MethodGet, "/echo?text=other", nil, nil)
-		return err == nil && target.Answered(answer)
+		return err == nil && target.Served(answer)
 	})
 	watch.Advance()
 	processtest.Eventually(t, "the agent used the last resort", func() bool {
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -89,7 +89,7 @@
 		for range 10 {
 			answer := s.NewCaller().Echo("new")
 			is.Equal(answer.Outcome, processtest.OutcomeAnswered)
-			is.True(inside[i].Answered(answer))
+			is.True(inside[i].Served(answer))
 		}
 	}
 }
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -40,7 +40,7 @@
 	load.progress()
 	processtest.Eventually(t, "the new agent takes flows", func() bool {
 		answer := d.lodgement.NewCaller().Echo("x")
-		return target.Answered(answer) && answer.Target != load.watch.Target()
+		return target.Served(answer) && answer.Target != load.watch.Target()
 	})
 	is.True(old.Running()) // its session is still open
 	load.watch.Advance()
@@ -79,7 +79,7 @@
 	d.checkNoNewFlows(t, target)
 	load.progress()
 	is.True(target.Backend.Running())
-	is.True(other.Answered(d.lodgement.NewCaller().Echo("x")))
+	is.True(other.Served(d.lodgement.NewCaller().Echo("x")))
 	load.stop()
 	load.watch.Close()
 	target.Backend.WaitExit()
@@ -118,7 +118,7 @@
 	taken := 0
 	for i := range flows {
 		answer := d.lodgement.NewCaller().Echo(fmt.Sprint(i))
-		if answer.Status == http.StatusOK && target.Answered(answer) {
+		if answer.Status == http.StatusOK && target.Served(answer) {
 			taken++
 		}
 	}
--- a/test/faultybackends_test.go
+++ b/test/faultybackends_test.go
@@ -61,7 +61,7 @@
 	flowsTaken := func() int {
 		n := 0
 		for i := range flows {
-			if faulty.Answered(d.lodgement.NewCaller().Echo(fmt.Sprint(i))) {
+			if faulty.Served(d.lodgement.NewCaller().Echo(fmt.Sprint(i))) {
 				n++
 			}
 		}
--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -112,7 +112,7 @@
 	for range 3 {
 		answer, err := runKey(caller, "amnesia")
 		is.NoErr(err)
-		is.True(target.Answered(answer))
+		is.True(target.Served(answer))
 		is.Equal(answer.Outcome, processtest.OutcomeUnknown)
 		is.Equal(answer.Reason, "held")
 	}
--- a/test/inflight_test.go
+++ b/test/inflight_test.go
@@ -45,7 +45,7 @@
 	var caller *processtest.Caller
 	processtest.Eventually(t, "a flow reaches "+target.Name, func() bool {
 		caller = d.lodgement.NewCaller()
-		return target.Answered(caller.Echo("who?"))
+		return target.Served(caller.Echo("who?"))
 	})
 	return caller
 }
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -96,9 +96,9 @@
 	for i := range 30 {
 		answer := d.lodgement.NewCaller().Echo(fmt.Sprint("new ", i))
 		is.Equal(answer.Outcome, processtest.OutcomeAnswered)
-		is.True(!lost.Answered(answer))
+		is.True(!lost.Served(answer))
 	}
-	is.True(targets[0].Answered(caller.Echo("established")))
+	is.True(targets[0].Served(caller.Echo("established")))
 	watch.Advance()
 	is.Equal(d.entries[0].ActedOn(), []uint64{1, 2, 3, 4})
 }
