--- a/internal/processtest/commandline.go
+++ b/internal/processtest/commandline.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Printed is what a command wrote and how it ended.
-type Printed struct {
+// CommandResult is what a command wrote and how it ended.
+type CommandResult struct {
 	Stdout string
 	Stderr string
 	Status int
@@ -17,10 +17,10 @@
 
 // Operate runs an operator command against control hosts with these operator
 // addresses, or against all of them if none is named.
-func (c *Cluster) Operate(args []string, control ...netip.AddrPort) Printed {
+func (c *Cluster) Operate(args []string, control ...netip.AddrPort) CommandResult {
 	c.t.Helper()
 	stdout, stderr, status := c.run(append(args, c.operatorFlags(control)...))
-	return Printed{Stdout: string(stdout), Stderr: string(stderr), Status: status}
+	return CommandResult{Stdout: string(stdout), Stderr: string(stderr), Status: status}
 }
 
 // SubmitArgs writes the sections as a patch file and returns the command that
@@ -33,12 +33,12 @@
 }
 
 // Paste gives a printed command to a shell.
-func (c *Cluster) Paste(command string) Printed {
+func (c *Cluster) Paste(command string) CommandResult {
 	c.t.Helper()
 	var stdout, stderr strings.Builder
 	cmd := exec.Command("sh", "-c", command)
 	cmd.Stdout = &stdout
 	cmd.Stderr = &stderr
 	_ = cmd.Run() // the status is read from ProcessState
-	return Printed{Stdout: stdout.String(), Stderr: stderr.String(), Status: cmd.ProcessState.ExitCode()}
+	return CommandResult{Stdout: stdout.String(), Stderr: stderr.String(), Status: cmd.ProcessState.ExitCode()}
 }
