--- a/internal/processtest/commandline.go
+++ b/internal/processtest/commandline.go
@@ -15,9 +15,9 @@
 	Status int
 }
 
-// Operate runs an operator command against control hosts with these operator
+// RunOperator runs an operator command against control hosts with these operator
 // addresses, or against all of them if none is named.
-func (c *Cluster) Operate(args []string, control ...netip.AddrPort) CommandResult {
+func (c *Cluster) RunOperator(args []string, control ...netip.AddrPort) CommandResult {
 	c.t.Helper()
 	stdout, stderr, status := c.run(append(args, c.operatorFlags(control)...))
 	return CommandResult{Stdout: string(stdout), Stderr: string(stderr), Status: status}
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -109,13 +109,13 @@
 	t.Helper()
 	is := is.New(t)
 	const noLeader = "no leader: not done"
-	patch := d.Operate(d.SubmitArgs(4, "alone", d.lodgement.Put()), learner.Operator)
+	patch := d.RunOperator(d.SubmitArgs(4, "alone", d.lodgement.Put()), learner.Operator)
 	is.Equal(patch.Status, 1)
 	is.True(strings.Contains(patch.Stderr, noLeader))
-	outcome := d.Operate([]string{"patch", "show", "alone"}, learner.Operator)
+	outcome := d.RunOperator([]string{"patch", "show", "alone"}, learner.Operator)
 	is.Equal(outcome.Status, 4) // not known
 	is.True(strings.Contains(outcome.Stdout+outcome.Stderr, noLeader))
-	held := d.Operate([]string{"config", "show"}, learner.Operator)
+	held := d.RunOperator([]string{"config", "show"}, learner.Operator)
 	is.Equal(held.Status, 0)
 	is.True(strings.Contains(held.Stdout, "# version 4\n# no quorum confirmed"))
 	answer, err := runKey(d.lodgement.NewCaller(), "alone")
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -76,7 +76,7 @@
 	is.Equal(output.Status, exitAccepted)
 	is.True(strings.Contains(output.Stdout, "patch cut-json: accepted as version 2"))
 
-	printed := d.Operate(d.SubmitArgs(1, "cut-text", d.lodgement.Put()), cut)
+	printed := d.RunOperator(d.SubmitArgs(1, "cut-text", d.lodgement.Put()), cut)
 	is.Equal(printed.Status, exitUnknown)
 	_, next, found := strings.Cut(printed.Stdout, "To learn it run:\n  ")
 	is.True(found)
@@ -93,21 +93,21 @@
 	for _, args := range [][]string{
 		{"status"}, {"config", "show"}, {"config", "show", "--version", "1"}, {"patch", "show", "patch-1"},
 	} {
-		text := d.Operate(args)
+		text := d.RunOperator(args)
 		is.Equal(text.Status, exitAccepted)
 		is.True(text.Stdout != "")
-		asJSON := d.Operate(append(args, "--json"))
+		asJSON := d.RunOperator(append(args, "--json"))
 		is.Equal(asJSON.Status, exitAccepted)
 		is.True(json.Valid([]byte(asJSON.Stdout)))
 	}
-	is.True(!strings.Contains(d.Operate([]string{"config", "show"}).Stdout, "[service certificates]"))
-	is.True(strings.Contains(d.Operate([]string{"config", "show", "--version", "1"}).Stdout, "[service certificates]"))
+	is.True(!strings.Contains(d.RunOperator([]string{"config", "show"}).Stdout, "[service certificates]"))
+	is.True(strings.Contains(d.RunOperator([]string{"config", "show", "--version", "1"}).Stdout, "[service certificates]"))
 
-	wrong := d.Operate(d.SubmitArgs(2, "wrong",
+	wrong := d.RunOperator(d.SubmitArgs(2, "wrong",
 		"[service lodgement]\naddresses = 192.0.2.1:443\nslots = 0\n", "[remove nobody]\n"))
 	is.Equal(wrong.Status, exitRefused)
 	is.Equal(strings.Count(wrong.Stdout, "wrong.ini:"), 2) // each finding with its place
-	base := d.Operate(append(d.SubmitArgs(1, "old-base", d.lodgement.Put()), "--json"))
+	base := d.RunOperator(append(d.SubmitArgs(1, "old-base", d.lodgement.Put()), "--json"))
 	is.Equal(base.Status, exitRefused)
 	is.True(json.Valid([]byte(base.Stdout)))
 }
