--- a/internal/processtest/commandline.go
+++ b/internal/processtest/commandline.go
@@ -32,8 +32,8 @@
 	return []string{"patch", "submit", "--base", strconv.FormatUint(base, 10), "--id", id, path}
 }
 
-// Paste gives a printed command to a shell.
-func (c *Cluster) Paste(command string) CommandResult {
+// RunShell gives a printed command to a shell.
+func (c *Cluster) RunShell(command string) CommandResult {
 	c.t.Helper()
 	var stdout, stderr strings.Builder
 	cmd := exec.Command("sh", "-c", command)
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -72,7 +72,7 @@
 
 	o := d.Submit(1, "cut-json", []string{d.lodgement.Put()}, cut)
 	is.Equal(o.Verdict, processtest.Unknown) // Submit checks for exit status 4
-	output := d.Paste(o.Next)
+	output := d.RunShell(o.Next)
 	is.Equal(output.Status, exitAccepted)
 	is.True(strings.Contains(output.Stdout, "patch cut-json: accepted as version 2"))
 
@@ -80,7 +80,7 @@
 	is.Equal(printed.Status, exitUnknown)
 	_, next, found := strings.Cut(printed.Stdout, "To learn it run:\n  ")
 	is.True(found)
-	output = d.Paste(next)
+	output = d.RunShell(next)
 	is.Equal(output.Status, exitRefused)
 	is.True(strings.Contains(output.Stdout, "the current version is 2, made by patch cut-json"))
 }
