--- a/internal/processtest/control.go
+++ b/internal/processtest/control.go
@@ -30,11 +30,11 @@
 // ready.
 func (c *Cluster) StartControls(count int) []*Control {
 	c.t.Helper()
-	return c.StartControlsWith(count, 0)
+	return c.StartControlsWithGrantGroups(count, 0)
 }
 
-// StartControlsWith is StartControls with so many groups of grants.
-func (c *Cluster) StartControlsWith(count, grantGroups int) []*Control {
+// StartControlsWithGrantGroups is StartControls with so many groups of grants.
+func (c *Cluster) StartControlsWithGrantGroups(count, grantGroups int) []*Control {
 	c.t.Helper()
 	c.grantGroups = uint32(grantGroups)
 	for i := range count {
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -20,7 +20,7 @@
 func deployWithGroups(t *testing.T) *deployment {
 	t.Helper()
 	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
-		return c.StartControlsWith(3, grantGroups)
+		return c.StartControlsWithGrantGroups(3, grantGroups)
 	})
 	d.SpreadGrants(grantGroups)
 	return d
