--- a/internal/processtest/control.go
+++ b/internal/processtest/control.go
@@ -43,9 +43,9 @@
 	return c.found()
 }
 
-// StartBoundedControls is StartControls with so many places for entry hosts
+// StartControlsWithMaxLinks is StartControls with so many places for entry hosts
 // and agents on each host.
-func (c *Cluster) StartBoundedControls(count, places int) []*Control {
+func (c *Cluster) StartControlsWithMaxLinks(count, places int) []*Control {
 	c.t.Helper()
 	c.maxLinks = uint32(places)
 	return c.StartControls(count)
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -131,7 +131,7 @@
 func TestFullControlHostsRedirectSubscribers(t *testing.T) {
 	const links = 3
 	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
-		return c.StartBoundedControls(3, links)
+		return c.StartControlsWithMaxLinks(3, links)
 	})
 	// waitServed waits until each subscriber is connected and uses a new version.
 	waitServed := func(names []string) {
