--- a/internal/processtest/control.go
+++ b/internal/processtest/control.go
@@ -17,9 +17,9 @@
 	Link netip.AddrPort
 	// Operator is where operators call it.
 	Operator netip.AddrPort
-	// Peers relays what other control hosts send to this one, if the hosts
+	// PeerRelay relays what other control hosts send to this one, if the hosts
 	// were started by StartRelayedControls.
-	Peers *faultproxy.Relay
+	PeerRelay *faultproxy.Relay
 
 	cluster  *Cluster
 	name     string
@@ -72,7 +72,7 @@
 	c.t.Helper()
 	for i := range count {
 		host := c.newControl(i + 1)
-		host.Peers = host.Relay()
+		host.PeerRelay = host.Relay()
 		c.controls = append(c.controls, host)
 	}
 	return c.found()
@@ -97,8 +97,8 @@
 
 // peerAddress is where other control hosts dial this one.
 func (h *Control) peerAddress() netip.AddrPort {
-	if h.Peers != nil {
-		return h.Peers.Addr()
+	if h.PeerRelay != nil {
+		return h.PeerRelay.Addr()
 	}
 	return h.Link
 }
--- a/test/crashpoints_test.go
+++ b/test/crashpoints_test.go
@@ -104,7 +104,7 @@
 			call.Wait()
 			is.True(first != nil) // the reply is lost
 			for _, host := range a.d.controls {
-				host.Peers.Heal()
+				host.PeerRelay.Heal()
 			}
 			a.checkOnce(t)
 		})
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -76,9 +76,9 @@
 
 func cutPeerLinks(host *processtest.Control, directions ...faultproxy.Direction) func() {
 	for _, direction := range directions {
-		host.Peers.SetFaults(direction, faultproxy.Faults{Cut: true})
+		host.PeerRelay.SetFaults(direction, faultproxy.Faults{Cut: true})
 	}
-	return host.Peers.Heal
+	return host.PeerRelay.Heal
 }
 
 var controlFaults = []controlFault{
