--- a/internal/processtest/cutanswer.go
+++ b/internal/processtest/cutanswer.go
@@ -35,9 +35,9 @@
 	return a.client.Outcome(ctx, id)
 }
 
-// CutAnswers opens an operator address at which every patch reaches the control
+// StartOutcomeDropper opens an operator address at which every patch reaches the control
 // hosts and no operator hears what became of it.
-func (c *Cluster) CutAnswers() netip.AddrPort {
+func (c *Cluster) StartOutcomeDropper() netip.AddrPort {
 	c.t.Helper()
 	own, err := keys.Load(c.issue(keys.RoleControl, "control-cut", ""))
 	c.must(err)
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -68,7 +68,7 @@
 func TestOperatorRecoversLostOutcome(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
-	cut := d.CutAnswers()
+	cut := d.StartOutcomeDropper()
 
 	o := d.Submit(1, "cut-json", []string{d.lodgement.Put()}, cut)
 	is.Equal(o.Verdict, processtest.Unknown) // Submit checks for exit status 4
