--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -34,9 +34,9 @@
 	return e
 }
 
-// Restrict restarts the host: it knows the targets of these failure domains
+// RestartWithDomains restarts the host: it knows the targets of these failure domains
 // only from then on.
-func (e *Entry) Restrict(domains ...string) {
+func (e *Entry) RestartWithDomains(domains ...string) {
 	e.cluster.t.Helper()
 	e.settings.Directory = &settingspb.Directory{FailureDomains: domains}
 	e.Terminate()
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -75,7 +75,7 @@
 	entry := d.entries[0]
 	// Each target has a failure domain of its own name.
 	inside := []*processtest.Target{d.targets[d.lodgement][0], d.targets[d.certificates][0]}
-	entry.Restrict(inside[0].Name, inside[1].Name)
+	entry.RestartWithDomains(inside[0].Name, inside[1].Name)
 	processtest.Eventually(t, "the targets in the failure domains", func() bool {
 		return entry.Reading("subscriber_targets", "", "") == float64(len(inside))
 	})
