--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -30,7 +30,7 @@
 	c.t.Helper()
 	e := c.LaunchEntry(control...)
 	e.WaitReady()
-	e.Join()
+	e.AddToFabric()
 	return e
 }
 
@@ -75,8 +75,8 @@
 	e.Process = Start(e.cluster.t, e.Host, "entry", "--settings", path)
 }
 
-// Join lets the fabric send packets to the host.
-func (e *Entry) Join() {
+// AddToFabric lets the fabric send packets to the host.
+func (e *Entry) AddToFabric() {
 	for _, s := range e.cluster.services {
 		s.addHost(e.Public(s))
 	}
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -69,7 +69,7 @@
 	for _, e := range d.entries {
 		e.Kill() // the fabric still sends two of three packets there
 	}
-	fresh.Join()
+	fresh.AddToFabric()
 	// The agent learns of the new entry host from another flow, which may need several
 	// tries, as two of three of its packets are lost.
 	processtest.Eventually(t, "another flow reaches "+target.Name, func() bool {
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -158,7 +158,7 @@
 	lost.Launch()
 	lost.WaitReady()
 	late.WaitReady()
-	late.Join()
+	late.AddToFabric()
 	waitServed(append(all, late.Host))
 }
 
--- a/test/nonrepeatable_test.go
+++ b/test/nonrepeatable_test.go
@@ -55,7 +55,7 @@
 	processtest.Eventually(t, "the request runs", func() bool { return first.Runs("lost") == 1 })
 	d.lodgement.Fabric.CutExisting(faultproxy.ToCaller)
 	d.entries[0].Leave()
-	d.entries[1].Join()
+	d.entries[1].AddToFabric()
 	answer := d.resend(t, d.callerOf(t, second), "lost")
 	is.Equal(string(answer.Body), "lost")
 	is.Equal(d.runs("lost"), 1)
