--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Leave takes the host out of the fabric.
-func (e *Entry) Leave() {
+// RemoveFromFabric takes the host out of the fabric.
+func (e *Entry) RemoveFromFabric() {
 	for _, s := range e.cluster.services {
 		s.removeHost(e.Public(s))
 	}
--- a/test/address_test.go
+++ b/test/address_test.go
@@ -20,7 +20,7 @@
 func TestAddressReassignedToAnotherService(t *testing.T) {
 	d := deploy(t, 1)
 	link := d.controls[0].Relay()
-	d.entries[1].Leave()
+	d.entries[1].RemoveFromFabric()
 	lagging := d.StartEntry(link.Addr())
 	established := d.lodgement.NewCaller()
 	checkEcho(t, d.lodgement, established, "before")
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -65,7 +65,7 @@
 	watch := d.lodgement.NewCaller().Watch()
 	target, _ := d.sessionTarget(t, watch)
 	fresh := d.StartEntry()
-	fresh.Leave()
+	fresh.RemoveFromFabric()
 	for _, e := range d.entries {
 		e.Kill() // the fabric still sends two of three packets there
 	}
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -79,7 +79,7 @@
 	processtest.Eventually(t, "the targets in the failure domains", func() bool {
 		return entry.Reading("subscriber_targets", "", "") == float64(len(inside))
 	})
-	d.entries[1].Leave()
+	d.entries[1].RemoveFromFabric()
 	for _, f := range flows {
 		answer := f.caller.Echo("goes on")
 		is.Equal(answer.Outcome, processtest.OutcomeAnswered)
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -92,7 +92,7 @@
 	link := d.controls[0].Relay()
 	d.StartEntry(link.Addr())
 	for _, e := range d.entries {
-		e.Leave()
+		e.RemoveFromFabric()
 	}
 	load := d.startLoad(t)
 	target, _ := d.sessionTarget(t, load.watch)
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -11,11 +11,11 @@
 	load := d.startLoad(t)
 	d.entries[0].Kill()
 	load.progress() // the fabric still sends half of the packets to the killed host
-	d.entries[0].Leave()
+	d.entries[0].RemoveFromFabric()
 	d.StartEntry()
 	load.progress()
 	d.entries[1].Kill()
-	d.entries[1].Leave()
+	d.entries[1].RemoveFromFabric()
 	load.progress() // no original entry host is left
 	load.stop()
 }
@@ -51,7 +51,7 @@
 	d.InForce(version, d.entries[0].Host, d.entries[1].Host)
 	load.progress()
 	for _, e := range d.entries {
-		e.Leave() // only the host that missed every patch is left
+		e.RemoveFromFabric() // only the host that missed every patch is left
 	}
 	load.progress()
 	d.checkEchoes(t, "old version", 3)
--- a/test/nonrepeatable_test.go
+++ b/test/nonrepeatable_test.go
@@ -50,11 +50,11 @@
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
-	d.entries[1].Leave()
+	d.entries[1].RemoveFromFabric()
 	attempt := startRun(d.callerOf(t, first), "lost")
 	processtest.Eventually(t, "the request runs", func() bool { return first.Runs("lost") == 1 })
 	d.lodgement.Fabric.CutExisting(faultproxy.ToCaller)
-	d.entries[0].Leave()
+	d.entries[0].RemoveFromFabric()
 	d.entries[1].AddToFabric()
 	answer := d.resend(t, d.callerOf(t, second), "lost")
 	is.Equal(string(answer.Body), "lost")
--- a/test/plannedstops_test.go
+++ b/test/plannedstops_test.go
@@ -26,7 +26,7 @@
 	target.Agent.Terminate()
 	other.Backend.Terminate()
 	d.StartEntry()
-	d.entries[0].Leave()
+	d.entries[0].RemoveFromFabric()
 	for _, r := range inFlight {
 		for _, result := range r.wait() {
 			is.Equal(result, completed)
