--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Frames returns where the host takes reply frames of agents.
-func (e *Entry) Frames() netip.AddrPort {
+// FrameAddr returns where the host takes reply frames of agents.
+func (e *Entry) FrameAddr() netip.AddrPort {
 	return netip.MustParseAddrPort(e.settings.Forwarding.FrameListen)
 }
 
--- a/internal/processtest/garbage.go
+++ b/internal/processtest/garbage.go
@@ -41,7 +41,7 @@
 		all = append(all, host.Link)
 	}
 	for _, e := range c.entries {
-		all = append(all, e.Frames())
+		all = append(all, e.FrameAddr())
 		for _, s := range c.services {
 			all = append(all, e.Public(s))
 		}
