--- a/internal/processtest/flap.go
+++ b/internal/processtest/flap.go
@@ -9,7 +9,7 @@
 	c.t.Helper()
 	client := c.client(t.settings.Keys, t.settings.Control.Addresses)
 	defer client.Close()
-	announcer := t.service.announcer(client, t.Name, t.Frames.String())
+	announcer := t.service.announcer(client, t.Name, t.FrameAddr.String())
 	defer announcer.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
--- a/internal/processtest/freeze.go
+++ b/internal/processtest/freeze.go
@@ -46,7 +46,7 @@
 	for line := range strings.Lines(string(table)) {
 		// Number, local address, remote address, state, tx_queue:rx_queue.
 		fields := strings.Fields(line)
-		if len(fields) < 5 || fields[1] != procAddress(t.Frames) {
+		if len(fields) < 5 || fields[1] != procAddress(t.FrameAddr) {
 			continue
 		}
 		_, queue, _ := strings.Cut(fields[4], ":")
--- a/internal/processtest/garbage.go
+++ b/internal/processtest/garbage.go
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, t := range targets {
-		all = append(all, t.Frames)
+		all = append(all, t.FrameAddr)
 	}
 	return all
 }
--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -37,8 +37,8 @@
 	Backend *Process
 	// Agent is the newest process of the agent.
 	Agent *Process
-	// Frames is the frame address of Agent.
-	Frames netip.AddrPort
+	// FrameAddr is the frame address of Agent.
+	FrameAddr netip.AddrPort
 	// Path is the relay that entry hosts send frames to, if one was asked for.
 	Path *faultproxy.Relay
 
@@ -128,10 +128,10 @@
 func (t *Target) LaunchAgent() {
 	c := t.service.cluster
 	c.t.Helper()
-	t.Frames = loopback.Address(c.t, t.ip)
-	t.settings.Agent.FrameListen = t.Frames.String()
+	t.FrameAddr = loopback.Address(c.t, t.ip)
+	t.settings.Agent.FrameListen = t.FrameAddr.String()
 	if t.options.Relayed && t.Path == nil {
-		t.Path = c.newRelay(t.Frames)
+		t.Path = c.newRelay(t.FrameAddr)
 	}
 	if t.Path != nil {
 		t.settings.Agent.FrameAddress = t.Path.Addr().String()
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -46,7 +46,7 @@
 			for _, direction := range directions {
 				// An agent may not use an entry host that it receives nothing from:
 				// with both ways cut, one of them may lose nothing.
-				lost += sessionTarget.Path.Counts(sessionTarget.Frames, direction).Lost
+				lost += sessionTarget.Path.Counts(sessionTarget.FrameAddr, direction).Lost
 			}
 			is.New(t).True(lost > 0)
 			d.StartEntry()
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -87,10 +87,10 @@
 	for range 3 {
 		sendAll(t, entry.Public(d.lodgement), forged(packets, forgedPacketByte))
 		sendAll(t, entry.FrameAddr(), forged(replies, forgedFrameByte))
-		sendAll(t, target.Frames, forged(frames, forgedFrameByte))
+		sendAll(t, target.FrameAddr, forged(frames, forgedFrameByte))
 		sendAll(t, entry.Public(d.lodgement), packets)
 		sendAll(t, entry.FrameAddr(), replies)
-		sendAll(t, target.Frames, frames)
+		sendAll(t, target.FrameAddr, frames)
 		watch.Advance()
 		checkEcho(t, d.lodgement, caller, "after forgeries")
 	}
