--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -39,8 +39,8 @@
 	Agent *Process
 	// FrameAddr is the frame address of Agent.
 	FrameAddr netip.AddrPort
-	// Path is the relay that entry hosts send frames to, if one was asked for.
-	Path *faultproxy.Relay
+	// FrameRelay is the relay that entry hosts send frames to, if one was asked for.
+	FrameRelay *faultproxy.Relay
 
 	service  *Service
 	ip       netip.Addr
@@ -130,11 +130,11 @@
 	c.t.Helper()
 	t.FrameAddr = loopback.Address(c.t, t.ip)
 	t.settings.Agent.FrameListen = t.FrameAddr.String()
-	if t.options.Relayed && t.Path == nil {
-		t.Path = c.newRelay(t.FrameAddr)
+	if t.options.Relayed && t.FrameRelay == nil {
+		t.FrameRelay = c.newRelay(t.FrameAddr)
 	}
-	if t.Path != nil {
-		t.settings.Agent.FrameAddress = t.Path.Addr().String()
+	if t.FrameRelay != nil {
+		t.settings.Agent.FrameAddress = t.FrameRelay.Addr().String()
 	}
 	path := c.path("agent-%s.ini", t.Name)
 	writeSettings(c.t, path, t.settings)
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -38,7 +38,7 @@
 			d := deployWith(t, 1, processtest.TargetOptions{Relayed: true})
 			load := d.startLoad(t)
 			for _, target := range d.all() {
-				target.Path.CutExistingOf(d.entries[0].FrameAddr(), directions...)
+				target.FrameRelay.CutExistingOf(d.entries[0].FrameAddr(), directions...)
 			}
 			load.progress()
 			sessionTarget, _ := d.sessionTarget(t, load.watch)
@@ -46,7 +46,7 @@
 			for _, direction := range directions {
 				// An agent may not use an entry host that it receives nothing from:
 				// with both ways cut, one of them may lose nothing.
-				lost += sessionTarget.Path.Counts(sessionTarget.FrameAddr, direction).Lost
+				lost += sessionTarget.FrameRelay.Counts(sessionTarget.FrameAddr, direction).Lost
 			}
 			is.New(t).True(lost > 0)
 			d.StartEntry()
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -65,7 +65,7 @@
 	caller := d.lodgement.NewCaller()
 	watch := caller.Watch()
 	target, _ := d.sessionTarget(t, watch)
-	relays := []*faultproxy.Relay{d.lodgement.Fabric, target.Path}
+	relays := []*faultproxy.Relay{d.lodgement.Fabric, target.FrameRelay}
 	for _, relay := range relays {
 		relay.Record(recordedDatagrams)
 	}
@@ -73,8 +73,8 @@
 	is.Equal(answer.Outcome, processtest.OutcomeAnswered)
 	watch.Advance()
 	packets := d.lodgement.Fabric.Recorded(faultproxy.ToHost)
-	frames := target.Path.Recorded(faultproxy.ToHost)
-	replies := target.Path.Recorded(faultproxy.ToCaller)
+	frames := target.FrameRelay.Recorded(faultproxy.ToHost)
+	replies := target.FrameRelay.Recorded(faultproxy.ToCaller)
 	is.True(len(packets) > 0)
 	is.True(len(frames) > 0)
 	is.True(len(replies) > 0)
