--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -78,14 +78,14 @@
 // AddToFabric lets the fabric send packets to the host.
 func (e *Entry) AddToFabric() {
 	for _, s := range e.cluster.services {
-		s.addHost(e.Public(s))
+		s.addHost(e.PublicAddress(s))
 	}
 }
 
 // RemoveFromFabric takes the host out of the fabric.
 func (e *Entry) RemoveFromFabric() {
 	for _, s := range e.cluster.services {
-		s.removeHost(e.Public(s))
+		s.removeHost(e.PublicAddress(s))
 	}
 }
 
@@ -116,8 +116,8 @@
 	return e.Reading(residentMemory, "", "")
 }
 
-// Public returns where the host opens the public address of the service.
-func (e *Entry) Public(s *Service) netip.AddrPort {
+// PublicAddress returns where the host opens the public address of the service.
+func (e *Entry) PublicAddress(s *Service) netip.AddrPort {
 	return netip.AddrPortFrom(e.ip, s.Address.Port())
 }
 
--- a/internal/processtest/garbage.go
+++ b/internal/processtest/garbage.go
@@ -43,7 +43,7 @@
 	for _, e := range c.entries {
 		all = append(all, e.FrameAddr())
 		for _, s := range c.services {
-			all = append(all, e.Public(s))
+			all = append(all, e.PublicAddress(s))
 		}
 	}
 	for _, t := range targets {
--- a/internal/processtest/service.go
+++ b/internal/processtest/service.go
@@ -45,7 +45,7 @@
 	c.t.Cleanup(fabric.Close)
 	c.services = append(c.services, s)
 	for _, e := range c.entries {
-		s.addHost(e.Public(s))
+		s.addHost(e.PublicAddress(s))
 	}
 	return s
 }
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -40,7 +40,7 @@
 	watch.Advance()
 	for _, s := range d.services() {
 		for _, e := range d.entries {
-			is.True(s.Fabric.Counts(e.Public(s), faultproxy.ToHost).Delivered > 0)
+			is.True(s.Fabric.Counts(e.PublicAddress(s), faultproxy.ToHost).Delivered > 0)
 		}
 	}
 }
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -85,10 +85,10 @@
 		refused[reason] = entry.Refused(reason)
 	}
 	for range 3 {
-		sendAll(t, entry.Public(d.lodgement), forged(packets, forgedPacketByte))
+		sendAll(t, entry.PublicAddress(d.lodgement), forged(packets, forgedPacketByte))
 		sendAll(t, entry.FrameAddr(), forged(replies, forgedFrameByte))
 		sendAll(t, target.FrameAddr, forged(frames, forgedFrameByte))
-		sendAll(t, entry.Public(d.lodgement), packets)
+		sendAll(t, entry.PublicAddress(d.lodgement), packets)
 		sendAll(t, entry.FrameAddr(), replies)
 		sendAll(t, target.FrameAddr, frames)
 		watch.Advance()
@@ -132,7 +132,7 @@
 		var senders conc.WaitGroup
 		for _, e := range d.entries {
 			senders.Go(func() {
-				conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(e.Public(d.lodgement)))
+				conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(e.PublicAddress(d.lodgement)))
 				if err != nil {
 					t.Error(err)
 					return
