--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -111,8 +111,8 @@
 	return int(e.Reading("entry_targets_damped", "", ""))
 }
 
-// Resident returns the memory of the process, in bytes.
-func (e *Entry) Resident() float64 {
+// ResidentMemory returns the memory of the process, in bytes.
+func (e *Entry) ResidentMemory() float64 {
 	return e.Reading(residentMemory, "", "")
 }
 
