--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -213,8 +213,8 @@
 	return t.Agent.Reading(backendAge, "", "")
 }
 
-// Resident returns the memory of the newest agent, in bytes.
-func (t *Target) Resident() float64 {
+// ResidentMemory returns the memory of the newest agent, in bytes.
+func (t *Target) ResidentMemory() float64 {
 	return t.Agent.Reading(residentMemory, "", "")
 }
 
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -147,13 +147,13 @@
 		load.progress()
 	}
 	flood() // warms up buffers and pools
-	agentBefore, entryBefore := target.Resident(), d.entries[0].ResidentMemory()
+	agentBefore, entryBefore := target.ResidentMemory(), d.entries[0].ResidentMemory()
 	for range rounds {
 		flood()
 	}
 	t.Logf("resident: agent %.0f to %.0f, entry host %.0f to %.0f bytes",
-		agentBefore, target.Resident(), entryBefore, d.entries[0].ResidentMemory())
-	is.True(target.Resident()-agentBefore < maxGrowth)
+		agentBefore, target.ResidentMemory(), entryBefore, d.entries[0].ResidentMemory())
+	is.True(target.ResidentMemory()-agentBefore < maxGrowth)
 	is.True(d.entries[0].ResidentMemory()-entryBefore < maxGrowth)
 	processtest.Eventually(t, "no session of the flood is left", func() bool {
 		return target.Counted("sessions", "") <= 4 // the watch and the callers of the traffic
