--- a/internal/processtest/freeze.go
+++ b/internal/processtest/freeze.go
@@ -36,9 +36,9 @@
 	return true
 }
 
-// Waiting returns how much (in bytes, as the system counts it) waits in the
+// ReceiveQueueBytes returns how much (in bytes, as the system counts it) waits in the
 // buffer of the newest agent's frame socket.
-func (t *Target) Waiting() uint64 {
+func (t *Target) ReceiveQueueBytes() uint64 {
 	c := t.service.cluster
 	c.t.Helper()
 	table, err := os.ReadFile("/proc/net/udp")
--- a/test/frozenagent_test.go
+++ b/test/frozenagent_test.go
@@ -41,11 +41,11 @@
 		return caller.Do(ctx, http.MethodPost, processtest.RunPath(0), header, []byte(key))
 	}
 	first.Agent.Freeze()
-	frozenAt, waiting := time.Now(), first.Waiting()
+	frozenAt, waiting := time.Now(), first.ReceiveQueueBytes()
 	var firstAnswer *processtest.Response
 	var attempt conc.WaitGroup
 	attempt.Go(func() { firstAnswer, _ = send(caller) })
-	processtest.Eventually(t, "the request is in the buffer", func() bool { return first.Waiting() > waiting })
+	processtest.Eventually(t, "the request is in the buffer", func() bool { return first.ReceiveQueueBytes() > waiting })
 	refused, err := send(other)
 	is.NoErr(err)
 	is.Equal(refused.Outcome, processtest.OutcomeNotRun)
