--- a/internal/processtest/garbage.go
+++ b/internal/processtest/garbage.go
@@ -16,10 +16,10 @@
 // badRequest starts the answer of a listener for plain HTTP to noise.
 var badRequest = []byte("HTTP/1.1 400 ")
 
-// Garbage sends random datagrams to every UDP listener of the deployment that
+// SendGarbage sends random datagrams to every UDP listener of the deployment that
 // a stranger can reach, and random bytes to its TCP listeners. Those for plain
 // HTTP have to answer with an error; the others can only count.
-func (c *Cluster) Garbage(targets ...*Target) {
+func (c *Cluster) SendGarbage(targets ...*Target) {
 	c.t.Helper()
 	random := c.newRand()
 	for _, addr := range c.udpListeners(targets) {
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -50,7 +50,7 @@
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
 	for i := range 3 {
-		d.Garbage(d.all()...)
+		d.SendGarbage(d.all()...)
 		d.checkEchoes(t, fmt.Sprint("invalid datagrams ", i), 2)
 	}
 	watch.Advance()
