--- a/internal/processtest/grants.go
+++ b/internal/processtest/grants.go
@@ -28,9 +28,9 @@
 	return fmt.Sprintf("%s-%d", grantGroup, index+1)
 }
 
-// LeaderOfGrants waits until one control host leads a group of grants and
+// GrantGroupLeader waits until one control host leads a group of grants and
 // returns it.
-func (c *Cluster) LeaderOfGrants(index int) *Control {
+func (c *Cluster) GrantGroupLeader(index int) *Control {
 	c.t.Helper()
 	return c.leaderOf(GrantGroup(index))
 }
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -79,7 +79,7 @@
 // responses.
 func TestGrantGroupLeaderKilled(t *testing.T) {
 	d, other, attempts := deployWithRuns(t)
-	lost := d.LeaderOfGrants(1)
+	lost := d.GrantGroupLeader(1)
 	lost.Kill()
 	d.checkRunsOnce(t, other, keyOfGroup(2, "beside"), keyOfGroup(0, "beside"), keyOfGroup(1, "after"))
 	d.checkRunsOnce(t, other, append(keyOfEachGroup("ended"), keyOfEachGroup("running")...)...)
@@ -112,7 +112,7 @@
 // groups.
 func TestGrantGroupsSurviveTwoHostLosses(t *testing.T) {
 	d, other, attempts := deployWithRuns(t)
-	lost := d.LeaderOfGrants(2)
+	lost := d.GrantGroupLeader(2)
 	lost.Kill()
 	lost.LoseDisk()
 	d.checkRunsOnce(t, other, keyOfEachGroup("ended")...)
