--- a/internal/processtest/grants.go
+++ b/internal/processtest/grants.go
@@ -35,9 +35,9 @@
 	return c.leaderOf(GrantGroup(index))
 }
 
-// SpreadGrants waits until the groups of grants have a slot table and each is
+// WaitGrantLeadersBalanced waits until the groups of grants have a slot table and each is
 // led by another control host, as far as there are as many.
-func (c *Cluster) SpreadGrants(groups int) {
+func (c *Cluster) WaitGrantLeadersBalanced(groups int) {
 	c.t.Helper()
 	Eventually(c.t, "the leaders of the grants are spread", func() bool {
 		led := 0
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -22,7 +22,7 @@
 	d := deployOn(t, processtest.TargetOptions{}, func(c *processtest.Cluster) []*processtest.Control {
 		return c.StartControlsWithGrantGroups(3, grantGroups)
 	})
-	d.SpreadGrants(grantGroups)
+	d.WaitGrantLeadersBalanced(grantGroups)
 	return d
 }
 
@@ -85,7 +85,7 @@
 	d.checkRunsOnce(t, other, append(keyOfEachGroup("ended"), keyOfEachGroup("running")...)...)
 	attempts.abandon()
 	lost.Relaunch()
-	d.SpreadGrants(grantGroups) // the restarted host leads its groups again
+	d.WaitGrantLeadersBalanced(grantGroups) // the restarted host leads its groups again
 	d.checkRunsOnce(t, other, keyOfEachGroup("back")...)
 }
 
@@ -132,7 +132,7 @@
 	caller, other := d.callersOfTargets(t)
 	d.checkRunsOnce(t, caller, keyOfEachGroup("first")...)
 	for _, host := range d.controls {
-		d.SpreadGrants(grantGroups)
+		d.WaitGrantLeadersBalanced(grantGroups)
 		before, led := host.Logged(transferredMessage), groupsLed(host)
 		host.Terminate()
 		host.WaitExit()
@@ -213,7 +213,7 @@
 
 	host.SetGrantGroups(2)
 	host.Restart()
-	d.SpreadGrants(grantGroups) // uses the agreed number
+	d.WaitGrantLeadersBalanced(grantGroups) // uses the agreed number
 	host.Kill()
 	host.LoseDisk()
 	host.Relaunch()
@@ -223,7 +223,7 @@
 	d.checkRunsOnce(t, d.callerOf(t, d.targets[d.lodgement][1]), keyOfEachGroup("without the host")...)
 	host.Relaunch()
 	host.Join()
-	d.SpreadGrants(grantGroups)
+	d.WaitGrantLeadersBalanced(grantGroups)
 }
 
 // TestExistingDataDirKeepsGroupCount restarts a deployment with one group under
