--- a/internal/processtest/grants.go
+++ b/internal/processtest/grants.go
@@ -61,9 +61,9 @@
 	})
 }
 
-// LoseGroup removes what a host, whose process has ended, keeps of a group of
+// RemoveGroupDir removes what a host, whose process has ended, keeps of a group of
 // grants.
-func (h *Control) LoseGroup(index int) {
+func (h *Control) RemoveGroupDir(index int) {
 	h.cluster.t.Helper()
 	h.cluster.must(os.RemoveAll(filepath.Join(h.settings.Replica.DataFolder, GrantGroup(index))))
 }
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -172,7 +172,7 @@
 	d.checkRunsOnce(t, caller, keyOfEachGroup("before")...)
 	for _, host := range d.controls[1:] {
 		host.Kill()
-		host.LoseGroup(lost)
+		host.RemoveGroupDir(lost)
 		host.Relaunch()
 	}
 	for group := range grantGroups {
