--- a/internal/processtest/members.go
+++ b/internal/processtest/members.go
@@ -73,8 +73,8 @@
 	return len(status.Groups) > 0
 }
 
-// LoseDisk removes the data folder of a host whose process has ended.
-func (h *Control) LoseDisk() {
+// RemoveDataDir removes the data folder of a host whose process has ended.
+func (h *Control) RemoveDataDir() {
 	h.cluster.t.Helper()
 	h.cluster.must(os.RemoveAll(h.settings.Replica.DataFolder))
 }
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -86,7 +86,7 @@
 	load := d.startLoad(t)
 	lost := d.Leader()
 	lost.Kill()
-	lost.LoseDisk()
+	lost.RemoveDataDir()
 	is.Equal(d.Settle(1, "without-the-host", d.lodgement.Put()).Version, uint64(2))
 	lost.Launch()
 	lost.WaitReady()
--- a/test/diskloss_test.go
+++ b/test/diskloss_test.go
@@ -12,7 +12,7 @@
 // loseDisk kills the host and restarts it with an empty data directory.
 func loseDisk(host *processtest.Control) {
 	host.Kill()
-	host.LoseDisk()
+	host.RemoveDataDir()
 	host.Launch()
 	host.WaitReady()
 }
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -114,7 +114,7 @@
 	d, other, attempts := deployWithRuns(t)
 	lost := d.GrantGroupLeader(2)
 	lost.Kill()
-	lost.LoseDisk()
+	lost.RemoveDataDir()
 	d.checkRunsOnce(t, other, keyOfEachGroup("ended")...)
 	lost.Relaunch()
 	lost.Replace()
@@ -215,7 +215,7 @@
 	host.Restart()
 	d.WaitGrantLeadersBalanced(grantGroups) // uses the agreed number
 	host.Kill()
-	host.LoseDisk()
+	host.RemoveDataDir()
 	host.Relaunch()
 	host.Remove()
 	host.JoinUntil("invalid number of grant groups")
--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -24,7 +24,7 @@
 
 	lost := d.GrantLeader()
 	lost.Kill()
-	lost.LoseDisk()
+	lost.RemoveDataDir()
 	d.resendUntilAnswered(t, other, "ended before")
 	lost.Launch()
 	lost.WaitReady()
