--- a/internal/processtest/grants.go
+++ b/internal/processtest/grants.go
@@ -77,8 +77,8 @@
 	return h.Reading("control_refusals", "reason", reason)
 }
 
-// AskGrant sends a command to this host in the name of an agent of a service.
-func (h *Control) AskGrant(service string, command *grantpb.Command) (*grantpb.Result, error) {
+// SendGrantCommand sends a command to this host in the name of an agent of a service.
+func (h *Control) SendGrantCommand(service string, command *grantpb.Command) (*grantpb.Result, error) {
 	c := h.cluster
 	c.t.Helper()
 	creds, err := keys.Load(c.issue(keys.RoleAgent, "asker", service))
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -204,7 +204,7 @@
 			Service: 1, Key: key, Attempt: []byte("a"), Digest: []byte("d"),
 		}},
 	}
-	result, err := host.AskGrant(d.lodgement.Name, acquire)
+	result, err := host.SendGrantCommand(d.lodgement.Name, acquire)
 	is.NoErr(err)
 	is.Equal(result.GetDecision(), grantpb.Decision_DECISION_TABLE)
 	is.Equal(result.GetTable(), grant.NewSlotTable(grantGroups).Digest())
