--- a/internal/processtest/members.go
+++ b/internal/processtest/members.go
@@ -126,8 +126,8 @@
 	c.t.Logf("replica %s %s: %s", change, argument, output)
 }
 
-// Settle submits a patch under one identifier until its outcome is known.
-func (c *Cluster) Settle(base uint64, id string, sections ...string) Outcome {
+// SubmitUntilKnown submits a patch under one identifier until its outcome is known.
+func (c *Cluster) SubmitUntilKnown(base uint64, id string, sections ...string) Outcome {
 	c.t.Helper()
 	var o Outcome
 	Eventually(c.t, "the outcome of "+id+" is known", func() bool {
--- a/internal/processtest/operator.go
+++ b/internal/processtest/operator.go
@@ -113,7 +113,7 @@
 	c.patches++
 	id := fmt.Sprintf("patch-%d", c.patches)
 	base := c.version
-	o := c.Settle(base, id, sections...)
+	o := c.SubmitUntilKnown(base, id, sections...)
 	if o.Verdict != Accepted || o.Version != base+1 {
 		c.t.Fatalf("patch against version %d: %+v", base, o)
 	}
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -33,7 +33,7 @@
 		leader := d.Leader()
 		var loss conc.WaitGroup
 		for i := range patches {
-			known := d.Settle(version, fmt.Sprint("to-", version+1), d.lodgement.Put())
+			known := d.SubmitUntilKnown(version, fmt.Sprint("to-", version+1), d.lodgement.Put())
 			is.Equal(known.Verdict, processtest.Accepted)
 			is.Equal(known.Version, version+1)
 			version++
@@ -87,13 +87,13 @@
 	lost := d.Leader()
 	lost.Kill()
 	lost.RemoveDataDir()
-	is.Equal(d.Settle(1, "without-the-host", d.lodgement.Put()).Version, uint64(2))
+	is.Equal(d.SubmitUntilKnown(1, "without-the-host", d.lodgement.Put()).Version, uint64(2))
 	lost.Launch()
 	lost.WaitReady()
 	lost.Replace()
-	is.Equal(d.Settle(2, "with-the-new-replica", d.lodgement.Put()).Version, uint64(3))
+	is.Equal(d.SubmitUntilKnown(2, "with-the-new-replica", d.lodgement.Put()).Version, uint64(3))
 	lost.Others()[0].Kill()
-	is.Equal(d.Settle(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
+	is.Equal(d.SubmitUntilKnown(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
 	is.Equal(d.Show("without-the-host").Version, uint64(2))
 	is.Equal(d.Show("with-the-new-replica").Version, uint64(3))
 	d.InForce(4, d.entryNames()...)
@@ -163,7 +163,7 @@
 		host.Launch()
 		host.WaitReady()
 	}
-	is.Equal(d.Settle(1, "minority", d.lodgement.Put()).Version, uint64(2)) // exactly once, whatever the first reply was
+	is.Equal(d.SubmitUntilKnown(1, "minority", d.lodgement.Put()).Version, uint64(2)) // exactly once, whatever the first reply was
 	d.InForce(2, d.entryNames()...)
 	load.stop()
 }
@@ -191,7 +191,7 @@
 		return o.Verdict != processtest.Unknown
 	})
 	is.Equal(o.Version, uint64(2))
-	is.Equal(d.Settle(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
+	is.Equal(d.SubmitUntilKnown(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
 	d.InForce(2, d.entryNames()...)
 	load.progress()
 	load.stop()
--- a/test/diskloss_test.go
+++ b/test/diskloss_test.go
@@ -70,7 +70,7 @@
 	second.WaitReady()
 	d.checkOutcomes(t, version)
 	empty.Replace()
-	version = d.Settle(version, "in-between", d.lodgement.Put()).Version
+	version = d.SubmitUntilKnown(version, "in-between", d.lodgement.Put()).Version
 	for _, host := range d.controls {
 		d.waitVersion(t, host, version)
 	}
