--- a/internal/processtest/members.go
+++ b/internal/processtest/members.go
@@ -132,7 +132,7 @@
 	var o Outcome
 	Eventually(c.t, "the outcome of "+id+" is known", func() bool {
 		o = c.Submit(base, id, sections)
-		return o.Verdict != Unknown && o.Verdict != NotDone
+		return o.Verdict != Unknown && o.Verdict != NotApplied
 	})
 	if o.Verdict == Accepted && o.Version > c.version {
 		c.version = o.Version
--- a/internal/processtest/operator.go
+++ b/internal/processtest/operator.go
@@ -18,9 +18,9 @@
 	Accepted    = "accepted"
 	RefusedBase = "refused-base"
 	Unknown     = "unknown"
-	// NotDone is no verdict of the command line: it printed none and said
+	// NotApplied is no verdict of the command line: it printed none and said
 	// that nothing was submitted.
-	NotDone = "not-done"
+	NotApplied = "not-done"
 )
 
 // Exit statuses of the command line.
@@ -62,7 +62,7 @@
 	stdout, stderr, status := c.run(args)
 	var o Outcome
 	if status == exitFailure && len(stdout) == 0 {
-		return Outcome{Verdict: NotDone}
+		return Outcome{Verdict: NotApplied}
 	}
 	if err := json.Unmarshal(stdout, &o); err != nil {
 		c.t.Errorf("%v: exit status %d: %v\n%s%s", args, status, err, stdout, stderr)
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -151,7 +151,7 @@
 		host.Kill()
 	}
 	o := d.Submit(1, "minority", []string{d.lodgement.Put()}, last.Operator)
-	is.True(o.Verdict == processtest.NotDone || o.Verdict == processtest.Unknown)
+	is.True(o.Verdict == processtest.NotApplied || o.Verdict == processtest.Unknown)
 	is.Equal(d.Show("minority", last.Operator).Verdict, processtest.Unknown)
 	answer := d.lodgement.NewCaller().MustDo(http.MethodPost,
 		processtest.RunPath(0), processtest.KeyHeader("minority"), nil)
--- a/test/crashpoints_test.go
+++ b/test/crashpoints_test.go
@@ -147,7 +147,7 @@
 		o := processtest.Outcome{}
 		processtest.Eventually(t, "each host returns the outcome", func() bool {
 			o = a.d.Show("held", host.Operator)
-			return o.Verdict != processtest.NotDone && o.Verdict != processtest.Unknown
+			return o.Verdict != processtest.NotApplied && o.Verdict != processtest.Unknown
 		})
 		is.Equal(o.Version, uint64(2))
 	}
--- a/test/diskloss_test.go
+++ b/test/diskloss_test.go
@@ -65,7 +65,7 @@
 		return s != nil && s.Groups[0].Leader == ""
 	})
 	o := d.Submit(version, "in-between", []string{d.lodgement.Put()}, last.Operator, empty.Operator)
-	is.True(o.Verdict == processtest.NotDone || o.Verdict == processtest.Unknown)
+	is.True(o.Verdict == processtest.NotApplied || o.Verdict == processtest.Unknown)
 	second.Launch()
 	second.WaitReady()
 	d.checkOutcomes(t, version)
