--- a/internal/processtest/observe.go
+++ b/internal/processtest/observe.go
@@ -18,8 +18,8 @@
 // SegmentFiles matches the segments of a log.
 const SegmentFiles = "*.wal"
 
-// ActedOn returns the versions that the process has acted on, in order.
-func (p *Process) ActedOn() []uint64 {
+// ActiveVersions returns the versions that the process has acted on, in order.
+func (p *Process) ActiveVersions() []uint64 {
 	var versions []uint64
 	for _, line := range p.log.find(actingMessage) {
 		versions = append(versions, line.Version)
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -100,7 +100,7 @@
 	}
 	is.True(targets[0].Served(caller.Echo("established")))
 	watch.Advance()
-	is.Equal(d.entries[0].ActedOn(), []uint64{1, 2, 3, 4})
+	is.Equal(d.entries[0].ActiveVersions(), []uint64{1, 2, 3, 4})
 }
 
 // checkLearnerWithoutQuorum expects that the learner refuses what needs a quorum with
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -47,7 +47,7 @@
 	}
 	d.InForce(newest, names...)
 	for _, p := range processes {
-		checkMonotonic(t, p.ActedOn(), newest)
+		checkMonotonic(t, p.ActiveVersions(), newest)
 	}
 }
 
--- a/test/stalehost_test.go
+++ b/test/stalehost_test.go
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	d, stale, heal, newest := deployWithStaleHost(t)
 	entry := d.StartEntry(stale.Link) // activates the unconfirmed version after a delay
-	is.Equal(entry.ActedOn(), []uint64{1})
+	is.Equal(entry.ActiveVersions(), []uint64{1})
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	cfg, confirmed, err := d.Client(stale.Operator).Config(ctx, 0)
@@ -68,9 +68,9 @@
 	heal()
 	d.InForce(newest, entry.Host)
 	d.waitVersion(t, stale, newest)
-	is.Equal(entry.ActedOn(), []uint64{1, newest}) // no version in between
+	is.Equal(entry.ActiveVersions(), []uint64{1, newest}) // no version in between
 	for _, e := range d.entries {
-		checkMonotonic(t, e.ActedOn(), newest)
+		checkMonotonic(t, e.ActiveVersions(), newest)
 	}
 }
 
@@ -86,7 +86,7 @@
 	for ; moved < moves && starts < maxStarts; starts++ {
 		e.WaitReady()
 		d.InForce(newest, e.Host)
-		is.Equal(e.ActedOn(), []uint64{newest})
+		is.Equal(e.ActiveVersions(), []uint64{newest})
 		moved += min(e.Logged(movingMessage)+e.Logged(leavingMessage), 1)
 		e.Kill()
 		e.Launch()
@@ -107,7 +107,7 @@
 	newest := d.createVersions(t, 1, d.controls...)
 	link.Heal()
 	d.InForce(newest, e.Host)
-	acted := e.ActedOn()
+	acted := e.ActiveVersions()
 	checkMonotonic(t, acted, newest)
 	is.Equal(acted[0], uint64(1))
 	is.True(len(acted) <= 3)
