--- a/internal/processtest/observe.go
+++ b/internal/processtest/observe.go
@@ -58,8 +58,8 @@
 	return relay
 }
 
-// LogBytes returns how much log of the configuration the host has written.
-func (h *Control) LogBytes() int64 {
+// ConfigLogBytes returns how much log of the configuration the host has written.
+func (h *Control) ConfigLogBytes() int64 {
 	c := h.cluster
 	c.t.Helper()
 	var sum int64
--- a/test/crashpoints_test.go
+++ b/test/crashpoints_test.go
@@ -25,7 +25,7 @@
 
 // hasWritten reports whether the host's log has grown since before the patch.
 func (a *attempt) hasWritten(host *processtest.Control) bool {
-	return host.LogBytes() > a.logSizes[host]
+	return host.ConfigLogBytes() > a.logSizes[host]
 }
 
 // crashPoint is the progress of a patch when its leader is killed.
@@ -93,7 +93,7 @@
 			is.NoErr(err)
 			p.hold(a)
 			for _, host := range a.d.controls {
-				a.logSizes[host] = host.LogBytes()
+				a.logSizes[host] = host.ConfigLogBytes()
 			}
 			var first error
 			var call conc.WaitGroup
--- a/test/datadir_test.go
+++ b/test/datadir_test.go
@@ -115,7 +115,7 @@
 			is := is.New(t)
 			d := deployControls(t)
 			host := pick(d)
-			host.LimitFileSize(host.LogBytes() + 10)
+			host.LimitFileSize(host.ConfigLogBytes() + 10)
 			d.Patch(d.lodgement.Put())
 			is.Equal(host.WaitEnd(), 1)
 			is.True(strings.Contains(host.Output(), "no space left for the data directory"))
