--- a/internal/processtest/observe.go
+++ b/internal/processtest/observe.go
@@ -63,7 +63,7 @@
 	c := h.cluster
 	c.t.Helper()
 	var sum int64
-	for _, path := range h.Files(SegmentFiles) {
+	for _, path := range h.ConfigFiles(SegmentFiles) {
 		info, err := os.Stat(path)
 		if os.IsNotExist(err) {
 			continue // removed behind a snapshot
@@ -101,9 +101,9 @@
 	}
 }
 
-// Files returns the paths of the files in the data folder of the configuration
+// ConfigFiles returns the paths of the files in the data folder of the configuration
 // that match the pattern.
-func (h *Control) Files(pattern string) []string {
+func (h *Control) ConfigFiles(pattern string) []string {
 	c := h.cluster
 	c.t.Helper()
 	paths, err := filepath.Glob(filepath.Join(h.settings.Replica.DataFolder, configGroup, pattern))
--- a/test/datadir_test.go
+++ b/test/datadir_test.go
@@ -41,7 +41,7 @@
 	d := deployControls(t)
 	host := d.Leader()
 	host.Kill()
-	segment := latest(host.Files(processtest.SegmentFiles))
+	segment := latest(host.ConfigFiles(processtest.SegmentFiles))
 	data, err := os.ReadFile(segment)
 	is.NoErr(err)
 	const torn = 40 // more than a header, less than a record
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			host.Kill()
-			path := latest(host.Files(test.pattern))
+			path := latest(host.ConfigFiles(test.pattern))
 			restore := flip(t, path, test.part)
 			host.Launch()
 			is.Equal(host.WaitEnd(), 1)
