--- a/internal/processtest/observe.go
+++ b/internal/processtest/observe.go
@@ -15,8 +15,8 @@
 // actingMessage is the log message of a subscriber that goes to a version.
 const actingMessage = "configuration version in use"
 
-// SegmentFiles matches the segments of a log.
-const SegmentFiles = "*.wal"
+// SegmentPattern matches the segments of a log.
+const SegmentPattern = "*.wal"
 
 // ActiveVersions returns the versions that the process has acted on, in order.
 func (p *Process) ActiveVersions() []uint64 {
@@ -63,7 +63,7 @@
 	c := h.cluster
 	c.t.Helper()
 	var sum int64
-	for _, path := range h.ConfigFiles(SegmentFiles) {
+	for _, path := range h.ConfigFiles(SegmentPattern) {
 		info, err := os.Stat(path)
 		if os.IsNotExist(err) {
 			continue // removed behind a snapshot
--- a/test/datadir_test.go
+++ b/test/datadir_test.go
@@ -41,7 +41,7 @@
 	d := deployControls(t)
 	host := d.Leader()
 	host.Kill()
-	segment := latest(host.ConfigFiles(processtest.SegmentFiles))
+	segment := latest(host.ConfigFiles(processtest.SegmentPattern))
 	data, err := os.ReadFile(segment)
 	is.NoErr(err)
 	const torn = 40 // more than a header, less than a record
@@ -65,8 +65,8 @@
 		// part is the position of the byte as a fraction of the file's length.
 		part float64
 	}{
-		"middle of a log segment": {processtest.SegmentFiles, 0.5},
-		"start of a log segment":  {processtest.SegmentFiles, 0},
+		"middle of a log segment": {processtest.SegmentPattern, 0.5},
+		"start of a log segment":  {processtest.SegmentPattern, 0},
 		"snapshot":                {"*.snap", 0.7},
 		"identity":                {"identity", 0.7},
 	} {
