--- a/internal/processtest/observe.go
+++ b/internal/processtest/observe.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// Logged returns how many log lines have the message.
-func (p *Process) Logged(message string) int { return p.log.count(message) }
+// LogCount returns how many log lines have the message.
+func (p *Process) LogCount(message string) int { return p.log.count(message) }
 
 // Output returns all that the process has written.
 func (p *Process) Output() string { return p.log.text() }
--- a/internal/processtest/rotation.go
+++ b/internal/processtest/rotation.go
@@ -37,10 +37,10 @@
 	c.t.Helper()
 	before := make([]int, len(processes))
 	for i, p := range processes {
-		before[i] = p.Logged(message)
+		before[i] = p.LogCount(message)
 	}
 	c.must(change())
 	for i, p := range processes {
-		Eventually(c.t, p.Name+": "+message, func() bool { return p.Logged(message) > before[i] })
+		Eventually(c.t, p.Name+": "+message, func() bool { return p.LogCount(message) > before[i] })
 	}
 }
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -133,11 +133,11 @@
 	d.checkRunsOnce(t, caller, keyOfEachGroup("first")...)
 	for _, host := range d.controls {
 		d.WaitGrantLeadersBalanced(grantGroups)
-		before, led := host.Logged(transferredMessage), groupsLed(host)
+		before, led := host.LogCount(transferredMessage), groupsLed(host)
 		host.Terminate()
 		host.WaitExit()
 		is.True(led > 0)
-		is.True(host.Logged(transferredMessage) >= before+led) // of every group
+		is.True(host.LogCount(transferredMessage) >= before+led) // of every group
 		host.Relaunch()
 	}
 	d.checkRunsOnce(t, other, append(keyOfEachGroup("first"), keyOfEachGroup("second")...)...)
--- a/test/leadershiptransfer_test.go
+++ b/test/leadershiptransfer_test.go
@@ -97,7 +97,7 @@
 		var gap time.Duration
 		version, gap = s.end()
 		gaps = append(gaps, gap.Round(time.Millisecond))
-		transferred += min(leader.Logged(transferredMessage), 1)
+		transferred += min(leader.LogCount(transferredMessage), 1)
 		leader.Launch()
 		leader.WaitReady()
 	}
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -153,7 +153,7 @@
 			return host.Reading("control_link_server_refused_connections", "reason", "capacity") > 0
 		})
 	}
-	is.New(t).Equal(late.Logged("ready"), 0)
+	is.New(t).Equal(late.LogCount("ready"), 0)
 	waitServed(all) // they stay connected
 	lost.Launch()
 	lost.WaitReady()
--- a/test/stalehost_test.go
+++ b/test/stalehost_test.go
@@ -87,7 +87,7 @@
 		e.WaitReady()
 		d.InForce(newest, e.Host)
 		is.Equal(e.ActiveVersions(), []uint64{newest})
-		moved += min(e.Logged(movingMessage)+e.Logged(leavingMessage), 1)
+		moved += min(e.LogCount(movingMessage)+e.LogCount(leavingMessage), 1)
 		e.Kill()
 		e.Launch()
 	}
