--- a/internal/processtest/metrics.go
+++ b/internal/processtest/metrics.go
@@ -34,9 +34,9 @@
 	return netip.MustParseAddrPort(p.log.field(readyMessage, "metrics"))
 }
 
-// Counted returns the sum of the counters whose name ends with the given one,
+// CounterSum returns the sum of the counters whose name ends with the given one,
 // over all their tags.
-func (p *Process) Counted(name string) float64 {
+func (p *Process) CounterSum(name string) float64 {
 	p.t.Helper()
 	sum := 0.0
 	for line := range strings.Lines(p.Metrics()) {
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -56,16 +56,16 @@
 	watch.Advance()
 	d.Patch(d.lodgement.Put()) // the control host still works
 	for _, e := range d.entries {
-		processtest.Eventually(t, e.Host+" counts refusals", func() bool { return e.Counted("entry_refused") > 0 })
+		processtest.Eventually(t, e.Host+" counts refusals", func() bool { return e.CounterSum("entry_refused") > 0 })
 	}
 	for _, host := range d.controls {
 		for _, counter := range []string{"link_server_refused_datagrams", "operator_refused_handshakes"} {
-			processtest.Eventually(t, host.Name+" counts refusals", func() bool { return host.Counted(counter) > 0 })
+			processtest.Eventually(t, host.Name+" counts refusals", func() bool { return host.CounterSum(counter) > 0 })
 		}
 	}
 	for _, target := range d.all() {
 		processtest.Eventually(t, target.Name+" counts refusals", func() bool {
-			return target.Agent.Counted("frames_refused") > 0
+			return target.Agent.CounterSum("frames_refused") > 0
 		})
 	}
 	for _, p := range d.processes() {
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -36,7 +36,7 @@
 		return func() bool { return entry.Reading("subscriber_targets", "", "") == float64(targets) }
 	}
 	total := standIns + len(d.all())
-	received := func() float64 { return entry.Counted("subscriber_directory_records") }
+	received := func() float64 { return entry.CounterSum("subscriber_directory_records") }
 	processtest.Eventually(t, "the directory at the entry host", known(total))
 
 	lost := d.subscribedControl(entry.Host)
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -41,7 +41,7 @@
 	processtest.Eventually(t, "refusals are counted", func() bool {
 		sent, noTarget := 0.0, 0.0
 		for _, e := range d.entries {
-			sent += e.Counted("entry_connections_refused")
+			sent += e.CounterSum("entry_connections_refused")
 			noTarget += e.Refused("no_target")
 		}
 		return sent > 0 && noTarget >= sent
