--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -96,24 +96,24 @@
 
 // Refused returns how many datagrams and frames the host refused for a reason.
 func (e *Entry) Refused(reason string) float64 {
-	return e.Reading("entry_refused", "reason", reason)
+	return e.MetricValue("entry_refused", "reason", reason)
 }
 
 // Candidates returns how many targets of all services the host decides between.
 // Tables that say so are in force when it is told, up to a second later.
 func (e *Entry) Candidates() int {
-	return int(e.Reading("entry_candidates", "", ""))
+	return int(e.MetricValue("entry_candidates", "", ""))
 }
 
 // Damped returns how many targets the host keeps from new flows as they flap.
 // It is told like Candidates.
 func (e *Entry) Damped() int {
-	return int(e.Reading("entry_targets_damped", "", ""))
+	return int(e.MetricValue("entry_targets_damped", "", ""))
 }
 
 // ResidentMemory returns the memory of the process, in bytes.
 func (e *Entry) ResidentMemory() float64 {
-	return e.Reading(residentMemory, "", "")
+	return e.MetricValue(residentMemory, "", "")
 }
 
 // PublicAddress returns where the host opens the public address of the service.
--- a/internal/processtest/grants.go
+++ b/internal/processtest/grants.go
@@ -74,7 +74,7 @@
 // Refused counts the requests of peers that the host refused for a reason.
 func (h *Control) Refused(reason string) float64 {
 	h.cluster.t.Helper()
-	return h.Reading("control_refusals", "reason", reason)
+	return h.MetricValue("control_refusals", "reason", reason)
 }
 
 // SendGrantCommand sends a command to this host in the name of an agent of a service.
--- a/internal/processtest/metrics.go
+++ b/internal/processtest/metrics.go
@@ -54,9 +54,9 @@
 	return sum
 }
 
-// Reading returns one counter or gauge; with a value, the one whose tag has it.
+// MetricValue returns one counter or gauge; with a value, the one whose tag has it.
 // One that was never counted is 0. Figures are up to a second old.
-func (p *Process) Reading(name, tag, value string) float64 {
+func (p *Process) MetricValue(name, tag, value string) float64 {
 	p.t.Helper()
 	if name != residentMemory {
 		name = metricPrefix + name
--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -204,18 +204,18 @@
 
 // Counted returns what the newest agent counted under a reason.
 func (t *Target) Counted(counter, reason string) float64 {
-	return t.Agent.Reading(counter, "reason", reason)
+	return t.Agent.MetricValue(counter, "reason", reason)
 }
 
 // BackendAge returns the age of the backend server, in seconds, as the newest
 // agent holds it.
 func (t *Target) BackendAge() float64 {
-	return t.Agent.Reading(backendAge, "", "")
+	return t.Agent.MetricValue(backendAge, "", "")
 }
 
 // ResidentMemory returns the memory of the newest agent, in bytes.
 func (t *Target) ResidentMemory() float64 {
-	return t.Agent.Reading(residentMemory, "", "")
+	return t.Agent.MetricValue(residentMemory, "", "")
 }
 
 // Ready tells whether the backend server takes requests.
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -33,7 +33,7 @@
 	d.lodgement.AnnounceStandIns(standIns)
 	entry := d.StartEntry()
 	known := func(targets int) func() bool {
-		return func() bool { return entry.Reading("subscriber_targets", "", "") == float64(targets) }
+		return func() bool { return entry.MetricValue("subscriber_targets", "", "") == float64(targets) }
 	}
 	total := standIns + len(d.all())
 	received := func() float64 { return entry.CounterSum("subscriber_directory_records") }
@@ -77,7 +77,7 @@
 	inside := []*processtest.Target{d.targets[d.lodgement][0], d.targets[d.certificates][0]}
 	entry.RestartWithDomains(inside[0].Name, inside[1].Name)
 	processtest.Eventually(t, "the targets in the failure domains", func() bool {
-		return entry.Reading("subscriber_targets", "", "") == float64(len(inside))
+		return entry.MetricValue("subscriber_targets", "", "") == float64(len(inside))
 	})
 	d.entries[1].RemoveFromFabric()
 	for _, f := range flows {
--- a/test/firstflight_test.go
+++ b/test/firstflight_test.go
@@ -95,12 +95,12 @@
 // counted.
 func (d *deployment) openedConnections(t *testing.T, targets []*processtest.Target) []float64 {
 	t.Helper()
-	frames := func(target *processtest.Target) float64 { return target.Agent.Reading("frames_received", "", "") }
+	frames := func(target *processtest.Target) float64 { return target.Agent.MetricValue("frames_received", "", "") }
 	var all []float64
 	for _, target := range targets {
 		old := frames(target)
 		processtest.Eventually(t, "new metrics of "+target.Name, func() bool { return frames(target) > old })
-		all = append(all, target.Agent.Reading("connections_begun", "", ""))
+		all = append(all, target.Agent.MetricValue("connections_begun", "", ""))
 	}
 	return all
 }
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -150,7 +150,7 @@
 	late := d.LaunchEntry()
 	for _, host := range lost.Others() {
 		processtest.Eventually(t, host.Name+" refuses it", func() bool {
-			return host.Reading("control_link_server_refused_connections", "reason", "capacity") > 0
+			return host.MetricValue("control_link_server_refused_connections", "reason", "capacity") > 0
 		})
 	}
 	is.New(t).Equal(late.LogCount("ready"), 0)
--- a/test/unresponsive_test.go
+++ b/test/unresponsive_test.go
@@ -36,7 +36,7 @@
 		is.Equal(d.openFlows(1), nil)
 		unresponsive := 0.0
 		for _, e := range d.entries {
-			unresponsive += e.Reading("entry_first_forwarded", "reason", "silent")
+			unresponsive += e.MetricValue("entry_first_forwarded", "reason", "silent")
 		}
 		return unresponsive > 0
 	})
