--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -202,8 +202,8 @@
 	return body
 }
 
-// Counted returns what the newest agent counted under a reason.
-func (t *Target) Counted(counter, reason string) float64 {
+// CountByReason returns what the newest agent counted under a reason.
+func (t *Target) CountByReason(counter, reason string) float64 {
 	return t.Agent.MetricValue(counter, "reason", reason)
 }
 
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -78,7 +78,7 @@
 	})
 	watch.Advance()
 	processtest.Eventually(t, "the agent used the last resort", func() bool {
-		return target.Counted("return_paths_last_resort", "") > 0
+		return target.CountByReason("return_paths_last_resort", "") > 0
 	})
 	is.True(fresh.Running())
 }
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -97,7 +97,7 @@
 	for reason, before := range refused {
 		processtest.Eventually(t, reason+" is counted", func() bool { return entry.Refused(reason) > before })
 	}
-	processtest.Eventually(t, "forged frames are counted", func() bool { return target.Counted("frames_refused", "invalid") > 0 })
+	processtest.Eventually(t, "forged frames are counted", func() bool { return target.CountByReason("frames_refused", "invalid") > 0 })
 	is.Equal(d.runs("replayed"), 1)
 	for _, p := range d.processes() {
 		is.True(p.Running())
@@ -156,7 +156,7 @@
 	is.True(target.ResidentMemory()-agentBefore < maxGrowth)
 	is.True(d.entries[0].ResidentMemory()-entryBefore < maxGrowth)
 	processtest.Eventually(t, "no session of the flood is left", func() bool {
-		return target.Counted("sessions", "") <= 4 // the watch and the callers of the traffic
+		return target.CountByReason("sessions", "") <= 4 // the watch and the callers of the traffic
 	})
 	load.stop()
 }
--- a/test/frozenagent_test.go
+++ b/test/frozenagent_test.go
@@ -60,7 +60,7 @@
 	is.Equal(firstAnswer.Reason, "agent-stalled")
 	is.True(firstAnswer.Header.Get(processtest.HeaderRetryAfter) != "")
 	processtest.Eventually(t, "the refusal is counted", func() bool {
-		return first.Counted("requests_unknown", "agent-stalled") == 1
+		return first.CountByReason("requests_unknown", "agent-stalled") == 1
 	})
 
 	// New requests are served after the thaw.
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -111,14 +111,14 @@
 		return sumCounters(target, "requests_refused", "slots-full", "queue-full", "wait-too-long") == extra
 	})
 	// The agent enforced the limit; the backend server refused nothing.
-	is.Equal(target.Counted("requests_refused", "backend-refused"), 0.0)
+	is.Equal(target.CountByReason("requests_refused", "backend-refused"), 0.0)
 }
 
 // sumCounters adds up an agent's counter over several reasons.
 func sumCounters(target *processtest.Target, counter string, reasons ...string) float64 {
 	total := 0.0
 	for _, reason := range reasons {
-		total += target.Counted(counter, reason)
+		total += target.CountByReason(counter, reason)
 	}
 	return total
 }
@@ -136,9 +136,9 @@
 	is.True(answer.Header.Get("Retry-After") != "")
 	processtest.Eventually(t, "retries and the reason of the last one are counted", func() bool {
 		ends := sumCounters(target, "retries", "attempts-spent", "budget-spent", "deadline-too-close")
-		return target.Counted("retries", "connect") > 0 && ends == 1
+		return target.CountByReason("retries", "connect") > 0 && ends == 1
 	})
-	is.Equal(target.Counted("requests_refused", "backend-unreachable"), 1.0)
+	is.Equal(target.CountByReason("requests_refused", "backend-unreachable"), 1.0)
 
 	target.LaunchBackend()
 	processtest.Eventually(t, "the backend server is used again", func() bool {
