--- a/internal/processtest/operator.go
+++ b/internal/processtest/operator.go
@@ -142,8 +142,8 @@
 	return all
 }
 
-// InForce waits until the named entry hosts and agents act on the version.
-func (c *Cluster) InForce(version uint64, names ...string) {
+// WaitActive waits until the named entry hosts and agents act on the version.
+func (c *Cluster) WaitActive(version uint64, names ...string) {
 	c.t.Helper()
 	Eventually(c.t, fmt.Sprintf("version %d is in force on %v", version, names), func() bool {
 		acting := make(map[string]bool)
--- a/test/address_test.go
+++ b/test/address_test.go
@@ -27,7 +27,7 @@
 
 	link.Cut()
 	version := d.reassignAddress()
-	d.InForce(version, d.entries[0].Host)
+	d.WaitActive(version, d.entries[0].Host)
 
 	for i := range 20 {
 		d.checkNotServedBy(t, established, d.certificates, fmt.Sprint("established ", i))
@@ -35,7 +35,7 @@
 		d.checkNotServedBy(t, d.lodgement.NewCallerAs(d.certificates.Name), d.lodgement, fmt.Sprint("certificates ", i))
 	}
 	link.Heal()
-	d.InForce(version, lagging.Host)
+	d.WaitActive(version, lagging.Host)
 	caller := d.lodgement.NewCallerAs(d.certificates.Name)
 	checkEcho(t, d.certificates, caller, "address reassigned to certificates")
 }
@@ -62,7 +62,7 @@
 			d := deploy(t, 1)
 			watch := d.lodgement.NewCaller().Watch()
 			version := change(d)
-			d.InForce(version, d.entries[0].Host, d.entries[1].Host)
+			d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
 			watch.Advance()
 		})
 	}
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -45,7 +45,7 @@
 		leader.Launch()
 		leader.WaitReady()
 	}
-	d.InForce(version, d.entryNames()...)
+	d.WaitActive(version, d.entryNames()...)
 	for v := uint64(2); v <= version; v++ {
 		is.Equal(d.Show(fmt.Sprint("to-", v)).Version, v) // no outcome was lost
 	}
@@ -73,7 +73,7 @@
 	for i := range d.inFlight {
 		is.Equal(d.runs(fmt.Sprint("in flight ", i+1)), 1)
 	}
-	d.InForce(d.Patch(d.lodgement.Put()), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.Put()), d.entryNames()...)
 	load.progress()
 	load.stop()
 }
@@ -96,7 +96,7 @@
 	is.Equal(d.SubmitUntilKnown(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
 	is.Equal(d.Show("without-the-host").Version, uint64(2))
 	is.Equal(d.Show("with-the-new-replica").Version, uint64(3))
-	d.InForce(4, d.entryNames()...)
+	d.WaitActive(4, d.entryNames()...)
 	load.progress()
 	load.stop()
 }
@@ -136,7 +136,7 @@
 		}
 		base++
 	}
-	d.InForce(base, d.entryNames()...)
+	d.WaitActive(base, d.entryNames()...)
 }
 
 // TestMinorityRefusesPatches leaves one of three control hosts. It accepts nothing,
@@ -164,7 +164,7 @@
 		host.WaitReady()
 	}
 	is.Equal(d.SubmitUntilKnown(1, "minority", d.lodgement.Put()).Version, uint64(2)) // exactly once, whatever the first reply was
-	d.InForce(2, d.entryNames()...)
+	d.WaitActive(2, d.entryNames()...)
 	load.stop()
 }
 
@@ -192,7 +192,7 @@
 	})
 	is.Equal(o.Version, uint64(2))
 	is.Equal(d.SubmitUntilKnown(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
-	d.InForce(2, d.entryNames()...)
+	d.WaitActive(2, d.entryNames()...)
 	load.progress()
 	load.stop()
 }
--- a/test/controllinks_test.go
+++ b/test/controllinks_test.go
@@ -30,7 +30,7 @@
 			load := d.startLoad(t)
 			link.CutExisting(directions...)
 			version := d.Patch(d.lodgement.Put())
-			d.InForce(version, entry.Host, "lodgement-a", "certificates-a")
+			d.WaitActive(version, entry.Host, "lodgement-a", "certificates-a")
 			load.progress()
 			load.stop()
 		})
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -60,7 +60,7 @@
 	control.Launch()
 	control.WaitReady()
 	version := d.Patch(d.lodgement.Put())
-	d.InForce(version, d.entries[0].Host, d.entries[1].Host)
+	d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
 	load.progress()
 	load.stop()
 }
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -48,7 +48,7 @@
 		d.Patch(extra.Put())
 		version = d.Patch(extra.Remove())
 	}
-	d.InForce(version, d.entries[0].Host, d.entries[1].Host)
+	d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
 	load.progress()
 	for _, e := range d.entries {
 		e.RemoveFromFabric() // only the host that missed every patch is left
@@ -56,7 +56,7 @@
 	load.progress()
 	d.checkEchoes(t, "old version", 3)
 	link.Heal()
-	d.InForce(version, lagging.Host)
+	d.WaitActive(version, lagging.Host)
 	load.stop()
 	is.True(lagging.Running())
 }
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -53,7 +53,7 @@
 	is.Equal(o.Version, base+1)
 	is.Equal(d.Show(id, learner.Operator).Version, base+1)
 	d.waitVersion(t, learner, base+1)
-	d.InForce(base+1, d.subscribers()...)
+	d.WaitActive(base+1, d.subscribers()...)
 	is.Equal(len(learner.Status().Subscribers), len(d.subscribers())) // all on the learner
 	d.checkRunsOnce(t, d.lodgement.NewCaller(), id)
 }
@@ -137,7 +137,7 @@
 	waitServed := func(names []string) {
 		t.Helper()
 		version := d.Patch(d.lodgement.Put())
-		d.InForce(version, names...)
+		d.WaitActive(version, names...)
 		processtest.Eventually(t, "each subscriber is connected once", func() bool { return d.links(t, links) == len(names) })
 		d.checkEchoes(t, fmt.Sprint("version ", version), 1)
 	}
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -45,7 +45,7 @@
 		names = append(names, target.Name)
 		processes = append(processes, target.Agent)
 	}
-	d.InForce(newest, names...)
+	d.WaitActive(newest, names...)
 	for _, p := range processes {
 		checkMonotonic(t, p.ActiveVersions(), newest)
 	}
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -34,7 +34,7 @@
 		target.WaitRegistered()
 		load.progress()
 	}
-	d.InForce(d.Patch(d.lodgement.Put()), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.Put()), d.entryNames()...)
 	load.progress()
 	load.stop()
 }
@@ -58,7 +58,7 @@
 		e.Launch()
 		e.WaitReady()
 	}
-	d.InForce(version, d.entryNames()...)
+	d.WaitActive(version, d.entryNames()...)
 	d.checkOutcomes(t, version)
 	load.progress()
 	load.stop()
@@ -87,7 +87,7 @@
 	all.Wait()
 	d.launchAll()
 
-	d.InForce(version, d.entryNames()...)
+	d.WaitActive(version, d.entryNames()...)
 	d.checkOutcomes(t, version)
 	is.Equal(d.Patch(d.lodgement.Put()), version+1)
 	d.checkEchoes(t, "after", 3)
--- a/test/stalehost_test.go
+++ b/test/stalehost_test.go
@@ -66,7 +66,7 @@
 	is.True(stale.Status().Groups[0].Term <= stale.Others()[0].Status().Groups[0].Term)
 
 	heal()
-	d.InForce(newest, entry.Host)
+	d.WaitActive(newest, entry.Host)
 	d.waitVersion(t, stale, newest)
 	is.Equal(entry.ActiveVersions(), []uint64{1, newest}) // no version in between
 	for _, e := range d.entries {
@@ -85,7 +85,7 @@
 	moved, starts := 0, 0
 	for ; moved < moves && starts < maxStarts; starts++ {
 		e.WaitReady()
-		d.InForce(newest, e.Host)
+		d.WaitActive(newest, e.Host)
 		is.Equal(e.ActiveVersions(), []uint64{newest})
 		moved += min(e.LogCount(movingMessage)+e.LogCount(leavingMessage), 1)
 		e.Kill()
@@ -106,7 +106,7 @@
 	link.Cut()
 	newest := d.createVersions(t, 1, d.controls...)
 	link.Heal()
-	d.InForce(newest, e.Host)
+	d.WaitActive(newest, e.Host)
 	acted := e.ActiveVersions()
 	checkMonotonic(t, acted, newest)
 	is.Equal(acted[0], uint64(1))
