--- a/internal/processtest/control.go
+++ b/internal/processtest/control.go
@@ -147,7 +147,7 @@
 func (h *Control) Restart() {
 	h.cluster.t.Helper()
 	h.Terminate()
-	h.WaitExit()
+	h.WaitCleanExit()
 	h.Relaunch()
 }
 
--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -40,7 +40,7 @@
 	e.cluster.t.Helper()
 	e.settings.Directory = &settingspb.Directory{FailureDomains: domains}
 	e.Terminate()
-	e.WaitExit()
+	e.WaitCleanExit()
 	e.Launch()
 	e.WaitReady()
 }
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -99,9 +99,9 @@
 	p.signal(syscall.SIGCONT)
 }
 
-// WaitExit waits until the process ends by itself and checks that it reports
+// WaitCleanExit waits until the process ends by itself and checks that it reports
 // success.
-func (p *Process) WaitExit() {
+func (p *Process) WaitCleanExit() {
 	p.t.Helper()
 	if code := p.WaitEnd(); code != 0 {
 		p.t.Fatalf("%s: exit code %d", p.Name, code)
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -63,7 +63,7 @@
 	for _, host := range d.controls {
 		inFlight := d.startRequests(t, target, 2)
 		host.Terminate()
-		host.WaitExit()
+		host.WaitCleanExit()
 		for _, result := range inFlight.wait() {
 			is.Equal(result, completed)
 		}
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -46,7 +46,7 @@
 	load.watch.Advance()
 	load.stop()
 	load.watch.Close()
-	old.WaitExit()
+	old.WaitCleanExit()
 }
 
 func TestControlHostRestarts(t *testing.T) {
@@ -54,7 +54,7 @@
 	load := d.startLoad(t)
 	control := d.controls[0]
 	control.Terminate()
-	control.WaitExit()
+	control.WaitCleanExit()
 	load.progress()
 	d.checkEchoes(t, "without control", 2)
 	control.Launch()
@@ -82,7 +82,7 @@
 	is.True(other.Served(d.lodgement.NewCaller().Echo("x")))
 	load.stop()
 	load.watch.Close()
-	target.Backend.WaitExit()
+	target.Backend.WaitCleanExit()
 }
 
 // TestDrainingTargetBehindPartitionedEntryHost sends every packet through an entry
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -25,7 +25,7 @@
 	load := d.startLoad(t)
 	for _, e := range d.entries {
 		e.Terminate()
-		e.WaitExit()
+		e.WaitCleanExit()
 		load.progress()
 		e.Launch()
 		e.WaitReady()
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -135,7 +135,7 @@
 		d.WaitGrantLeadersBalanced(grantGroups)
 		before, led := host.LogCount(transferredMessage), groupsLed(host)
 		host.Terminate()
-		host.WaitExit()
+		host.WaitCleanExit()
 		is.True(led > 0)
 		is.True(host.LogCount(transferredMessage) >= before+led) // of every group
 		host.Relaunch()
--- a/test/keyrotation_test.go
+++ b/test/keyrotation_test.go
@@ -49,7 +49,7 @@
 	load.progress()
 
 	d.controls[0].Terminate() // forces new links
-	d.controls[0].WaitExit()
+	d.controls[0].WaitCleanExit()
 	d.controls[0].Relaunch()
 	d.StartEntry()
 	d.Patch(d.lodgement.Put())
--- a/test/leadershiptransfer_test.go
+++ b/test/leadershiptransfer_test.go
@@ -92,7 +92,7 @@
 		s := d.startStream(version, leader.Others()...)
 		s.advance(t)
 		leader.Terminate()
-		leader.WaitExit()
+		leader.WaitCleanExit()
 		s.advance(t)
 		var gap time.Duration
 		version, gap = s.end()
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -72,7 +72,7 @@
 		is.Equal(len(voter.Status().Subscribers), 0)
 	}
 	learner.Terminate()
-	learner.WaitExit()
+	learner.WaitCleanExit()
 	learner.Launch()
 	d.checkLearnerServes(t, learner, 2)
 	learner.Kill()
--- a/test/plannedstops_test.go
+++ b/test/plannedstops_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	for _, p := range stopped {
-		p.WaitExit()
+		p.WaitCleanExit()
 	}
 	load.progress()
 	atOther.Advance()
@@ -41,7 +41,7 @@
 	is.True(other.Backend.Running())
 	load.stop()
 	load.watch.Close()
-	target.Agent.WaitExit()
+	target.Agent.WaitCleanExit()
 	atOther.Close()
-	other.Backend.WaitExit()
+	other.Backend.WaitCleanExit()
 }
--- a/test/recordage_test.go
+++ b/test/recordage_test.go
@@ -35,7 +35,7 @@
 	is.Equal(between.Outcome, processtest.OutcomeAnswered)
 	control := d.controls[0]
 	control.Terminate()
-	control.WaitExit()
+	control.WaitCleanExit()
 	control.Launch()
 	control.WaitReady()
 	time.Sleep(recordAge - time.Since(since))
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -16,14 +16,14 @@
 	load := d.startLoad(t)
 	for _, host := range d.controls {
 		host.Terminate()
-		host.WaitExit()
+		host.WaitCleanExit()
 		host.Launch()
 		host.WaitReady()
 		load.progress()
 	}
 	for _, e := range d.entries {
 		e.Terminate()
-		e.WaitExit()
+		e.WaitCleanExit()
 		e.Launch()
 		e.WaitReady()
 		load.progress()
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -45,7 +45,7 @@
 		p.Terminate()
 	}
 	for _, p := range all {
-		p.WaitExit()
+		p.WaitCleanExit()
 	}
 }
 
