--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -103,13 +103,13 @@
 // success.
 func (p *Process) WaitCleanExit() {
 	p.t.Helper()
-	if code := p.WaitEnd(); code != 0 {
+	if code := p.WaitExitCode(); code != 0 {
 		p.t.Fatalf("%s: exit code %d", p.Name, code)
 	}
 }
 
-// WaitEnd waits until the process ends by itself and returns its exit code.
-func (p *Process) WaitEnd() int {
+// WaitExitCode waits until the process ends by itself and returns its exit code.
+func (p *Process) WaitExitCode() int {
 	p.t.Helper()
 	Eventually(p.t, p.Name+" ends", func() bool { return !p.Running() })
 	return p.cmd.ProcessState.ExitCode()
--- a/test/grantgroups_test.go
+++ b/test/grantgroups_test.go
@@ -219,7 +219,7 @@
 	host.Relaunch()
 	host.Remove()
 	host.JoinUntil("invalid number of grant groups")
-	is.Equal(host.WaitEnd(), 1)
+	is.Equal(host.WaitExitCode(), 1)
 	d.checkRunsOnce(t, d.callerOf(t, d.targets[d.lodgement][1]), keyOfEachGroup("without the host")...)
 	host.Relaunch()
 	host.Join()
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -60,7 +60,7 @@
 	watch.Advance()
 	is.True(target.Agent.Running())
 	target.Agent.Terminate()
-	is.Equal(target.Agent.WaitEnd(), exitForced)
+	is.Equal(target.Agent.WaitExitCode(), exitForced)
 }
 
 // TestOperatorRecoversLostOutcome loses the reply to an accepted patch and runs the
