--- a/internal/processtest/rotation.go
+++ b/internal/processtest/rotation.go
@@ -7,9 +7,9 @@
 	callerRenewed = "caller certificate renewed"
 )
 
-// KeyFolder returns the folder with the keys of the deployment, from which all
+// KeyDir returns the folder with the keys of the deployment, from which all
 // its processes read.
-func (c *Cluster) KeyFolder() string { return c.keyDir }
+func (c *Cluster) KeyDir() string { return c.keyDir }
 
 // IssueAgain issues every certificate anew, under the same names.
 func (c *Cluster) IssueAgain() error {
--- a/test/keyrotation_test.go
+++ b/test/keyrotation_test.go
@@ -36,7 +36,7 @@
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
-	keyDir := d.KeyFolder()
+	keyDir := d.KeyDir()
 	d.Renew(func() error { return keys.AddAuthority(keyDir) }, d.keyHolders()...)
 	load.progress()
 	is.NoErr(keys.PreferAuthority(keyDir))
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	d := deploy(t, 1)
 	oldLoad := d.startLoad(t)
-	keyDir := d.KeyFolder()
+	keyDir := d.KeyDir()
 	var added uint8
 	d.Renew(func() (err error) {
 		added, err = keys.AddDataSecret(keyDir)
