--- a/internal/processtest/rotation.go
+++ b/internal/processtest/rotation.go
@@ -11,8 +11,8 @@
 // its processes read.
 func (c *Cluster) KeyDir() string { return c.keyDir }
 
-// IssueAgain issues every certificate anew, under the same names.
-func (c *Cluster) IssueAgain() error {
+// ReissueCertificates issues every certificate anew, under the same names.
+func (c *Cluster) ReissueCertificates() error {
 	for _, id := range c.issued {
 		if _, err := keys.Issue(c.keyDir, id.role, id.name, id.service, nil, keyValidity); err != nil {
 			return err
--- a/test/keyrotation_test.go
+++ b/test/keyrotation_test.go
@@ -41,7 +41,7 @@
 	load.progress()
 	is.NoErr(keys.PreferAuthority(keyDir))
 	d.RenewCallerCertificate(func() error {
-		d.Renew(d.IssueAgain, d.keyHolders()...)
+		d.Renew(d.ReissueCertificates, d.keyHolders()...)
 		return nil
 	}, d.agents()...)
 	load.progress()
