--- a/internal/processtest/rotation.go
+++ b/internal/processtest/rotation.go
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// Renew changes the keys, and waits until all these processes use the new ones.
-func (c *Cluster) Renew(change func() error, processes ...*Process) {
+// RenewKeys changes the keys, and waits until all these processes use the new ones.
+func (c *Cluster) RenewKeys(change func() error, processes ...*Process) {
 	c.t.Helper()
 	c.renew(keysRenewed, change, processes)
 }
--- a/test/keyrotation_test.go
+++ b/test/keyrotation_test.go
@@ -37,15 +37,15 @@
 	d := deploy(t, 3)
 	load := d.startLoad(t)
 	keyDir := d.KeyDir()
-	d.Renew(func() error { return keys.AddAuthority(keyDir) }, d.keyHolders()...)
+	d.RenewKeys(func() error { return keys.AddAuthority(keyDir) }, d.keyHolders()...)
 	load.progress()
 	is.NoErr(keys.PreferAuthority(keyDir))
 	d.RenewCallerCertificate(func() error {
-		d.Renew(d.ReissueCertificates, d.keyHolders()...)
+		d.RenewKeys(d.ReissueCertificates, d.keyHolders()...)
 		return nil
 	}, d.agents()...)
 	load.progress()
-	d.Renew(func() error { return keys.RemoveAuthority(keyDir) }, d.keyHolders()...)
+	d.RenewKeys(func() error { return keys.RemoveAuthority(keyDir) }, d.keyHolders()...)
 	load.progress()
 
 	d.controls[0].Terminate() // forces new links
@@ -66,17 +66,17 @@
 	oldLoad := d.startLoad(t)
 	keyDir := d.KeyDir()
 	var added uint8
-	d.Renew(func() (err error) {
+	d.RenewKeys(func() (err error) {
 		added, err = keys.AddDataSecret(keyDir)
 		return err
 	}, d.keyHolders()...)
 	oldLoad.progress()
 	is.True(added != 0)
-	d.Renew(func() error { return keys.PreferDataSecret(keyDir, added) }, d.keyHolders()...)
+	d.RenewKeys(func() error { return keys.PreferDataSecret(keyDir, added) }, d.keyHolders()...)
 	oldLoad.progress()
 	newLoad := d.startLoad(t)
 	oldLoad.stop()
-	d.Renew(func() error { return keys.RemoveDataSecret(keyDir, 0) }, d.keyHolders()...)
+	d.RenewKeys(func() error { return keys.RemoveDataSecret(keyDir, 0) }, d.keyHolders()...)
 	newLoad.progress()
 	d.checkEchoes(t, "with the new secret", 3)
 	newLoad.stop()
