--- a/internal/processtest/service.go
+++ b/internal/processtest/service.go
@@ -56,9 +56,9 @@
 	return loopback.Address(c.t, c.ip)
 }
 
-// Put returns the section of a patch that creates or replaces the service,
+// PutSection returns the section of a patch that creates or replaces the service,
 // with its own public address if none is named.
-func (s *Service) Put(public ...netip.AddrPort) string {
+func (s *Service) PutSection(public ...netip.AddrPort) string {
 	if len(public) == 0 {
 		public = []netip.AddrPort{s.Address}
 	}
--- a/test/address_test.go
+++ b/test/address_test.go
@@ -44,8 +44,8 @@
 // certificates.
 func (d *deployment) reassignAddress() uint64 {
 	return d.Patch(
-		d.lodgement.Put(d.NewAddress()),
-		d.certificates.Put(d.certificates.Address, d.lodgement.Address),
+		d.lodgement.PutSection(d.NewAddress()),
+		d.certificates.PutSection(d.certificates.Address, d.lodgement.Address),
 	)
 }
 
@@ -55,7 +55,7 @@
 	for name, change := range map[string]func(*deployment) uint64{
 		"address reassigned to another service": (*deployment).reassignAddress,
 		"address replaced": func(d *deployment) uint64 {
-			return d.Patch(d.lodgement.Put(d.NewAddress()))
+			return d.Patch(d.lodgement.PutSection(d.NewAddress()))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -11,7 +11,7 @@
 	d := &deployment{Cluster: processtest.New(b)}
 	d.controls = d.StartControls(3)
 	d.lodgement = d.NewService("lodgement")
-	base := d.Patch(d.lodgement.Put())
+	base := d.Patch(d.lodgement.PutSection())
 	d.Leader()
 	b.ResetTimer()
 	s := d.startStream(base, d.controls...)
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -33,7 +33,7 @@
 		leader := d.Leader()
 		var loss conc.WaitGroup
 		for i := range patches {
-			known := d.SubmitUntilKnown(version, fmt.Sprint("to-", version+1), d.lodgement.Put())
+			known := d.SubmitUntilKnown(version, fmt.Sprint("to-", version+1), d.lodgement.PutSection())
 			is.Equal(known.Verdict, processtest.Accepted)
 			is.Equal(known.Version, version+1)
 			version++
@@ -73,7 +73,7 @@
 	for i := range d.inFlight {
 		is.Equal(d.runs(fmt.Sprint("in flight ", i+1)), 1)
 	}
-	d.WaitActive(d.Patch(d.lodgement.Put()), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.PutSection()), d.entryNames()...)
 	load.progress()
 	load.stop()
 }
@@ -87,13 +87,13 @@
 	lost := d.Leader()
 	lost.Kill()
 	lost.RemoveDataDir()
-	is.Equal(d.SubmitUntilKnown(1, "without-the-host", d.lodgement.Put()).Version, uint64(2))
+	is.Equal(d.SubmitUntilKnown(1, "without-the-host", d.lodgement.PutSection()).Version, uint64(2))
 	lost.Launch()
 	lost.WaitReady()
 	lost.Replace()
-	is.Equal(d.SubmitUntilKnown(2, "with-the-new-replica", d.lodgement.Put()).Version, uint64(3))
+	is.Equal(d.SubmitUntilKnown(2, "with-the-new-replica", d.lodgement.PutSection()).Version, uint64(3))
 	lost.Others()[0].Kill()
-	is.Equal(d.SubmitUntilKnown(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
+	is.Equal(d.SubmitUntilKnown(3, "after-the-second-loss", d.lodgement.PutSection()).Version, uint64(4))
 	is.Equal(d.Show("without-the-host").Version, uint64(2))
 	is.Equal(d.Show("with-the-new-replica").Version, uint64(3))
 	d.WaitActive(4, d.entryNames()...)
@@ -115,7 +115,7 @@
 			host := d.controls[i%len(d.controls)]
 			submissions.Go(func() {
 				id := fmt.Sprintf("round-%d-racer-%d", round, i)
-				outcomes[i] = d.Submit(base, id, []string{d.lodgement.Put()}, host.Operator)
+				outcomes[i] = d.Submit(base, id, []string{d.lodgement.PutSection()}, host.Operator)
 			})
 		}
 		submissions.Wait()
@@ -150,7 +150,7 @@
 	for _, host := range last.Others() {
 		host.Kill()
 	}
-	o := d.Submit(1, "minority", []string{d.lodgement.Put()}, last.Operator)
+	o := d.Submit(1, "minority", []string{d.lodgement.PutSection()}, last.Operator)
 	is.True(o.Verdict == processtest.NotApplied || o.Verdict == processtest.Unknown)
 	is.Equal(d.Show("minority", last.Operator).Verdict, processtest.Unknown)
 	answer := d.lodgement.NewCaller().MustDo(http.MethodPost,
@@ -163,7 +163,7 @@
 		host.Launch()
 		host.WaitReady()
 	}
-	is.Equal(d.SubmitUntilKnown(1, "minority", d.lodgement.Put()).Version, uint64(2)) // exactly once, whatever the first reply was
+	is.Equal(d.SubmitUntilKnown(1, "minority", d.lodgement.PutSection()).Version, uint64(2)) // exactly once, whatever the first reply was
 	d.WaitActive(2, d.entryNames()...)
 	load.stop()
 }
@@ -179,19 +179,19 @@
 	others := operatorAddresses(frozen.Others())
 	var o processtest.Outcome
 	processtest.Eventually(t, "the others accept a patch", func() bool {
-		o = d.Submit(1, "without-the-frozen", []string{d.lodgement.Put()}, others...)
+		o = d.Submit(1, "without-the-frozen", []string{d.lodgement.PutSection()}, others...)
 		return o.Verdict == processtest.Accepted
 	})
 	is.Equal(o.Version, uint64(2))
 	frozen.Thaw()
-	stale := d.Submit(1, "stale", []string{d.certificates.Put()}, frozen.Operator)
+	stale := d.Submit(1, "stale", []string{d.certificates.PutSection()}, frozen.Operator)
 	is.True(stale.Verdict != processtest.Accepted)
 	processtest.Eventually(t, "the thawed host returns the outcome", func() bool {
 		o = d.Show("without-the-frozen", frozen.Operator)
 		return o.Verdict != processtest.Unknown
 	})
 	is.Equal(o.Version, uint64(2))
-	is.Equal(d.SubmitUntilKnown(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
+	is.Equal(d.SubmitUntilKnown(1, "stale", d.certificates.PutSection()).Verdict, processtest.RefusedBase)
 	d.WaitActive(2, d.entryNames()...)
 	load.progress()
 	load.stop()
--- a/test/controllinks_test.go
+++ b/test/controllinks_test.go
@@ -22,14 +22,14 @@
 			link := d.controls[0].Relay()
 			d.lodgement = d.NewService("lodgement")
 			d.certificates = d.NewService("certificates")
-			d.Patch(d.lodgement.Put(), d.certificates.Put())
+			d.Patch(d.lodgement.PutSection(), d.certificates.PutSection())
 			entry := d.StartEntry(link.Addr())
 			for _, s := range d.services() {
 				s.StartTarget("a", link.Addr())
 			}
 			load := d.startLoad(t)
 			link.CutExisting(directions...)
-			version := d.Patch(d.lodgement.Put())
+			version := d.Patch(d.lodgement.PutSection())
 			d.WaitActive(version, entry.Host, "lodgement-a", "certificates-a")
 			load.progress()
 			load.stop()
--- a/test/datadir_test.go
+++ b/test/datadir_test.go
@@ -20,7 +20,7 @@
 	d.controls = d.StartControls(3)
 	d.lodgement = d.NewService("lodgement")
 	for range versions {
-		d.Patch(d.lodgement.Put())
+		d.Patch(d.lodgement.PutSection())
 	}
 	return d
 }
@@ -48,7 +48,7 @@
 	is.NoErr(os.WriteFile(segment, append(data, data[:torn]...), 0o600))
 	host.Launch()
 	host.WaitReady()
-	version := d.Patch(d.lodgement.Put())
+	version := d.Patch(d.lodgement.PutSection())
 	d.waitVersion(t, host, version)
 }
 
@@ -80,7 +80,7 @@
 			output := host.Output()
 			is.True(strings.Contains(output, "data directory is corrupted"))
 			is.True(strings.Contains(output, filepath.Base(path)+", offset "))
-			version := d.Patch(d.lodgement.Put())
+			version := d.Patch(d.lodgement.PutSection())
 			restore()
 			host.Launch()
 			host.WaitReady()
@@ -116,10 +116,10 @@
 			d := deployControls(t)
 			host := pick(d)
 			host.LimitFileSize(host.ConfigLogBytes() + 10)
-			d.Patch(d.lodgement.Put())
+			d.Patch(d.lodgement.PutSection())
 			is.Equal(host.WaitExitCode(), 1)
 			is.True(strings.Contains(host.Output(), "no space left for the data directory"))
-			version := d.Patch(d.lodgement.Put())
+			version := d.Patch(d.lodgement.PutSection())
 			host.Launch()
 			host.WaitReady()
 			d.waitVersion(t, host, version)
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -54,7 +54,7 @@
 		d.checkEchoes(t, fmt.Sprint("invalid datagrams ", i), 2)
 	}
 	watch.Advance()
-	d.Patch(d.lodgement.Put()) // the control host still works
+	d.Patch(d.lodgement.PutSection()) // the control host still works
 	for _, e := range d.entries {
 		processtest.Eventually(t, e.Host+" counts refusals", func() bool { return e.CounterSum("entry_refused") > 0 })
 	}
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -43,7 +43,7 @@
 	d.controls = start(d.Cluster)
 	d.lodgement = d.NewService("lodgement")
 	d.certificates = d.NewService("certificates")
-	d.Patch(d.lodgement.Put(), d.certificates.Put())
+	d.Patch(d.lodgement.PutSection(), d.certificates.PutSection())
 	d.entries = append(d.entries, d.StartEntry(), d.StartEntry())
 	d.targets = make(map[*processtest.Service][]*processtest.Target)
 	for _, s := range d.services() {
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -124,5 +124,5 @@
 		}
 		return sum == all
 	})
-	d.WaitActive(d.Patch(d.lodgement.Put()), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.PutSection()), d.entryNames()...)
 }
--- a/test/diskloss_test.go
+++ b/test/diskloss_test.go
@@ -40,7 +40,7 @@
 	for _, host := range hosts {
 		loseDisk(host)
 		host.Replace()
-		version = d.Patch(d.lodgement.Put())
+		version = d.Patch(d.lodgement.PutSection())
 		d.checkOutcomes(t, version)
 	}
 	for _, host := range d.controls {
@@ -58,19 +58,19 @@
 	second := empty.Others()[0]
 	last := empty.Others()[1]
 	loseDisk(empty)
-	version := d.Patch(d.lodgement.Put()) // the other two go on
+	version := d.Patch(d.lodgement.PutSection()) // the other two go on
 	second.Kill()
 	processtest.Eventually(t, "the last host has no leader", func() bool {
 		s := last.Status()
 		return s != nil && s.Groups[0].Leader == ""
 	})
-	o := d.Submit(version, "in-between", []string{d.lodgement.Put()}, last.Operator, empty.Operator)
+	o := d.Submit(version, "in-between", []string{d.lodgement.PutSection()}, last.Operator, empty.Operator)
 	is.True(o.Verdict == processtest.NotApplied || o.Verdict == processtest.Unknown)
 	second.Launch()
 	second.WaitReady()
 	d.checkOutcomes(t, version)
 	empty.Replace()
-	version = d.SubmitUntilKnown(version, "in-between", d.lodgement.Put()).Version
+	version = d.SubmitUntilKnown(version, "in-between", d.lodgement.PutSection()).Version
 	for _, host := range d.controls {
 		d.waitVersion(t, host, version)
 	}
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -59,7 +59,7 @@
 	d.checkEchoes(t, "without control", 2)
 	control.Launch()
 	control.WaitReady()
-	version := d.Patch(d.lodgement.Put())
+	version := d.Patch(d.lodgement.PutSection())
 	d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
 	load.progress()
 	load.stop()
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -45,7 +45,7 @@
 	var version uint64
 	extra := d.NewService("extra")
 	for range patches / 2 {
-		d.Patch(extra.Put())
+		d.Patch(extra.PutSection())
 		version = d.Patch(extra.Remove())
 	}
 	d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
--- a/test/firstflight_test.go
+++ b/test/firstflight_test.go
@@ -27,7 +27,7 @@
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(1)
 	d.lodgement = d.NewService("lodgement")
-	d.Patch(d.lodgement.Put())
+	d.Patch(d.lodgement.PutSection())
 	link := d.controls[0].Relay()
 	d.entries = append(d.entries, d.StartEntry())
 	isolated := d.StartEntry(link.Addr())
--- a/test/keyrotation_test.go
+++ b/test/keyrotation_test.go
@@ -52,7 +52,7 @@
 	d.controls[0].WaitCleanExit()
 	d.controls[0].Relaunch()
 	d.StartEntry()
-	d.Patch(d.lodgement.Put())
+	d.Patch(d.lodgement.PutSection())
 	d.checkEchoes(t, "with the new authority", 3)
 	load.stop()
 }
--- a/test/leadershiptransfer_test.go
+++ b/test/leadershiptransfer_test.go
@@ -84,7 +84,7 @@
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(3)
 	d.lodgement = d.NewService("lodgement")
-	version := d.Patch(d.lodgement.Put())
+	version := d.Patch(d.lodgement.PutSection())
 	var gaps []time.Duration
 	transferred := 0
 	for range stops {
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -18,7 +18,7 @@
 	d := &deployment{Cluster: processtest.New(t), targets: make(map[*processtest.Service][]*processtest.Target)}
 	d.controls = d.StartControls(3)
 	d.lodgement = d.NewService("lodgement")
-	d.Patch(d.lodgement.Put())
+	d.Patch(d.lodgement.PutSection())
 	learner := d.StartLearner()
 	d.entries = append(d.entries, d.StartEntry(learner.Link))
 	for _, name := range []string{"a", "b", "c"} {
@@ -47,7 +47,7 @@
 	id := fmt.Sprint("through-the-learner-", base)
 	var o processtest.Outcome
 	processtest.Eventually(t, id+" is accepted", func() bool {
-		o = d.Submit(base, id, []string{d.lodgement.Put()}, learner.Operator)
+		o = d.Submit(base, id, []string{d.lodgement.PutSection()}, learner.Operator)
 		return o.Verdict == processtest.Accepted
 	})
 	is.Equal(o.Version, base+1)
@@ -109,7 +109,7 @@
 	t.Helper()
 	is := is.New(t)
 	const noLeader = "no leader: not done"
-	patch := d.RunOperator(d.SubmitArgs(4, "alone", d.lodgement.Put()), learner.Operator)
+	patch := d.RunOperator(d.SubmitArgs(4, "alone", d.lodgement.PutSection()), learner.Operator)
 	is.Equal(patch.Status, 1)
 	is.True(strings.Contains(patch.Stderr, noLeader))
 	outcome := d.RunOperator([]string{"patch", "show", "alone"}, learner.Operator)
@@ -136,7 +136,7 @@
 	// waitServed waits until each subscriber is connected and uses a new version.
 	waitServed := func(names []string) {
 		t.Helper()
-		version := d.Patch(d.lodgement.Put())
+		version := d.Patch(d.lodgement.PutSection())
 		d.WaitActive(version, names...)
 		processtest.Eventually(t, "each subscriber is connected once", func() bool { return d.links(t, links) == len(names) })
 		d.checkEchoes(t, fmt.Sprint("version ", version), 1)
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -17,7 +17,7 @@
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(1)
 	d.lodgement = d.NewService("lodgement")
-	d.Patch(d.lodgement.Put())
+	d.Patch(d.lodgement.PutSection())
 	d.entries = append(d.entries, d.StartEntry())
 	var links []*faultproxy.Relay
 	var targets []*processtest.Target
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -20,7 +20,7 @@
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartRelayedControls(3)
 	d.lodgement = d.NewService("lodgement")
-	is.New(t).Equal(d.Patch(d.lodgement.Put()), uint64(1)) // named patch-1
+	is.New(t).Equal(d.Patch(d.lodgement.PutSection()), uint64(1)) // named patch-1
 	d.entries = append(d.entries, d.StartEntry(), d.StartEntry())
 	return d
 }
--- a/test/newtargets_test.go
+++ b/test/newtargets_test.go
@@ -46,7 +46,7 @@
 	is := is.New(t)
 	const flows, maxShare = 180, 3 // maxShare is a multiple of the mean
 	d := deploy(t, 1)
-	d.WaitActive(d.Patch(d.lodgement.Put()+"ramp_ms = 1\n"), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.PutSection()+"ramp_ms = 1\n"), d.entryNames()...)
 	for _, name := range []string{"c", "d", "e", "f"} {
 		d.targets[d.lodgement] = append(d.targets[d.lodgement], d.lodgement.LaunchTarget(name, processtest.TargetOptions{}))
 	}
--- a/test/ramp_test.go
+++ b/test/ramp_test.go
@@ -24,7 +24,7 @@
 	for round := range rounds {
 		ramp := time.Since(registered)
 		policy := fmt.Sprintf("ramp_ms = %d\n", ramp.Milliseconds())
-		d.WaitActive(d.Patch(d.lodgement.Put()+policy), d.entryNames()...)
+		d.WaitActive(d.Patch(d.lodgement.PutSection()+policy), d.entryNames()...)
 		launched := time.Now()
 		cold := d.lodgement.StartTarget(fmt.Sprint("cold-", round))
 		d.waitCandidates(t, len(d.all())+1)
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -21,7 +21,7 @@
 	d.controls = d.StartControls(1)
 	d.lodgement = d.NewService("lodgement")
 	d.certificates = d.NewService("certificates")
-	d.Patch(d.lodgement.Put(), d.certificates.Put())
+	d.Patch(d.lodgement.PutSection(), d.certificates.PutSection())
 	d.entries = append(d.entries, d.StartEntry(), d.StartEntry())
 	d.certificates.StartTarget("a")
 	watch := d.certificates.NewCaller().Watch()
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -34,7 +34,7 @@
 		target.WaitRegistered()
 		load.progress()
 	}
-	d.WaitActive(d.Patch(d.lodgement.Put()), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.PutSection()), d.entryNames()...)
 	load.progress()
 	load.stop()
 }
@@ -47,7 +47,7 @@
 	version := uint64(0)
 	for _, host := range d.controls {
 		host.Kill()
-		version = d.Patch(d.lodgement.Put())
+		version = d.Patch(d.lodgement.PutSection())
 		host.Launch()
 		host.WaitReady()
 		load.progress()
@@ -73,7 +73,7 @@
 	load := d.startLoad(t)
 	var version uint64
 	for range 5 {
-		version = d.Patch(d.lodgement.Put())
+		version = d.Patch(d.lodgement.PutSection())
 	}
 	ran, err := runKey(d.lodgement.NewCaller(), "once")
 	is.NoErr(err)
@@ -89,7 +89,7 @@
 
 	d.WaitActive(version, d.entryNames()...)
 	d.checkOutcomes(t, version)
-	is.Equal(d.Patch(d.lodgement.Put()), version+1)
+	is.Equal(d.Patch(d.lodgement.PutSection()), version+1)
 	d.checkEchoes(t, "after", 3)
 	d.lodgement.NewCaller().Watch().Advance()
 	again, err := runKey(d.lodgement.NewCaller(), "once")
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -70,13 +70,13 @@
 	d := deploy(t, 1)
 	cut := d.StartOutcomeDropper()
 
-	o := d.Submit(1, "cut-json", []string{d.lodgement.Put()}, cut)
+	o := d.Submit(1, "cut-json", []string{d.lodgement.PutSection()}, cut)
 	is.Equal(o.Verdict, processtest.Unknown) // Submit checks for exit status 4
 	output := d.RunShell(o.Next)
 	is.Equal(output.Status, exitAccepted)
 	is.True(strings.Contains(output.Stdout, "patch cut-json: accepted as version 2"))
 
-	printed := d.RunOperator(d.SubmitArgs(1, "cut-text", d.lodgement.Put()), cut)
+	printed := d.RunOperator(d.SubmitArgs(1, "cut-text", d.lodgement.PutSection()), cut)
 	is.Equal(printed.Status, exitUnknown)
 	_, next, found := strings.Cut(printed.Stdout, "To learn it run:\n  ")
 	is.True(found)
@@ -89,7 +89,7 @@
 func TestOperatorCommands(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
-	d.Patch(d.lodgement.Put(), d.certificates.Remove())
+	d.Patch(d.lodgement.PutSection(), d.certificates.Remove())
 	for _, args := range [][]string{
 		{"status"}, {"config", "show"}, {"config", "show", "--version", "1"}, {"patch", "show", "patch-1"},
 	} {
@@ -107,7 +107,7 @@
 		"[service lodgement]\naddresses = 192.0.2.1:443\nslots = 0\n", "[remove nobody]\n"))
 	is.Equal(wrong.Status, exitRefused)
 	is.Equal(strings.Count(wrong.Stdout, "wrong.ini:"), 2) // each finding with its place
-	base := d.RunOperator(append(d.SubmitArgs(1, "old-base", d.lodgement.Put()), "--json"))
+	base := d.RunOperator(append(d.SubmitArgs(1, "old-base", d.lodgement.PutSection()), "--json"))
 	is.Equal(base.Status, exitRefused)
 	is.True(json.Valid([]byte(base.Stdout)))
 }
