--- a/internal/processtest/service.go
+++ b/internal/processtest/service.go
@@ -69,8 +69,8 @@
 	return fmt.Sprintf("[service %s]\naddresses = %s\nslots = 4\n", s.Name, strings.Join(all, ", "))
 }
 
-// Remove returns the section of a patch that removes the service.
-func (s *Service) Remove() string {
+// RemoveSection returns the section of a patch that removes the service.
+func (s *Service) RemoveSection() string {
 	return fmt.Sprintf("[remove %s]\n", s.Name)
 }
 
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -46,7 +46,7 @@
 	extra := d.NewService("extra")
 	for range patches / 2 {
 		d.Patch(extra.PutSection())
-		version = d.Patch(extra.Remove())
+		version = d.Patch(extra.RemoveSection())
 	}
 	d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
 	load.progress()
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -89,7 +89,7 @@
 func TestOperatorCommands(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
-	d.Patch(d.lodgement.PutSection(), d.certificates.Remove())
+	d.Patch(d.lodgement.PutSection(), d.certificates.RemoveSection())
 	for _, args := range [][]string{
 		{"status"}, {"config", "show"}, {"config", "show", "--version", "1"}, {"patch", "show", "patch-1"},
 	} {
