--- a/internal/processtest/standins.go
+++ b/internal/processtest/standins.go
@@ -34,10 +34,10 @@
 	})
 }
 
-// AnnounceStandIns announces as many targets of the service as that until the
+// AnnounceFakeTargets announces as many targets of the service as that until the
 // end of the test, over one link. There is nothing behind them. It returns
 // when control hosts have taken them all.
-func (s *Service) AnnounceStandIns(count int) {
+func (s *Service) AnnounceFakeTargets(count int) {
 	c := s.cluster
 	c.t.Helper()
 	s.standIns++
--- a/test/directory_test.go
+++ b/test/directory_test.go
@@ -30,7 +30,7 @@
 	is := is.New(t)
 	const standIns = 300
 	d := deploy(t, 3)
-	d.lodgement.AnnounceStandIns(standIns)
+	d.lodgement.AnnounceFakeTargets(standIns)
 	entry := d.StartEntry()
 	known := func(targets int) func() bool {
 		return func() bool { return entry.MetricValue("subscriber_targets", "", "") == float64(targets) }
@@ -42,7 +42,7 @@
 	lost := d.subscribedControl(entry.Host)
 	lost.Kill()
 	processtest.Eventually(t, "another control host", func() bool { return d.subscribedControl(entry.Host) != nil })
-	d.lodgement.AnnounceStandIns(1)
+	d.lodgement.AnnounceFakeTargets(1)
 	processtest.Eventually(t, "a newly announced target", known(total+1))
 	processtest.Eventually(t, "its record is counted", func() bool { return received() > float64(total) })
 	t.Logf("%v records received, %d targets", received(), total)
