--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -53,8 +53,8 @@
 type TargetOptions struct {
 	// Control are the control hosts that the agent dials, all if empty.
 	Control []netip.AddrPort
-	// Faults are flags of the backend server.
-	Faults []string
+	// FaultFlags are flags of the backend server.
+	FaultFlags []string
 	// Relayed puts a relay before the frame address of the first agent.
 	Relayed bool
 }
@@ -111,7 +111,7 @@
 		"--listen", strings.TrimPrefix(t.url, "http://"), "--announce", t.settings.Agent.AnnounceListen,
 		"--run-log", c.path("runs-%s", t.Name),
 	}
-	t.Backend = Start(c.t, "backend-"+t.Name, append(args, t.options.Faults...)...)
+	t.Backend = Start(c.t, "backend-"+t.Name, append(args, t.options.FaultFlags...)...)
 }
 
 // RestartBackend kills the backend server and starts it again with other
@@ -119,7 +119,7 @@
 func (t *Target) RestartBackend(faults ...string) {
 	t.service.cluster.t.Helper()
 	t.Backend.Kill()
-	t.options.Faults = faults
+	t.options.FaultFlags = faults
 	t.LaunchBackend()
 }
 
--- a/test/faultybackends_test.go
+++ b/test/faultybackends_test.go
@@ -20,7 +20,7 @@
 		"health hangs, always full": {"--fault-health=frozen", "--fault-load=full"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := deployWith(t, 1, processtest.TargetOptions{Faults: faults})
+			d := deployWith(t, 1, processtest.TargetOptions{FaultFlags: faults})
 			load := d.startLoad(t)
 			for i := range 10 {
 				d.checkEchoes(t, fmt.Sprint("wrong reports ", i), 2)
@@ -38,14 +38,14 @@
 	t.Run("broken, reports healthy and idle", func(t *testing.T) {
 		d := deploy(t, 1)
 		faulty := d.lodgement.StartTargetWith("faulty", processtest.TargetOptions{
-			Faults: []string{"--fault-broken", "--fault-health=well", "--fault-load=idle"},
+			FaultFlags: []string{"--fault-broken", "--fault-health=well", "--fault-load=idle"},
 		})
 		d.checkFaultyAvoided(t, faulty)
 	})
 	t.Run("working, reports unhealthy and full", func(t *testing.T) {
 		d := deploy(t, 1)
 		faulty := d.lodgement.StartTargetWith("faulty", processtest.TargetOptions{
-			Faults: []string{"--fault-health=ill", "--fault-load=full"},
+			FaultFlags: []string{"--fault-health=ill", "--fault-load=full"},
 		})
 		load := d.startLoad(t)
 		d.callerOf(t, faulty)
@@ -77,7 +77,7 @@
 func TestRampFollowsBackendServerAge(t *testing.T) {
 	const hour = 3600
 	d := deploy(t, 1)
-	target := d.lodgement.StartTargetWith("old", processtest.TargetOptions{Faults: []string{"--fault-age=24h"}})
+	target := d.lodgement.StartTargetWith("old", processtest.TargetOptions{FaultFlags: []string{"--fault-age=24h"}})
 	old := func() bool { return target.BackendAge() >= 23*hour }
 	processtest.Eventually(t, "the agent considers its server old", old)
 	target.StopAgent()
--- a/test/faultyresponses_test.go
+++ b/test/faultyresponses_test.go
@@ -31,7 +31,7 @@
 func TestFaultyResponsesAreNotDelivered(t *testing.T) {
 	is := is.New(t)
 	const workers, requests = 8, 40
-	d := deployWith(t, 1, processtest.TargetOptions{Faults: faultyResponses})
+	d := deployWith(t, 1, processtest.TargetOptions{FaultFlags: faultyResponses})
 	results := make([]map[string]int, workers)
 	var senders conc.WaitGroup
 	for worker := range workers {
