--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -147,8 +147,8 @@
 	t.Agent.WaitLog(registeredMessage)
 }
 
-// StopAgent asks the agent to leave and waits until it takes no new flow.
-func (t *Target) StopAgent() {
+// DrainAgent asks the agent to leave and waits until it takes no new flow.
+func (t *Target) DrainAgent() {
 	t.service.cluster.t.Helper()
 	t.Agent.Terminate()
 	t.WaitTakesNoFlow()
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -31,7 +31,7 @@
 	target, _ := d.sessionTarget(t, load.watch)
 	old := target.Agent
 	inFlight := d.startRequests(t, target, 2)
-	target.StopAgent()
+	target.DrainAgent()
 	target.LaunchAgent()
 	target.WaitRegistered()
 	for _, answer := range inFlight.wait() {
@@ -97,7 +97,7 @@
 	load := d.startLoad(t)
 	target, _ := d.sessionTarget(t, load.watch)
 	link.Cut()
-	target.StopAgent()
+	target.DrainAgent()
 	d.checkNoNewFlows(t, target)
 	load.progress()
 	load.stop()
--- a/test/faultybackends_test.go
+++ b/test/faultybackends_test.go
@@ -80,7 +80,7 @@
 	target := d.lodgement.StartTargetWith("old", processtest.TargetOptions{FaultFlags: []string{"--fault-age=24h"}})
 	old := func() bool { return target.BackendAge() >= 23*hour }
 	processtest.Eventually(t, "the agent considers its server old", old)
-	target.StopAgent()
+	target.DrainAgent()
 	target.LaunchAgent()
 	target.WaitRegistered()
 	processtest.Eventually(t, "the new agent considers its server old", old)
--- a/test/ramp_test.go
+++ b/test/ramp_test.go
@@ -30,7 +30,7 @@
 		d.waitCandidates(t, len(d.all())+1)
 		first := d.countFlowsTo(cold, flows)
 		if time.Since(launched) > ramp/4 {
-			cold.StopAgent() // no longer cold
+			cold.DrainAgent() // no longer cold
 			d.waitCandidates(t, len(d.all()))
 			continue
 		}
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -29,7 +29,7 @@
 		load.progress()
 	}
 	for _, target := range d.all() {
-		target.StopAgent()
+		target.DrainAgent()
 		target.LaunchAgent()
 		target.WaitRegistered()
 		load.progress()
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -56,7 +56,7 @@
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
 	target, _ := d.sessionTarget(t, watch)
-	target.StopAgent()
+	target.DrainAgent()
 	watch.Advance()
 	is.True(target.Agent.Running())
 	target.Agent.Terminate()
