--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -151,11 +151,11 @@
 func (t *Target) DrainAgent() {
 	t.service.cluster.t.Helper()
 	t.Agent.Terminate()
-	t.WaitTakesNoFlow()
+	t.WaitNoNewFlows()
 }
 
-// WaitTakesNoFlow waits until the newest agent takes no new flow.
-func (t *Target) WaitTakesNoFlow() {
+// WaitNoNewFlows waits until the newest agent takes no new flow.
+func (t *Target) WaitNoNewFlows() {
 	c := t.service.cluster
 	c.t.Helper()
 	Eventually(c.t, t.Name+" takes no new flow", func() bool {
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -75,7 +75,7 @@
 	for _, answer := range inFlight.wait() {
 		is.Equal(answer, completed)
 	}
-	target.WaitTakesNoFlow()
+	target.WaitNoNewFlows()
 	d.checkNoNewFlows(t, target)
 	load.progress()
 	is.True(target.Backend.Running())
