--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -174,9 +174,9 @@
 	return strings.HasPrefix(header, t.Name+"/")
 }
 
-// Runs asks the backend server how often it ran a key, in its former lives as
+// RunCount asks the backend server how often it ran a key, in its former lives as
 // well.
-func (t *Target) Runs(key string) int {
+func (t *Target) RunCount(key string) int {
 	t.service.cluster.t.Helper()
 	count, err := strconv.Atoi(string(t.get("/runs?key=" + url.QueryEscape(key))))
 	t.service.cluster.must(err)
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -91,7 +91,7 @@
 	is.Equal(answer.Outcome, processtest.OutcomeNotRun)
 	is.Equal(answer.Reason, "request-too-large")
 	for _, target := range d.targets[d.lodgement] {
-		is.Equal(target.Runs("oversized"), 0)
+		is.Equal(target.RunCount("oversized"), 0)
 	}
 	checkEcho(t, d.lodgement, caller, "the connection goes on")
 }
--- a/test/grants_test.go
+++ b/test/grants_test.go
@@ -20,7 +20,7 @@
 	is.NoErr(err)
 	is.Equal(ended.Outcome, processtest.OutcomeAnswered)
 	attempt := startRun(caller, "running")
-	processtest.Eventually(t, "the request runs", func() bool { return first.Runs("running") == 1 })
+	processtest.Eventually(t, "the request runs", func() bool { return first.RunCount("running") == 1 })
 
 	lost := d.GrantLeader()
 	lost.Kill()
@@ -101,7 +101,7 @@
 	d := deploy(t, 1)
 	target := d.targets[d.lodgement][0]
 	attempt := startRun(d.callerOf(t, target), "amnesia")
-	processtest.Eventually(t, "the request runs", func() bool { return target.Runs("amnesia") == 1 })
+	processtest.Eventually(t, "the request runs", func() bool { return target.RunCount("amnesia") == 1 })
 	target.Agent.Kill()
 	target.Backend.Kill()
 	attempt.abandon()
--- a/test/inflight_test.go
+++ b/test/inflight_test.go
@@ -34,7 +34,7 @@
 		key := fmt.Sprint("in flight ", d.inFlight)
 		caller := d.callerOf(t, target)
 		r.workers.Go(func() { r.results[i] = runToResult(caller, key) })
-		processtest.Eventually(t, key+" runs", func() bool { return target.Runs(key) == 1 })
+		processtest.Eventually(t, key+" runs", func() bool { return target.RunCount(key) == 1 })
 	}
 	return r
 }
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -101,7 +101,7 @@
 		is.True(answer != nil)
 		is.Equal(answer.Outcome, processtest.OutcomeNotRun)
 		is.True(answer.Header.Get("Retry-After") != "")
-		is.Equal(target.Runs(fmt.Sprint("shed ", i)), 0)
+		is.Equal(target.RunCount(fmt.Sprint("shed ", i)), 0)
 	}
 	cancel()
 	held.Wait()
--- a/test/nonrepeatable_test.go
+++ b/test/nonrepeatable_test.go
@@ -23,7 +23,7 @@
 func (d *deployment) runs(key string) int {
 	n := 0
 	for _, target := range d.targets[d.lodgement] {
-		n += target.Runs(key)
+		n += target.RunCount(key)
 	}
 	return n
 }
@@ -52,7 +52,7 @@
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
 	d.entries[1].RemoveFromFabric()
 	attempt := startRun(d.callerOf(t, first), "lost")
-	processtest.Eventually(t, "the request runs", func() bool { return first.Runs("lost") == 1 })
+	processtest.Eventually(t, "the request runs", func() bool { return first.RunCount("lost") == 1 })
 	d.lodgement.Fabric.CutExisting(faultproxy.ToCaller)
 	d.entries[0].RemoveFromFabric()
 	d.entries[1].AddToFabric()
@@ -107,7 +107,7 @@
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
 	other := d.callerOf(t, second)
 	attempt := startRun(d.callerOf(t, first), "killed")
-	processtest.Eventually(t, "the request runs", func() bool { return first.Runs("killed") == 1 })
+	processtest.Eventually(t, "the request runs", func() bool { return first.RunCount("killed") == 1 })
 	first.Agent.Kill()
 	for i := range 3 {
 		answer, err := runKey(other, "killed")
@@ -136,7 +136,7 @@
 	for i := range keys {
 		attempts = append(attempts, startRun(caller, key(i)))
 	}
-	processtest.Eventually(t, "a request runs", func() bool { return first.Runs(key(0)) == 1 })
+	processtest.Eventually(t, "a request runs", func() bool { return first.RunCount(key(0)) == 1 })
 	first.Agent.Freeze()
 	for i := range keys {
 		answer, err := runKey(other, key(i))
--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -165,7 +165,7 @@
 	runs := 0
 	for _, target := range d.targets[d.lodgement] {
 		processtest.Eventually(t, "the backend server is ready", target.Ready)
-		runs += target.Runs(name)
+		runs += target.RunCount(name)
 	}
 	right := runs <= 1
 	switch result {
--- a/test/recordage_test.go
+++ b/test/recordage_test.go
@@ -25,7 +25,7 @@
 	is.Equal(ended.Outcome, processtest.OutcomeAnswered)
 	other := d.callerOf(t, second) // a flow opened after the kill may reach the dead agent until its lease expires
 	attempt := startRun(caller, "killed")
-	processtest.Eventually(t, "the request runs", func() bool { return first.Runs("killed") == 1 })
+	processtest.Eventually(t, "the request runs", func() bool { return first.RunCount("killed") == 1 })
 	first.Agent.Kill()
 	since := time.Now()
 
