--- a/internal/processtest/target.go
+++ b/internal/processtest/target.go
@@ -218,7 +218,7 @@
 	return t.Agent.MetricValue(residentMemory, "", "")
 }
 
-// Ready tells whether the backend server takes requests.
-func (t *Target) Ready() bool {
+// BackendReady tells whether the backend server takes requests.
+func (t *Target) BackendReady() bool {
 	return t.Backend.Running() && t.Backend.log.count(readyMessage) > 0
 }
--- a/test/faultybackends_test.go
+++ b/test/faultybackends_test.go
@@ -96,7 +96,7 @@
 	target := d.targets[d.lodgement][0]
 	processtest.Eventually(t, "the agent knows its server", func() bool { return target.BackendAge() > 0 })
 	target.RestartBackend("--fault-age=24h")
-	processtest.Eventually(t, "the new server is ready", target.Ready)
+	processtest.Eventually(t, "the new server is ready", target.BackendReady)
 	caller := d.callerOf(t, target)
 	is.New(t).Equal(caller.Echo("x").Outcome, processtest.OutcomeAnswered)
 	is.New(t).True(target.BackendAge() < hour)
--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -164,7 +164,7 @@
 	t.Helper()
 	runs := 0
 	for _, target := range d.targets[d.lodgement] {
-		processtest.Eventually(t, "the backend server is ready", target.Ready)
+		processtest.Eventually(t, "the backend server is ready", target.BackendReady)
 		runs += target.RunCount(name)
 	}
 	right := runs <= 1
