--- a/internal/processtest/traffic.go
+++ b/internal/processtest/traffic.go
@@ -69,9 +69,9 @@
 	return report
 }
 
-// Progress waits for more answers than can be in flight, so that some of them
+// WaitProgress waits for more answers than can be in flight, so that some of them
 // belong to requests sent after the call.
-func (t *Traffic) Progress() {
+func (t *Traffic) WaitProgress() {
 	c := t.service.cluster
 	c.t.Helper()
 	before := t.Report().Answered
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -123,7 +123,7 @@
 	l.t.Helper()
 	l.watch.Advance()
 	for _, traffic := range l.traffic {
-		traffic.Progress()
+		traffic.WaitProgress()
 	}
 }
 
