--- a/internal/processtest/traffic.go
+++ b/internal/processtest/traffic.go
@@ -25,9 +25,9 @@
 	Answered int
 	// Refused counts requests that were said not to have been run.
 	Refused int
-	// Wrong tells of each request with another fate: lost, cut short,
+	// Failures tells of each request with another fate: lost, cut short,
 	// misrouted, or of unknown outcome.
-	Wrong []string
+	Failures []string
 }
 
 // Traffic is a number of callers that each send one request after the other.
@@ -65,7 +65,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	report := t.report
-	report.Wrong = append([]string(nil), report.Wrong...)
+	report.Failures = append([]string(nil), report.Failures...)
 	return report
 }
 
@@ -111,5 +111,5 @@
 }
 
 func (t *Traffic) wrongLocked(text, fate string) {
-	t.report.Wrong = append(t.report.Wrong, text+": "+fate)
+	t.report.Failures = append(t.report.Failures, text+": "+fate)
 }
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -134,9 +134,9 @@
 	for _, traffic := range l.traffic {
 		report := traffic.Stop()
 		l.t.Logf("answered %d, refused %d", report.Answered, report.Refused)
-		if len(report.Wrong) > 0 {
+		if len(report.Failures) > 0 {
 			l.t.Errorf("%d of %d requests failed, the first: %s",
-				len(report.Wrong), len(report.Wrong)+report.Answered+report.Refused, report.Wrong[0])
+				len(report.Failures), len(report.Failures)+report.Answered+report.Refused, report.Failures[0])
 		}
 	}
 }
