--- a/internal/processtest/watch.go
+++ b/internal/processtest/watch.go
@@ -37,7 +37,7 @@
 	w := &Watch{t: c.t, cancel: cancel}
 	w.worker.Go(func() { w.run(ctx, c) })
 	c.t.Cleanup(w.Close)
-	w.Advance()
+	w.WaitEvents()
 	return w
 }
 
@@ -105,9 +105,9 @@
 	return w.target
 }
 
-// Advance waits for more events than can be under way, so that some of them
+// WaitEvents waits for more events than can be under way, so that some of them
 // were sent after the call. A session that ended fails the test.
-func (w *Watch) Advance() {
+func (w *Watch) WaitEvents() {
 	w.t.Helper()
 	before, _ := w.state()
 	Eventually(w.t, "the watch advances", func() bool {
--- a/test/address_test.go
+++ b/test/address_test.go
@@ -63,7 +63,7 @@
 			watch := d.lodgement.NewCaller().Watch()
 			version := change(d)
 			d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
-			watch.Advance()
+			watch.WaitEvents()
 		})
 	}
 }
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -22,7 +22,7 @@
 	d.lodgement.Fabric.CutExisting(faultproxy.ToHost, faultproxy.ToCaller)
 	checkEcho(t, d.lodgement, d.lodgement.NewCaller(), "from a new port")
 	caller.Migrate()
-	watch.Advance()
+	watch.WaitEvents()
 	is.Equal(caller.Echo("after").Target, firstTarget)
 }
 
@@ -76,7 +76,7 @@
 		answer, err := d.lodgement.NewCaller().Do(t.Context(), http.MethodGet, "/echo?text=other", nil, nil)
 		return err == nil && target.Served(answer)
 	})
-	watch.Advance()
+	watch.WaitEvents()
 	processtest.Eventually(t, "the agent used the last resort", func() bool {
 		return target.CountByReason("return_paths_last_resort", "") > 0
 	})
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -37,7 +37,7 @@
 	for i := range 5 {
 		d.checkEchoes(t, fmt.Sprint("lossy ", i), 3)
 	}
-	watch.Advance()
+	watch.WaitEvents()
 	for _, s := range d.services() {
 		for _, e := range d.entries {
 			is.True(s.Fabric.Counts(e.PublicAddress(s), faultproxy.ToHost).Delivered > 0)
@@ -53,7 +53,7 @@
 		d.SendGarbage(d.all()...)
 		d.checkEchoes(t, fmt.Sprint("invalid datagrams ", i), 2)
 	}
-	watch.Advance()
+	watch.WaitEvents()
 	d.Patch(d.lodgement.PutSection()) // the control host still works
 	for _, e := range d.entries {
 		processtest.Eventually(t, e.Host+" counts refusals", func() bool { return e.CounterSum("entry_refused") > 0 })
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -121,7 +121,7 @@
 // progress waits until the watch and both services have made progress.
 func (l *load) progress() {
 	l.t.Helper()
-	l.watch.Advance()
+	l.watch.WaitEvents()
 	for _, traffic := range l.traffic {
 		traffic.WaitProgress()
 	}
@@ -130,7 +130,7 @@
 // stop expects that no request failed and that the watch goes on.
 func (l *load) stop() {
 	l.t.Helper()
-	l.watch.Advance()
+	l.watch.WaitEvents()
 	for _, traffic := range l.traffic {
 		report := traffic.Stop()
 		l.t.Logf("answered %d, refused %d", report.Answered, report.Refused)
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -43,7 +43,7 @@
 		return target.Served(answer) && answer.Target != load.watch.Target()
 	})
 	is.True(old.Running()) // its session is still open
-	load.watch.Advance()
+	load.watch.WaitEvents()
 	load.stop()
 	load.watch.Close()
 	old.WaitCleanExit()
--- a/test/forged_test.go
+++ b/test/forged_test.go
@@ -71,7 +71,7 @@
 	}
 	answer := caller.MustDo(http.MethodPost, processtest.RunPath(0), processtest.KeyHeader("replayed"), nil)
 	is.Equal(answer.Outcome, processtest.OutcomeAnswered)
-	watch.Advance()
+	watch.WaitEvents()
 	packets := d.lodgement.Fabric.Recorded(faultproxy.ToHost)
 	frames := target.FrameRelay.Recorded(faultproxy.ToHost)
 	replies := target.FrameRelay.Recorded(faultproxy.ToCaller)
@@ -91,7 +91,7 @@
 		sendAll(t, entry.PublicAddress(d.lodgement), packets)
 		sendAll(t, entry.FrameAddr(), replies)
 		sendAll(t, target.FrameAddr, frames)
-		watch.Advance()
+		watch.WaitEvents()
 		checkEcho(t, d.lodgement, caller, "after forgeries")
 	}
 	for reason, before := range refused {
--- a/test/learner_test.go
+++ b/test/learner_test.go
@@ -78,7 +78,7 @@
 	learner.Kill()
 	learner.Launch()
 	d.checkLearnerServes(t, learner, 3)
-	watch.Advance()
+	watch.WaitEvents()
 
 	for _, voter := range d.controls {
 		voter.Kill()
@@ -99,7 +99,7 @@
 		is.True(!lost.Served(answer))
 	}
 	is.True(targets[0].Served(caller.Echo("established")))
-	watch.Advance()
+	watch.WaitEvents()
 	is.Equal(d.entries[0].ActiveVersions(), []uint64{1, 2, 3, 4})
 }
 
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -33,11 +33,11 @@
 		processtest.Eventually(t, "the lease expires", func() bool { return d.controls[0].Status().Targets == 1 })
 		d.waitCandidates(t, 1)
 		d.checkNoNewFlows(t, target)
-		watch.Advance()
+		watch.WaitEvents()
 		links[i].Heal()
 		d.waitCandidates(t, len(targets))
 		d.callerOf(t, target) // takes new flows again
-		watch.Advance()
+		watch.WaitEvents()
 	}
 }
 
@@ -58,10 +58,10 @@
 		})
 	}
 	is.True(flapping.Agent.Running())
-	watch.Advance() // flows of the other target go on
+	watch.WaitEvents() // flows of the other target go on
 	processtest.Eventually(t, "damping ends", func() bool { return !d.damped() })
 	d.callerOf(t, flapping)
-	watch.Advance()
+	watch.WaitEvents()
 }
 
 // damped reports whether the control host damps a target.
--- a/test/plannedstops_test.go
+++ b/test/plannedstops_test.go
@@ -36,7 +36,7 @@
 		p.WaitCleanExit()
 	}
 	load.progress()
-	atOther.Advance()
+	atOther.WaitEvents()
 	is.True(target.Agent.Running())
 	is.True(other.Backend.Running())
 	load.stop()
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -33,11 +33,11 @@
 	first.Agent.Kill()
 	first.Backend.Kill()
 	waitRefusals(t, d.lodgement) // its lease has expired
-	watch.Advance()
+	watch.WaitEvents()
 
 	d.lodgement.StartTarget("b")
 	checkEcho(t, d.lodgement, waitServedCaller(t, d.lodgement), "served again")
-	watch.Advance()
+	watch.WaitEvents()
 	processtest.Eventually(t, "refusals are counted", func() bool {
 		sent, noTarget := 0.0, 0.0
 		for _, e := range d.entries {
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -91,7 +91,7 @@
 	d.checkOutcomes(t, version)
 	is.Equal(d.Patch(d.lodgement.PutSection()), version+1)
 	d.checkEchoes(t, "after", 3)
-	d.lodgement.NewCaller().Watch().Advance()
+	d.lodgement.NewCaller().Watch().WaitEvents()
 	again, err := runKey(d.lodgement.NewCaller(), "once")
 	is.NoErr(err)
 	is.Equal(again.Outcome, processtest.OutcomeAnswered) // the recorded response
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -57,7 +57,7 @@
 	watch := d.lodgement.NewCaller().Watch()
 	target, _ := d.sessionTarget(t, watch)
 	target.DrainAgent()
-	watch.Advance()
+	watch.WaitEvents()
 	is.True(target.Agent.Running())
 	target.Agent.Terminate()
 	is.Equal(target.Agent.WaitExitCode(), exitForced)
