--- a/internal/processtest/entry.go
+++ b/internal/processtest/entry.go
@@ -105,9 +105,9 @@
 	return int(e.MetricValue("entry_candidates", "", ""))
 }
 
-// Damped returns how many targets the host keeps from new flows as they flap.
+// DampedTargets returns how many targets the host keeps from new flows as they flap.
 // It is told like Candidates.
-func (e *Entry) Damped() int {
+func (e *Entry) DampedTargets() int {
 	return int(e.MetricValue("entry_targets_damped", "", ""))
 }
 
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -72,12 +72,12 @@
 // damping may end early.
 func (d *deployment) checkNoFlowsWhileDamped(t *testing.T, flapping *processtest.Target, maxFlows int) int {
 	t.Helper()
-	d.eventuallyOnEntries(t, "no damping", func(e *processtest.Entry) bool { return e.Damped() == 0 })
+	d.eventuallyOnEntries(t, "no damping", func(e *processtest.Entry) bool { return e.DampedTargets() == 0 })
 	flapping.Agent.Kill()
 	flapping.Flap(6)
 	flapping.LaunchAgent()
 	flapping.WaitRegistered()
-	d.eventuallyOnEntries(t, "damping", func(e *processtest.Entry) bool { return e.Damped() == 1 || !d.damped() })
+	d.eventuallyOnEntries(t, "damping", func(e *processtest.Entry) bool { return e.DampedTargets() == 1 || !d.damped() })
 	for flows := range maxFlows {
 		taken := d.countFlowsTo(flapping, 1)
 		if !d.damped() { // damping may have ended before the flow
