--- a/internal/capacity/agent.go
+++ b/internal/capacity/agent.go
@@ -206,14 +206,14 @@
 		return err
 	}
 	return r.addSlopes(
-		&series{name: "agent.address.memory", unit: Bytes, per: "address", count: Letter.Addresses, at: memory},
-		&series{name: "agent.rest.cpu", unit: MicroCore, per: "address", count: Letter.Addresses, at: cpu})
+		&series{name: "agent.address.memory", unit: Bytes, per: "address", count: DesignSize.Addresses, at: memory},
+		&series{name: "agent.rest.cpu", unit: MicroCore, per: "address", count: DesignSize.Addresses, at: cpu})
 }
 
 func (t *target) measureFlows(ctx context.Context, r *Report) error {
-	memory := &series{name: "agent.flow.memory", unit: Bytes, per: "idle flow", count: Letter.FlowsPerAgent()}
-	idle := &series{name: "agent.flow.cpu", unit: MicroCore, per: "idle flow", count: Letter.FlowsPerAgent()}
-	opening := &series{name: "agent.open.cpu", unit: Microseconds, per: "flow opened", count: Letter.NewFlowsPerAgent()}
+	memory := &series{name: "agent.flow.memory", unit: Bytes, per: "idle flow", count: DesignSize.FlowsPerAgent()}
+	idle := &series{name: "agent.flow.cpu", unit: MicroCore, per: "idle flow", count: DesignSize.FlowsPerAgent()}
+	opening := &series{name: "agent.open.cpu", unit: Microseconds, per: "flow opened", count: DesignSize.NewFlowsPerAgent()}
 	for _, n := range []int{200, 400, 800, 1600} {
 		began := len(t.flows)
 		before, err := t.usage()
@@ -243,7 +243,7 @@
 
 // measureWatches opens one watch on each of many flows.
 func (t *target) measureWatches(ctx context.Context, r *Report) error {
-	memory := &series{name: "agent.watch.memory", unit: Bytes, per: "open watch", count: Letter.FlowsPerAgent()}
+	memory := &series{name: "agent.watch.memory", unit: Bytes, per: "open watch", count: DesignSize.FlowsPerAgent()}
 	ctx, cancel := context.WithCancel(ctx)
 	p := pool.New()
 	defer p.Wait()
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -21,12 +21,12 @@
 		got  float64
 		want float64
 	}{
-		{"subscribers of a control host", Letter.Subscribers(), 14_000.0 / 15},
-		{"flows of an entry host", Letter.FlowsPerEntry(), 20_000},
-		{"flows of an agent", Letter.FlowsPerAgent(), 40e6 / 12_000},
-		{"new flows of an agent", Letter.NewFlowsPerAgent(), 100e3 / 12_000},
-		{"seconds between changes", 1 / Letter.ChangesPerSecond(), 86_400.0 / 3300},
-		{"targets of a failure domain", Letter.TargetsPerDomain(), 12_000.0 / 21},
+		{"subscribers of a control host", DesignSize.Subscribers(), 14_000.0 / 15},
+		{"flows of an entry host", DesignSize.FlowsPerEntry(), 20_000},
+		{"flows of an agent", DesignSize.FlowsPerAgent(), 40e6 / 12_000},
+		{"new flows of an agent", DesignSize.NewFlowsPerAgent(), 100e3 / 12_000},
+		{"seconds between changes", 1 / DesignSize.ChangesPerSecond(), 86_400.0 / 3300},
+		{"targets of a failure domain", DesignSize.TargetsPerDomain(), 12_000.0 / 21},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is.New(t).True(near(tc.got, tc.want))
--- a/internal/capacity/directory.go
+++ b/internal/capacity/directory.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		return err
 	}
-	memory := &series{name: name + ".memory", unit: Bytes, per: "target", count: Letter.Targets}
-	cpu := &series{name: name + ".cpu", unit: MicroCore, per: "target and host", count: Letter.Targets}
+	memory := &series{name: name + ".memory", unit: Bytes, per: "target", count: DesignSize.Targets}
+	cpu := &series{name: name + ".cpu", unit: MicroCore, per: "target and host", count: DesignSize.Targets}
 	wire := &series{name: name + ".bytes", unit: BytesPerSecond, per: "target", count: 1}
 	for _, n := range []int{750, 1500, 3000, 6000} {
 		h.grow(n)
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -125,8 +125,8 @@
 		return err
 	}
 	return r.addSlopes(
-		&series{name: "entry.target.memory", unit: Bytes, per: "target", count: Letter.Targets, at: memory},
-		&series{name: "entry.target.cpu", unit: MicroCore, per: "target", count: Letter.Targets, at: cpu})
+		&series{name: "entry.target.memory", unit: Bytes, per: "target", count: DesignSize.Targets, at: memory},
+		&series{name: "entry.target.cpu", unit: MicroCore, per: "target", count: DesignSize.Targets, at: cpu})
 }
 
 func (e *entry) measureAddresses(ctx context.Context, d *deployment, r *Report) error {
@@ -137,14 +137,14 @@
 		return err
 	}
 	return r.addSlopes(
-		&series{name: "entry.address.memory", unit: Bytes, per: "address", count: Letter.Addresses, at: memory},
-		&series{name: "entry.address.cpu", unit: MicroCore, per: "address", count: Letter.Addresses, at: cpu})
+		&series{name: "entry.address.memory", unit: Bytes, per: "address", count: DesignSize.Addresses, at: memory},
+		&series{name: "entry.address.cpu", unit: MicroCore, per: "address", count: DesignSize.Addresses, at: cpu})
 }
 
 // measureVersions counts the time that versions take to apply at full size,
 // less what the host spends at rest.
 func (e *entry) measureVersions(ctx context.Context, d *deployment, r *Report) error {
-	cpu := &series{name: "entry.version.cpu", unit: Microseconds, per: "version", count: Letter.ChangesPerSecond()}
+	cpu := &series{name: "entry.version.cpu", unit: Microseconds, per: "version", count: DesignSize.ChangesPerSecond()}
 	memory := &series{name: "entry.version.memory", unit: Bytes, per: "version", count: 1}
 	_, rest, err := e.rest(ctx)
 	if err != nil {
@@ -196,7 +196,7 @@
 	}
 	defer f.conn.Close()
 	reader.Go(func() { f.count(sink) })
-	memory := &series{name: "entry.flow.memory", unit: Bytes, per: "flow", count: Letter.FlowsPerEntry()}
+	memory := &series{name: "entry.flow.memory", unit: Bytes, per: "flow", count: DesignSize.FlowsPerEntry()}
 	cpu := &series{name: "entry.datagram.cpu", unit: Microseconds, per: "datagram", count: 1}
 	flows := uint32(0)
 	for _, n := range []uint32{10_000, 20_000, 40_000, 80_000} {
--- a/internal/capacity/force.go
+++ b/internal/capacity/force.go
@@ -22,7 +22,7 @@
 	if err := d.put(ctx, servicesOf(wireServices, wireAddresses)...); err != nil {
 		return err
 	}
-	slowest := &series{name: "force.slowest", unit: Microseconds, per: "subscriber", count: Letter.Entries + Letter.Targets}
+	slowest := &series{name: "force.slowest", unit: Microseconds, per: "subscriber", count: DesignSize.Entries + DesignSize.Targets}
 	for _, n := range []int{10, 50, 100, 200, 400} {
 		if err := d.measureFleet(ctx, n, slowest, r); err != nil {
 			return err
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -43,7 +43,7 @@
 // of which five at most vote, and how long after its acceptance the last member
 // has a version. The configuration has the letter's size.
 func measureGroup(ctx context.Context, l *lab, r *Report) error {
-	members := Letter.ControlHosts
+	members := DesignSize.ControlHosts
 	s := groupSeries{
 		restCPU:      &series{name: "group.rest.cpu", unit: MicroCore, per: "member", count: members},
 		restBytes:    &series{name: "group.rest.bytes", unit: BytesPerSecond, per: "member", count: members},
--- a/internal/capacity/machines.go
+++ b/internal/capacity/machines.go
@@ -44,10 +44,10 @@
 }
 
 func measureDirectoryHeap(r *Report) error {
-	memory := &series{name: "directory.heap", unit: Bytes, per: "target", count: Letter.Targets}
-	full := &series{name: "directory.full", unit: Bytes, per: "target", count: Letter.Targets}
-	removed := &series{name: "directory.removed", unit: Bytes, per: "target removed", count: Letter.TargetsPerDomain()}
-	put := &series{name: "directory.put", unit: Bytes, per: "target put", count: Letter.TargetsPerDomain()}
+	memory := &series{name: "directory.heap", unit: Bytes, per: "target", count: DesignSize.Targets}
+	full := &series{name: "directory.full", unit: Bytes, per: "target", count: DesignSize.Targets}
+	removed := &series{name: "directory.removed", unit: Bytes, per: "target removed", count: DesignSize.TargetsPerDomain()}
+	put := &series{name: "directory.put", unit: Bytes, per: "target put", count: DesignSize.TargetsPerDomain()}
 	for _, n := range []int{1500, 3000, 6000, 12_000} {
 		before := heap()
 		d := membership.New(membership.Options{Epoch: 1})
@@ -57,7 +57,7 @@
 		memory.add(float64(n), heap()-before)
 		full.add(float64(n), float64(proto.Size(d.Full(time.Second, nil))))
 		sequence := d.Sequence()
-		part := n / int(Letter.Domains)
+		part := n / int(DesignSize.Domains)
 		for i := range part {
 			changed := recordOf(i+1, 1+i/12)
 			changed.State, changed.Sequence = controlpb.TargetState_TARGET_STATE_DRAINING, 2
@@ -93,11 +93,11 @@
 }
 
 func measureConfigHeap(r *Report) error {
-	memory := &series{name: "config.heap", unit: Bytes, per: "address", count: Letter.Addresses}
-	full := &series{name: "config.full", unit: Bytes, per: "address", count: Letter.Addresses}
+	memory := &series{name: "config.heap", unit: Bytes, per: "address", count: DesignSize.Addresses}
+	full := &series{name: "config.full", unit: Bytes, per: "address", count: DesignSize.Addresses}
 	version := &series{name: "config.version.heap", unit: Bytes, per: "version kept", count: config.MaxHistory}
-	cpu := &series{name: "config.version.cpu", unit: Microseconds, per: "version", count: Letter.ChangesPerSecond()}
-	identity := &series{name: "config.identity.heap", unit: Bytes, per: "target registered", count: Letter.Targets}
+	cpu := &series{name: "config.version.cpu", unit: Microseconds, per: "version", count: DesignSize.ChangesPerSecond()}
+	identity := &series{name: "config.identity.heap", unit: Bytes, per: "target registered", count: DesignSize.Targets}
 	var m *config.Machine
 	for _, addresses := range []int{700, 1400, 2800, 5500} {
 		before := heap()
@@ -123,7 +123,7 @@
 		}
 	}
 	before := heap()
-	for i := range int(Letter.Targets) {
+	for i := range int(DesignSize.Targets) {
 		if err := register(m, i); err != nil {
 			return err
 		}
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -34,7 +34,7 @@
 
 // measureGroupsOfMembers adds the points of one number of groups.
 func (l *lab) measureGroupsOfMembers(ctx context.Context, groups int, s memberSeries) error {
-	hosts := int(Letter.ControlHosts)
+	hosts := int(DesignSize.ControlHosts)
 	d, err := l.deployMembers(ctx, hosts, groups)
 	if err != nil {
 		return err
--- a/internal/capacity/pace.go
+++ b/internal/capacity/pace.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	const per = "change a second"
-	rate := Letter.ChangesPerSecond()
+	rate := DesignSize.ChangesPerSecond()
 	wire := &series{name: "subscriber.pace.bytes", unit: BytesPerSecond, per: per, count: rate}
 	cpu := &series{name: "subscriber.pace.cpu", unit: MicroCore, per: per, count: rate}
 	memory := &series{name: "subscriber.pace.memory", unit: Bytes, per: per, count: rate}
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -17,8 +17,8 @@
 	RestartsPerDay float64
 }
 
-// Letter is the size expected within two years, from the users' first letter.
-var Letter = Size{
+// DesignSize is the size expected within two years, from the users' first letter.
+var DesignSize = Size{
 	Entries: 2000, Targets: 12_000, Addresses: 5500,
 	Flows: 40e6, NewFlows: 100e3,
 	Domains: 21, ChangesPerDay: 3300, ControlHosts: 15,
--- a/internal/capacity/subscribers.go
+++ b/internal/capacity/subscribers.go
@@ -40,7 +40,7 @@
 }
 
 func measureAtRest(ctx context.Context, d *deployment, f *fleet, r *Report) error {
-	links := Letter.Subscribers()
+	links := DesignSize.Subscribers()
 	memory := &series{name: "control.subscriber.memory", unit: Bytes, per: "subscriber", count: links}
 	cpu := &series{name: "control.subscriber.cpu", unit: MicroCore, per: "subscriber", count: links}
 	wire := &series{name: "control.subscriber.bytes", unit: BytesPerSecond, per: "subscriber", count: links}
@@ -91,8 +91,8 @@
 // them, and counts what each version costs beyond rest.
 func measureVersions(ctx context.Context, d *deployment, f *fleet, r *Report) error {
 	n := float64(len(f.members))
-	cpu := &series{name: "control.version.cpu", unit: Microseconds, per: "version and subscriber", count: Letter.Subscribers()}
-	wire := &series{name: "control.version.bytes", unit: Bytes, per: "version and subscriber", count: Letter.Subscribers()}
+	cpu := &series{name: "control.version.cpu", unit: Microseconds, per: "version and subscriber", count: DesignSize.Subscribers()}
+	wire := &series{name: "control.version.bytes", unit: Bytes, per: "version and subscriber", count: DesignSize.Subscribers()}
 	near := &series{name: "subscriber.version.cpu", unit: Microseconds, per: "version", count: 1}
 	for _, versions := range []int{5, 10, 20, 40} {
 		farBefore, err := d.controls[0].usage()
