--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -110,8 +110,8 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		memory = append(memory, Point{Size: float64(n), Figure: private})
-		cpu = append(cpu, Point{Size: float64(n), Figure: core})
+		memory = append(memory, Point{Size: float64(n), Value: private})
+		cpu = append(cpu, Point{Size: float64(n), Value: core})
 	}
 	return memory, cpu, nil
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -12,8 +12,8 @@
 
 // Point is one measurement: a figure at a size.
 type Point struct {
-	Size   float64 `json:"size"`
-	Figure float64 `json:"figure"`
+	Size  float64 `json:"size"`
+	Value float64 `json:"figure"`
 }
 
 // Fit is the line through points by least squares.
@@ -34,12 +34,12 @@
 	var meanX, meanY float64
 	for _, p := range points {
 		meanX += p.Size / n
-		meanY += p.Figure / n
+		meanY += p.Value / n
 	}
 	var sxx, sxy float64
 	for _, p := range points {
 		sxx += (p.Size - meanX) * (p.Size - meanX)
-		sxy += (p.Size - meanX) * (p.Figure - meanY)
+		sxy += (p.Size - meanX) * (p.Value - meanY)
 	}
 	if sxx == 0 {
 		return Fit{}, errors.Wrap(ErrPoints, "all of one size")
@@ -48,7 +48,7 @@
 	f.Intercept = meanY - f.Slope*meanX
 	var residue float64
 	for _, p := range points {
-		d := p.Figure - f.At(p.Size)
+		d := p.Value - f.At(p.Size)
 		residue += d * d
 	}
 	f.StdErr = math.Sqrt(residue / (n - 2) / sxx)
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -77,7 +77,7 @@
 func pointsText(points []Point) string {
 	parts := make([]string, len(points))
 	for i, p := range points {
-		parts[i] = fmt.Sprintf("%.4g:%.4g", p.Size, p.Figure)
+		parts[i] = fmt.Sprintf("%.4g:%.4g", p.Size, p.Value)
 	}
 	return strings.Join(parts, " ")
 }
@@ -91,7 +91,7 @@
 	at    []Point
 }
 
-func (s *series) add(size, figure float64) { s.at = append(s.at, Point{Size: size, Figure: figure}) }
+func (s *series) add(size, figure float64) { s.at = append(s.at, Point{Size: size, Value: figure}) }
 
 // addSlopes fits each series and adds it to the report.
 func (r *Report) addSlopes(all ...*series) error {
