--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -6,9 +6,9 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrPoints tells that a line can't be fitted: fewer than three points, or all
+// ErrTooFewPoints tells that a line can't be fitted: fewer than three points, or all
 // of one size.
-var ErrPoints = errors.New("too few points for a fit")
+var ErrTooFewPoints = errors.New("too few points for a fit")
 
 // Point is one measurement: a figure at a size.
 type Point struct {
@@ -29,7 +29,7 @@
 	const least = 3 // two leave no residue to judge the error by
 	n := float64(len(points))
 	if len(points) < least {
-		return Fit{}, errors.Wrapf(ErrPoints, "%d points", len(points))
+		return Fit{}, errors.Wrapf(ErrTooFewPoints, "%d points", len(points))
 	}
 	var meanX, meanY float64
 	for _, p := range points {
@@ -42,7 +42,7 @@
 		sxy += (p.Size - meanX) * (p.Value - meanY)
 	}
 	if sxx == 0 {
-		return Fit{}, errors.Wrap(ErrPoints, "all of one size")
+		return Fit{}, errors.Wrap(ErrTooFewPoints, "all of one size")
 	}
 	f := Fit{Slope: sxy / sxx}
 	f.Intercept = meanY - f.Slope*meanX
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := NewFit(tc.points)
-			is.New(t).True(errors.Is(err, ErrPoints))
+			is.New(t).True(errors.Is(err, ErrTooFewPoints))
 		})
 	}
 }
