--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -65,16 +65,16 @@
 	is.NoErr(err)
 	is.Equal(private, 100.0*1024)
 	_, err = parseMemory("Name:\tx\n", "RssAnon:")
-	is.True(errors.Is(err, ErrProc))
+	is.True(errors.Is(err, ErrProcFormat))
 	_, err = parseMemory("RssAnon:\tmany\n", "RssAnon:")
-	is.True(errors.Is(err, ErrProc))
+	is.True(errors.Is(err, ErrProcFormat))
 
 	spent, err := parseSchedstat("1500 20 3\n")
 	is.NoErr(err)
 	is.Equal(spent, 1500*time.Nanosecond)
 	for _, text := range []string{"", "x 1 2"} {
 		_, err := parseSchedstat(text)
-		is.True(errors.Is(err, ErrProc))
+		is.True(errors.Is(err, ErrProcFormat))
 	}
 }
 
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrProc tells that a file of /proc doesn't look as expected.
-var ErrProc = errors.New("unexpected contents of /proc")
+// ErrProcFormat tells that a file of /proc doesn't look as expected.
+var ErrProcFormat = errors.New("unexpected contents of /proc")
 
 // usage is what a process has used so far.
 type usage struct {
@@ -48,11 +48,11 @@
 		}
 		kb, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 64)
 		if err != nil {
-			return 0, errors.Wrap(ErrProc, line)
+			return 0, errors.Wrap(ErrProcFormat, line)
 		}
 		return kb * 1024, nil
 	}
-	return 0, errors.Wrap(ErrProc, "no "+field)
+	return 0, errors.Wrap(ErrProcFormat, "no "+field)
 }
 
 // cpuOf adds up the processor time of all threads, whose clock is finer than
@@ -85,11 +85,11 @@
 func parseSchedstat(text string) (time.Duration, error) {
 	fields := strings.Fields(text)
 	if len(fields) == 0 {
-		return 0, errors.Wrap(ErrProc, "empty schedstat")
+		return 0, errors.Wrap(ErrProcFormat, "empty schedstat")
 	}
 	ns, err := strconv.ParseInt(fields[0], 10, 64)
 	if err != nil {
-		return 0, errors.Wrap(ErrProc, text)
+		return 0, errors.Wrap(ErrProcFormat, text)
 	}
 	return time.Duration(ns), nil
 }
