--- a/internal/experiment/markdown.go
+++ b/internal/experiment/markdown.go
@@ -16,7 +16,7 @@
 // rows groups the cells, in the order in which they ran.
 func (r *Result) rows() []*row {
 	var rows []*row
-	for _, c := range r.Cells {
+	for _, c := range r.Runs {
 		for i := range c.Services {
 			s := &c.Services[i]
 			key := row{site: c.Site, scenario: c.Scenario, policy: c.Policy, service: s.Service}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -13,10 +13,10 @@
 // cell, with a mark for each event. The ending of the file name chooses the
 // format, see loadgen.CheckPlotFile.
 func (r *Result) Plot(file string) error {
-	if len(r.Cells) == 0 {
+	if len(r.Runs) == 0 {
 		return ErrNothingToPlot
 	}
-	c := r.Cells[len(r.Cells)-1]
+	c := r.Runs[len(r.Runs)-1]
 	s := c.Services[0]
 	var marks []loadgen.Mark
 	for _, e := range c.Events {
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -57,7 +57,7 @@
 			Services: []ServiceCell{{Service: "s", BrokenFlows: broken, windows: []map[string]int{{"s-1": 1}, {"s-1": 2}}}},
 		}
 	}
-	return &Result{Cells: []*Cell{cell("x", 1, 4), cell("x", 2, 6), cell("y", 1, 0)}}
+	return &Result{Runs: []*Cell{cell("x", 1, 4), cell("x", 2, 6), cell("y", 1, 0)}}
 }
 
 func TestMarkdownHasARowForAllSeeds(t *testing.T) {
@@ -85,7 +85,7 @@
 	is := is.New(t)
 	r := result()
 	is.NoErr(r.check())
-	r.Cells[1].Services[0].Doubled = 1
+	r.Runs[1].Services[0].Doubled = 1
 	err := r.check()
 	is.True(errors.Is(err, ErrFaults))
 	is.True(strings.Contains(err.Error(), "x, calm, weighted, seed 2, s: doubled 1"))
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -45,7 +45,7 @@
 
 // Result holds cells in the order in which they ran.
 type Result struct {
-	Cells []*Cell `json:"cells"`
+	Runs []*Cell `json:"cells"`
 }
 
 // Run runs the cells one after the other. It returns ErrOptions for unknown
@@ -74,7 +74,7 @@
 				p.site.Name(), p.scenario.Name, p.policy.Name, p.seed))
 			continue
 		}
-		result.Cells = append(result.Cells, cell)
+		result.Runs = append(result.Runs, cell)
 		if o.Progress != nil {
 			o.Progress(cell)
 		}
@@ -157,7 +157,7 @@
 // check returns ErrFaults for cells with outcomes that must never happen.
 func (r *Result) check() error {
 	var findings []error
-	for _, c := range r.Cells {
+	for _, c := range r.Runs {
 		for _, s := range c.Services {
 			if s.Faults() == 0 {
 				continue
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -43,5 +43,5 @@
 		is.True(service.Keys > 0)
 		is.Equal(service.Faults(), 0)
 	}
-	is.NoErr((&Result{Cells: []*Cell{cell}}).check())
+	is.NoErr((&Result{Runs: []*Cell{cell}}).check())
 }
