--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -70,8 +70,8 @@
 	ratios  []float64
 }
 
-// Faults is the number of outcomes that must never happen.
-func (c *ServiceCell) Faults() int {
+// Violations is the number of outcomes that must never happen.
+func (c *ServiceCell) Violations() int {
 	return c.Doubled + c.Misrouted + c.FalselyNotRun + c.WrongAnswers + c.AnsweredUnrun
 }
 
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -25,7 +25,7 @@
 	is.Equal([]int{c.Failed, c.Refused, c.Unknown, c.Retries}, []int{4, 4, 2, 3})
 	is.Equal([]int{c.BrokenFlows, c.LostWithHost}, []int{2, 3})
 	is.Equal([]int{c.Keys, c.Doubled, c.FalselyNotRun, c.AnsweredUnrun}, []int{9, 1, 2, 3})
-	is.Equal(c.Faults(), 1+1+2+1+3)
+	is.Equal(c.Violations(), 1+1+2+1+3)
 }
 
 func TestField(t *testing.T) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -159,7 +159,7 @@
 	var findings []error
 	for _, c := range r.Runs {
 		for _, s := range c.Services {
-			if s.Faults() == 0 {
+			if s.Violations() == 0 {
 				continue
 			}
 			findings = append(findings, errors.Wrapf(ErrFaults,
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -41,7 +41,7 @@
 		t.Logf("%+v", service)
 		is.True(service.Requests > 0)
 		is.True(service.Keys > 0)
-		is.Equal(service.Faults(), 0)
+		is.Equal(service.Violations(), 0)
 	}
 	is.NoErr((&Result{Runs: []*Cell{cell}}).check())
 }
