--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -87,6 +87,6 @@
 	is.NoErr(r.check())
 	r.Runs[1].Services[0].Doubled = 1
 	err := r.check()
-	is.True(errors.Is(err, ErrFaults))
+	is.True(errors.Is(err, ErrViolations))
 	is.True(strings.Contains(err.Error(), "x, calm, weighted, seed 2, s: doubled 1"))
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -13,8 +13,8 @@
 var (
 	// ErrOptions reports options that name nothing to run.
 	ErrOptions = errors.New("bad options of the experiment")
-	// ErrFaults reports cells with outcomes that must never happen.
-	ErrFaults = errors.New("outcomes that must never happen")
+	// ErrViolations reports cells with outcomes that must never happen.
+	ErrViolations = errors.New("outcomes that must never happen")
 )
 
 // Options name the cells to run: every site, scenario, policy and seed.
@@ -162,7 +162,7 @@
 			if s.Violations() == 0 {
 				continue
 			}
-			findings = append(findings, errors.Wrapf(ErrFaults,
+			findings = append(findings, errors.Wrapf(ErrViolations,
 				"%s, %s, %s, seed %d, %s: doubled %d, misrouted %d, falsely not run %d, wrong answers %d, answered but never run %d",
 				c.Site, c.Scenario, c.Policy, c.Seed, s.Service,
 				s.Doubled, s.Misrouted, s.FalselyNotRun, s.WrongAnswers, s.AnsweredUnrun))
