--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -92,7 +92,7 @@
 	return untilSignal(cmd.Context(), func(ctx context.Context) error {
 		result, err := experiment.Run(ctx, o)
 		if result == nil {
-			return usageIf(err, experiment.ErrOptions)
+			return usageIf(err, experiment.ErrInvalidOptions)
 		}
 		// What ran is reported even if a later cell failed.
 		return errors.Join(x.report(cmd.OutOrStdout(), result), err)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -11,8 +11,8 @@
 
 // Errors of Run.
 var (
-	// ErrOptions reports options that name nothing to run.
-	ErrOptions = errors.New("bad options of the experiment")
+	// ErrInvalidOptions reports options that name nothing to run.
+	ErrInvalidOptions = errors.New("bad options of the experiment")
 	// ErrViolations reports cells with outcomes that must never happen.
 	ErrViolations = errors.New("outcomes that must never happen")
 )
@@ -85,7 +85,7 @@
 // plans lists the cells by site, scenario, policy and seed.
 func (o *Options) plans() ([]plan, error) {
 	if len(o.Sites) == 0 || len(o.Seeds) == 0 {
-		return nil, errors.Wrap(ErrOptions, "no site or no seed")
+		return nil, errors.Wrap(ErrInvalidOptions, "no site or no seed")
 	}
 	if err := o.checkNames(); err != nil {
 		return nil, err
@@ -138,17 +138,17 @@
 	}
 	for _, name := range o.Only {
 		if !slices.Contains(sites, name) {
-			return errors.Wrapf(ErrOptions, "site %q, known are %q", name, sites)
+			return errors.Wrapf(ErrInvalidOptions, "site %q, known are %q", name, sites)
 		}
 	}
 	for _, name := range o.Scenarios {
 		if !slices.Contains(scenarios, name) {
-			return errors.Wrapf(ErrOptions, "scenario %q, known are %q", name, scenarios)
+			return errors.Wrapf(ErrInvalidOptions, "scenario %q, known are %q", name, scenarios)
 		}
 	}
 	for _, name := range o.Policies {
 		if !slices.Contains(policies, name) {
-			return errors.Wrapf(ErrOptions, "policy %q, known are %q", name, policies)
+			return errors.Wrapf(ErrInvalidOptions, "policy %q, known are %q", name, policies)
 		}
 	}
 	return nil
--- a/internal/experiment/site_test.go
+++ b/internal/experiment/site_test.go
@@ -107,6 +107,6 @@
 		{Sites: sites, Seeds: []uint64{1}, Policies: []string{"random"}},
 	} {
 		_, err := Run(t.Context(), o)
-		is.New(t).True(errors.Is(err, ErrOptions))
+		is.New(t).True(errors.Is(err, ErrInvalidOptions))
 	}
 }
