--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -17,8 +17,8 @@
 
 const percent = 100
 
-// ErrSite reports settings and a patch that do not fit together.
-var ErrSite = errors.New("the settings of the experiment do not fit together")
+// ErrInvalidSite reports settings and a patch that do not fit together.
+var ErrInvalidSite = errors.New("the settings of the experiment do not fit together")
 
 // Site is a deployment to measure.
 type Site struct {
@@ -54,18 +54,18 @@
 		name, number, _ := strings.Cut(text, "=")
 		count, err := strconv.Atoi(number)
 		if err != nil {
-			return nil, errors.Wrapf(ErrSite, "targets %q", text)
+			return nil, errors.Wrapf(ErrInvalidSite, "targets %q", text)
 		}
 		service := put[name]
 		if service == nil {
-			return nil, errors.Wrapf(ErrSite, "the patch creates no service %q", name)
+			return nil, errors.Wrapf(ErrInvalidSite, "the patch creates no service %q", name)
 		}
 		site.services = append(site.services, dev.Service{
 			Name: name, Targets: count, Slots: service.GetSlots(), Policy: service.GetPolicy(),
 		})
 	}
 	if len(site.services) == 0 {
-		return nil, errors.Wrap(ErrSite, "no service has targets")
+		return nil, errors.Wrap(ErrInvalidSite, "no service has targets")
 	}
 	return site, nil
 }
--- a/internal/experiment/site_test.go
+++ b/internal/experiment/site_test.go
@@ -47,9 +47,9 @@
 func TestSiteWithoutService(t *testing.T) {
 	s := &settingspb.ExperimentSettings{Site: &settingspb.Site{Targets: []string{"main=2"}}}
 	_, err := newSite(s, &configpb.Patch{})
-	is.New(t).True(errors.Is(err, ErrSite))
+	is.New(t).True(errors.Is(err, ErrInvalidSite))
 	_, err = newSite(&settingspb.ExperimentSettings{}, &configpb.Patch{})
-	is.New(t).True(errors.Is(err, ErrSite))
+	is.New(t).True(errors.Is(err, ErrInvalidSite))
 }
 
 func TestPoliciesChangeOnlyWhatTheyName(t *testing.T) {
