--- a/internal/experiment/trial.go
+++ b/internal/experiment/trial.go
@@ -40,8 +40,8 @@
 var (
 	// ErrIncomplete reports a run whose load ended before its last event.
 	ErrIncomplete = errors.New("the load ended before the last event")
-	// ErrRunsUnknown reports that the runs could not be cross-checked.
-	ErrRunsUnknown = errors.New("the runs are not known")
+	// ErrRunsUnavailable reports that the runs could not be cross-checked.
+	ErrRunsUnavailable = errors.New("the runs are not known")
 )
 
 // trial is a run under way.
@@ -146,7 +146,7 @@
 	cell := &Cell{Events: t.events}
 	for _, r := range reports {
 		if r.Doubled == nil {
-			return nil, errors.Wrap(ErrRunsUnknown, r.DoubledUnknown)
+			return nil, errors.Wrap(ErrRunsUnavailable, r.DoubledUnknown)
 		}
 		cell.Services = append(cell.Services, serviceCell(r, *t.members[r.Service]))
 	}
