--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -74,7 +74,7 @@
 		return usage(err)
 	}
 	o := experiment.Options{
-		Only: x.sites, Scenarios: x.scenarios, Policies: x.policies, Log: log,
+		OnlySites: x.sites, Scenarios: x.scenarios, Policies: x.policies, Log: log,
 		Progress: func(c *experiment.Cell) {
 			fmt.Fprintf(cmd.ErrOrStderr(), "done: %s, %s, %s, seed %d\n", c.Site, c.Scenario, c.Policy, c.Seed)
 		},
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -20,9 +20,9 @@
 // Options name the cells to run: every site, scenario, policy and seed.
 type Options struct {
 	Sites []*Site
-	// Only names the sites to run; none means all. The others lend their
+	// OnlySites names the sites to run; none means all. The others lend their
 	// weights.
-	Only []string
+	OnlySites []string
 	// Scenarios by name; none means all.
 	Scenarios []string
 	// Policies by name; none means all. "weighted as SITE" is the policy in
@@ -92,7 +92,7 @@
 	}
 	var plans []plan
 	for _, site := range o.Sites {
-		if len(o.Only) > 0 && !slices.Contains(o.Only, site.Name()) {
+		if len(o.OnlySites) > 0 && !slices.Contains(o.OnlySites, site.Name()) {
 			continue
 		}
 		for _, sc := range Scenarios() {
@@ -136,7 +136,7 @@
 		policies = append(policies, WeightsOf(site).Name)
 		sites = append(sites, site.Name())
 	}
-	for _, name := range o.Only {
+	for _, name := range o.OnlySites {
 		if !slices.Contains(sites, name) {
 			return errors.Wrapf(ErrInvalidOptions, "site %q, known are %q", name, sites)
 		}
--- a/internal/experiment/site_test.go
+++ b/internal/experiment/site_test.go
@@ -83,7 +83,7 @@
 		want int
 	}{
 		{"all", Options{Seeds: []uint64{1}}, 2 * (len(Scenarios())*len(Policies()) + 1)},
-		{"one site", Options{Seeds: []uint64{1}, Only: []string{"x"}}, len(Scenarios())*len(Policies()) + 1},
+		{"one site", Options{Seeds: []uint64{1}, OnlySites: []string{"x"}}, len(Scenarios())*len(Policies()) + 1},
 		{"seeds", Options{Seeds: []uint64{1, 2}, Scenarios: []string{Calm}, Policies: []string{Hash}}, 4},
 		{"weights of the other", Options{Seeds: []uint64{1}, Scenarios: []string{Calm}, Policies: []string{"weighted as y"}}, 1},
 	} {
@@ -102,7 +102,7 @@
 	for _, o := range []Options{
 		{Seeds: []uint64{1}},
 		{Sites: sites},
-		{Sites: sites, Seeds: []uint64{1}, Only: []string{"z"}},
+		{Sites: sites, Seeds: []uint64{1}, OnlySites: []string{"z"}},
 		{Sites: sites, Seeds: []uint64{1}, Scenarios: []string{"storm"}},
 		{Sites: sites, Seeds: []uint64{1}, Policies: []string{"random"}},
 	} {
