--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -113,9 +113,9 @@
 func (o *Options) policies(site *Site, sc Scenario) []Policy {
 	all := Policies()
 	for _, other := range o.Sites {
-		named := slices.Contains(o.Policies, WeightsOf(other).Name)
+		named := slices.Contains(o.Policies, WeightedAs(other).Name)
 		if other != site && (named || sc.Name == Unsteady) {
-			all = append(all, WeightsOf(other))
+			all = append(all, WeightedAs(other))
 		}
 	}
 	if len(o.Policies) == 0 {
@@ -133,7 +133,7 @@
 		policies = append(policies, p.Name)
 	}
 	for _, site := range o.Sites {
-		policies = append(policies, WeightsOf(site).Name)
+		policies = append(policies, WeightedAs(site).Name)
 		sites = append(sites, site.Name())
 	}
 	for _, name := range o.OnlySites {
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// WeightsOf is the policy in use, with the weights of another site.
-func WeightsOf(other *Site) Policy {
+// WeightedAs is the policy in use, with the weights of another site.
+func WeightedAs(other *Site) Policy {
 	return Policy{Name: Weighted + " as " + other.Name(), weights: other.weights()}
 }
 
--- a/internal/experiment/site_test.go
+++ b/internal/experiment/site_test.go
@@ -64,7 +64,7 @@
 		{Policies()[0], configpb.Strategy_STRATEGY_WEIGHTED, 4, 1},
 		{Policies()[1], configpb.Strategy_STRATEGY_TWO_CHOICES, 4, 1},
 		{Policies()[2], configpb.Strategy_STRATEGY_HASH, 4, 1},
-		{WeightsOf(y), configpb.Strategy_STRATEGY_WEIGHTED, 1, 4},
+		{WeightedAs(y), configpb.Strategy_STRATEGY_WEIGHTED, 1, 4},
 	} {
 		got := tt.policy.apply(own)
 		is.Equal(got.GetStrategy(), tt.strategy)
