--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -21,11 +21,11 @@
 
 // Names of the scenarios.
 const (
-	Calm    = "calm"
-	Rolling = "rolling-restart"
-	Drain   = "drain-cold-start"
-	Lying   = "lying-health"
-	Lost    = "lost-domain"
+	Calm           = "calm"
+	RollingRestart = "rolling-restart"
+	Drain          = "drain-cold-start"
+	Lying          = "lying-health"
+	Lost           = "lost-domain"
 	// Unsteady is a new server that crashes again and again while it is cold.
 	// It is where the two weights part.
 	Unsteady = "unsteady-start"
@@ -49,7 +49,7 @@
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Calm, 8 * time.Second, func(context.Context, *trial) error { return nil }},
-		{Rolling, 12 * time.Second, rolling},
+		{RollingRestart, 12 * time.Second, rolling},
 		{Drain, 8 * time.Second, drain},
 		{Lying, 8 * time.Second, lying},
 		{Lost, 12 * time.Second, loseDomain},
