--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -19,7 +19,7 @@
 	c := s.settings.GetCallers()
 	c.Connections, c.Sessions, c.RequestsPerTarget, c.DeadlineMs = 4, 4, 20, 20_000
 	c.RequestsPerFlow, c.WorkMs = 5, 5
-	sc := Scenario{Name: Drain, Length: firstEvent + 2*time.Second, run: func(ctx context.Context, t *trial) error {
+	sc := Scenario{Name: DrainColdStart, Length: firstEvent + 2*time.Second, run: func(ctx context.Context, t *trial) error {
 		if err := t.at(ctx, firstEvent); err != nil {
 			return err
 		}
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -23,7 +23,7 @@
 const (
 	Calm           = "calm"
 	RollingRestart = "rolling-restart"
-	Drain          = "drain-cold-start"
+	DrainColdStart = "drain-cold-start"
 	Lying          = "lying-health"
 	Lost           = "lost-domain"
 	// Unsteady is a new server that crashes again and again while it is cold.
@@ -50,7 +50,7 @@
 	return []Scenario{
 		{Calm, 8 * time.Second, func(context.Context, *trial) error { return nil }},
 		{RollingRestart, 12 * time.Second, rolling},
-		{Drain, 8 * time.Second, drain},
+		{DrainColdStart, 8 * time.Second, drain},
 		{Lying, 8 * time.Second, lying},
 		{Lost, 12 * time.Second, loseDomain},
 		{Unsteady, 9 * time.Second, unsteady},
