--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -24,7 +24,7 @@
 	Calm           = "calm"
 	RollingRestart = "rolling-restart"
 	DrainColdStart = "drain-cold-start"
-	Lying          = "lying-health"
+	LyingHealth    = "lying-health"
 	Lost           = "lost-domain"
 	// Unsteady is a new server that crashes again and again while it is cold.
 	// It is where the two weights part.
@@ -51,7 +51,7 @@
 		{Calm, 8 * time.Second, func(context.Context, *trial) error { return nil }},
 		{RollingRestart, 12 * time.Second, rolling},
 		{DrainColdStart, 8 * time.Second, drain},
-		{Lying, 8 * time.Second, lying},
+		{LyingHealth, 8 * time.Second, lying},
 		{Lost, 12 * time.Second, loseDomain},
 		{Unsteady, 9 * time.Second, unsteady},
 	}
