--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -25,7 +25,7 @@
 	RollingRestart = "rolling-restart"
 	DrainColdStart = "drain-cold-start"
 	LyingHealth    = "lying-health"
-	Lost           = "lost-domain"
+	LostDomain     = "lost-domain"
 	// Unsteady is a new server that crashes again and again while it is cold.
 	// It is where the two weights part.
 	Unsteady = "unsteady-start"
@@ -52,7 +52,7 @@
 		{RollingRestart, 12 * time.Second, rolling},
 		{DrainColdStart, 8 * time.Second, drain},
 		{LyingHealth, 8 * time.Second, lying},
-		{Lost, 12 * time.Second, loseDomain},
+		{LostDomain, 12 * time.Second, loseDomain},
 		{Unsteady, 9 * time.Second, unsteady},
 	}
 }
