--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -114,7 +114,7 @@
 	all := Policies()
 	for _, other := range o.Sites {
 		named := slices.Contains(o.Policies, WeightedAs(other).Name)
-		if other != site && (named || sc.Name == Unsteady) {
+		if other != site && (named || sc.Name == UnsteadyStart) {
 			all = append(all, WeightedAs(other))
 		}
 	}
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -26,9 +26,9 @@
 	DrainColdStart = "drain-cold-start"
 	LyingHealth    = "lying-health"
 	LostDomain     = "lost-domain"
-	// Unsteady is a new server that crashes again and again while it is cold.
+	// UnsteadyStart is a new server that crashes again and again while it is cold.
 	// It is where the two weights part.
-	Unsteady = "unsteady-start"
+	UnsteadyStart = "unsteady-start"
 )
 
 // Times of the scenarios.
@@ -53,7 +53,7 @@
 		{DrainColdStart, 8 * time.Second, drain},
 		{LyingHealth, 8 * time.Second, lying},
 		{LostDomain, 12 * time.Second, loseDomain},
-		{Unsteady, 9 * time.Second, unsteady},
+		{UnsteadyStart, 9 * time.Second, unsteady},
 	}
 }
 
