--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -75,7 +75,7 @@
 	}
 	o := experiment.Options{
 		OnlySites: x.sites, Scenarios: x.scenarios, Policies: x.policies, Log: log,
-		Progress: func(c *experiment.Cell) {
+		Progress: func(c *experiment.RunResult) {
 			fmt.Fprintf(cmd.ErrOrStderr(), "done: %s, %s, %s, seed %d\n", c.Site, c.Scenario, c.Policy, c.Seed)
 		},
 	}
--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -7,8 +7,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/loadgen"
 )
 
-// Cell is one run.
-type Cell struct {
+// RunResult is one run.
+type RunResult struct {
 	Site     string `json:"site"`
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -51,13 +51,13 @@
 }
 
 func result() *Result {
-	cell := func(site string, seed uint64, broken int) *Cell {
-		return &Cell{
+	cell := func(site string, seed uint64, broken int) *RunResult {
+		return &RunResult{
 			Site: site, Scenario: Calm, Policy: Weighted, Seed: seed, Events: []Event{{Seconds: 0.5, Text: "an event"}},
 			Services: []ServiceCell{{Service: "s", BrokenFlows: broken, windows: []map[string]int{{"s-1": 1}, {"s-1": 2}}}},
 		}
 	}
-	return &Result{Runs: []*Cell{cell("x", 1, 4), cell("x", 2, 6), cell("y", 1, 0)}}
+	return &Result{Runs: []*RunResult{cell("x", 1, 4), cell("x", 2, 6), cell("y", 1, 0)}}
 }
 
 func TestMarkdownHasARowForAllSeeds(t *testing.T) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -32,7 +32,7 @@
 	Seeds    []uint64
 	Log      *zap.Logger
 	// Progress, if set, is told of each cell when it is done.
-	Progress func(*Cell)
+	Progress func(*RunResult)
 }
 
 // plan is one cell to run.
@@ -45,7 +45,7 @@
 
 // Result holds cells in the order in which they ran.
 type Result struct {
-	Runs []*Cell `json:"cells"`
+	Runs []*RunResult `json:"cells"`
 }
 
 // Run runs the cells one after the other. It returns ErrOptions for unknown
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -43,5 +43,5 @@
 		is.True(service.Keys > 0)
 		is.Equal(service.Violations(), 0)
 	}
-	is.NoErr((&Result{Runs: []*Cell{cell}}).check())
+	is.NoErr((&Result{Runs: []*RunResult{cell}}).check())
 }
--- a/internal/experiment/trial.go
+++ b/internal/experiment/trial.go
@@ -59,7 +59,7 @@
 
 // runCell starts a deployment, makes one run and returns its cell. The
 // deployment ends in the background, within closing.
-func runCell(ctx context.Context, p plan, log *zap.Logger, closing *conc.WaitGroup) (*Cell, error) {
+func runCell(ctx context.Context, p plan, log *zap.Logger, closing *conc.WaitGroup) (*RunResult, error) {
 	startCtx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
 	o := p.site.options(p.policy, p.seed)
@@ -88,7 +88,7 @@
 }
 
 // run makes the load and the events of a scenario.
-func (t *trial) run(ctx context.Context, sc Scenario, seed uint64) (*Cell, error) {
+func (t *trial) run(ctx context.Context, sc Scenario, seed uint64) (*RunResult, error) {
 	t.began = time.Now()
 	for _, service := range t.site.services {
 		m := &members{}
@@ -140,10 +140,10 @@
 	return reports, workers.Wait()
 }
 
-func (t *trial) cell(reports []*loadgen.Report) (*Cell, error) {
+func (t *trial) cell(reports []*loadgen.Report) (*RunResult, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	cell := &Cell{Events: t.events}
+	cell := &RunResult{Events: t.events}
 	for _, r := range reports {
 		if r.Doubled == nil {
 			return nil, errors.Wrap(ErrRunsUnavailable, r.DoubledUnknown)
