--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -14,7 +14,7 @@
 	Policy   string `json:"policy"`
 	Seed     uint64 `json:"seed"`
 	// Services in the order of the settings, the main one first.
-	Services []ServiceCell `json:"services"`
+	Services []ServiceResult `json:"services"`
 	// Events in order of time.
 	Events []Event `json:"events"`
 }
@@ -26,8 +26,8 @@
 	Text    string  `json:"text"`
 }
 
-// ServiceCell is what one service did in a run.
-type ServiceCell struct {
+// ServiceResult is what one service did in a run.
+type ServiceResult struct {
 	Service  string `json:"service"`
 	Requests int    `json:"requests"`
 	Flows    int    `json:"flows"`
@@ -71,15 +71,15 @@
 }
 
 // Violations is the number of outcomes that must never happen.
-func (c *ServiceCell) Violations() int {
+func (c *ServiceResult) Violations() int {
 	return c.Doubled + c.Misrouted + c.FalselyNotRun + c.WrongAnswers + c.AnsweredUnrun
 }
 
 // serviceCell reads a report of the callers.
-func serviceCell(r *loadgen.Report, m members) ServiceCell {
+func serviceCell(r *loadgen.Report, m members) ServiceResult {
 	windows := joinSteps(r.Windows)
 	even := imbalance(windows, window, m)
-	c := ServiceCell{
+	c := ServiceResult{
 		Service: r.Service, Requests: r.Requests, Flows: r.Flows, Sessions: r.Sessions,
 		BrokenFlows: r.BrokenFlows, LostWithHost: r.FlowsLostWithHost,
 		Imbalance: even.Overall, ImbalanceP99: even.P99,
--- a/internal/experiment/markdown.go
+++ b/internal/experiment/markdown.go
@@ -10,7 +10,7 @@
 // row is the cells of one service that differ in their seed only.
 type row struct {
 	site, scenario, policy, service string
-	cells                           []*ServiceCell
+	cells                           []*ServiceResult
 }
 
 // rows groups the cells, in the order in which they ran.
@@ -40,22 +40,22 @@
 	title string
 	// digits after the point.
 	digits int
-	value  func(*ServiceCell) float64
+	value  func(*ServiceResult) float64
 }{
-	{"requests", 0, func(c *ServiceCell) float64 { return float64(c.Requests) }},
-	{"broken flows", 0, func(c *ServiceCell) float64 { return float64(c.BrokenFlows) }},
-	{"lost with host", 0, func(c *ServiceCell) float64 { return float64(c.LostWithHost) }},
-	{"imbalance", 2, func(c *ServiceCell) float64 { return c.Imbalance }},
-	{"imbalance p99", 2, func(c *ServiceCell) float64 { return c.ImbalanceP99 }},
-	{"imbalance after start", 2, func(c *ServiceCell) float64 { return c.ImbalanceAfterStart }},
-	{"refused", 0, func(c *ServiceCell) float64 { return float64(c.Refused) }},
-	{"unknown", 0, func(c *ServiceCell) float64 { return float64(c.Unknown) }},
-	{"failed", 0, func(c *ServiceCell) float64 { return float64(c.Failed) }},
-	{"doubled", 0, func(c *ServiceCell) float64 { return float64(c.Doubled) }},
-	{"misrouted", 0, func(c *ServiceCell) float64 { return float64(c.Misrouted) }},
-	{"falsely not run", 0, func(c *ServiceCell) float64 { return float64(c.FalselyNotRun) }},
-	{"p50 ms", 1, func(c *ServiceCell) float64 { return c.P50 }},
-	{"p99 ms", 1, func(c *ServiceCell) float64 { return c.P99 }},
+	{"requests", 0, func(c *ServiceResult) float64 { return float64(c.Requests) }},
+	{"broken flows", 0, func(c *ServiceResult) float64 { return float64(c.BrokenFlows) }},
+	{"lost with host", 0, func(c *ServiceResult) float64 { return float64(c.LostWithHost) }},
+	{"imbalance", 2, func(c *ServiceResult) float64 { return c.Imbalance }},
+	{"imbalance p99", 2, func(c *ServiceResult) float64 { return c.ImbalanceP99 }},
+	{"imbalance after start", 2, func(c *ServiceResult) float64 { return c.ImbalanceAfterStart }},
+	{"refused", 0, func(c *ServiceResult) float64 { return float64(c.Refused) }},
+	{"unknown", 0, func(c *ServiceResult) float64 { return float64(c.Unknown) }},
+	{"failed", 0, func(c *ServiceResult) float64 { return float64(c.Failed) }},
+	{"doubled", 0, func(c *ServiceResult) float64 { return float64(c.Doubled) }},
+	{"misrouted", 0, func(c *ServiceResult) float64 { return float64(c.Misrouted) }},
+	{"falsely not run", 0, func(c *ServiceResult) float64 { return float64(c.FalselyNotRun) }},
+	{"p50 ms", 1, func(c *ServiceResult) float64 { return c.P50 }},
+	{"p99 ms", 1, func(c *ServiceResult) float64 { return c.P99 }},
 }
 
 // WriteMarkdown writes a table for each site. A field is the median over the
@@ -92,7 +92,7 @@
 }
 
 // field is the median of a value over cells, with its range.
-func field(cells []*ServiceCell, digits int, value func(*ServiceCell) float64) string {
+func field(cells []*ServiceResult, digits int, value func(*ServiceResult) float64) string {
 	var values []float64
 	for _, c := range cells {
 		values = append(values, value(c))
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestField(t *testing.T) {
-	requests := func(c *ServiceCell) float64 { return float64(c.Requests) }
+	requests := func(c *ServiceResult) float64 { return float64(c.Requests) }
 	for _, tt := range []struct {
 		name   string
 		values []int
@@ -41,9 +41,9 @@
 		{"even", []int{8, 2, 4, 6}, "5 (2–8)"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var cells []*ServiceCell
+			var cells []*ServiceResult
 			for _, v := range tt.values {
-				cells = append(cells, &ServiceCell{Requests: v})
+				cells = append(cells, &ServiceResult{Requests: v})
 			}
 			is.New(t).Equal(field(cells, 0, requests), tt.want)
 		})
@@ -54,7 +54,7 @@
 	cell := func(site string, seed uint64, broken int) *RunResult {
 		return &RunResult{
 			Site: site, Scenario: Calm, Policy: Weighted, Seed: seed, Events: []Event{{Seconds: 0.5, Text: "an event"}},
-			Services: []ServiceCell{{Service: "s", BrokenFlows: broken, windows: []map[string]int{{"s-1": 1}, {"s-1": 2}}}},
+			Services: []ServiceResult{{Service: "s", BrokenFlows: broken, windows: []map[string]int{{"s-1": 1}, {"s-1": 2}}}},
 		}
 	}
 	return &Result{Runs: []*RunResult{cell("x", 1, 4), cell("x", 2, 6), cell("y", 1, 0)}}
