--- a/soak/callers.go
+++ b/soak/callers.go
@@ -104,7 +104,7 @@
 
 func (c *caller) failed(f *standin.Flow, err error) {
 	switch {
-	case errors.Is(err, standin.ErrMixed):
+	case errors.Is(err, standin.ErrMismatch):
 		c.truth.Break(RuleMixed, "%v", err)
 	case errors.Is(err, standin.ErrReset) && f.Target == "":
 		// Which of two targets it was opened with is not known.
