--- a/soak/run.go
+++ b/soak/run.go
@@ -75,7 +75,7 @@
 		o.Out = io.Discard
 	}
 	d, err := standin.Start(standin.Options{
-		Binary: o.Binary, Dir: o.Folder, IPs: o.IPs, Controls: controls, Entries: entries, Losses: 1, Zones: zones,
+		Binary: o.Binary, Dir: o.Folder, IPs: o.IPs, Controls: controls, Entries: entries, ToleratedLosses: 1, Zones: zones,
 		Services: []standin.Service{{Name: firstService, Targets: firstTargets}, {Name: secondService, Targets: secondTargets}},
 	})
 	if err != nil {
