--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -57,7 +57,7 @@
 
 // give sends an order until it is acknowledged, for a while.
 func (e *evacuations) give(zone, order string) bool {
-	return standin.EvacuationOrder(e.orders.order(), zone, order, changePatience) == nil
+	return standin.SendEvacuationOrder(e.orders.order(), zone, order, changePatience) == nil
 }
 
 func (e *evacuations) pause(ctx context.Context) bool {
