--- a/soak/inject.go
+++ b/soak/inject.go
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		in.entries = append(in.entries, relay)
-		d.Router.SetPath(host, relay.Addr())
+		d.Router.SetRelay(host, relay.Addr())
 	}
 	for _, p := range d.Controls {
 		relay, err := faultproxy.NewTCPRelay(local, standin.OperatorAddress(netip.MustParseAddr(p.Host)))
