--- a/soak/run.go
+++ b/soak/run.go
@@ -105,7 +105,7 @@
 }
 
 func (r *run) awaitReady(ctx context.Context) error {
-	for end := time.Now().Add(startPatience); r.d.Router.Ready() < len(r.d.Entries); time.Sleep(lookPeriod) {
+	for end := time.Now().Add(startPatience); r.d.Router.ReadyCount() < len(r.d.Entries); time.Sleep(lookPeriod) {
 		if time.Now().After(end) || ctx.Err() != nil {
 			return errors.New("the entry hosts do not become ready: see their logs")
 		}
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	if ready := r.d.Router.Ready(); ready < len(r.d.Entries) {
+	if ready := r.d.Router.ReadyCount(); ready < len(r.d.Entries) {
 		return fmt.Sprintf("%d of %d entry hosts are ready", ready, len(r.d.Entries))
 	}
 	return ""
