--- a/soak/inject.go
+++ b/soak/inject.go
@@ -239,10 +239,10 @@
 		if s.Kind == DrainTarget && t.Drain(stopPatience+in.patience) {
 			time.Sleep(drainTime)
 			if last, acked := t.LastOpened(), t.Acked(); last.After(acked) {
-				in.truth.Break(RuleDrain, "%s opened a flow %s after its agent had acknowledged that it leaves", t.Life(), last.Sub(acked))
+				in.truth.Break(RuleDrain, "%s opened a flow %s after its agent had acknowledged that it leaves", t.Instance(), last.Sub(acked))
 			}
 		}
-		in.truth.LifeEnds(t.Life())
+		in.truth.LifeEnds(t.Instance())
 		t.Crash()
 		time.Sleep(s.For)
 		if err := t.Restart(); err != nil {
