--- a/soak/inject.go
+++ b/soak/inject.go
@@ -238,7 +238,7 @@
 		defer in.release(t)
 		if s.Kind == DrainTarget && t.Drain(stopPatience+in.patience) {
 			time.Sleep(drainTime)
-			if last, acked := t.LastOpened(), t.Acked(); last.After(acked) {
+			if last, acked := t.LastOpened(), t.DrainAckedAt(); last.After(acked) {
 				in.truth.Break(RuleDrain, "%s opened a flow %s after its agent had acknowledged that it leaves", t.Instance(), last.Sub(acked))
 			}
 		}
