--- a/soak/inject.go
+++ b/soak/inject.go
@@ -45,7 +45,7 @@
 
 // newInjector puts a relay before each entry host and each control host.
 func newInjector(d *standin.Deployment, truth *Truth, o Options) (*injector, error) {
-	in := &injector{d: d, truth: truth, patience: o.Patience, busy: map[any]bool{}, down: map[*standin.Process]bool{}, said: map[*standin.Process]bool{}}
+	in := &injector{d: d, truth: truth, patience: o.TimeoutMargin, busy: map[any]bool{}, down: map[*standin.Process]bool{}, said: map[*standin.Process]bool{}}
 	local := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), 0)
 	for i, p := range d.Entries {
 		host := netip.MustParseAddr(p.Host)
--- a/soak/run.go
+++ b/soak/run.go
@@ -54,8 +54,8 @@
 	Seed uint64
 	// Length is how long faults are injected.
 	Length time.Duration
-	// Patience is added to each bound of time, for busy machines.
-	Patience time.Duration
+	// TimeoutMargin is added to each bound of time, for busy machines.
+	TimeoutMargin time.Duration
 	// Out gets a line for each fault, or is nil.
 	Out io.Writer
 }
@@ -85,7 +85,7 @@
 	if err := d.Replace(config(1, firstService), startPatience); err != nil {
 		return nil, errors.Wrap(err, "first configuration")
 	}
-	r := &run{options: o, d: d, truth: NewTruth(time.Now(), o.Patience)}
+	r := &run{options: o, d: d, truth: NewTruth(time.Now(), o.TimeoutMargin)}
 	r.truth.Sent(1, firstService)
 	r.truth.Acked(1, time.Now())
 	if err := r.awaitReady(ctx); err != nil {
@@ -184,7 +184,7 @@
 // version.
 func (r *run) awaitBack(ctx context.Context, in *injector, o *operators) {
 	began := time.Now()
-	bound := backBound + r.options.Patience
+	bound := backBound + r.options.TimeoutMargin
 	var missing string
 	for time.Since(began) < bound && ctx.Err() == nil {
 		in.watch()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -36,7 +36,7 @@
 	for _, s := range seeds {
 		o := soak.Options{
 			Binary: processtest.Binary(t), Folder: t.TempDir(), Seed: s.seed,
-			Length: s.length, Patience: time.Minute,
+			Length: s.length, TimeoutMargin: time.Minute,
 		}
 		for range soak.Hosts {
 			o.IPs = append(o.IPs, loopback.Host(t))
