--- a/soak/command.go
+++ b/soak/command.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o := Options{Binary: p.binary, Folder: folder, IPs: ips, Seed: seed, Length: p.length, TimeoutMargin: p.patience}
+	o := Options{Binary: p.binary, Dir: folder, IPs: ips, Seed: seed, Length: p.length, TimeoutMargin: p.patience}
 	if p.verbose {
 		o.Out = p.out
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -47,8 +47,8 @@
 
 // Options describe a run.
 type Options struct {
-	// Binary is the product's program; Folder takes settings, disks and logs.
-	Binary, Folder string
+	// Binary is the product's program; Dir takes settings, disks and logs.
+	Binary, Dir string
 	// IPs are loopback numbers, Hosts of them.
 	IPs  []netip.Addr
 	Seed uint64
@@ -75,7 +75,7 @@
 		o.Out = io.Discard
 	}
 	d, err := standin.Start(standin.Options{
-		Binary: o.Binary, Dir: o.Folder, IPs: o.IPs, Controls: controls, Entries: entries, ToleratedLosses: 1, Zones: zones,
+		Binary: o.Binary, Dir: o.Dir, IPs: o.IPs, Controls: controls, Entries: entries, ToleratedLosses: 1, Zones: zones,
 		Services: []standin.Service{{Name: firstService, Targets: firstTargets}, {Name: secondService, Targets: secondTargets}},
 	})
 	if err != nil {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -35,7 +35,7 @@
 func TestSeeds(t *testing.T) {
 	for _, s := range seeds {
 		o := soak.Options{
-			Binary: processtest.Binary(t), Folder: t.TempDir(), Seed: s.seed,
+			Binary: processtest.Binary(t), Dir: t.TempDir(), Seed: s.seed,
 			Length: s.length, TimeoutMargin: time.Minute,
 		}
 		for range soak.Hosts {
