--- a/soak/command.go
+++ b/soak/command.go
@@ -103,7 +103,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, errors.Wrap(err, "folder")
 	}
-	ips, err := standin.FreeIPs(Hosts)
+	ips, err := standin.FreeIPs(RequiredIPs)
 	if err != nil {
 		return nil, err
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -21,8 +21,8 @@
 	firstTargets  = 3
 	secondTargets = 2
 	callers       = 16
-	// Hosts is how many IP numbers a run takes, that of the callers included.
-	Hosts = controls + entries + firstTargets + secondTargets + 1
+	// RequiredIPs is how many IP numbers a run takes, that of the callers included.
+	RequiredIPs = controls + entries + firstTargets + secondTargets + 1
 )
 
 const (
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -38,7 +38,7 @@
 			Binary: processtest.Binary(t), Dir: t.TempDir(), Seed: s.seed,
 			Length: s.length, TimeoutMargin: time.Minute,
 		}
-		for range soak.Hosts {
+		for range soak.RequiredIPs {
 			o.IPs = append(o.IPs, loopback.Host(t))
 		}
 		result, err := soak.Run(t.Context(), o)
