--- a/soak/run.go
+++ b/soak/run.go
@@ -64,9 +64,9 @@
 type Result struct {
 	Violations []Violation
 	Faults     int
-	// Served, Opened, Resets and Silent count requests and flows, Changes and Reads
+	// Served, Opened, Resets and TimedOut count requests and flows, Changes and Reads
 	// those of operators that were answered.
-	Served, Opened, Resets, Silent, Changes, Reads int64
+	Served, Opened, Resets, TimedOut, Changes, Reads int64
 }
 
 // Run plays one seed. An error tells that the run itself could not be played.
@@ -247,7 +247,7 @@
 		Served:     r.counts.served.Load(),
 		Opened:     r.counts.opened.Load(),
 		Resets:     r.counts.resets.Load(),
-		Silent:     r.counts.silent.Load(),
+		TimedOut:   r.counts.silent.Load(),
 		Changes:    r.counts.changes.Load(),
 		Reads:      r.counts.reads.Load(),
 	}
