--- a/soak/inject.go
+++ b/soak/inject.go
@@ -117,7 +117,7 @@
 
 // apply starts a fault, which ends by itself. It reports whether there was one: two
 // faults do not disturb one process at a time.
-func (in *injector) apply(s Step) bool {
+func (in *injector) apply(s Fault) bool {
 	switch s.Kind {
 	case KillEntry, StopEntry, FreezeEntry:
 		return in.process(s, in.d.Entries)
@@ -138,7 +138,7 @@
 }
 
 // process disturbs one process.
-func (in *injector) process(s Step, among []*standin.Process) bool {
+func (in *injector) process(s Fault, among []*standin.Process) bool {
 	p := among[s.Victim%len(among)]
 	if !in.take(p) {
 		return false
@@ -164,7 +164,7 @@
 }
 
 // restart ends a process in the way of the fault and starts it after its time.
-func (in *injector) restart(p *standin.Process, s Step) {
+func (in *injector) restart(p *standin.Process, s Fault) {
 	in.setDown(p, true)
 	if s.Kind == StopEntry || s.Kind == StopControl {
 		if err := p.Stop(stopPatience + in.patience); err != nil {
@@ -202,7 +202,7 @@
 }
 
 // killAll kills processes at the same moment.
-func (in *injector) killAll(s Step, all []*standin.Process) bool {
+func (in *injector) killAll(s Fault, all []*standin.Process) bool {
 	victims := make([]any, 0, len(all))
 	for _, p := range all {
 		victims = append(victims, p)
@@ -229,7 +229,7 @@
 }
 
 // target crashes a target, or drains it first, and starts another life of it.
-func (in *injector) target(s Step) bool {
+func (in *injector) target(s Fault) bool {
 	t := in.d.Targets[s.Victim%len(in.d.Targets)]
 	if !in.take(t) {
 		return false
@@ -253,7 +253,7 @@
 }
 
 // path disturbs the path to an entry host or a control host.
-func (in *injector) path(s Step) bool {
+func (in *injector) path(s Fault) bool {
 	if s.Kind == DropOperator {
 		in.operators[s.Victim%len(in.operators)].CloseConnections()
 		return true
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -57,8 +57,8 @@
 	catchUp = 6 * time.Second
 )
 
-// Step is one fault.
-type Step struct {
+// Fault is one fault.
+type Fault struct {
 	At   time.Duration
 	Kind Kind
 	// Victim chooses among what the fault can disturb.
@@ -68,13 +68,13 @@
 }
 
 // Plan draws the faults of a run of that length. The same seed gives the same plan.
-func Plan(seed uint64, length time.Duration) []Step {
+func Plan(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, planStream))
-	var plan []Step
+	var plan []Fault
 	// No control host is disturbed until noneBefore, and no disk is lost before calm.
 	var noneBefore, calm time.Duration
 	for at := stepGap; at < length; at += time.Duration(random.Float64() * 2 * float64(stepGap)) {
-		s := Step{
+		s := Fault{
 			At:     at,
 			Kind:   draw(random),
 			Victim: random.IntN(1 << 16),
