--- a/soak/inject.go
+++ b/soak/inject.go
@@ -123,7 +123,7 @@
 		return in.process(s, in.d.Entries)
 	case KillAgent, FreezeAgent:
 		return in.process(s, in.d.Agents)
-	case KillControl, StopControl, FreezeHost, WipeControl, FillControl:
+	case KillControl, StopControl, FreezeControl, WipeControl, FillControl:
 		return in.process(s, in.d.Controls)
 	case Reload:
 		return in.process(s, in.d.Processes())
@@ -147,7 +147,7 @@
 	in.steps.Go(func() {
 		defer in.release(p)
 		switch s.Kind {
-		case FreezeEntry, FreezeAgent, FreezeHost:
+		case FreezeEntry, FreezeAgent, FreezeControl:
 			p.Signal(syscall.SIGSTOP)
 			time.Sleep(s.For)
 			p.Signal(syscall.SIGCONT)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -11,26 +11,26 @@
 
 // Kinds of faults.
 const (
-	KillEntry    Kind = "kill entry host"
-	StopEntry    Kind = "stop entry host"
-	FreezeEntry  Kind = "freeze entry host"
-	KillAgent    Kind = "kill agent"
-	FreezeAgent  Kind = "freeze agent"
-	KillControl  Kind = "kill control host"
-	StopControl  Kind = "stop control host"
-	FreezeHost   Kind = "freeze control host"
-	WipeControl  Kind = "lose the disk of a control host"
-	FillControl  Kind = "fill the disk of a control host"
-	KillControls Kind = "kill all control hosts"
-	KillAll      Kind = "kill all processes"
-	Reload       Kind = "reload a process"
-	CrashTarget  Kind = "crash a target"
-	DrainTarget  Kind = "drain a target"
-	LosePackets  Kind = "lose packets to an entry host"
-	DelayPackets Kind = "delay packets to an entry host"
-	CutPath      Kind = "silence the path to an entry host"
-	CutOperator  Kind = "silence an operator's path"
-	DropOperator Kind = "reset an operator's connections"
+	KillEntry     Kind = "kill entry host"
+	StopEntry     Kind = "stop entry host"
+	FreezeEntry   Kind = "freeze entry host"
+	KillAgent     Kind = "kill agent"
+	FreezeAgent   Kind = "freeze agent"
+	KillControl   Kind = "kill control host"
+	StopControl   Kind = "stop control host"
+	FreezeControl Kind = "freeze control host"
+	WipeControl   Kind = "lose the disk of a control host"
+	FillControl   Kind = "fill the disk of a control host"
+	KillControls  Kind = "kill all control hosts"
+	KillAll       Kind = "kill all processes"
+	Reload        Kind = "reload a process"
+	CrashTarget   Kind = "crash a target"
+	DrainTarget   Kind = "drain a target"
+	LosePackets   Kind = "lose packets to an entry host"
+	DelayPackets  Kind = "delay packets to an entry host"
+	CutPath       Kind = "silence the path to an entry host"
+	CutOperator   Kind = "silence an operator's path"
+	DropOperator  Kind = "reset an operator's connections"
 )
 
 // weighted lists the kinds, with how often each is drawn.
@@ -40,7 +40,7 @@
 }{
 	{KillEntry, 4}, {StopEntry, 3}, {FreezeEntry, 3},
 	{KillAgent, 4}, {FreezeAgent, 3},
-	{KillControl, 4}, {StopControl, 2}, {FreezeHost, 3}, {WipeControl, 3}, {FillControl, 2},
+	{KillControl, 4}, {StopControl, 2}, {FreezeControl, 3}, {WipeControl, 3}, {FillControl, 2},
 	{KillControls, 1}, {KillAll, 1}, {Reload, 2},
 	{CrashTarget, 3}, {DrainTarget, 3},
 	{LosePackets, 3}, {DelayPackets, 3}, {CutPath, 2}, {CutOperator, 2}, {DropOperator, 2},
@@ -116,5 +116,5 @@
 
 // disturbsControl reports whether a fault disturbs control hosts.
 func disturbsControl(k Kind) bool {
-	return slices.Contains([]Kind{KillControl, StopControl, FreezeHost, WipeControl, FillControl, KillControls, KillAll}, k)
+	return slices.Contains([]Kind{KillControl, StopControl, FreezeControl, WipeControl, FillControl, KillControls, KillAll}, k)
 }
