--- a/soak/inject.go
+++ b/soak/inject.go
@@ -254,7 +254,7 @@
 
 // path disturbs the path to an entry host or a control host.
 func (in *injector) path(s Fault) bool {
-	if s.Kind == DropOperator {
+	if s.Kind == ResetOperator {
 		in.operators[s.Victim%len(in.operators)].CloseConnections()
 		return true
 	}
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -30,7 +30,7 @@
 	DelayPackets  Kind = "delay packets to an entry host"
 	CutPath       Kind = "silence the path to an entry host"
 	CutOperator   Kind = "silence an operator's path"
-	DropOperator  Kind = "reset an operator's connections"
+	ResetOperator Kind = "reset an operator's connections"
 )
 
 // weighted lists the kinds, with how often each is drawn.
@@ -43,7 +43,7 @@
 	{KillControl, 4}, {StopControl, 2}, {FreezeControl, 3}, {WipeControl, 3}, {FillControl, 2},
 	{KillControls, 1}, {KillAll, 1}, {Reload, 2},
 	{CrashTarget, 3}, {DrainTarget, 3},
-	{LosePackets, 3}, {DelayPackets, 3}, {CutPath, 2}, {CutOperator, 2}, {DropOperator, 2},
+	{LosePackets, 3}, {DelayPackets, 3}, {CutPath, 2}, {CutOperator, 2}, {ResetOperator, 2},
 }
 
 const (
