--- a/soak/callers.go
+++ b/soak/callers.go
@@ -44,7 +44,7 @@
 
 // caller opens flows one after the other until ctx ends.
 type caller struct {
-	truth  *Truth
+	truth  *Checker
 	caller *standin.Caller
 	random *rand.Rand
 	counts *counts
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -19,7 +19,7 @@
 
 // evacuations evacuates one zone after the other, and leaves the last one evacuated.
 type evacuations struct {
-	truth  *Truth
+	truth  *Checker
 	orders *operators
 	zones  []string
 	random *rand.Rand
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -27,7 +27,7 @@
 // injector plays the faults of a plan on a deployment.
 type injector struct {
 	d     *standin.Deployment
-	truth *Truth
+	truth *Checker
 	// entries and operators are the paths to entry hosts and control hosts.
 	entries   []*faultproxy.Relay
 	operators []*faultproxy.TCPRelay
@@ -44,7 +44,7 @@
 }
 
 // newInjector puts a relay before each entry host and each control host.
-func newInjector(d *standin.Deployment, truth *Truth, o Options) (*injector, error) {
+func newInjector(d *standin.Deployment, truth *Checker, o Options) (*injector, error) {
 	in := &injector{d: d, truth: truth, patience: o.TimeoutMargin, busy: map[any]bool{}, down: map[*standin.Process]bool{}, said: map[*standin.Process]bool{}}
 	local := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), 0)
 	for i, p := range d.Entries {
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -28,7 +28,7 @@
 
 // operators change and read the configuration.
 type operators struct {
-	truth  *Truth
+	truth  *Checker
 	urls   []string
 	random *rand.Rand
 	counts *counts
--- a/soak/run.go
+++ b/soak/run.go
@@ -98,7 +98,7 @@
 type run struct {
 	options Options
 	d       *standin.Deployment
-	truth   *Truth
+	truth   *Checker
 	caller  *standin.Caller
 	counts  counts
 	faults  int
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -41,9 +41,9 @@
 	RuleEvacuated = "nothing opens in a zone whose evacuation is acknowledged"
 )
 
-// Truth is what has been acknowledged and done so far, against which all that is seen
+// Checker is what has been acknowledged and done so far, against which all that is seen
 // is held. All methods may be called concurrently.
-type Truth struct {
+type Checker struct {
 	began time.Time
 	// patience is added to the bound after which a version is in force.
 	patience time.Duration
@@ -73,26 +73,26 @@
 }
 
 // NewTruth returns one that knows nothing. Patience is added to bounds of time.
-func NewTruth(began time.Time, patience time.Duration) *Truth {
-	return &Truth{
+func NewTruth(began time.Time, patience time.Duration) *Checker {
+	return &Checker{
 		began: began, patience: patience, content: map[int]string{}, allowed: map[int][]string{},
 		ended: map[string]bool{}, disturbed: map[string]time.Time{}, evacuated: map[string]time.Time{},
 	}
 }
 
 // Break notes a violation.
-func (t *Truth) Break(rule, format string, args ...any) {
+func (t *Checker) Break(rule, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breakLocked(rule, format, args...)
 }
 
-func (t *Truth) breakLocked(rule, format string, args ...any) {
+func (t *Checker) breakLocked(rule, format string, args ...any) {
 	t.violations = append(t.violations, Violation{At: time.Since(t.began), Rule: rule, What: fmt.Sprintf(format, args...)})
 }
 
 // Violations returns what was broken so far.
-func (t *Truth) Violations() []Violation {
+func (t *Checker) Violations() []Violation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Violation{}, t.violations...)
@@ -100,7 +100,7 @@
 
 // Sent notes that a version is sent that allows these services to the route that
 // changes. Several operators may send one version.
-func (t *Truth) Sent(version int, service string) {
+func (t *Checker) Sent(version int, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent = max(t.sent, version)
@@ -108,7 +108,7 @@
 }
 
 // Acked notes that a version was acknowledged.
-func (t *Truth) Acked(version int, now time.Time) {
+func (t *Checker) Acked(version int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version > t.newest(now) {
@@ -117,13 +117,13 @@
 }
 
 // Newest returns the newest version that was acknowledged at a time.
-func (t *Truth) Newest(at time.Time) int {
+func (t *Checker) Newest(at time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.newest(at)
 }
 
-func (t *Truth) newest(at time.Time) int {
+func (t *Checker) newest(at time.Time) int {
 	newest := 0
 	for _, a := range t.acks {
 		if !a.at.After(at) {
@@ -135,7 +135,7 @@
 
 // Read holds an answer to a read that began when some version was the newest
 // acknowledged.
-func (t *Truth) Read(host string, least, version int, content string) {
+func (t *Checker) Read(host string, least, version int, content string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version < least {
@@ -152,7 +152,7 @@
 }
 
 // ServedBy holds the service that a flow to the route that changes was opened with.
-func (t *Truth) ServedBy(service string, sent time.Time) {
+func (t *Checker) ServedBy(service string, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.allows(service, 0) {
@@ -168,14 +168,14 @@
 
 // Allows reports whether a version from least on allows a service to the route that
 // changes.
-func (t *Truth) Allows(service string, least int) bool {
+func (t *Checker) Allows(service string, least int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.allows(service, least)
 }
 
 // allows reports whether a version from least on allows a service. The lock is held.
-func (t *Truth) allows(service string, least int) bool {
+func (t *Checker) allows(service string, least int) bool {
 	for version, services := range t.allowed {
 		if version < least {
 			continue
@@ -190,21 +190,21 @@
 }
 
 // Evacuated notes that the evacuation of a zone was acknowledged.
-func (t *Truth) Evacuated(zone string) {
+func (t *Checker) Evacuated(zone string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.evacuated[zone] = time.Now()
 }
 
 // Returned notes that the evacuation of a zone is to be taken back.
-func (t *Truth) Returned(zone string) {
+func (t *Checker) Returned(zone string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.evacuated, zone)
 }
 
 // IsEvacuated reports whether the evacuation of a zone stands.
-func (t *Truth) IsEvacuated(zone string) bool {
+func (t *Checker) IsEvacuated(zone string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, evacuated := t.evacuated[zone]
@@ -212,7 +212,7 @@
 }
 
 // OpenedIn holds the zone that a flow was opened in.
-func (t *Truth) OpenedIn(zone string, sent time.Time) {
+func (t *Checker) OpenedIn(zone string, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	acked, evacuated := t.evacuated[zone]
@@ -223,14 +223,14 @@
 }
 
 // LifeEnds notes that a life of a target ends now.
-func (t *Truth) LifeEnds(life string) {
+func (t *Checker) LifeEnds(life string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ended[life] = true
 }
 
 // Disturbed notes that a host is disturbed by a fault until some time.
-func (t *Truth) Disturbed(host string, until time.Time) {
+func (t *Checker) Disturbed(host string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if until.After(t.disturbed[host]) {
@@ -239,7 +239,7 @@
 }
 
 // anyDisturbedSince reports whether any host was disturbed after a time. The lock is held.
-func (t *Truth) anyDisturbedSince(since time.Time) bool {
+func (t *Checker) anyDisturbedSince(since time.Time) bool {
 	for _, until := range t.disturbed {
 		if until.After(since) {
 			return true
@@ -250,7 +250,7 @@
 
 // Reset holds that a caller was told that an open flow is gone. It is owed where the
 // target has ended, and allowed where the host of its agent was disturbed lately.
-func (t *Truth) Reset(life, host string, now time.Time) {
+func (t *Checker) Reset(life, host string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ended[life] || t.disturbed[host].After(now.Add(-touchWindow)) {
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func rules(t *Truth) []string {
+func rules(t *Checker) []string {
 	var out []string
 	for _, v := range t.Violations() {
 		out = append(out, v.Rule)
@@ -20,22 +20,22 @@
 	now := time.Now()
 	old := now.Add(-time.Minute)
 	for name, tt := range map[string]struct {
-		see  func(*Truth)
+		see  func(*Checker)
 		want []string
 	}{
-		"fresh read":                {func(tr *Truth) { tr.Read("c1", 2, 2, "b") }, nil},
-		"stale read":                {func(tr *Truth) { tr.Read("c1", 2, 1, "a") }, []string{RuleRead}},
-		"unknown version":           {func(tr *Truth) { tr.Read("c1", 2, 9, "z") }, []string{RuleRead}},
-		"changed content":           {func(tr *Truth) { tr.Read("c1", 0, 2, "b"); tr.Read("c2", 0, 2, "c") }, []string{RuleOneWinner}},
-		"present service":           {func(tr *Truth) { tr.ServedBy("two", now) }, nil},
-		"former service":            {func(tr *Truth) { tr.ServedBy("one", now) }, []string{RuleOlder}},
-		"former, in time":           {func(tr *Truth) { tr.ServedBy("one", now.Add(-time.Minute+applyBound/2)) }, nil},
-		"former, host disturbed":    {func(tr *Truth) { tr.Disturbed("e1", now.Add(-touchWindow/2)); tr.ServedBy("one", now) }, nil},
-		"no version's service":      {func(tr *Truth) { tr.ServedBy("three", now) }, []string{RuleRoute}},
-		"reset of a living flow":    {func(tr *Truth) { tr.Reset("life", "h", now) }, []string{RuleFlow}},
-		"reset after the end":       {func(tr *Truth) { tr.LifeEnds("life"); tr.Reset("life", "h", now) }, nil},
-		"reset, host disturbed":     {func(tr *Truth) { tr.Disturbed("h", now.Add(-time.Second)); tr.Reset("life", "h", now) }, nil},
-		"reset, disturbed long ago": {func(tr *Truth) { tr.Disturbed("h", old); tr.Reset("life", "h", now) }, []string{RuleFlow}},
+		"fresh read":                {func(tr *Checker) { tr.Read("c1", 2, 2, "b") }, nil},
+		"stale read":                {func(tr *Checker) { tr.Read("c1", 2, 1, "a") }, []string{RuleRead}},
+		"unknown version":           {func(tr *Checker) { tr.Read("c1", 2, 9, "z") }, []string{RuleRead}},
+		"changed content":           {func(tr *Checker) { tr.Read("c1", 0, 2, "b"); tr.Read("c2", 0, 2, "c") }, []string{RuleOneWinner}},
+		"present service":           {func(tr *Checker) { tr.ServedBy("two", now) }, nil},
+		"former service":            {func(tr *Checker) { tr.ServedBy("one", now) }, []string{RuleOlder}},
+		"former, in time":           {func(tr *Checker) { tr.ServedBy("one", now.Add(-time.Minute+applyBound/2)) }, nil},
+		"former, host disturbed":    {func(tr *Checker) { tr.Disturbed("e1", now.Add(-touchWindow/2)); tr.ServedBy("one", now) }, nil},
+		"no version's service":      {func(tr *Checker) { tr.ServedBy("three", now) }, []string{RuleRoute}},
+		"reset of a living flow":    {func(tr *Checker) { tr.Reset("life", "h", now) }, []string{RuleFlow}},
+		"reset after the end":       {func(tr *Checker) { tr.LifeEnds("life"); tr.Reset("life", "h", now) }, nil},
+		"reset, host disturbed":     {func(tr *Checker) { tr.Disturbed("h", now.Add(-time.Second)); tr.Reset("life", "h", now) }, nil},
+		"reset, disturbed long ago": {func(tr *Checker) { tr.Disturbed("h", old); tr.Reset("life", "h", now) }, []string{RuleFlow}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := NewTruth(old, 0)
