--- a/soak/run.go
+++ b/soak/run.go
@@ -85,7 +85,7 @@
 	if err := d.Replace(config(1, firstService), startPatience); err != nil {
 		return nil, errors.Wrap(err, "first configuration")
 	}
-	r := &run{options: o, d: d, truth: NewTruth(time.Now(), o.TimeoutMargin)}
+	r := &run{options: o, d: d, truth: NewChecker(time.Now(), o.TimeoutMargin)}
 	r.truth.Sent(1, firstService)
 	r.truth.Acked(1, time.Now())
 	if err := r.awaitReady(ctx); err != nil {
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -72,8 +72,8 @@
 	at      time.Time
 }
 
-// NewTruth returns one that knows nothing. Patience is added to bounds of time.
-func NewTruth(began time.Time, patience time.Duration) *Checker {
+// NewChecker returns one that knows nothing. Patience is added to bounds of time.
+func NewChecker(began time.Time, patience time.Duration) *Checker {
 	return &Checker{
 		began: began, patience: patience, content: map[int]string{}, allowed: map[int][]string{},
 		ended: map[string]bool{}, disturbed: map[string]time.Time{}, evacuated: map[string]time.Time{},
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -38,7 +38,7 @@
 		"reset, disturbed long ago": {func(tr *Checker) { tr.Disturbed("h", old); tr.Reset("life", "h", now) }, []string{RuleFlow}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tr := NewTruth(old, 0)
+			tr := NewChecker(old, 0)
 			tr.Sent(1, "one")
 			tr.Sent(2, "two")
 			tr.Acked(1, old)
@@ -52,7 +52,7 @@
 func TestNewest(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	tr := NewTruth(now, 0)
+	tr := NewChecker(now, 0)
 	tr.Acked(3, now)
 	tr.Acked(2, now.Add(time.Second)) // an older one that is acknowledged again
 	is.Equal(tr.Newest(now.Add(-time.Second)), 0)
