--- a/soak/callers.go
+++ b/soak/callers.go
@@ -98,14 +98,14 @@
 	case want == "":
 		c.truth.ServedBy(f.Service(), sent)
 	case f.Service() != want:
-		c.truth.Break(RuleRoute, "route %s is for %s, served by %s", route, want, f.Service())
+		c.truth.AddViolation(RuleRoute, "route %s is for %s, served by %s", route, want, f.Service())
 	}
 }
 
 func (c *caller) failed(f *standin.Flow, err error) {
 	switch {
 	case errors.Is(err, standin.ErrMismatch):
-		c.truth.Break(RuleMixed, "%v", err)
+		c.truth.AddViolation(RuleMixed, "%v", err)
 	case errors.Is(err, standin.ErrReset) && f.Target == "":
 		// Which of two targets it was opened with is not known.
 		c.counts.resets.Add(1)
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -100,7 +100,7 @@
 		o.truth.Acked(o.version, time.Now())
 		o.counts.changes.Add(1)
 	case errors.Is(err, standin.ErrRefused):
-		o.truth.Break(RuleInvalid, "version %d is valid and was refused", o.version)
+		o.truth.AddViolation(RuleInvalid, "version %d is valid and was refused", o.version)
 	}
 	// One without an answer may or may not be in force.
 }
@@ -109,7 +109,7 @@
 func (o *operators) older() {
 	err := standin.Replace(o.order(), config(1, firstService).Document(), changePatience)
 	if errors.Is(err, standin.ErrRefused) {
-		o.truth.Break(RuleInvalid, "the first version was refused when it came again")
+		o.truth.AddViolation(RuleInvalid, "the first version was refused when it came again")
 	}
 }
 
@@ -117,7 +117,7 @@
 func (o *operators) invalid() {
 	bad := config(o.version+1, "no-such-service")
 	if err := standin.Replace(o.order(), bad.Document(), changePatience); err == nil {
-		o.truth.Break(RuleInvalid, "a route to an unknown service was acknowledged")
+		o.truth.AddViolation(RuleInvalid, "a route to an unknown service was acknowledged")
 	}
 }
 
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Break notes a violation.
-func (t *Checker) Break(rule, format string, args ...any) {
+// AddViolation notes a violation.
+func (t *Checker) AddViolation(rule, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breakLocked(rule, format, args...)
