--- a/soak/operators.go
+++ b/soak/operators.go
@@ -93,7 +93,7 @@
 }
 
 func (o *operators) send(service string, urls []string) {
-	o.truth.Sent(o.version, service)
+	o.truth.RecordSent(o.version, service)
 	err := standin.Replace(urls, config(o.version, service).Document(), changePatience)
 	switch {
 	case err == nil:
--- a/soak/run.go
+++ b/soak/run.go
@@ -86,7 +86,7 @@
 		return nil, errors.Wrap(err, "first configuration")
 	}
 	r := &run{options: o, d: d, truth: NewChecker(time.Now(), o.TimeoutMargin)}
-	r.truth.Sent(1, firstService)
+	r.truth.RecordSent(1, firstService)
 	r.truth.Acked(1, time.Now())
 	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -98,9 +98,9 @@
 	return append([]Violation{}, t.violations...)
 }
 
-// Sent notes that a version is sent that allows these services to the route that
+// RecordSent notes that a version is sent that allows these services to the route that
 // changes. Several operators may send one version.
-func (t *Checker) Sent(version int, service string) {
+func (t *Checker) RecordSent(version int, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent = max(t.sent, version)
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -39,8 +39,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := NewChecker(old, 0)
-			tr.Sent(1, "one")
-			tr.Sent(2, "two")
+			tr.RecordSent(1, "one")
+			tr.RecordSent(2, "two")
 			tr.Acked(1, old)
 			tr.Acked(2, old)
 			tt.see(tr)
