--- a/soak/operators.go
+++ b/soak/operators.go
@@ -97,7 +97,7 @@
 	err := standin.Replace(urls, config(o.version, service).Document(), changePatience)
 	switch {
 	case err == nil:
-		o.truth.Acked(o.version, time.Now())
+		o.truth.RecordAcked(o.version, time.Now())
 		o.counts.changes.Add(1)
 	case errors.Is(err, standin.ErrRefused):
 		o.truth.AddViolation(RuleInvalid, "version %d is valid and was refused", o.version)
--- a/soak/run.go
+++ b/soak/run.go
@@ -87,7 +87,7 @@
 	}
 	r := &run{options: o, d: d, truth: NewChecker(time.Now(), o.TimeoutMargin)}
 	r.truth.RecordSent(1, firstService)
-	r.truth.Acked(1, time.Now())
+	r.truth.RecordAcked(1, time.Now())
 	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -107,8 +107,8 @@
 	t.allowed[version] = append(t.allowed[version], service)
 }
 
-// Acked notes that a version was acknowledged.
-func (t *Checker) Acked(version int, now time.Time) {
+// RecordAcked notes that a version was acknowledged.
+func (t *Checker) RecordAcked(version int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version > t.newest(now) {
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -41,8 +41,8 @@
 			tr := NewChecker(old, 0)
 			tr.RecordSent(1, "one")
 			tr.RecordSent(2, "two")
-			tr.Acked(1, old)
-			tr.Acked(2, old)
+			tr.RecordAcked(1, old)
+			tr.RecordAcked(2, old)
 			tt.see(tr)
 			is.New(t).True(slices.Equal(rules(tr), tt.want))
 		})
@@ -53,8 +53,8 @@
 	is := is.New(t)
 	now := time.Now()
 	tr := NewChecker(now, 0)
-	tr.Acked(3, now)
-	tr.Acked(2, now.Add(time.Second)) // an older one that is acknowledged again
+	tr.RecordAcked(3, now)
+	tr.RecordAcked(2, now.Add(time.Second)) // an older one that is acknowledged again
 	is.Equal(tr.Newest(now.Add(-time.Second)), 0)
 	is.Equal(tr.Newest(now.Add(2*time.Second)), 3)
 }
