--- a/soak/operators.go
+++ b/soak/operators.go
@@ -134,7 +134,7 @@
 
 // readOne holds what a host answers. It reports whether it confirmed the newest version.
 func (o *operators) readOne(url string) bool {
-	least := o.truth.Newest(time.Now())
+	least := o.truth.NewestAcked(time.Now())
 	version, document := standin.ReadDocument(url)
 	if version == 0 {
 		return false
--- a/soak/run.go
+++ b/soak/run.go
@@ -220,7 +220,7 @@
 
 // serves opens a flow and sends a request on it. It tells what is wrong, or nothing.
 func (r *run) serves(route netip.AddrPort) string {
-	least := r.truth.Newest(time.Now())
+	least := r.truth.NewestAcked(time.Now())
 	f, err := r.caller.Open(route)
 	if err != nil {
 		return err.Error()
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Newest returns the newest version that was acknowledged at a time.
-func (t *Checker) Newest(at time.Time) int {
+// NewestAcked returns the newest version that was acknowledged at a time.
+func (t *Checker) NewestAcked(at time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.newest(at)
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -55,6 +55,6 @@
 	tr := NewChecker(now, 0)
 	tr.RecordAcked(3, now)
 	tr.RecordAcked(2, now.Add(time.Second)) // an older one that is acknowledged again
-	is.Equal(tr.Newest(now.Add(-time.Second)), 0)
-	is.Equal(tr.Newest(now.Add(2*time.Second)), 3)
+	is.Equal(tr.NewestAcked(now.Add(-time.Second)), 0)
+	is.Equal(tr.NewestAcked(now.Add(2*time.Second)), 3)
 }
