--- a/soak/operators.go
+++ b/soak/operators.go
@@ -140,6 +140,6 @@
 		return false
 	}
 	o.counts.reads.Add(1)
-	o.truth.Read(url, least, version, document)
+	o.truth.CheckRead(url, least, version, document)
 	return version >= least
 }
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -133,9 +133,9 @@
 	return newest
 }
 
-// Read holds an answer to a read that began when some version was the newest
+// CheckRead holds an answer to a read that began when some version was the newest
 // acknowledged.
-func (t *Checker) Read(host string, least, version int, content string) {
+func (t *Checker) CheckRead(host string, least, version int, content string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version < least {
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -23,10 +23,10 @@
 		see  func(*Checker)
 		want []string
 	}{
-		"fresh read":                {func(tr *Checker) { tr.Read("c1", 2, 2, "b") }, nil},
-		"stale read":                {func(tr *Checker) { tr.Read("c1", 2, 1, "a") }, []string{RuleRead}},
-		"unknown version":           {func(tr *Checker) { tr.Read("c1", 2, 9, "z") }, []string{RuleRead}},
-		"changed content":           {func(tr *Checker) { tr.Read("c1", 0, 2, "b"); tr.Read("c2", 0, 2, "c") }, []string{RuleOneWinner}},
+		"fresh read":                {func(tr *Checker) { tr.CheckRead("c1", 2, 2, "b") }, nil},
+		"stale read":                {func(tr *Checker) { tr.CheckRead("c1", 2, 1, "a") }, []string{RuleRead}},
+		"unknown version":           {func(tr *Checker) { tr.CheckRead("c1", 2, 9, "z") }, []string{RuleRead}},
+		"changed content":           {func(tr *Checker) { tr.CheckRead("c1", 0, 2, "b"); tr.CheckRead("c2", 0, 2, "c") }, []string{RuleOneWinner}},
 		"present service":           {func(tr *Checker) { tr.ServedBy("two", now) }, nil},
 		"former service":            {func(tr *Checker) { tr.ServedBy("one", now) }, []string{RuleOlder}},
 		"former, in time":           {func(tr *Checker) { tr.ServedBy("one", now.Add(-time.Minute+applyBound/2)) }, nil},
