--- a/soak/callers.go
+++ b/soak/callers.go
@@ -96,7 +96,7 @@
 	c.truth.OpenedIn(c.zoneOf(hostOf(f.Target)), sent)
 	switch want := map[netip.AddrPort]string{firstRoute: firstService, secondRoute: secondService}[route]; {
 	case want == "":
-		c.truth.ServedBy(f.Service(), sent)
+		c.truth.CheckService(f.Service(), sent)
 	case f.Service() != want:
 		c.truth.AddViolation(RuleRoute, "route %s is for %s, served by %s", route, want, f.Service())
 	}
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -151,8 +151,8 @@
 	t.content[version] = content
 }
 
-// ServedBy holds the service that a flow to the route that changes was opened with.
-func (t *Checker) ServedBy(service string, sent time.Time) {
+// CheckService holds the service that a flow to the route that changes was opened with.
+func (t *Checker) CheckService(service string, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.allows(service, 0) {
