--- a/soak/run.go
+++ b/soak/run.go
@@ -234,7 +234,7 @@
 	if zone := r.d.ZoneOf(hostOf(f.Target)); r.truth.IsEvacuated(zone) {
 		return "served in " + zone + ", which is evacuated"
 	}
-	if route == changingRoute && !r.truth.Allows(f.Service(), least) {
+	if route == changingRoute && !r.truth.AllowsService(f.Service(), least) {
 		return fmt.Sprintf("served by %s, which no version from %d on allows", f.Service(), least)
 	}
 	return ""
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -166,9 +166,9 @@
 	t.breakLocked(RuleOlder, "served by %s, which no version from %d on allows", service, least)
 }
 
-// Allows reports whether a version from least on allows a service to the route that
+// AllowsService reports whether a version from least on allows a service to the route that
 // changes.
-func (t *Checker) Allows(service string, least int) bool {
+func (t *Checker) AllowsService(service string, least int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.allows(service, least)
