--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -29,7 +29,7 @@
 	for {
 		zone := e.zones[e.random.IntN(len(e.zones))]
 		if e.give(zone, "start") {
-			e.truth.Evacuated(zone)
+			e.truth.RecordEvacuation(zone)
 		}
 		if !e.pause(ctx) {
 			return
@@ -51,7 +51,7 @@
 // last evacuates a zone for the rest of the run.
 func (e *evacuations) last() {
 	if zone := e.zones[0]; e.give(zone, "start") {
-		e.truth.Evacuated(zone)
+		e.truth.RecordEvacuation(zone)
 	}
 }
 
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -189,8 +189,8 @@
 	return false
 }
 
-// Evacuated notes that the evacuation of a zone was acknowledged.
-func (t *Checker) Evacuated(zone string) {
+// RecordEvacuation notes that the evacuation of a zone was acknowledged.
+func (t *Checker) RecordEvacuation(zone string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.evacuated[zone] = time.Now()
