--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -35,7 +35,7 @@
 			return
 		}
 		// What is sent may be in force before it is acknowledged.
-		e.truth.Returned(zone)
+		e.truth.RecordEvacuationEnd(zone)
 		for !e.give(zone, "finish") {
 			if ctx.Err() != nil {
 				return
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -196,8 +196,8 @@
 	t.evacuated[zone] = time.Now()
 }
 
-// Returned notes that the evacuation of a zone is to be taken back.
-func (t *Checker) Returned(zone string) {
+// RecordEvacuationEnd notes that the evacuation of a zone is to be taken back.
+func (t *Checker) RecordEvacuationEnd(zone string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.evacuated, zone)
