--- a/soak/callers.go
+++ b/soak/callers.go
@@ -93,7 +93,7 @@
 
 // placed holds the service and the zone that a flow was opened with.
 func (c *caller) placed(f *standin.Flow, route netip.AddrPort, sent time.Time) {
-	c.truth.OpenedIn(c.zoneOf(hostOf(f.Target)), sent)
+	c.truth.CheckZone(c.zoneOf(hostOf(f.Target)), sent)
 	switch want := map[netip.AddrPort]string{firstRoute: firstService, secondRoute: secondService}[route]; {
 	case want == "":
 		c.truth.CheckService(f.Service(), sent)
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -211,8 +211,8 @@
 	return evacuated
 }
 
-// OpenedIn holds the zone that a flow was opened in.
-func (t *Checker) OpenedIn(zone string, sent time.Time) {
+// CheckZone holds the zone that a flow was opened in.
+func (t *Checker) CheckZone(zone string, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	acked, evacuated := t.evacuated[zone]
