--- a/soak/inject.go
+++ b/soak/inject.go
@@ -242,7 +242,7 @@
 				in.truth.AddViolation(RuleDrain, "%s opened a flow %s after its agent had acknowledged that it leaves", t.Instance(), last.Sub(acked))
 			}
 		}
-		in.truth.LifeEnds(t.Instance())
+		in.truth.RecordInstanceEnd(t.Instance())
 		t.Crash()
 		time.Sleep(s.For)
 		if err := t.Restart(); err != nil {
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -222,8 +222,8 @@
 	t.breakLocked(RuleEvacuated, "a flow was opened in %s %s after the acknowledgement", zone, sent.Sub(acked))
 }
 
-// LifeEnds notes that a life of a target ends now.
-func (t *Checker) LifeEnds(life string) {
+// RecordInstanceEnd notes that a life of a target ends now.
+func (t *Checker) RecordInstanceEnd(life string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ended[life] = true
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -33,7 +33,7 @@
 		"former, host disturbed":    {func(tr *Checker) { tr.Disturbed("e1", now.Add(-touchWindow/2)); tr.CheckService("one", now) }, nil},
 		"no version's service":      {func(tr *Checker) { tr.CheckService("three", now) }, []string{RuleRoute}},
 		"reset of a living flow":    {func(tr *Checker) { tr.Reset("life", "h", now) }, []string{RuleFlow}},
-		"reset after the end":       {func(tr *Checker) { tr.LifeEnds("life"); tr.Reset("life", "h", now) }, nil},
+		"reset after the end":       {func(tr *Checker) { tr.RecordInstanceEnd("life"); tr.Reset("life", "h", now) }, nil},
 		"reset, host disturbed":     {func(tr *Checker) { tr.Disturbed("h", now.Add(-time.Second)); tr.Reset("life", "h", now) }, nil},
 		"reset, disturbed long ago": {func(tr *Checker) { tr.Disturbed("h", old); tr.Reset("life", "h", now) }, []string{RuleFlow}},
 	} {
