--- a/soak/inject.go
+++ b/soak/inject.go
@@ -289,7 +289,7 @@
 // disturbed notes that hosts are disturbed for a time from now on.
 func (in *injector) disturbed(lasts time.Duration, all ...*standin.Process) {
 	for _, p := range all {
-		in.truth.Disturbed(p.Host, time.Now().Add(lasts))
+		in.truth.RecordDisturbance(p.Host, time.Now().Add(lasts))
 	}
 }
 
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -229,8 +229,8 @@
 	t.ended[life] = true
 }
 
-// Disturbed notes that a host is disturbed by a fault until some time.
-func (t *Checker) Disturbed(host string, until time.Time) {
+// RecordDisturbance notes that a host is disturbed by a fault until some time.
+func (t *Checker) RecordDisturbance(host string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if until.After(t.disturbed[host]) {
