--- a/soak/callers.go
+++ b/soak/callers.go
@@ -111,7 +111,7 @@
 		c.counts.resets.Add(1)
 	case errors.Is(err, standin.ErrReset):
 		c.counts.resets.Add(1)
-		c.truth.Reset(f.Target, hostOf(f.Target), time.Now())
+		c.truth.CheckReset(f.Target, hostOf(f.Target), time.Now())
 	default:
 		c.counts.silent.Add(1)
 	}
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -248,9 +248,9 @@
 	return false
 }
 
-// Reset holds that a caller was told that an open flow is gone. It is owed where the
+// CheckReset holds that a caller was told that an open flow is gone. It is owed where the
 // target has ended, and allowed where the host of its agent was disturbed lately.
-func (t *Checker) Reset(life, host string, now time.Time) {
+func (t *Checker) CheckReset(life, host string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ended[life] || t.disturbed[host].After(now.Add(-touchWindow)) {
