--- a/soak/callers.go
+++ b/soak/callers.go
@@ -105,7 +105,7 @@
 func (c *caller) failed(f *standin.Flow, err error) {
 	switch {
 	case errors.Is(err, standin.ErrMismatch):
-		c.truth.AddViolation(RuleMixed, "%v", err)
+		c.truth.AddViolation(RuleResponse, "%v", err)
 	case errors.Is(err, standin.ErrReset) && f.Target == "":
 		// Which of two targets it was opened with is not known.
 		c.counts.resets.Add(1)
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -28,7 +28,7 @@
 
 // Rules that are checked.
 const (
-	RuleMixed     = "an answer belongs to its request and comes from the flow's target"
+	RuleResponse  = "an answer belongs to its request and comes from the flow's target"
 	RuleRoute     = "a flow is served by a service that some version allows"
 	RuleOlder     = "an acknowledged version is in force within its bound"
 	RuleFlow      = "an open flow whose target lives is not reset"
