--- a/soak/truth.go
+++ b/soak/truth.go
@@ -30,7 +30,7 @@
 const (
 	RuleResponse  = "an answer belongs to its request and comes from the flow's target"
 	RuleRoute     = "a flow is served by a service that some version allows"
-	RuleOlder     = "an acknowledged version is in force within its bound"
+	RuleApplied   = "an acknowledged version is in force within its bound"
 	RuleFlow      = "an open flow whose target lives is not reset"
 	RuleDrain     = "nothing opens at a target once its leaving is acknowledged"
 	RuleRead      = "no read answers with less than what was acknowledged before"
@@ -163,7 +163,7 @@
 	if t.allows(service, least) || t.anyDisturbedSince(sent.Add(-touchWindow)) {
 		return
 	}
-	t.breakLocked(RuleOlder, "served by %s, which no version from %d on allows", service, least)
+	t.breakLocked(RuleApplied, "served by %s, which no version from %d on allows", service, least)
 }
 
 // AllowsService reports whether a version from least on allows a service to the route that
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -28,7 +28,7 @@
 		"unknown version":           {func(tr *Checker) { tr.CheckRead("c1", 2, 9, "z") }, []string{RuleRead}},
 		"changed content":           {func(tr *Checker) { tr.CheckRead("c1", 0, 2, "b"); tr.CheckRead("c2", 0, 2, "c") }, []string{RuleOneWinner}},
 		"present service":           {func(tr *Checker) { tr.CheckService("two", now) }, nil},
-		"former service":            {func(tr *Checker) { tr.CheckService("one", now) }, []string{RuleOlder}},
+		"former service":            {func(tr *Checker) { tr.CheckService("one", now) }, []string{RuleApplied}},
 		"former, in time":           {func(tr *Checker) { tr.CheckService("one", now.Add(-time.Minute+applyBound/2)) }, nil},
 		"former, host disturbed":    {func(tr *Checker) { tr.RecordDisturbance("e1", now.Add(-touchWindow/2)); tr.CheckService("one", now) }, nil},
 		"no version's service":      {func(tr *Checker) { tr.CheckService("three", now) }, []string{RuleRoute}},
