--- a/soak/truth.go
+++ b/soak/truth.go
@@ -31,7 +31,7 @@
 	RuleResponse  = "an answer belongs to its request and comes from the flow's target"
 	RuleRoute     = "a flow is served by a service that some version allows"
 	RuleApplied   = "an acknowledged version is in force within its bound"
-	RuleFlow      = "an open flow whose target lives is not reset"
+	RuleNoReset   = "an open flow whose target lives is not reset"
 	RuleDrain     = "nothing opens at a target once its leaving is acknowledged"
 	RuleRead      = "no read answers with less than what was acknowledged before"
 	RuleOneWinner = "a version has one content"
@@ -256,5 +256,5 @@
 	if t.ended[life] || t.disturbed[host].After(now.Add(-touchWindow)) {
 		return
 	}
-	t.breakLocked(RuleFlow, "flow at %s on %s was reset", life, host)
+	t.breakLocked(RuleNoReset, "flow at %s on %s was reset", life, host)
 }
--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -32,10 +32,10 @@
 		"former, in time":           {func(tr *Checker) { tr.CheckService("one", now.Add(-time.Minute+applyBound/2)) }, nil},
 		"former, host disturbed":    {func(tr *Checker) { tr.RecordDisturbance("e1", now.Add(-touchWindow/2)); tr.CheckService("one", now) }, nil},
 		"no version's service":      {func(tr *Checker) { tr.CheckService("three", now) }, []string{RuleRoute}},
-		"reset of a living flow":    {func(tr *Checker) { tr.CheckReset("life", "h", now) }, []string{RuleFlow}},
+		"reset of a living flow":    {func(tr *Checker) { tr.CheckReset("life", "h", now) }, []string{RuleNoReset}},
 		"reset after the end":       {func(tr *Checker) { tr.RecordInstanceEnd("life"); tr.CheckReset("life", "h", now) }, nil},
 		"reset, host disturbed":     {func(tr *Checker) { tr.RecordDisturbance("h", now.Add(-time.Second)); tr.CheckReset("life", "h", now) }, nil},
-		"reset, disturbed long ago": {func(tr *Checker) { tr.RecordDisturbance("h", old); tr.CheckReset("life", "h", now) }, []string{RuleFlow}},
+		"reset, disturbed long ago": {func(tr *Checker) { tr.RecordDisturbance("h", old); tr.CheckReset("life", "h", now) }, []string{RuleNoReset}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := NewChecker(old, 0)
