--- a/soak/truth_test.go
+++ b/soak/truth_test.go
@@ -26,7 +26,7 @@
 		"fresh read":                {func(tr *Checker) { tr.CheckRead("c1", 2, 2, "b") }, nil},
 		"stale read":                {func(tr *Checker) { tr.CheckRead("c1", 2, 1, "a") }, []string{RuleRead}},
 		"unknown version":           {func(tr *Checker) { tr.CheckRead("c1", 2, 9, "z") }, []string{RuleRead}},
-		"changed content":           {func(tr *Checker) { tr.CheckRead("c1", 0, 2, "b"); tr.CheckRead("c2", 0, 2, "c") }, []string{RuleOneWinner}},
+		"changed content":           {func(tr *Checker) { tr.CheckRead("c1", 0, 2, "b"); tr.CheckRead("c2", 0, 2, "c") }, []string{RuleOneContent}},
 		"present service":           {func(tr *Checker) { tr.CheckService("two", now) }, nil},
 		"former service":            {func(tr *Checker) { tr.CheckService("one", now) }, []string{RuleApplied}},
 		"former, in time":           {func(tr *Checker) { tr.CheckService("one", now.Add(-time.Minute+applyBound/2)) }, nil},
