--- a/soak/inject.go
+++ b/soak/inject.go
@@ -168,14 +168,14 @@
 	in.setDown(p, true)
 	if s.Kind == StopEntry || s.Kind == StopControl {
 		if err := p.Stop(stopPatience + in.patience); err != nil {
-			in.truth.AddViolation(RuleEnds, "%s on %s was asked to stop: %v", p.Role, p.Host, err)
+			in.truth.AddViolation(RuleProcessExit, "%s on %s was asked to stop: %v", p.Role, p.Host, err)
 		}
 	} else {
 		p.Kill()
 	}
 	if s.Kind == WipeControl {
 		if err := in.d.WipeDisk(p); err != nil {
-			in.truth.AddViolation(RuleEnds, "disk of %s not emptied: %v", p.Host, err)
+			in.truth.AddViolation(RuleProcessExit, "disk of %s not emptied: %v", p.Host, err)
 		}
 	}
 	time.Sleep(s.For)
@@ -184,7 +184,7 @@
 
 func (in *injector) start(p *standin.Process) {
 	if err := p.Start(); err != nil {
-		in.truth.AddViolation(RuleEnds, "%s on %s does not start: %v", p.Role, p.Host, err)
+		in.truth.AddViolation(RuleProcessExit, "%s on %s does not start: %v", p.Role, p.Host, err)
 	}
 	in.setDown(p, false)
 }
@@ -192,12 +192,12 @@
 // fill leaves a control host no room on its disk for a while.
 func (in *injector) fill(p *standin.Process, lasts time.Duration) {
 	if err := p.LimitFiles(fullBytes); err != nil {
-		in.truth.AddViolation(RuleEnds, "disk of %s not filled: %v", p.Host, err)
+		in.truth.AddViolation(RuleProcessExit, "disk of %s not filled: %v", p.Host, err)
 		return
 	}
 	time.Sleep(lasts)
 	if err := p.LimitFiles(-1); err != nil {
-		in.truth.AddViolation(RuleEnds, "disk of %s not emptied: %v", p.Host, err)
+		in.truth.AddViolation(RuleProcessExit, "disk of %s not emptied: %v", p.Host, err)
 	}
 }
 
@@ -246,7 +246,7 @@
 		t.Crash()
 		time.Sleep(s.For)
 		if err := t.Restart(); err != nil {
-			in.truth.AddViolation(RuleEnds, "target %s does not start: %v", t.IP, err)
+			in.truth.AddViolation(RuleProcessExit, "target %s does not start: %v", t.IP, err)
 		}
 	})
 	return true
@@ -308,7 +308,7 @@
 		in.said[p] = told || unasked
 		in.mu.Unlock()
 		if unasked && !told {
-			in.truth.AddViolation(RuleEnds, "%s on %s ended by itself, see %s", p.Role, p.Host, in.d.LogFile(p))
+			in.truth.AddViolation(RuleProcessExit, "%s on %s ended by itself, see %s", p.Role, p.Host, in.d.LogFile(p))
 		}
 	}
 }
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -28,17 +28,17 @@
 
 // Rules that are checked.
 const (
-	RuleResponse   = "an answer belongs to its request and comes from the flow's target"
-	RuleRoute      = "a flow is served by a service that some version allows"
-	RuleApplied    = "an acknowledged version is in force within its bound"
-	RuleNoReset    = "an open flow whose target lives is not reset"
-	RuleDrain      = "nothing opens at a target once its leaving is acknowledged"
-	RuleRead       = "no read answers with less than what was acknowledged before"
-	RuleOneContent = "a version has one content"
-	RuleInvalid    = "what is invalid is refused"
-	RuleEnds       = "no process ends by itself"
-	RuleBack       = "service is back within its bound"
-	RuleEvacuated  = "nothing opens in a zone whose evacuation is acknowledged"
+	RuleResponse    = "an answer belongs to its request and comes from the flow's target"
+	RuleRoute       = "a flow is served by a service that some version allows"
+	RuleApplied     = "an acknowledged version is in force within its bound"
+	RuleNoReset     = "an open flow whose target lives is not reset"
+	RuleDrain       = "nothing opens at a target once its leaving is acknowledged"
+	RuleRead        = "no read answers with less than what was acknowledged before"
+	RuleOneContent  = "a version has one content"
+	RuleInvalid     = "what is invalid is refused"
+	RuleProcessExit = "no process ends by itself"
+	RuleBack        = "service is back within its bound"
+	RuleEvacuated   = "nothing opens in a zone whose evacuation is acknowledged"
 )
 
 // Checker is what has been acknowledged and done so far, against which all that is seen
