--- a/soak/run.go
+++ b/soak/run.go
@@ -194,7 +194,7 @@
 		time.Sleep(lookPeriod)
 	}
 	if ctx.Err() == nil {
-		r.truth.AddViolation(RuleBack, "%s after %s", missing, bound)
+		r.truth.AddViolation(RuleRecovery, "%s after %s", missing, bound)
 	}
 }
 
--- a/soak/truth.go
+++ b/soak/truth.go
@@ -37,7 +37,7 @@
 	RuleOneContent  = "a version has one content"
 	RuleInvalid     = "what is invalid is refused"
 	RuleProcessExit = "no process ends by itself"
-	RuleBack        = "service is back within its bound"
+	RuleRecovery    = "service is back within its bound"
 	RuleEvacuated   = "nothing opens in a zone whose evacuation is acknowledged"
 )
 
