--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -22,8 +22,8 @@
 
 // Line is one log line.
 type Line struct {
-	// At is the time by the clock of its host. Clocks of hosts may differ.
-	At time.Time
+	// Timestamp is the time by the clock of its host. Clocks of hosts may differ.
+	Timestamp time.Time
 	// Host, Role, Level and Message are what every line has.
 	Host, Role, Level, Message string
 	// Fields are all others, by name.
@@ -90,7 +90,7 @@
 	delete(fields, "ts")
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err == nil {
-		line.At = at
+		line.Timestamp = at
 	}
 	return line, true
 }
@@ -112,14 +112,14 @@
 
 // Sort puts lines in the order of their time; lines of one file stay in theirs.
 func Sort(lines []Line) {
-	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(lines, func(a, b Line) int { return a.Timestamp.Compare(b.Timestamp) })
 }
 
 // Write prints the lines, each with the time since the first one.
 func Write(w io.Writer, lines []Line) error {
 	for _, l := range lines {
-		if _, err := fmt.Fprintf(w, "%s +%8.3fs  %-24s %-8s %-5s %s%s\n", l.At.Format("15:04:05.000"),
-			l.At.Sub(lines[0].At).Seconds(), l.Host, l.Role, l.Level, l.Message, l.details()); err != nil {
+		if _, err := fmt.Fprintf(w, "%s +%8.3fs  %-24s %-8s %-5s %s%s\n", l.Timestamp.Format("15:04:05.000"),
+			l.Timestamp.Sub(lines[0].Timestamp).Seconds(), l.Host, l.Role, l.Level, l.Message, l.details()); err != nil {
 			return errors.Wrap(err, "write")
 		}
 	}
