--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -35,8 +35,8 @@
 
 // Summary counts what was read.
 type Summary struct {
-	// Read lines, Passed over because they are no JSON object, and Found.
-	Read, Passed, Found int
+	// Read lines, Skipped over because they are no JSON object, and Found.
+	Read, Skipped, Found int
 }
 
 // Read returns the lines of a log that concern an identity. Lines that are torn or that
@@ -50,7 +50,7 @@
 		sum.Read++
 		line, ok := parse(scanner.Bytes())
 		if !ok {
-			sum.Passed++
+			sum.Skipped++
 			continue
 		}
 		if !line.concerns(id) {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -43,7 +43,7 @@
 	is.True(strings.Contains(lines[0], "frontend-1"))
 	is.True(strings.Contains(lines[0], "to=10.1.0.11:8172"))
 	is.True(strings.Contains(lines[1], "side-1"))
-	is.Equal(sum, explain.Summary{Read: 6, Passed: 2, Found: 2}) // a torn line and another program's
+	is.Equal(sum, explain.Summary{Read: 6, Skipped: 2, Found: 2}) // a torn line and another program's
 }
 
 func TestStoryOfAVersion(t *testing.T) {
