--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -40,7 +40,7 @@
 	if err := explain.Write(cmd.OutOrStdout(), all); err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.ErrOrStderr(), "%d lines read, %d passed over, %d found\n", sum.Read, sum.Skipped, sum.Found)
+	fmt.Fprintf(cmd.ErrOrStderr(), "%d lines read, %d passed over, %d found\n", sum.Read, sum.Skipped, sum.Matched)
 	return nil
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -35,8 +35,8 @@
 
 // Summary counts what was read.
 type Summary struct {
-	// Read lines, Skipped over because they are no JSON object, and Found.
-	Read, Skipped, Found int
+	// Read lines, Skipped over because they are no JSON object, and Matched.
+	Read, Skipped, Matched int
 }
 
 // Read returns the lines of a log that concern an identity. Lines that are torn or that
@@ -56,7 +56,7 @@
 		if !line.concerns(id) {
 			continue
 		}
-		sum.Found++
+		sum.Matched++
 		line.File, line.Number = name, number
 		out = append(out, line)
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -43,7 +43,7 @@
 	is.True(strings.Contains(lines[0], "frontend-1"))
 	is.True(strings.Contains(lines[0], "to=10.1.0.11:8172"))
 	is.True(strings.Contains(lines[1], "side-1"))
-	is.Equal(sum, explain.Summary{Read: 6, Skipped: 2, Found: 2}) // a torn line and another program's
+	is.Equal(sum, explain.Summary{Read: 6, Skipped: 2, Matched: 2}) // a torn line and another program's
 }
 
 func TestStoryOfAVersion(t *testing.T) {
@@ -51,7 +51,7 @@
 	text, _ := story(t, "13")
 	is.True(strings.Contains(text, "revision=13"))
 	_, sum := story(t, "1")
-	is.Equal(sum.Found, 0) // not every line with a 1 in it
+	is.Equal(sum.Matched, 0) // not every line with a 1 in it
 }
 
 // An error of several lines stays on the line of its decision.
