--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -43,8 +43,8 @@
 	endTimeout = 10 * time.Second
 )
 
-// ErrEnded reports a daemon that ended before the deployment did.
-var ErrEnded = errors.New("a daemon ended")
+// ErrDaemonExited reports a daemon that ended before the deployment did.
+var ErrDaemonExited = errors.New("a daemon ended")
 
 // Service is one service of a deployment.
 type Service struct {
--- a/internal/dev/process.go
+++ b/internal/dev/process.go
@@ -27,7 +27,7 @@
 		defer close(p.ended)
 		err := r.Run(life)
 		if err != nil || life.Err() == nil {
-			d.fail(errors.Wrapf(ErrEnded, "%s: %v", name, err))
+			d.fail(errors.Wrapf(ErrDaemonExited, "%s: %v", name, err))
 		}
 	})
 	return p
