--- a/internal/dev/bench_test.go
+++ b/internal/dev/bench_test.go
@@ -26,7 +26,7 @@
 // see at best.
 func BenchmarkRoundTrip(b *testing.B) {
 	d, err := dev.Start(b.Context(), dev.Options{
-		Entries: 1, Services: []dev.Service{{Name: benchService, Targets: 1}},
+		EntryHosts: 1, Services: []dev.Service{{Name: benchService, Targets: 1}},
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -72,8 +72,8 @@
 	// Domains are the failure domains; the hosts of each role stand in them
 	// in turn. They default to DefaultDomains.
 	Domains []string
-	// Entries is the number of entry hosts; 0 means 2.
-	Entries int
+	// EntryHosts is the number of entry hosts; 0 means 2.
+	EntryHosts int
 	// Controls is the number of control hosts; 0 means 1.
 	Controls int
 	// FlowCapacity is the number of open flows that count as a full target; 0
@@ -99,8 +99,8 @@
 	if len(o.Domains) == 0 {
 		o.Domains = DefaultDomains()
 	}
-	if o.Entries == 0 {
-		o.Entries = defaultEntries
+	if o.EntryHosts == 0 {
+		o.EntryHosts = defaultEntries
 	}
 	if o.Controls == 0 {
 		o.Controls = 1
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -148,7 +148,7 @@
 // session's agent remembers of its way back is gone.
 func TestSessionsSurviveRestartOfAllEntryHosts(t *testing.T) {
 	is := is.New(t)
-	d, err := dev.Start(t.Context(), dev.Options{Entries: 3, Network: &dev.Network{Seed: 1}, Log: zaptest.NewLogger(t)})
+	d, err := dev.Start(t.Context(), dev.Options{EntryHosts: 3, Network: &dev.Network{Seed: 1}, Log: zaptest.NewLogger(t)})
 	is.NoErr(err)
 	t.Cleanup(d.Close)
 	stop := make(chan struct{})
--- a/internal/dev/entry.go
+++ b/internal/dev/entry.go
@@ -22,7 +22,7 @@
 }
 
 func (d *Deployment) startEntries(ctx context.Context) error {
-	for i := range d.opts.Entries {
+	for i := range d.opts.EntryHosts {
 		h, err := d.newEntry(i)
 		if err != nil {
 			return err
