--- a/internal/dev/control.go
+++ b/internal/dev/control.go
@@ -34,7 +34,7 @@
 
 func (d *Deployment) startControls(ctx context.Context) error {
 	var voters []string
-	for i := range d.opts.Controls {
+	for i := range d.opts.ControlHosts {
 		h, err := d.newControl(i)
 		if err != nil {
 			return err
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -74,8 +74,8 @@
 	Domains []string
 	// EntryHosts is the number of entry hosts; 0 means 2.
 	EntryHosts int
-	// Controls is the number of control hosts; 0 means 1.
-	Controls int
+	// ControlHosts is the number of control hosts; 0 means 1.
+	ControlHosts int
 	// FlowCapacity is the number of open flows that count as a full target; 0
 	// means the agents' default.
 	FlowCapacity uint32
@@ -102,10 +102,10 @@
 	if o.EntryHosts == 0 {
 		o.EntryHosts = defaultEntries
 	}
-	if o.Controls == 0 {
-		o.Controls = 1
+	if o.ControlHosts == 0 {
+		o.ControlHosts = 1
 	}
-	if o.Controls > 1 && o.Network == nil {
+	if o.ControlHosts > 1 && o.Network == nil {
 		o.Network = &Network{}
 	}
 	if o.Log == nil {
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -82,9 +82,9 @@
 // options describe the deployment under a policy.
 func (s *Site) options(p Policy, seed uint64) dev.Options {
 	o := dev.Options{
-		Domains:    s.domains(),
-		EntryHosts: int(s.settings.GetSite().GetEntryHosts()),
-		Controls:   int(s.settings.GetSite().GetControlHosts()),
+		Domains:      s.domains(),
+		EntryHosts:   int(s.settings.GetSite().GetEntryHosts()),
+		ControlHosts: int(s.settings.GetSite().GetControlHosts()),
 		// In keeping with the scale of the callers.
 		FlowCapacity: s.settings.GetCallers().GetFlowCapacity(),
 		Network: &dev.Network{
