--- a/internal/dev/change.go
+++ b/internal/dev/change.go
@@ -21,8 +21,8 @@
 // Controls is the number of control hosts.
 func (d *Deployment) Controls() int { return len(d.controls) }
 
-// Entries is the number of entry hosts.
-func (d *Deployment) Entries() int { return len(d.entries) }
+// EntryHosts is the number of entry hosts.
+func (d *Deployment) EntryHosts() int { return len(d.entries) }
 
 // RestartControl ends a control host gracefully, starts it again on its disk
 // and waits until a quorum confirms the configuration through it.
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -163,7 +163,7 @@
 			restarted <- errors.New("the load ended before all sessions were open")
 			return
 		}
-		for i := range d.Entries() {
+		for i := range d.EntryHosts() {
 			if err := d.RestartEntry(t.Context(), i); err != nil {
 				restarted <- err
 				return
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -69,7 +69,7 @@
 		}
 	}
 	_ = sleep.For(ctx, settle)
-	for i := range t.d.Entries() {
+	for i := range t.d.EntryHosts() {
 		t.mark(fmt.Sprintf("entry-%d restarts", i+1))
 		if err := t.d.RestartEntry(ctx, i); err != nil {
 			return err
