--- a/internal/dev/change.go
+++ b/internal/dev/change.go
@@ -18,8 +18,8 @@
 // ErrNoSuchTarget reports an index that names no target.
 var ErrNoSuchTarget = errors.New("no such target")
 
-// Controls is the number of control hosts.
-func (d *Deployment) Controls() int { return len(d.controls) }
+// ControlHosts is the number of control hosts.
+func (d *Deployment) ControlHosts() int { return len(d.controls) }
 
 // EntryHosts is the number of entry hosts.
 func (d *Deployment) EntryHosts() int { return len(d.entries) }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -62,7 +62,7 @@
 	if err := t.at(ctx, firstEvent); err != nil {
 		return err
 	}
-	for i := range t.d.Controls() {
+	for i := range t.d.ControlHosts() {
 		t.mark(fmt.Sprintf("control-%d restarts", i+1))
 		if err := t.d.RestartControl(ctx, i); err != nil {
 			return err
