--- a/internal/dev/change.go
+++ b/internal/dev/change.go
@@ -146,10 +146,10 @@
 	return names
 }
 
-// LoseDomain silences all hosts of a failure domain: nothing that they send
+// IsolateDomain silences all hosts of a failure domain: nothing that they send
 // arrives, and nothing reaches them. Its control hosts are stopped. The fabric
 // notices a while later. It needs a Network.
-func (d *Deployment) LoseDomain(ctx context.Context, domain string) error {
+func (d *Deployment) IsolateDomain(ctx context.Context, domain string) error {
 	for _, t := range d.allTargets() {
 		if t.domain != domain {
 			continue
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -161,7 +161,7 @@
 			t.lost(service.Name, target)
 		}
 	}
-	return t.d.LoseDomain(ctx, domain)
+	return t.d.IsolateDomain(ctx, domain)
 }
 
 // unsteady adds a cold target to the main service, whose server crashes again
