--- a/internal/dev/target.go
+++ b/internal/dev/target.go
@@ -158,9 +158,9 @@
 	return servers
 }
 
-// Runs tells how often an idempotency key ran at all backend servers of a
+// RunCount tells how often an idempotency key ran at all backend servers of a
 // service, those that crashed or left included.
-func (d *Deployment) Runs(service, key string) int { return d.ledgers[service].Count(key) }
+func (d *Deployment) RunCount(service, key string) int { return d.ledgers[service].Count(key) }
 
 func targetName(service string, index int) string { return fmt.Sprintf("%s-%d", service, index+1) }
 
