--- a/internal/dev/network.go
+++ b/internal/dev/network.go
@@ -15,8 +15,8 @@
 // the network: a fabric per service that hands any packet of a caller to any
 // entry host, and delays between failure domains.
 type Network struct {
-	// BetweenDomains and ToCallers are delays one way.
-	BetweenDomains, ToCallers time.Duration
+	// DomainDelay and ToCallers are delays one way.
+	DomainDelay, ToCallers time.Duration
 	// Seed of the fabric's choices.
 	Seed uint64
 }
@@ -63,7 +63,7 @@
 		if caller == own {
 			return 0
 		}
-		return n.BetweenDomains
+		return n.DomainDelay
 	}
 }
 
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -88,9 +88,9 @@
 		// In keeping with the scale of the callers.
 		FlowCapacity: s.settings.GetCallers().GetFlowCapacity(),
 		Network: &dev.Network{
-			BetweenDomains: microseconds(s.settings.GetDistance().GetBetweenDomainsUs()),
-			ToCallers:      microseconds(s.settings.GetDistance().GetToCallersUs()),
-			Seed:           seed,
+			DomainDelay: microseconds(s.settings.GetDistance().GetBetweenDomainsUs()),
+			ToCallers:   microseconds(s.settings.GetDistance().GetToCallersUs()),
+			Seed:        seed,
 		},
 	}
 	for _, service := range s.services {
--- a/internal/experiment/site_test.go
+++ b/internal/experiment/site_test.go
@@ -40,7 +40,7 @@
 	is.Equal(s.ramp(), 10*time.Millisecond)
 	o := s.options(Policies()[0], 7)
 	is.Equal(o.Services[1].Policy.GetBrokenFlowWeight(), 4.0)
-	is.Equal(o.Network.BetweenDomains, time.Millisecond)
+	is.Equal(o.Network.DomainDelay, time.Millisecond)
 	is.Equal(o.Network.Seed, uint64(7))
 }
 
