--- a/internal/dev/network.go
+++ b/internal/dev/network.go
@@ -15,8 +15,8 @@
 // the network: a fabric per service that hands any packet of a caller to any
 // entry host, and delays between failure domains.
 type Network struct {
-	// DomainDelay and ToCallers are delays one way.
-	DomainDelay, ToCallers time.Duration
+	// DomainDelay and CallerDelay are delays one way.
+	DomainDelay, CallerDelay time.Duration
 	// Seed of the fabric's choices.
 	Seed uint64
 }
@@ -83,7 +83,7 @@
 
 // openFabric opens the proxy that callers of a service dial.
 func (n *network) openFabric(service string) error {
-	r, err := n.relay(func(netip.Addr) time.Duration { return n.ToCallers })
+	r, err := n.relay(func(netip.Addr) time.Duration { return n.CallerDelay })
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -89,7 +89,7 @@
 		FlowCapacity: s.settings.GetCallers().GetFlowCapacity(),
 		Network: &dev.Network{
 			DomainDelay: microseconds(s.settings.GetDistance().GetBetweenDomainsUs()),
-			ToCallers:   microseconds(s.settings.GetDistance().GetToCallersUs()),
+			CallerDelay: microseconds(s.settings.GetDistance().GetToCallersUs()),
 			Seed:        seed,
 		},
 	}
