--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -172,7 +172,7 @@
 		restarted <- nil
 		// A session counts as broken after this long without an event.
 		select {
-		case <-time.After(loadgen.SilenceFactor * time.Second):
+		case <-time.After(loadgen.SessionTimeoutFactor * time.Second):
 		case <-t.Context().Done():
 		}
 	})
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// SilenceFactor is the number of event periods without an event after
+	// SessionTimeoutFactor is the number of event periods without an event after
 	// which a session counts as broken.
-	SilenceFactor = 10
+	SessionTimeoutFactor = 10
 	// MinPerTarget is the mean number of answers a target that a window
 	// needs in order to count for imbalance.
 	MinPerTarget = 10
--- a/internal/loadgen/session.go
+++ b/internal/loadgen/session.go
@@ -53,7 +53,7 @@
 	stop := context.AfterFunc(ctx, func() { cancelStream(stream) })
 	defer stop()
 	var silent atomic.Bool
-	limit := max(SilenceFactor*g.opts.WatchPeriod, openTimeout)
+	limit := max(SessionTimeoutFactor*g.opts.WatchPeriod, openTimeout)
 	guard := time.AfterFunc(limit, func() {
 		silent.Store(true)
 		cancelStream(stream)
