--- a/internal/experiment/members.go
+++ b/internal/experiment/members.go
@@ -147,7 +147,7 @@
 		greatest = max(greatest, w[target])
 		total += w[target]
 	}
-	if total < loadgen.MinPerTarget*max(len(inService), 1) {
+	if total < loadgen.MinAnsweredPerTarget*max(len(inService), 1) {
 		return 0, false
 	}
 	return float64(greatest) * float64(len(inService)) / float64(total), true
--- a/internal/loadgen/imbalance.go
+++ b/internal/loadgen/imbalance.go
@@ -38,7 +38,7 @@
 
 // ratioOf is the imbalance of one window, if it counts.
 func ratioOf(w map[string]int, targets []string) (float64, bool) {
-	if len(targets) == 0 || sum(w) < MinPerTarget*len(targets) {
+	if len(targets) == 0 || sum(w) < MinAnsweredPerTarget*len(targets) {
 		return 0, false
 	}
 	return maxOverMean(w, targets), true
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -27,9 +27,9 @@
 	// SessionTimeoutFactor is the number of event periods without an event after
 	// which a session counts as broken.
 	SessionTimeoutFactor = 10
-	// MinPerTarget is the mean number of answers a target that a window
+	// MinAnsweredPerTarget is the mean number of answers a target that a window
 	// needs in order to count for imbalance.
-	MinPerTarget = 10
+	MinAnsweredPerTarget = 10
 
 	// maxInFlight bounds the memory of a run against a service that hangs.
 	maxInFlight = 20000
