--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -178,7 +178,7 @@
 	})
 	o := options(5 * time.Minute) // Enough ends it
 	o.Sessions, o.SessionRamp = sessions, 100*time.Millisecond
-	o.Enough = func(*loadgen.Report) bool {
+	o.StopWhen = func(*loadgen.Report) bool {
 		select {
 		case <-stop:
 			return true
--- a/internal/experiment/trial.go
+++ b/internal/experiment/trial.go
@@ -129,7 +129,7 @@
 	for i, service := range t.site.services {
 		o := t.site.load(service, length, seed)
 		o.Duration = loadLimit
-		o.Enough = func(*loadgen.Report) bool { return closed(stop) }
+		o.StopWhen = func(*loadgen.Report) bool { return closed(stop) }
 		o.HostFailed = t.hostFailed
 		workers.Go(func(ctx context.Context) error {
 			r, err := t.d.Load(ctx, service.Name, o)
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -40,7 +40,7 @@
 	runCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
 	var sessions, requests, end conc.WaitGroup
-	if o.Enough != nil {
+	if o.StopWhen != nil {
 		end.Go(func() { g.endEarly(runCtx, cancel) })
 	}
 	g.openSessions(runCtx, &sessions)
@@ -62,7 +62,7 @@
 // endEarly ends the run once it has done enough.
 func (g *generator) endEarly(runCtx context.Context, end context.CancelFunc) {
 	for runCtx.Err() == nil {
-		if g.opts.Enough(g.rec.report()) {
+		if g.opts.StopWhen(g.rec.report()) {
 			end()
 		}
 		_ = sleep.For(runCtx, enoughPeriod)
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -29,7 +29,7 @@
 		Addresses: []string{s1.address, s2.address}, Roots: a.roots,
 		Rate: 300, Sessions: 4, WatchPeriod: 10 * time.Millisecond, NonRepeatable: 0.5,
 		Targets: []string{"l-1", "l-2"}, RunURLs: []string{b1.URL(), b2.URL()}, RequestsPerFlow: 5,
-		Enough: func(sofar *loadgen.Report) bool {
+		StopWhen: func(sofar *loadgen.Report) bool {
 			return sofar.Requests >= 50 && sofar.Sessions == 4 && sofar.Events >= 40
 		},
 	}))
@@ -124,7 +124,7 @@
 	}))
 	report := run(t, loadgen.Options{
 		Addresses: []string{s.address}, Roots: a.roots, Rate: 300, RetryPercent: 10,
-		Enough: func(sofar *loadgen.Report) bool { return sofar.Requests >= 20 && sofar.RetriesDenied > 0 },
+		StopWhen: func(sofar *loadgen.Report) bool { return sofar.Requests >= 20 && sofar.RetriesDenied > 0 },
 	})
 	retries := 0
 	for _, n := range report.Retries {
@@ -225,8 +225,8 @@
 		// Few flows for requests leave the dials in turn to the sessions.
 		Connections: 2, RequestsPerFlow: 1 << 20,
 		WatchPeriod: 5 * time.Millisecond, NonRepeatable: 0.5,
-		RunURLs: []string{b1.URL(), b2.URL()},
-		Enough:  movedFrom(s1),
+		RunURLs:  []string{b1.URL(), b2.URL()},
+		StopWhen: movedFrom(s1),
 	}))
 	stop()
 	is.True(report.SessionsPerTarget["l-1"] >= 2)
@@ -247,7 +247,7 @@
 		Addresses: []string{s1.address, s2.address}, Roots: a.roots, Sessions: sharedSessions,
 		WatchPeriod: 5 * time.Millisecond,
 		// A watch whose answer was on its way counts as refused.
-		Enough: func(sofar *loadgen.Report) bool {
+		StopWhen: func(sofar *loadgen.Report) bool {
 			lost := sofar.BrokenSessions + sofar.SessionsRefused["unknown/connection-lost"]
 			return lost >= 2 && sofar.BrokenFlows >= 2
 		},
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -65,10 +65,10 @@
 	WatchPeriod time.Duration
 	// Duration of the run; requests under way at its end are waited for.
 	Duration time.Duration
-	// Enough is asked from time to time whether what the run has done so far
+	// StopWhen is asked from time to time whether what the run has done so far
 	// is enough. It then ends as it would after its duration. Nil means that
 	// only the duration ends it.
-	Enough func(sofar *Report) bool
+	StopWhen func(sofar *Report) bool
 	// NonRepeatable is the share of requests, 0 to 1, that may not be repeated.
 	NonRepeatable float64
 	// Work is the time that each request asks a target to work.
--- a/internal/loadgen/server_test.go
+++ b/internal/loadgen/server_test.go
@@ -171,12 +171,12 @@
 	t.Helper()
 	is := is.New(t)
 	is.Helper()
-	enough := o.Enough
+	enough := o.StopWhen
 	if enough == nil {
 		enough = someRequests
 	}
 	var ended atomic.Bool
-	o.Enough = func(sofar *loadgen.Report) bool {
+	o.StopWhen = func(sofar *loadgen.Report) bool {
 		if enough(sofar) {
 			ended.Store(true)
 		}
