--- a/internal/dev/load.go
+++ b/internal/dev/load.go
@@ -15,6 +15,6 @@
 	o.Roots = d.roots
 	o.Targets = d.Targets(service)
 	o.IsTarget = func(target string) bool { return slices.Contains(d.Targets(service), target) }
-	o.Runs = func(key string) int { return d.RunCount(service, key) }
+	o.RunCount = func(key string) int { return d.RunCount(service, key) }
 	return loadgen.Run(ctx, o)
 }
--- a/internal/loadgen/measure_test.go
+++ b/internal/loadgen/measure_test.go
@@ -61,7 +61,7 @@
 func TestRunsAreAskedOfTheOptions(t *testing.T) {
 	is := is.New(t)
 	runs := map[string]int{"once": 1, "twice": 2}
-	o := Options{Duration: time.Second, Runs: func(key string) int { return runs[key] }}.withDefaults()
+	o := Options{Duration: time.Second, RunCount: func(key string) int { return runs[key] }}.withDefaults()
 	g := &generator{opts: o, rec: newRecorder(o)}
 	g.rec.fates = []keyFate{
 		{key: "once", told: ClassAnswered},
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -92,9 +92,9 @@
 	// Flows and sessions that end with their host are counted apart. Nil
 	// means that none fails.
 	HostFailed func(target string) bool
-	// Runs tells how often an idempotency key ran, at all backend servers
+	// RunCount tells how often an idempotency key ran, at all backend servers
 	// together. It goes before RunURLs.
-	Runs func(key string) int
+	RunCount func(key string) int
 	// IsTarget tells whether a target of that name is one of the service's, where
 	// targets come while the run lasts. It goes before Targets in the search
 	// for misrouted requests.
--- a/internal/loadgen/runs.go
+++ b/internal/loadgen/runs.go
@@ -25,10 +25,10 @@
 // checkRuns asks every backend server how often each key ran and fills in
 // report.Doubled.
 func (g *generator) checkRuns(ctx context.Context, report *Report) error {
-	if g.opts.Runs != nil {
+	if g.opts.RunCount != nil {
 		report.Doubled = &Doubled{}
 		for _, fate := range g.rec.fates {
-			report.Doubled.add(judge(fate, g.opts.Runs(fate.key)))
+			report.Doubled.add(judge(fate, g.opts.RunCount(fate.key)))
 		}
 		return nil
 	}
