--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -37,7 +37,7 @@
 	return loadgen.Options{
 		Rate: 60, Sessions: 6, WatchPeriod: 100 * time.Millisecond, NonRepeatable: 0.3, Connections: 6,
 		RequestsPerFlow: 10, Duration: duration, Deadline: time.Minute, Seed: 7,
-		Attempts: ampleAttempts, RetryPercent: amplePercent,
+		MaxAttempts: ampleAttempts, RetryPercent: amplePercent,
 	}
 }
 
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -151,7 +151,7 @@
 		w.Header().Set("Content-Length", "1000")
 		_, _ = io.WriteString(w, r.URL.Query().Get("text"))
 	}))
-	report := run(t, loadgen.Options{Addresses: []string{s.address}, Roots: a.roots, Rate: 50, Attempts: 1})
+	report := run(t, loadgen.Options{Addresses: []string{s.address}, Roots: a.roots, Rate: 50, MaxAttempts: 1})
 	is.Equal(report.Outcomes["answered"], 0)
 }
 
@@ -159,7 +159,7 @@
 	is := is.New(t)
 	a := newAuthority(t)
 	s := a.serve(t, "certificates", proxy(t, startBackend(t), "c-1"))
-	report := run(t, loadgen.Options{Addresses: []string{s.address}, Roots: a.roots, Rate: 20, Attempts: 1})
+	report := run(t, loadgen.Options{Addresses: []string{s.address}, Roots: a.roots, Rate: 20, MaxAttempts: 1})
 	is.Equal(report.Misrouted, report.Requests)
 	is.Equal(report.Outcomes["not-run/certificate"], report.Requests)
 }
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -75,8 +75,8 @@
 	Work time.Duration
 	// Deadline of each request, over all of its attempts.
 	Deadline time.Duration
-	// Attempts is the greatest number of attempts of one request.
-	Attempts int
+	// MaxAttempts is the greatest number of attempts of one request.
+	MaxAttempts int
 	// RetryPercent bounds retries per hundred requests of the run.
 	RetryPercent int
 	// Seed of schedule, kinds and jitter.
@@ -108,7 +108,7 @@
 	o.Connections = cmp.Or(o.Connections, DefaultConnections)
 	o.RequestsPerFlow = cmp.Or(o.RequestsPerFlow, DefaultRequestsPerFlow)
 	o.Deadline = cmp.Or(o.Deadline, DefaultDeadline)
-	o.Attempts = cmp.Or(o.Attempts, DefaultAttempts)
+	o.MaxAttempts = cmp.Or(o.MaxAttempts, DefaultAttempts)
 	o.RetryPercent = cmp.Or(o.RetryPercent, DefaultRetryPercent)
 	o.Window = cmp.Or(o.Window, DefaultWindow)
 	o.WatchPeriod = cmp.Or(o.WatchPeriod, DefaultWatchPeriod)
@@ -142,7 +142,7 @@
 		return errors.Wrap(ErrOptions, "no address to call")
 	case o.Service == "":
 		return errors.Wrap(ErrOptions, "no service named")
-	case o.Rate < 0 || o.Sessions < 0 || o.Connections < 0 || o.RequestsPerFlow < 0 || o.Attempts < 0 || o.RetryPercent < 0:
+	case o.Rate < 0 || o.Sessions < 0 || o.Connections < 0 || o.RequestsPerFlow < 0 || o.MaxAttempts < 0 || o.RetryPercent < 0:
 		return errors.Wrap(ErrOptions, "a number is negative")
 	case o.NonRepeatable < 0 || o.NonRepeatable > 1:
 		return errors.Wrap(ErrOptions, "the share of non-repeatable requests is not between 0 and 1")
--- a/internal/loadgen/reject_test.go
+++ b/internal/loadgen/reject_test.go
@@ -70,7 +70,7 @@
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
 	report := run(t, loadgen.Options{
-		Addresses: []string{listener.Addr().String()}, Roots: a.roots, Rate: 20, NonRepeatable: 1, Attempts: 1, RequestsPerFlow: 1,
+		Addresses: []string{listener.Addr().String()}, Roots: a.roots, Rate: 20, NonRepeatable: 1, MaxAttempts: 1, RequestsPerFlow: 1,
 	})
 	is.Equal(report.Outcomes, map[string]int{"not-run/refused": report.Requests})
 	is.Equal(report.BrokenFlows, 0)
@@ -103,7 +103,7 @@
 			a := newAuthority(t)
 			addr := serveRefusals(t, a, tt.how)
 			report := run(t, loadgen.Options{
-				Addresses: []string{addr}, Roots: a.roots, Rate: 20, NonRepeatable: 1, Attempts: 1, RequestsPerFlow: 1,
+				Addresses: []string{addr}, Roots: a.roots, Rate: 20, NonRepeatable: 1, MaxAttempts: 1, RequestsPerFlow: 1,
 			})
 			is.Equal(report.Outcomes, map[string]int{tt.outcome: report.Requests})
 			if tt.broken {
--- a/internal/loadgen/request.go
+++ b/internal/loadgen/request.go
@@ -70,7 +70,7 @@
 
 // retry decides whether the caller tries again, and when.
 func (g *generator) retry(ctx context.Context, q request, out outcome, attempt int, jitter *rand.Rand) (time.Duration, bool) {
-	if out.class == ClassAnswered || attempt >= g.opts.Attempts {
+	if out.class == ClassAnswered || attempt >= g.opts.MaxAttempts {
 		return 0, false
 	}
 	// Whether it ran is not known: only what may be repeated goes again, unless
--- a/internal/loadgen/server_test.go
+++ b/internal/loadgen/server_test.go
@@ -195,7 +195,7 @@
 
 // persistent makes callers try until they are answered.
 func persistent(o loadgen.Options) loadgen.Options {
-	o.Attempts = math.MaxInt32
+	o.MaxAttempts = math.MaxInt32
 	o.RetryPercent = amplePercent
 	return o
 }
