--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -38,7 +38,7 @@
 	f.Float64Var(&o.NonRepeatable, "non-repeatable", 0.2, "share of requests that may not be repeated, 0 to 1")
 	f.DurationVar(&o.Work, "work", 5*time.Millisecond, "time that a request works on its target")
 	f.DurationVar(&o.Deadline, "deadline", loadgen.DefaultDeadline, "deadline of a request over all attempts")
-	f.IntVar(&o.MaxAttempts, "attempts", loadgen.DefaultAttempts, "greatest number of attempts of a request")
+	f.IntVar(&o.MaxAttempts, "attempts", loadgen.DefaultMaxAttempts, "greatest number of attempts of a request")
 	f.IntVar(&o.RetryPercent, "retry-percent", loadgen.DefaultRetryPercent, "retries allowed per hundred requests")
 	f.DurationVar(&o.Window, "window", loadgen.DefaultWindow, "window of time for imbalance and plot")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of schedule, kinds and jitter")
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -17,7 +17,7 @@
 	DefaultConnections     = 16
 	DefaultRequestsPerFlow = 50
 	DefaultDeadline        = 5 * time.Second
-	DefaultAttempts        = 4
+	DefaultMaxAttempts     = 4
 	DefaultRetryPercent    = 20
 	DefaultWindow          = time.Second
 	DefaultWatchPeriod     = time.Second
@@ -108,7 +108,7 @@
 	o.Connections = cmp.Or(o.Connections, DefaultConnections)
 	o.RequestsPerFlow = cmp.Or(o.RequestsPerFlow, DefaultRequestsPerFlow)
 	o.Deadline = cmp.Or(o.Deadline, DefaultDeadline)
-	o.MaxAttempts = cmp.Or(o.MaxAttempts, DefaultAttempts)
+	o.MaxAttempts = cmp.Or(o.MaxAttempts, DefaultMaxAttempts)
 	o.RetryPercent = cmp.Or(o.RetryPercent, DefaultRetryPercent)
 	o.Window = cmp.Or(o.Window, DefaultWindow)
 	o.WatchPeriod = cmp.Or(o.WatchPeriod, DefaultWatchPeriod)
