--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -71,7 +71,7 @@
 	service := dev.DefaultServices()[0].Name
 	r, err := d.Load(ctx, service, l.opts)
 	if err != nil {
-		return usageIf(err, loadgen.ErrOptions)
+		return usageIf(err, loadgen.ErrInvalidOptions)
 	}
 	if err := d.Err(); err != nil {
 		return err
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -140,7 +140,7 @@
 			}
 			l.opts.Roots = roots
 			r, err := loadgen.Run(cmd.Context(), l.opts)
-			if errors.Is(err, loadgen.ErrOptions) {
+			if errors.Is(err, loadgen.ErrInvalidOptions) {
 				return usage(err)
 			}
 			if err != nil {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -280,7 +280,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := loadgen.Run(context.Background(), o)
-			is.New(t).True(errors.Is(err, loadgen.ErrOptions))
+			is.New(t).True(errors.Is(err, loadgen.ErrInvalidOptions))
 		})
 	}
 }
--- a/internal/loadgen/options.go
+++ b/internal/loadgen/options.go
@@ -37,8 +37,8 @@
 	freeRetries = 10
 )
 
-// ErrOptions reports options that no run can be made from.
-var ErrOptions = errors.New("bad load options")
+// ErrInvalidOptions reports options that no run can be made from.
+var ErrInvalidOptions = errors.New("bad load options")
 
 // Options describe one run.
 type Options struct {
@@ -139,21 +139,21 @@
 func (o Options) validate() error {
 	switch {
 	case len(o.Addresses) == 0:
-		return errors.Wrap(ErrOptions, "no address to call")
+		return errors.Wrap(ErrInvalidOptions, "no address to call")
 	case o.Service == "":
-		return errors.Wrap(ErrOptions, "no service named")
+		return errors.Wrap(ErrInvalidOptions, "no service named")
 	case o.Rate < 0 || o.Sessions < 0 || o.Connections < 0 || o.RequestsPerFlow < 0 || o.MaxAttempts < 0 || o.RetryPercent < 0:
-		return errors.Wrap(ErrOptions, "a number is negative")
+		return errors.Wrap(ErrInvalidOptions, "a number is negative")
 	case o.NonRepeatable < 0 || o.NonRepeatable > 1:
-		return errors.Wrap(ErrOptions, "the share of non-repeatable requests is not between 0 and 1")
+		return errors.Wrap(ErrInvalidOptions, "the share of non-repeatable requests is not between 0 and 1")
 	case o.Duration <= 0:
-		return errors.Wrap(ErrOptions, "the duration is not positive")
+		return errors.Wrap(ErrInvalidOptions, "the duration is not positive")
 	case o.Window < 0 || o.SessionRamp < 0 || o.WatchPeriod < 0 || o.Deadline < 0 || o.Work < 0:
-		return errors.Wrap(ErrOptions, "a time is negative")
+		return errors.Wrap(ErrInvalidOptions, "a time is negative")
 	}
 	for _, addr := range o.Addresses {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return errors.Wrapf(ErrOptions, "%q is not an address of the form ip:port", addr)
+			return errors.Wrapf(ErrInvalidOptions, "%q is not an address of the form ip:port", addr)
 		}
 	}
 	return nil
