--- a/internal/loadgen/runs.go
+++ b/internal/loadgen/runs.go
@@ -18,9 +18,9 @@
 	runsTimeout = 5 * time.Second
 )
 
-// ErrRuns reports that the backend servers could not all be asked how often
+// ErrRunsUnavailable reports that the backend servers could not all be asked how often
 // a key ran.
-var ErrRuns = errors.New("the backend servers cannot be asked for their runs")
+var ErrRunsUnavailable = errors.New("the backend servers cannot be asked for their runs")
 
 // checkRuns asks every backend server how often each key ran and fills in
 // report.Doubled.
@@ -33,7 +33,7 @@
 		return nil
 	}
 	if len(g.opts.RunURLs) == 0 {
-		return errors.Wrap(ErrRuns, "none is named")
+		return errors.Wrap(ErrRunsUnavailable, "none is named")
 	}
 	client := &http.Client{
 		Timeout:   runsTimeout,
@@ -85,7 +85,7 @@
 	for _, base := range urls {
 		n, err := runsAt(ctx, client, base, key)
 		if err != nil {
-			return 0, errors.Wrapf(ErrRuns, "%s: %v", base, err)
+			return 0, errors.Wrapf(ErrRunsUnavailable, "%s: %v", base, err)
 		}
 		total += n
 	}
