--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -66,7 +66,7 @@
 
 	// windows, moments and ratios have an item for each step.
 	windows []map[string]int
-	moments []loadgen.Moment
+	moments []loadgen.WindowStats
 	ratios  []float64
 }
 
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -51,7 +51,7 @@
 	Title   string
 	Window  time.Duration
 	Answers []map[string]int
-	Moments []Moment
+	Moments []WindowStats
 	// Imbalance is NaN in windows that do not count.
 	Imbalance []float64
 	Marks     []Mark
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -56,7 +56,7 @@
 	// Windows are the answers of each target in each window, Moments what the
 	// callers saw in it, for plots. Either may end before the other.
 	Windows []map[string]int `json:"-"`
-	Moments []Moment         `json:"-"`
+	Moments []WindowStats    `json:"-"`
 	// targets are all of the service, as far as they are known.
 	targets []string
 }
--- a/internal/loadgen/timeline.go
+++ b/internal/loadgen/timeline.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Moment is what the callers saw in one window of time.
-type Moment struct {
+// WindowStats is what the callers saw in one window of time.
+type WindowStats struct {
 	// P50 and P99 are of the requests answered in the window, in
 	// milliseconds from their scheduled time; NaN without an answer.
 	P50, P99 float64
@@ -22,7 +22,7 @@
 type timeline struct {
 	window  time.Duration
 	latency *hdrhistogram.Histogram
-	moments []Moment
+	moments []WindowStats
 }
 
 func newTimeline(window time.Duration) *timeline {
@@ -44,10 +44,10 @@
 
 // at returns the window of that time since the start, and closes the ones
 // before it.
-func (t *timeline) at(since time.Duration) *Moment {
+func (t *timeline) at(since time.Duration) *WindowStats {
 	for len(t.moments) <= int(since/t.window) {
 		t.close()
-		t.moments = append(t.moments, Moment{P50: math.NaN(), P99: math.NaN()})
+		t.moments = append(t.moments, WindowStats{P50: math.NaN(), P99: math.NaN()})
 	}
 	return &t.moments[len(t.moments)-1]
 }
@@ -61,7 +61,7 @@
 	t.latency.Reset()
 }
 
-func (t *timeline) percentiles(m *Moment) {
+func (t *timeline) percentiles(m *WindowStats) {
 	if t.latency.TotalCount() == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 
 // all returns a copy of the windows, the last one as far as it has come: a run
 // reports more than once.
-func (t *timeline) all() []Moment {
+func (t *timeline) all() []WindowStats {
 	out := slices.Clone(t.moments)
 	if len(out) > 0 {
 		t.percentiles(&out[len(out)-1])
