--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -86,7 +86,7 @@
 		Misrouted: r.Misrouted, WrongAnswers: r.WrongAnswers,
 		P50: r.LatencyMS.P50, P99: r.LatencyMS.P99,
 		Outcomes: r.Outcomes, RetriesBy: r.Retries, BrokenBy: r.BrokenBy,
-		windows: r.Windows, moments: r.Moments, ratios: ratiosOfSteps(windows, m),
+		windows: r.Windows, moments: r.Stats, ratios: ratiosOfSteps(windows, m),
 	}
 	if first, ok := m.firstStart(); ok && first < len(r.Windows) {
 		after := imbalance(joinSteps(r.Windows[first:]), window, m.since(time.Duration(first)*step))
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -72,7 +72,7 @@
 		window = DefaultWindow
 	}
 	return &Chart{
-		Title: r.Service, Window: window, Answers: r.Windows, Moments: r.Moments,
+		Title: r.Service, Window: window, Answers: r.Windows, Moments: r.Stats,
 		Imbalance: r.ratios(), Marks: marks,
 	}
 }
--- a/internal/loadgen/plot_test.go
+++ b/internal/loadgen/plot_test.go
@@ -29,7 +29,7 @@
 		Service:   "lodgement",
 		PerTarget: map[string]int{"l-1": 3, "l-2": 1},
 		Windows:   []map[string]int{{"l-1": 1}, nil, {"l-1": 2, "l-2": 1}},
-		Moments:   []WindowStats{{P50: 1, P99: 2}, {P50: math.NaN(), P99: math.NaN(), BrokenFlows: 1}},
+		Stats:     []WindowStats{{P50: 1, P99: 2}, {P50: math.NaN(), P99: math.NaN(), BrokenFlows: 1}},
 	}
 	text := saved(t, r.Chart(0, []Mark{{Seconds: 1.5, Text: "l-1 drains"}}))
 	for _, want := range []string{"l-2", "l-1 drains", "answers a second", "latency, ms", "p99", "broken flows", "imbalance"} {
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -56,7 +56,7 @@
 	// Windows are the answers of each target in each window, Moments what the
 	// callers saw in it, for plots. Either may end before the other.
 	Windows []map[string]int `json:"-"`
-	Moments []WindowStats    `json:"-"`
+	Stats   []WindowStats    `json:"-"`
 	// targets are all of the service, as far as they are known.
 	targets []string
 }
@@ -115,7 +115,7 @@
 		WrongAnswers:         r.wrong,
 		Windows:              windows,
 		targets:              targets,
-		Moments:              r.timeline.all(),
+		Stats:                r.timeline.all(),
 	}
 }
 
