--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -24,7 +24,7 @@
 	}
 	chart := loadgen.Chart{
 		Title: c.Site + ", " + c.Scenario + ", " + c.Policy + ": " + s.Service, Window: step,
-		Answers: s.windows, Moments: s.moments, Imbalance: s.ratios, Marks: marks,
+		Answers: s.windows, Stats: s.moments, Imbalance: s.ratios, Marks: marks,
 	}
 	return chart.Save(file)
 }
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -51,7 +51,7 @@
 	Title   string
 	Window  time.Duration
 	Answers []map[string]int
-	Moments []WindowStats
+	Stats   []WindowStats
 	// Imbalance is NaN in windows that do not count.
 	Imbalance []float64
 	Marks     []Mark
@@ -72,7 +72,7 @@
 		window = DefaultWindow
 	}
 	return &Chart{
-		Title: r.Service, Window: window, Answers: r.Windows, Moments: r.Stats,
+		Title: r.Service, Window: window, Answers: r.Windows, Stats: r.Stats,
 		Imbalance: r.ratios(), Marks: marks,
 	}
 }
@@ -140,7 +140,7 @@
 
 // seconds is the end of the last window.
 func (c *Chart) seconds() float64 {
-	return float64(max(1, len(c.Answers), len(c.Moments))) * c.Window.Seconds()
+	return float64(max(1, len(c.Answers), len(c.Stats))) * c.Window.Seconds()
 }
 
 // joined returns the marks within the run by time, those close to each other as
@@ -183,8 +183,8 @@
 
 func (c *Chart) latency() (*plot.Plot, error) {
 	p := panel("latency, ms")
-	p50, p99 := make([]float64, len(c.Moments)), make([]float64, len(c.Moments))
-	for n, m := range c.Moments {
+	p50, p99 := make([]float64, len(c.Stats)), make([]float64, len(c.Stats))
+	for n, m := range c.Stats {
 		p50[n], p99[n] = m.P50, m.P99
 	}
 	if err := c.line(p, p50, 0, "p50"); err != nil {
@@ -195,8 +195,8 @@
 
 func (c *Chart) broken() (*plot.Plot, error) {
 	p := panel("broken flows")
-	values := make([]float64, len(c.Moments))
-	for n, m := range c.Moments {
+	values := make([]float64, len(c.Stats))
+	for n, m := range c.Stats {
 		values[n] = float64(m.BrokenFlows)
 	}
 	return p, c.line(p, values, 0, "")
