--- a/internal/controld/partition_test.go
+++ b/internal/controld/partition_test.go
@@ -91,7 +91,7 @@
 	d, relays := newDeploymentWithRelays(t)
 	for round := range uint64(2) {
 		for _, relay := range relays {
-			relay.CutExisting(faultproxy.ToHost, faultproxy.ToCaller)
+			relay.CutFlows(faultproxy.ToHost, faultproxy.ToCaller)
 		}
 		id := fmt.Sprintf("p%d", round+2)
 		d.accept(d.operator("c1", "c2", "c3"), patch(id, round+1, put("lodgement", "192.0.2.1:443")))
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -47,10 +47,10 @@
 	clear(r.faults)
 }
 
-// CutExisting makes the flows of all callers known by now stale in the given
+// CutFlows makes the flows of all callers known by now stale in the given
 // directions: their datagrams are lost for good, while a caller that comes
 // from another port gets through.
-func (r *Relay) CutExisting(ways ...Direction) {
+func (r *Relay) CutFlows(ways ...Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.flows {
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -169,7 +169,7 @@
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(a)}})
 	send(t, stale, r.Addr(), "before")
 	receive(t, a)
-	r.CutExisting(ToHost, ToCaller)
+	r.CutFlows(ToHost, ToCaller)
 	send(t, stale, r.Addr(), "lost")
 	waitFor(t, func() bool { return r.Counts(addrOf(a), ToHost).Lost == 1 })
 	r.Heal()
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -19,7 +19,7 @@
 	caller := d.lodgement.NewCaller()
 	watch := caller.Watch()
 	firstTarget := caller.Echo("before").Target
-	d.lodgement.Fabric.CutExisting(faultproxy.ToHost, faultproxy.ToCaller)
+	d.lodgement.Fabric.CutFlows(faultproxy.ToHost, faultproxy.ToCaller)
 	checkEcho(t, d.lodgement, d.lodgement.NewCaller(), "from a new port")
 	caller.Migrate()
 	watch.WaitEvents()
--- a/test/controllinks_test.go
+++ b/test/controllinks_test.go
@@ -28,7 +28,7 @@
 				s.StartTarget("a", link.Addr())
 			}
 			load := d.startLoad(t)
-			link.CutExisting(directions...)
+			link.CutFlows(directions...)
 			version := d.Patch(d.lodgement.PutSection())
 			d.WaitActive(version, entry.Host, "lodgement-a", "certificates-a")
 			load.progress()
--- a/test/nonrepeatable_test.go
+++ b/test/nonrepeatable_test.go
@@ -53,7 +53,7 @@
 	d.entries[1].RemoveFromFabric()
 	attempt := startRun(d.callerOf(t, first), "lost")
 	processtest.Eventually(t, "the request runs", func() bool { return first.RunCount("lost") == 1 })
-	d.lodgement.Fabric.CutExisting(faultproxy.ToCaller)
+	d.lodgement.Fabric.CutFlows(faultproxy.ToCaller)
 	d.entries[0].RemoveFromFabric()
 	d.entries[1].AddToFabric()
 	answer := d.resend(t, d.callerOf(t, second), "lost")
