--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// CutExistingOf makes the flow of one caller stale in the given directions.
-func (r *Relay) CutExistingOf(caller netip.AddrPort, ways ...Direction) {
+// CutFlow makes the flow of one caller stale in the given directions.
+func (r *Relay) CutFlow(caller netip.AddrPort, ways ...Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f, ok := r.flows[caller]; ok {
--- a/internal/faultproxy/record_test.go
+++ b/internal/faultproxy/record_test.go
@@ -30,7 +30,7 @@
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(host)}})
 	send(t, stale, r.Addr(), "before")
 	_, from := receive(t, host)
-	r.CutExistingOf(addrOf(stale), ToCaller)
+	r.CutFlow(addrOf(stale), ToCaller)
 	send(t, host, from, "lost")
 	send(t, stale, r.Addr(), "still heard")
 	text, _ := receive(t, host)
--- a/test/blackhole_test.go
+++ b/test/blackhole_test.go
@@ -38,7 +38,7 @@
 			d := deployWith(t, 1, processtest.TargetOptions{Relayed: true})
 			load := d.startLoad(t)
 			for _, target := range d.all() {
-				target.FrameRelay.CutExistingOf(d.entries[0].FrameAddr(), directions...)
+				target.FrameRelay.CutFlow(d.entries[0].FrameAddr(), directions...)
 			}
 			load.progress()
 			sessionTarget, _ := d.sessionTarget(t, load.watch)
