--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -10,9 +10,9 @@
 	r.hosts = append([]netip.AddrPort(nil), hosts...)
 }
 
-// SendInTurn sends each datagram of a caller to the host after the one that got
+// UseRoundRobin sends each datagram of a caller to the host after the one that got
 // the last, in place of one chosen at random.
-func (r *Relay) SendInTurn() {
+func (r *Relay) UseRoundRobin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inTurn = true
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	caller, a, b := socket(t), socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(a), addrOf(b)}})
-	r.SendInTurn()
+	r.UseRoundRobin()
 	for _, text := range []string{"1", "2", "3", "4"} {
 		send(t, caller, r.Addr(), text)
 	}
--- a/test/firstflight_test.go
+++ b/test/firstflight_test.go
@@ -48,7 +48,7 @@
 	is.Equal(isolated.Candidates(), 2)
 
 	fabric := d.lodgement.Fabric
-	fabric.SendInTurn()
+	fabric.UseRoundRobin()
 	fabric.SetFaults(faultproxy.ToHost, faultproxy.Faults{Delay: delay, Drop: 0.03, Duplicate: 0.2})
 	fabric.SetFaults(faultproxy.ToCaller, faultproxy.Faults{Delay: delay, Drop: 0.05})
 	before := d.openedConnections(t, targets)
