--- a/internal/faultproxy/faults.go
+++ b/internal/faultproxy/faults.go
@@ -28,8 +28,8 @@
 	// Reorder is the probability that a datagram is held back by HoldBack,
 	// so that later ones overtake it.
 	Reorder float64
-	// HoldBack is the additional delay of a reordered datagram.
-	HoldBack time.Duration
+	// ReorderDelay is the additional delay of a reordered datagram.
+	ReorderDelay time.Duration
 	// Cut loses every datagram without an error at either end.
 	Cut bool
 }
@@ -52,7 +52,7 @@
 
 func (f Faults) delay(random *rand.Rand) time.Duration {
 	if random.Float64() < f.Reorder {
-		return f.Delay + f.HoldBack
+		return f.Delay + f.ReorderDelay
 	}
 	return f.Delay
 }
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	caller, a := socket(t), socket(t)
 	r := relay(t, Options{Hosts: []netip.AddrPort{addrOf(a)}})
-	r.SetFaults(ToHost, Faults{Reorder: 1, HoldBack: 50 * time.Millisecond})
+	r.SetFaults(ToHost, Faults{Reorder: 1, ReorderDelay: 50 * time.Millisecond})
 	send(t, caller, r.Addr(), "first")
 	waitFor(t, func() bool { return r.Counts(addrOf(a), ToHost).Delivered == 1 })
 	r.Heal()
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -268,7 +268,7 @@
 	case LosePackets:
 		faults = faultproxy.Faults{Drop: lossShare, Duplicate: lossShare}
 	case DelayPackets:
-		faults = faultproxy.Faults{Delay: slowness, Reorder: lossShare, HoldBack: slowness}
+		faults = faultproxy.Faults{Delay: slowness, Reorder: lossShare, ReorderDelay: slowness}
 	}
 	return in.faults(r, s.For, func(f faultproxy.Faults) { r.SetFaults(faultproxy.ToHost, f) }, faults)
 }
--- a/test/datapath_test.go
+++ b/test/datapath_test.go
@@ -16,11 +16,11 @@
 
 // lossy are path faults under which every flow still makes progress.
 var lossy = faultproxy.Faults{
-	Drop:      0.02,
-	Duplicate: 0.05,
-	Delay:     2 * time.Millisecond,
-	Reorder:   0.05,
-	HoldBack:  10 * time.Millisecond,
+	Drop:         0.02,
+	Duplicate:    0.05,
+	Delay:        2 * time.Millisecond,
+	Reorder:      0.05,
+	ReorderDelay: 10 * time.Millisecond,
 }
 
 func TestFlowsOverLossyPaths(t *testing.T) {
