--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -35,10 +35,10 @@
 	FlowsLostWithHost int `json:"flows_lost_with_host"`
 
 	// Sessions opened over the run, with the ones that replaced broken ones.
-	Sessions        int            `json:"sessions"`
-	BrokenSessions  int            `json:"broken_sessions"`
-	SessionsBy      map[string]int `json:"broken_sessions_by"`
-	SessionsRefused map[string]int `json:"sessions_refused"`
+	Sessions         int            `json:"sessions"`
+	BrokenSessions   int            `json:"broken_sessions"`
+	BrokenSessionsBy map[string]int `json:"broken_sessions_by"`
+	SessionsRefused  map[string]int `json:"sessions_refused"`
 	// SessionsLostWithHost are not among the broken ones.
 	SessionsLostWithHost int `json:"sessions_lost_with_host"`
 	Events               int `json:"events"`
@@ -104,7 +104,7 @@
 		FlowsLostWithHost:    r.flowsWithHost,
 		Sessions:             r.opened,
 		BrokenSessions:       sum(r.lostSessions),
-		SessionsBy:           maps.Clone(r.lostSessions),
+		BrokenSessionsBy:     maps.Clone(r.lostSessions),
 		SessionsRefused:      maps.Clone(r.refused),
 		SessionsLostWithHost: r.sessionsWithHost,
 		Events:               r.events,
@@ -145,7 +145,7 @@
 	fmt.Fprintf(&b, "flows: %d, broken %d, lost with their host %d\n", r.Flows, r.BrokenFlows, r.FlowsLostWithHost)
 	writeCounts(&b, "broken by", r.BrokenBy)
 	fmt.Fprintf(&b, "sessions: %d, broken %d, events %d\n", r.Sessions, r.BrokenSessions, r.Events)
-	writeCounts(&b, "sessions broken by", r.SessionsBy)
+	writeCounts(&b, "sessions broken by", r.BrokenSessionsBy)
 	writeCounts(&b, "sessions refused", r.SessionsRefused)
 	fmt.Fprintf(&b, "imbalance: overall %.3f, p99 %.3f over %d windows\n", r.Imbalance.Overall, r.Imbalance.P99, r.Imbalance.Windows)
 	writeCounts(&b, "per target", r.PerTarget)
