--- a/internal/controld/rebalance.go
+++ b/internal/controld/rebalance.go
@@ -65,7 +65,7 @@
 	lastReason := membership.RebalanceReason("")
 	d.every(movePeriod, func() {
 		s := d.directory.rebalancer()
-		s.SinceMove, s.Pause = time.Since(movedAt), interval
+		s.SinceMove, s.Interval = time.Since(movedAt), interval
 		to, reason := s.Decide()
 		if reason != lastReason || reason == membership.RebalanceMove {
 			d.scope.Tagged(map[string]string{tagReason: string(reason)}).Counter(metricMoves).Inc(1)
--- a/membership/rebalance.go
+++ b/membership/rebalance.go
@@ -34,9 +34,9 @@
 	// Complete reports whether its directory is complete.
 	Complete bool
 	Others   []HostLoad
-	// SinceMove is the time since its last subscriber was moved, Pause the minimum
+	// SinceMove is the time since its last subscriber was moved, Interval the minimum
 	// between two moves, with jitter.
-	SinceMove, Pause time.Duration
+	SinceMove, Interval time.Duration
 }
 
 // RebalanceReason is why a subscriber moves or does not.
@@ -69,7 +69,7 @@
 	if !r.imbalanced(fresh, least.Subscribers) {
 		return "", RebalanceBalanced
 	}
-	if r.SinceMove < r.Pause {
+	if r.SinceMove < r.Interval {
 		return "", RebalancePaused
 	}
 	return least.Name, RebalanceMove
