--- a/membership/rebalance.go
+++ b/membership/rebalance.go
@@ -48,7 +48,7 @@
 	RebalanceIncomplete RebalanceReason = "unsettled"
 	RebalanceNoPeers    RebalanceReason = "alone"
 	RebalanceBalanced   RebalanceReason = "within"
-	RebalancePaused     RebalanceReason = "pauses"
+	RebalanceTooSoon    RebalanceReason = "pauses"
 )
 
 // Decide returns the host that one subscriber has to move to, or no host and the reason. A
@@ -70,7 +70,7 @@
 		return "", RebalanceBalanced
 	}
 	if r.SinceMove < r.Interval {
-		return "", RebalancePaused
+		return "", RebalanceTooSoon
 	}
 	return least.Name, RebalanceMove
 }
--- a/membership/rebalance_test.go
+++ b/membership/rebalance_test.go
@@ -39,7 +39,7 @@
 		{"has just started", membership.Rebalancer{Own: 100, Others: others(0)}, "", membership.RebalanceIncomplete},
 		{"no other host", membership.Rebalancer{Own: 100, Complete: true}, "", membership.RebalanceNoPeers},
 		{"outdated counts", membership.Rebalancer{Own: 100, Complete: true, Others: stale}, "", membership.RebalanceNoPeers},
-		{"within the pause", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Interval: 2}, "", membership.RebalancePaused},
+		{"within the pause", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 1, Interval: 2}, "", membership.RebalanceTooSoon},
 		{"the pause is over", membership.Rebalancer{Own: 100, Complete: true, Others: others(0), SinceMove: 2, Interval: 2}, "c2", membership.RebalanceMove},
 	}
 	for _, test := range tests {
