--- a/test/damage_test.go
+++ b/test/datadir_test.go
@@ -12,8 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// threeControls starts control hosts and makes some versions.
-func threeControls(t *testing.T) *deployment {
+// deployControls starts control hosts and creates some versions.
+func deployControls(t *testing.T) *deployment {
 	t.Helper()
 	const versions = 8
 	d := &deployment{Cluster: processtest.New(t)}
@@ -25,23 +25,23 @@
 	return d
 }
 
-// checkHolds expects the host itself to be at the version.
-func (d *deployment) checkHolds(t *testing.T, host *processtest.Control, version uint64) {
+// waitVersion waits until the host itself has the version.
+func (d *deployment) waitVersion(t *testing.T, host *processtest.Control, version uint64) {
 	t.Helper()
-	processtest.Eventually(t, fmt.Sprintf("%s holds version %d", host.Name, version), func() bool {
+	processtest.Eventually(t, fmt.Sprintf("%s has version %d", host.Name, version), func() bool {
 		s := host.Status()
 		return s != nil && s.Version == version
 	})
 }
 
-// TestTornTailStarts leaves a record that was cut off in the middle at the end
-// of a host's log, as a crash does that comes between write and sync.
-func TestTornTailStarts(t *testing.T) {
+// TestControlHostStartsWithTornLogTail appends a partial record to a host's log, as a
+// crash between write and sync does.
+func TestControlHostStartsWithTornLogTail(t *testing.T) {
 	is := is.New(t)
-	d := threeControls(t)
+	d := deployControls(t)
 	host := d.Leader()
 	host.Kill()
-	segment := newest(host.ConfigFiles(processtest.SegmentPattern))
+	segment := latest(host.ConfigFiles(processtest.SegmentPattern))
 	data, err := os.ReadFile(segment)
 	is.NoErr(err)
 	const torn = 40 // more than a header, less than a record
@@ -49,20 +49,20 @@
 	host.Launch()
 	host.WaitReady()
 	version := d.Patch(d.lodgement.PutSection())
-	d.checkHolds(t, host, version)
+	d.waitVersion(t, host, version)
 }
 
-func newest(paths []string) string { return paths[len(paths)-1] }
+func latest(paths []string) string { return paths[len(paths)-1] }
 
-// TestFlippedByteStops flips one byte in each kind of file. The host refuses to
-// start, with exit code 1 and an error that names file and offset, the others
-// go on; with the byte flipped back it starts and catches up.
-func TestFlippedByteStops(t *testing.T) {
-	d := threeControls(t)
+// TestCorruptedFilePreventsStart flips one bit in each kind of file. The host refuses
+// to start with an error that names file and offset. Repaired, it starts and catches
+// up.
+func TestCorruptedFilePreventsStart(t *testing.T) {
+	d := deployControls(t)
 	host := d.controls[0]
 	for name, test := range map[string]struct {
 		pattern string
-		// part of the file's length at which the byte stands.
+		// part is the position of the byte as a fraction of the file's length.
 		part float64
 	}{
 		"middle of a log segment": {processtest.SegmentPattern, 0.5},
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			host.Kill()
-			path := newest(host.ConfigFiles(test.pattern))
+			path := latest(host.ConfigFiles(test.pattern))
 			restore := flip(t, path, test.part)
 			host.Launch()
 			is.Equal(host.WaitExitCode(), 1)
@@ -84,12 +84,12 @@
 			restore()
 			host.Launch()
 			host.WaitReady()
-			d.checkHolds(t, host, version)
+			d.waitVersion(t, host, version)
 		})
 	}
 }
 
-// flip changes one bit of a file and returns what changes it back.
+// flip changes one bit of a file and returns the function that restores it.
 func flip(t *testing.T, path string, part float64) (restore func()) {
 	t.Helper()
 	is := is.New(t)
@@ -104,17 +104,16 @@
 	return change
 }
 
-// TestFullDiskStops lets no file of one host grow any more. That host stops
-// with a clear error and exit code 1, what it had acknowledged is there when
-// it comes back, and the others go on.
-func TestFullDiskStops(t *testing.T) {
+// TestFullDiskStopsControlHost limits the file size on one host. It stops with a clear
+// error, keeps what it acknowledged, and the other hosts go on.
+func TestFullDiskStopsControlHost(t *testing.T) {
 	for name, pick := range map[string]func(*deployment) *processtest.Control{
 		"leader":   (*deployment).Leader,
 		"follower": func(d *deployment) *processtest.Control { return d.Leader().Others()[0] },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := threeControls(t)
+			d := deployControls(t)
 			host := pick(d)
 			host.LimitFileSize(host.ConfigLogBytes() + 10)
 			d.Patch(d.lodgement.PutSection())
@@ -123,7 +122,7 @@
 			version := d.Patch(d.lodgement.PutSection())
 			host.Launch()
 			host.WaitReady()
-			d.checkHolds(t, host, version)
+			d.waitVersion(t, host, version)
 			for v := uint64(1); v <= version; v++ {
 				is.Equal(d.Show(fmt.Sprint("patch-", v)).Version, v)
 			}
--- a/test/loss_test.go
+++ b/test/diskloss_test.go
@@ -9,7 +9,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// loseDisk kills the host and brings it back with an empty data folder.
+// loseDisk kills the host and restarts it with an empty data directory.
 func loseDisk(host *processtest.Control) {
 	host.Kill()
 	host.RemoveDataDir()
@@ -17,7 +17,7 @@
 	host.WaitReady()
 }
 
-// checkOutcomes expects every patch so far to have its outcome.
+// checkOutcomes expects an outcome for every patch up to the newest version.
 func (d *deployment) checkOutcomes(t *testing.T, newest uint64) {
 	t.Helper()
 	is := is.New(t)
@@ -31,11 +31,10 @@
 	}
 }
 
-// TestDiskLostAgainAfterRepair loses the data folder of one host after the
-// other, each right after the one before was replaced, until none of the first
-// replicas is left: nothing that was accepted is lost.
-func TestDiskLostAgainAfterRepair(t *testing.T) {
-	d := threeControls(t)
+// TestDisksLostOneAfterAnother loses the data directory of each host in turn, right
+// after the previous one was replaced. Nothing accepted is lost.
+func TestDisksLostOneAfterAnother(t *testing.T) {
+	d := deployControls(t)
 	hosts := append([]*processtest.Control{d.Leader()}, d.Leader().Others()...)
 	version := uint64(0)
 	for _, host := range hosts {
@@ -45,23 +44,23 @@
 		d.checkOutcomes(t, version)
 	}
 	for _, host := range d.controls {
-		d.checkHolds(t, host, version)
+		d.waitVersion(t, host, version)
 	}
 }
 
-// TestDiskLostBeforeRepair loses a data folder and then stops another host
-// before the repair. The empty replica may not stand in for a quorum: nothing
-// is accepted until the other host is back, and then nothing is lost.
-func TestDiskLostBeforeRepair(t *testing.T) {
+// TestEmptyReplicaDoesNotCountForQuorum loses a data directory and stops another host
+// before the repair. Nothing is accepted until the other host is back, and nothing is
+// lost.
+func TestEmptyReplicaDoesNotCountForQuorum(t *testing.T) {
 	is := is.New(t)
-	d := threeControls(t)
+	d := deployControls(t)
 	empty := d.Leader()
 	second := empty.Others()[0]
 	last := empty.Others()[1]
 	loseDisk(empty)
-	version := d.Patch(d.lodgement.PutSection()) // the two others go on
+	version := d.Patch(d.lodgement.PutSection()) // the other two go on
 	second.Kill()
-	processtest.Eventually(t, "the last host knows that it is alone", func() bool {
+	processtest.Eventually(t, "the last host has no leader", func() bool {
 		s := last.Status()
 		return s != nil && s.Groups[0].Leader == ""
 	})
@@ -73,6 +72,6 @@
 	empty.Replace()
 	version = d.SubmitUntilKnown(version, "in-between", d.lodgement.PutSection()).Version
 	for _, host := range d.controls {
-		d.checkHolds(t, host, version)
+		d.waitVersion(t, host, version)
 	}
 }
--- a/test/once_test.go
+++ b/test/nonrepeatable_test.go
@@ -13,13 +13,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// runKey sends a request that may not be repeated.
+// runKey sends a non-repeatable request.
 func runKey(caller *processtest.Caller, key string) (*processtest.Response, error) {
 	return caller.Do(context.Background(), http.MethodPost,
-		processtest.RunPath(slowWork), processtest.KeyHeader(key), []byte(key))
+		processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 }
 
-// runs counts the runs of a key at all targets of lodgement.
+// runs returns the number of runs of a key on all targets of lodgement.
 func (d *deployment) runs(key string) int {
 	n := 0
 	for _, target := range d.targets[d.lodgement] {
@@ -28,8 +28,8 @@
 	return n
 }
 
-// resend sends a key until its answer comes. While the run lasts the system
-// says that it does not know; it must not say that the request was not run.
+// resend sends a key until it gets its response. While the run lasts the outcome is
+// unknown, never not-run.
 func (d *deployment) resend(t *testing.T, caller *processtest.Caller, key string) *processtest.Response {
 	t.Helper()
 	is := is.New(t)
@@ -44,10 +44,9 @@
 	return last
 }
 
-// TestLostAnswerIsSentAgainElsewhere loses the answer of a run on its way back
-// for good and sends the request again over the other entry host to the other
-// target.
-func TestLostAnswerIsSentAgainElsewhere(t *testing.T) {
+// TestResendAfterLostResponse drops the response of a run and resends the request
+// through the other entry host to the other target.
+func TestResendAfterLostResponse(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -60,33 +59,32 @@
 	answer := d.resend(t, d.callerOf(t, second), "lost")
 	is.Equal(string(answer.Body), "lost")
 	is.Equal(d.runs("lost"), 1)
-	attempt.giveUp()
+	attempt.abandon()
 }
 
-// run is a request that may not be repeated and whose answer nobody reads.
-type run struct {
+// pendingRun is a non-repeatable request whose response is not read.
+type pendingRun struct {
 	worker conc.WaitGroup
 	cancel context.CancelFunc
 }
 
-func startRun(caller *processtest.Caller, key string) *run {
+func startRun(caller *processtest.Caller, key string) *pendingRun {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &run{cancel: cancel}
+	r := &pendingRun{cancel: cancel}
 	r.worker.Go(func() {
-		// The tests that start a run take its answer away.
-		_, _ = caller.Do(ctx, http.MethodPost, processtest.RunPath(slowWork), processtest.KeyHeader(key), []byte(key))
+		_, _ = caller.Do(ctx, http.MethodPost, processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 	})
 	return r
 }
 
-func (r *run) giveUp() {
+func (r *pendingRun) abandon() {
 	r.cancel()
 	r.worker.Wait()
 }
 
-// TestAnswerIsReplayed loses the answer after the run ended: the resend at
-// another target gets it from the record.
-func TestAnswerIsReplayed(t *testing.T) {
+// TestRecordedResponseIsReplayed resends a finished request to another target, which
+// returns the recorded response.
+func TestRecordedResponseIsReplayed(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -101,9 +99,9 @@
 	is.Equal(d.runs("ended"), 1)
 }
 
-// TestAgentLostDuringRun kills the agent that holds the right to run. Nobody
-// knows what became of the run, so nobody runs it again.
-func TestAgentLostDuringRun(t *testing.T) {
+// TestAgentKilledDuringRun kills the agent that holds the grant. The outcome of the
+// run is unknown, so no other target may run it.
+func TestAgentKilledDuringRun(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
@@ -122,11 +120,11 @@
 			first.WaitRegistered()
 		}
 	}
-	attempt.giveUp()
+	attempt.abandon()
 }
 
-// TestAgentFrozenDuringRuns freezes an agent while requests arrive and run,
-// and thaws it after all of them were sent again elsewhere.
+// TestAgentFrozenDuringRuns freezes an agent while requests arrive and run, and thaws
+// it after all of them were resent to another target.
 func TestAgentFrozenDuringRuns(t *testing.T) {
 	is := is.New(t)
 	const keys = 3
@@ -134,7 +132,7 @@
 	first, second := d.targets[d.lodgement][0], d.targets[d.lodgement][1]
 	caller, other := d.callerOf(t, first), d.callerOf(t, second)
 	key := func(i int) string { return fmt.Sprint("frozen ", i) }
-	var attempts []*run
+	var attempts []*pendingRun
 	for i := range keys {
 		attempts = append(attempts, startRun(caller, key(i)))
 	}
@@ -151,6 +149,6 @@
 		answer := d.resend(t, other, key(i))
 		is.Equal(string(answer.Body), key(i))
 		is.Equal(d.runs(key(i)), 1)
-		attempts[i].giveUp()
+		attempts[i].abandon()
 	}
 }
--- a/test/recorder_test.go
+++ b/test/recorder_test.go
@@ -17,35 +17,35 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// callLimit is when an operator gives up on an answer, as when it is lost.
-const callLimit = 2 * time.Second
+// callTimeout bounds an operator's call.
+const callTimeout = 2 * time.Second
 
-// recorder notes what operators ask and are told, and when.
+// recorder records the operators' calls and replies with their times.
 type recorder struct {
-	begin time.Time
+	start time.Time
 
 	mu       sync.Mutex
 	history  []porcupine.Operation
 	ids      []string
 	newest   uint64
 	finished int
-	// resent counts calls after the first one of a patch, cut the answers that
-	// were cut after the patch took effect, and doubled the patches that were
-	// sent twice at once and answered twice.
-	resent, cut, doubled int
+	// resent counts the repeated calls of a patch, cutResponses the replies lost after
+	// the patch took effect, duplicated the patches sent twice at once with two
+	// replies.
+	resent, cutResponses, duplicated int
 }
 
-func (r *recorder) now() int64 { return int64(time.Since(r.begin)) }
+func (r *recorder) now() int64 { return int64(time.Since(r.start)) }
 
-// note records a call that was answered.
-func (r *recorder) note(client int, from int64, c call, out reply) {
+// record appends a call that got a reply.
+func (r *recorder) record(client int, from int64, c call, out reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = append(r.history, porcupine.Operation{
 		ClientId: client, Input: c, Call: from, Output: out, Return: r.now(),
 	})
 	r.newest = max(r.newest, out.version)
-	if c.kind == submitting {
+	if c.kind == callSubmit {
 		r.ids = append(r.ids, c.id)
 	}
 }
@@ -56,7 +56,7 @@
 	return r.newest
 }
 
-// anyID returns the identifier of a patch whose outcome was told, or of none.
+// anyID returns the ID of a random patch with an outcome, or an ID without a patch.
 func (r *recorder) anyID(random *rand.Rand) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,8 +66,8 @@
 	return r.ids[random.IntN(len(r.ids))]
 }
 
-// count lets f change a counter.
-func (r *recorder) count(f func(*recorder)) {
+// update calls f with the lock held.
+func (r *recorder) update(f func(*recorder)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r)
@@ -79,16 +79,15 @@
 	return r.finished
 }
 
-// putPatch returns a patch that puts the service as it is.
+// putPatch returns a patch that puts the service unchanged.
 func putPatch(id string, base uint64, s *processtest.Service) *configpb.Patch {
 	service := &configpb.Service{Name: s.Name, Addresses: []string{s.Address.String()}, Slots: 4}
 	put := &configpb.Operation{Body: &configpb.Operation_PutService{PutService: service}}
 	return &configpb.Patch{Id: id, BaseVersion: base, Operations: []*configpb.Operation{put}}
 }
 
-// operatorCaller is one operator. It asks a host drawn for each call, over a
-// path of its own.
-type operatorCaller struct {
+// testOperator is one operator. It sends each call to a random host over its own path.
+type testOperator struct {
 	t        *testing.T
 	number   int
 	random   *rand.Rand
@@ -98,10 +97,10 @@
 	patches  int
 }
 
-func (o *operatorCaller) path() *operatorPath { return o.paths[o.random.IntN(len(o.paths))] }
+func (o *testOperator) path() *operatorPath { return o.paths[o.random.IntN(len(o.paths))] }
 
-// otherPath returns a path to another host than this one leads to.
-func (o *operatorCaller) otherPath(not *operatorPath) *operatorPath {
+// otherPath returns a path to another host.
+func (o *testOperator) otherPath(not *operatorPath) *operatorPath {
 	for {
 		if path := o.path(); path != not {
 			return path
@@ -109,39 +108,38 @@
 	}
 }
 
-// show asks for the outcome of a patch. A call that no quorum confirms tells
-// nothing and is left out.
-func (o *operatorCaller) show(path *operatorPath, id string) *configpb.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// show queries the outcome of a patch. Calls without a quorum are not recorded.
+func (o *testOperator) show(path *operatorPath, id string) *configpb.Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	from := o.recorder.now()
 	out, err := path.client.Outcome(ctx, id)
 	if err == nil || errors.Is(err, operator.ErrNotFound) {
-		o.recorder.note(o.number, from, call{kind: showing, id: id}, replyOf(out))
+		o.recorder.record(o.number, from, call{kind: callShow, id: id}, replyOf(out))
 	}
 	return out
 }
 
-// read asks for the newest version.
-func (o *operatorCaller) read() {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// read queries the newest version.
+func (o *testOperator) read() {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	from := o.recorder.now()
 	cfg, confirmed, err := o.path().client.Config(ctx, 0)
 	if err == nil && confirmed {
-		o.recorder.note(o.number, from, call{kind: reading}, reply{version: cfg.GetVersion()})
+		o.recorder.record(o.number, from, call{kind: callRead}, reply{version: cfg.GetVersion()})
 	}
 }
 
-// work makes a number of calls, drawn by chance.
-func (o *operatorCaller) work(calls int) {
+// work makes a number of random calls.
+func (o *testOperator) work(calls int) {
 	for range calls {
 		switch o.random.IntN(8) {
 		case 0, 1, 2:
 			o.patches++
 			o.submit(fmt.Sprintf("operator-%d-patch-%d", o.number, o.patches), o.recorder.newestVersion())
 		case 3:
-			if o.patches > 0 { // an answered patch, sent again by its operator
+			if o.patches > 0 { // a patch with an outcome
 				o.submitAgain()
 			}
 		case 4, 5:
@@ -149,17 +147,17 @@
 		default:
 			o.read()
 		}
-		o.recorder.count(func(r *recorder) { r.finished++ })
+		o.recorder.update(func(r *recorder) { r.finished++ })
 	}
 }
 
-// submitAgain repeats the operator's latest patch, under the base it had.
-func (o *operatorCaller) submitAgain() {
+// submitAgain resends the operator's latest patch with its original base.
+func (o *testOperator) submitAgain() {
 	id := fmt.Sprintf("operator-%d-patch-%d", o.number, o.patches)
 	o.recorder.mu.Lock()
 	var base uint64
 	for _, op := range o.recorder.history {
-		if c := op.Input.(call); c.kind == submitting && c.id == id {
+		if c := op.Input.(call); c.kind == callSubmit && c.id == id {
 			base = c.base
 		}
 	}
@@ -167,8 +165,7 @@
 	o.submit(id, base)
 }
 
-// check fails the test unless some order of the calls, each at one moment
-// between question and answer, explains all answers.
+// check fails the test unless the history is linearizable.
 func (r *recorder) check(t *testing.T, model porcupine.Model) {
 	t.Helper()
 	accepted, refused, reads := 0, 0, 0
@@ -182,11 +179,11 @@
 			reads++
 		}
 	}
-	t.Logf("%d calls: %d told accepted, %d told refused, %d others; %d sent again, %d answers cut, %d sent twice",
-		len(r.history), accepted, refused, reads, r.resent, r.cut, r.doubled)
+	t.Logf("%d calls: %d accepted, %d refused, %d others; %d resent, %d replies cut, %d sent twice",
+		len(r.history), accepted, refused, reads, r.resent, r.cutResponses, r.duplicated)
 	is := is.New(t)
-	is.True(r.cut > 0)     // answers of patches that took effect were lost
-	is.True(r.doubled > 0) // patches were sent twice
-	result := porcupine.CheckOperationsTimeout(model, r.history, checkLimit)
+	is.True(r.cutResponses > 0) // replies of applied patches were lost
+	is.True(r.duplicated > 0)   // patches were sent twice
+	result := porcupine.CheckOperationsTimeout(model, r.history, checkTimeout)
 	is.Equal(result, porcupine.Ok)
 }
