--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -11,11 +11,11 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestCallerWithoutTargetIsRefused opens flows to a service that has no target yet,
+// TestCallersWithoutTargetAreRefusedAtOnce opens flows to a service that has no target yet,
 // and to one that lost its targets. Entry hosts refuse the callers instead of letting
 // them time out. Flows of another service go on, and a first target serves new
 // callers.
-func TestCallerWithoutTargetIsRefused(t *testing.T) {
+func TestCallersWithoutTargetAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(1)
