--- a/flow/stall.go
+++ b/flow/stall.go
@@ -6,9 +6,9 @@
 	// stallThreshold is the longest time between two clock observations of a running
 	// host. Probes must not time out while replies are unread.
 	stallThreshold = probeTimeout
-	// maxSettleTime bounds the time without resets after a stall. Reconnecting takes up
-	// to 160 ms and receiving updates another 100 ms. An earlier reset could end flows
-	// that were opened through other hosts meanwhile.
+	// maxSettleTime bounds the time without resets after a stall, which covers reconnecting
+	// and receiving the missed updates. An earlier reset could end flows that were opened
+	// through other hosts meanwhile.
 	maxSettleTime = 500 * time.Millisecond
 )
 
--- a/internal/flowd/entry.go
+++ b/internal/flowd/entry.go
@@ -33,8 +33,8 @@
 	linkTimeout   = time.Second
 	// callTimeout bounds a registration or announcement.
 	callTimeout = time.Second
-	// dialTimeout is when the next control host is tried in parallel. A handshake
-	// between regions takes 80 ms. dialAttemptTimeout ends an attempt: a handshake over a
+	// dialTimeout is when the next control host is tried in parallel, longer than a
+	// handshake between regions. dialAttemptTimeout ends an attempt: a handshake over a
 	// full link takes seconds.
 	dialTimeout        = 400 * time.Millisecond
 	dialAttemptTimeout = 3 * time.Second
--- a/internal/flowd/placer.go
+++ b/internal/flowd/placer.go
@@ -32,8 +32,8 @@
 	// together register within a second.
 	completeAfter = 2 * time.Second
 	// discoveryTime is how long a host that has just started waits for more targets
-	// before it places flows: control hosts propagate targets within 150 ms, callers
-	// retransmit openings after 200 ms.
+	// before it places flows: longer than control hosts take to propagate targets, and
+	// shorter than callers wait before they retransmit an opening.
 	discoveryTime = 180 * time.Millisecond
 	// historyUnknownFor is how long after its start an entry host considers all agents
 	// possible holders: it does not know to which services a route led before.
