--- a/soak/checker.go
+++ b/soak/checker.go
@@ -29,17 +29,17 @@
 
 // Rules that the checker verifies.
 const (
-	RuleResponse    = "an answer belongs to its request and comes from the flow's target"
+	RuleResponse    = "a response belongs to its request and comes from the flow's target"
 	RuleRoute       = "a flow is served by a service that some version allows"
-	RuleApplied     = "an acknowledged version is in force within its bound"
-	RuleNoReset     = "an open flow whose target lives is not reset"
-	RuleDrain       = "nothing opens at a target once its leaving is acknowledged"
-	RuleRead        = "no read answers with less than what was acknowledged before"
+	RuleApplied     = "an acknowledged version is active within its bound"
+	RuleNoReset     = "an open flow is not reset while its target instance runs"
+	RuleDrain       = "no flow opens at a target once its draining is acknowledged"
+	RuleRead        = "no read returns an older version than acknowledged before"
 	RuleOneContent  = "a version has one content"
-	RuleInvalid     = "what is invalid is refused"
-	RuleProcessExit = "no process ends by itself"
-	RuleRecovery    = "service is back within its bound"
-	RuleEvacuated   = "nothing opens in a zone whose evacuation is acknowledged"
+	RuleInvalid     = "a configuration is refused if and only if it is invalid"
+	RuleProcessExit = "no process exits unexpectedly"
+	RuleRecovery    = "full service recovers within its bound"
+	RuleEvacuated   = "no flow opens in a zone once its evacuation is acknowledged"
 )
 
 // Checker records acknowledged changes and injected faults, and checks observations
@@ -139,10 +139,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if version < minVersion {
-		c.addViolationLocked(RuleRead, "%s answers with version %d, %d was acknowledged before", host, version, minVersion)
+		c.addViolationLocked(RuleRead, "%s returned version %d, %d was acknowledged before", host, version, minVersion)
 	}
 	if version > c.sent {
-		c.addViolationLocked(RuleRead, "%s answers with version %d, which nobody sent", host, version)
+		c.addViolationLocked(RuleRead, "%s returned version %d, which was never sent", host, version)
 	}
 	if before, known := c.content[version]; known && before != content {
 		c.addViolationLocked(RuleOneContent, "version %d was %q and is %q at %s", version, before, content, host)
--- a/soak/command.go
+++ b/soak/command.go
@@ -124,7 +124,7 @@
 	if len(r.Violations) > 0 {
 		verdict = "BROKEN"
 	}
-	fmt.Fprintf(p.out, "seed %d: %s; %d faults, %d flows, %d requests served, %d silent, %d resets, %d changes, %d reads\n",
+	fmt.Fprintf(p.out, "seed %d: %s; %d faults, %d flows, %d requests served, %d timed out, %d resets, %d changes, %d reads\n",
 		seed, verdict, r.Faults, r.Opened, r.Served, r.TimedOut, r.Resets, r.Changes, r.Reads)
 	for _, v := range r.Violations {
 		fmt.Fprintf(p.out, "  %s\n", v)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -168,7 +168,7 @@
 	in.setDown(p, true)
 	if fault.Kind == StopEntry || fault.Kind == StopControl {
 		if err := p.Stop(stopTimeout + in.timeoutMargin); err != nil {
-			in.checker.AddViolation(RuleProcessExit, "%s on %s was asked to stop: %v", p.Role, p.Host, err)
+			in.checker.AddViolation(RuleProcessExit, "%s on %s did not stop cleanly: %v", p.Role, p.Host, err)
 		}
 	} else {
 		p.Kill()
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -28,8 +28,8 @@
 	DrainTarget   Kind = "drain a target"
 	LosePackets   Kind = "lose packets to an entry host"
 	DelayPackets  Kind = "delay packets to an entry host"
-	CutPath       Kind = "silence the path to an entry host"
-	CutOperator   Kind = "silence an operator's path"
+	CutPath       Kind = "cut the path to an entry host"
+	CutOperator   Kind = "cut an operator's path"
 	ResetOperator Kind = "reset an operator's connections"
 )
 
