--- a/flow/verdict.go
+++ b/flow/verdict.go
@@ -2,89 +2,89 @@
 
 import "time"
 
-// Action tells what to do with a packet.
+// Action is what to do with a packet.
 type Action uint8
 
 // Actions.
 const (
-	// Drop: nothing.
+	// Drop the packet.
 	Drop Action = iota
 	// Send the packet to one agent.
 	Send
-	// SendAll: send the packet to several agents.
+	// SendAll sends the packet to several agents.
 	SendAll
-	// Reset: tell the caller that the flow is gone or was never opened.
+	// Reset the flow at the caller: it is gone or was never opened.
 	Reset
 	// Deliver the packet to the own target.
 	Deliver
 	// Return the packet to the entry host.
 	Return
-	// Reply: send the target's packet to the caller.
+	// Reply sends the target's packet to the caller.
 	Reply
-	// Deny: tell the entry host that the target does not hold the flow.
+	// Deny reports to the entry host that the target does not hold the flow.
 	Deny
-	// Wait: keep the packet until it can be decided on. An entry host does so until it is
-	// ready or has caught up, an agent until its target has room.
+	// Wait buffers the packet: on an entry host until it is ready or has caught up after a
+	// stall, at an agent until its target can take the flow.
 	Wait
 )
 
-// Reason tells what decided an action.
+// Reason is why an action was chosen.
 type Reason string
 
 // Reasons.
 const (
-	ReasonPlaced      Reason = "placed"
-	ReasonPlacedAnew  Reason = "placed_anew"
-	ReasonKnown       Reason = "known"
-	ReasonUnknown     Reason = "unknown_flow"
-	ReasonNotReady    Reason = "not_ready"
-	ReasonNoRoute     Reason = "no_route"
-	ReasonNoTarget    Reason = "no_target"
-	ReasonSearches    Reason = "searches_spent"
-	ReasonTableFull   Reason = "table_full"
-	ReasonHeld        Reason = "held"
-	ReasonUncertain   Reason = "uncertain"
-	ReasonElsewhere   Reason = "opened_elsewhere"
-	ReasonNotHeld     Reason = "not_held"
-	ReasonService     Reason = "other_service"
-	ReasonLeaving     Reason = "leaving"
-	ReasonEvacuated   Reason = "evacuated"
-	ReasonWarming     Reason = "warming_up"
-	ReasonNoServer    Reason = "no_backend_server"
-	ReasonRefused     Reason = "refused_by_target"
-	ReasonHops        Reason = "hops_spent"
-	ReasonLost        Reason = "lost_by_target"
-	ReasonAnswered    Reason = "answered"
-	ReasonHeldNowhere Reason = "held_nowhere"
-	ReasonRegistered  Reason = "registered"
-	ReasonTargetGone  Reason = "target_gone"
-	ReasonUnconfirmed Reason = "unconfirmed"
-	ReasonStoodStill  Reason = "stood_still"
-	ReasonOverflow    Reason = "overflow"
-	ReasonLinkFull    Reason = "link_full"
-	ReasonQueued      Reason = "queued"
-	ReasonQueueSpent  Reason = "queue_spent"
+	ReasonPlaced          Reason = "placed"
+	ReasonPlacedAgain     Reason = "placed_anew"
+	ReasonKnown           Reason = "known"
+	ReasonUnknown         Reason = "unknown_flow"
+	ReasonNotReady        Reason = "not_ready"
+	ReasonNoRoute         Reason = "no_route"
+	ReasonNoTarget        Reason = "no_target"
+	ReasonSearchLimit     Reason = "searches_spent"
+	ReasonTableFull       Reason = "table_full"
+	ReasonHeld            Reason = "held"
+	ReasonUncertain       Reason = "uncertain"
+	ReasonOpenedElsewhere Reason = "opened_elsewhere"
+	ReasonNotHeld         Reason = "not_held"
+	ReasonOtherService    Reason = "other_service"
+	ReasonDraining        Reason = "leaving"
+	ReasonEvacuated       Reason = "evacuated"
+	ReasonWarmingUp       Reason = "warming_up"
+	ReasonNoServer        Reason = "no_backend_server"
+	ReasonRefusedByTarget Reason = "refused_by_target"
+	ReasonHopLimit        Reason = "hops_spent"
+	ReasonLostByTarget    Reason = "lost_by_target"
+	ReasonAnswered        Reason = "answered"
+	ReasonHeldNowhere     Reason = "held_nowhere"
+	ReasonRegistered      Reason = "registered"
+	ReasonTargetGone      Reason = "target_gone"
+	ReasonUnconfirmed     Reason = "unconfirmed"
+	ReasonStalled         Reason = "stood_still"
+	ReasonOverflow        Reason = "overflow"
+	ReasonLinkFull        Reason = "link_full"
+	ReasonQueued          Reason = "queued"
+	ReasonQueueExpired    Reason = "queue_spent"
 )
 
 // Verdict is the decision on one packet.
 type Verdict struct {
 	Action Action
 	Reason Reason
-	// To is the receiver of Send. All has those of SendAll, valid until the next
+	// To is the receiver for Send, All has those for SendAll, valid until the next
 	// call.
 	To  Endpoint
 	All []Endpoint
 	// Frame is the header for Send, SendAll and Return.
 	Frame Frame
-	// Keep asks for a copy of the packet until it is known who holds its flow. Kept
-	// stands for that copy, in place of a packet.
-	Keep, Kept bool
-	// Waited is how long the target took to answer what this packet is the first
-	// answer to: an opening packet, if Began, else a request. 0 if it answers neither.
-	Waited time.Duration
-	Began  bool
-	// Hint is where the entry host is to be told that the flow lives, or zero.
-	Hint Endpoint
+	// KeepCopy requests that a copy of the packet is kept until the flow's holder is
+	// known. UseCopy: the verdict applies to that copy.
+	KeepCopy, UseCopy bool
+	// ResponseTime is how long the target took if this packet is its first reply, 0
+	// otherwise. Opening: it replies to the opening, otherwise to a request.
+	ResponseTime time.Duration
+	Opening      bool
+	// Holder is the agent to be named to the entry host in a Located frame, or zero.
+	Holder Endpoint
 }
 
 // String returns the action in the form used as a metric label.
--- a/grant/slots.go
+++ b/grant/slottable.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	// Slots is the number of hash slots. Like the hash, it never changes: a key
-	// that changed its slot could be granted by two groups.
+	// Slots is the number of hash slots. Neither it nor the hash may change: two groups
+	// could grant a key that moved to another slot.
 	Slots = 1024
 	// MaxGroups bounds the groups of a deployment.
 	MaxGroups = 16
 )
 
-// ErrSlotTable tells that a slot table is not whole.
-var ErrSlotTable = errors.New("unusable slot table")
+// ErrInvalidSlotTable means that a slot table is incomplete or inconsistent.
+var ErrInvalidSlotTable = errors.New("invalid slot table")
 
-// SlotTable says which group decides on which keys. It is immutable.
+// SlotTable assigns hash slots to groups. It is immutable.
 type SlotTable struct {
 	groups int
 	owners [Slots]uint8
 	digest uint64
 }
 
-// NewSlotTable returns the table that gives each group an equal run of slots.
-// Groups are numbered from 0; their count is held to 1 to MaxGroups.
+// NewSlotTable returns a table with an equal range of slots per group. Groups are numbered
+// from 0; their number is limited to the range from 1 to MaxGroups.
 func NewSlotTable(groups int) *SlotTable {
 	t := &SlotTable{groups: min(max(groups, 1), MaxGroups)}
 	for slot := range t.owners {
 		t.owners[slot] = uint8(slot * t.groups / Slots)
 	}
-	t.digest = t.sum()
+	t.digest = t.computeDigest()
 	return t
 }
 
-// ReadSlotTable returns the table of a message. Error: ErrSlotTable.
-func ReadSlotTable(m *grantpb.SlotTable) (*SlotTable, error) {
+// ParseSlotTable decodes a slot table. Error: ErrInvalidSlotTable.
+func ParseSlotTable(m *grantpb.SlotTable) (*SlotTable, error) {
 	groups := m.GetGroups()
 	if groups < 1 || groups > MaxGroups || len(m.GetOwners()) != Slots {
-		return nil, errors.Wrapf(ErrSlotTable, "%d groups, %d slots", groups, len(m.GetOwners()))
+		return nil, errors.Wrapf(ErrInvalidSlotTable, "%d groups, %d slots", groups, len(m.GetOwners()))
 	}
 	t := &SlotTable{groups: int(groups)}
 	for slot, owner := range m.GetOwners() {
 		if uint32(owner) >= groups {
-			return nil, errors.Wrapf(ErrSlotTable, "slot %d of %d groups belongs to group %d", slot, groups, owner)
+			return nil, errors.Wrapf(ErrInvalidSlotTable, "slot %d of %d groups belongs to group %d", slot, groups, owner)
 		}
 		t.owners[slot] = owner
 	}
-	t.digest = t.sum()
+	t.digest = t.computeDigest()
 	return t, nil
 }
 
-// Message returns the encoded form.
-func (t *SlotTable) Message() *grantpb.SlotTable {
+// ToProto returns the encoded form.
+func (t *SlotTable) ToProto() *grantpb.SlotTable {
 	return &grantpb.SlotTable{Groups: uint32(t.groups), Owners: append([]byte(nil), t.owners[:]...)}
 }
 
 // Groups returns the number of groups.
 func (t *SlotTable) Groups() int { return t.groups }
 
-// Digest names the table in commands. It is never 0.
+// Digest identifies the table in commands. It is never 0.
 func (t *SlotTable) Digest() uint64 { return t.digest }
 
-// Owned returns the number of slots of a group.
-func (t *SlotTable) Owned(group int) int {
+// SlotCount returns the number of slots of a group.
+func (t *SlotTable) SlotCount(group int) int {
 	owned := 0
 	for _, owner := range t.owners {
 		if int(owner) == group {
@@ -77,8 +77,8 @@
 	return owned
 }
 
-// Group returns the group that decides on a key.
-func (t *SlotTable) Group(service uint32, key string) int {
+// GroupOf returns the group that owns a key.
+func (t *SlotTable) GroupOf(service uint32, key string) int {
 	return int(t.owners[SlotOf(service, key)])
 }
 
@@ -92,8 +92,8 @@
 	return int(mix(h.Sum64()) % Slots)
 }
 
-// mix spreads the bits of a sum: the low ones of FNV depend on the low bits of
-// each byte alone.
+// mix improves the distribution of the low bits, which in FNV depend only on the low bits
+// of each byte.
 func mix(sum uint64) uint64 {
 	const factor = 0xff51afd7ed558ccd
 	sum ^= sum >> 33
@@ -101,7 +101,7 @@
 	return sum ^ sum>>33
 }
 
-func (t *SlotTable) sum() uint64 {
+func (t *SlotTable) computeDigest() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte{uint8(t.groups)})
 	_, _ = h.Write(t.owners[:])
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -14,138 +14,138 @@
 
 const tick = 100 * time.Millisecond
 
-// serve lets one request end in the given way.
-func serve(t *health.Tracker, now time.Duration, r health.Result) {
-	t.Started(now)
-	t.Ended(now, r)
+// recordRequest records one request with the given result.
+func recordRequest(t *health.Tracker, now time.Duration, r health.Result) {
+	t.RequestStarted(now)
+	t.RequestEnded(now, r)
 }
 
-func TestObservationBeatsEndpointAlwaysIll(t *testing.T) {
+func TestObservationOverridesAlwaysUnhealthyEndpoint(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Duration(0)
-	for range health.ReportsInRow {
-		tr.Reported(now, health.ReportIll)
+	for range health.ReportThreshold {
+		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisReport})
 	for range health.MinSamples {
-		serve(tr, now, health.Answered)
+		recordRequest(tr, now, health.Answered)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Basis: health.BasisObservation})
-	now += 2 * health.Window // no observation is left, the report stays refuted
-	tr.Reported(now, health.ReportIll)
+	now += 2 * health.Window // no observations left, the report stays contradicted
+	tr.ReportReceived(now, health.ReportUnhealthy)
 	is.True(!tr.Verdict(now).Ill)
-	tr.Reported(now, health.ReportWell) // it changed, so it counts again
-	for range health.ReportsInRow {
-		tr.Reported(now, health.ReportIll)
+	tr.ReportReceived(now, health.ReportHealthy) // a changed report counts again
+	for range health.ReportThreshold {
+		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
 	is.True(tr.Verdict(now).Ill)
 }
 
-func TestReportsAloneHoldOnlyForATime(t *testing.T) {
+func TestReportOnlyVerdictExpires(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
-	for now := time.Duration(0); now < health.ReportTrust; now += time.Second {
-		tr.Reported(now, health.ReportIll)
+	for now := time.Duration(0); now < health.MaxReportOnlyTime; now += time.Second {
+		tr.ReportReceived(now, health.ReportUnhealthy)
 	}
-	is.True(tr.Verdict(health.ReportTrust).Ill)
-	is.True(!tr.Verdict(health.ReportTrust + tick).Ill) // gets work again
+	is.True(tr.Verdict(health.MaxReportOnlyTime).Ill)
+	is.True(!tr.Verdict(health.MaxReportOnlyTime + tick).Ill) // gets requests again
 }
 
-func TestObservationBeatsEndpointAlwaysWell(t *testing.T) {
+func TestObservationOverridesAlwaysHealthyEndpoint(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Second
-	tr.Reported(now, health.ReportWell)
+	tr.ReportReceived(now, health.ReportHealthy)
 	for range health.MinSamples {
-		serve(tr, now, health.Broken)
-		tr.Reported(now, health.ReportWell)
+		recordRequest(tr, now, health.Failed)
+		tr.ReportReceived(now, health.ReportHealthy)
 	}
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisObservation})
-	now += health.HoldFirst + health.Window + tick
-	is.True(!tr.Verdict(now).Ill) // gets work again
+	now += health.InitialHoldDown + health.Window + tick
+	is.True(!tr.Verdict(now).Ill) // gets requests again
 }
 
-func TestRefusedConnectionsDecideSoon(t *testing.T) {
+func TestConsecutiveRefusedConnectionsAreUnhealthy(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
-	for range health.RefusedInRow - 1 {
-		serve(tr, 0, health.Refused)
+	for range health.RefusedThreshold - 1 {
+		recordRequest(tr, 0, health.Refused)
 	}
 	is.True(!tr.Verdict(0).Ill)
-	serve(tr, 0, health.Refused)
+	recordRequest(tr, 0, health.Refused)
 	is.True(tr.Verdict(0).Ill)
 }
 
-func TestFrozenEndpoint(t *testing.T) {
+func TestHangingEndpoint(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	now := time.Duration(0)
 	for range health.MinSamples {
-		serve(tr, now, health.Answered)
-		tr.Reported(now, health.ReportSilent)
+		recordRequest(tr, now, health.Answered)
+		tr.ReportReceived(now, health.ReportNoResponse)
 	}
-	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests are answered
-	tr.Started(now)
-	now += health.StallTime
+	is.True(!tr.Verdict(now).Ill) // the endpoint hangs, but requests complete
+	tr.RequestStarted(now)
+	now += health.StallTimeout
 	is.Equal(tr.Verdict(now), health.Verdict{Ill: true, Basis: health.BasisStall}) // both hang
-	tr.Ended(now, health.Answered)
+	tr.RequestEnded(now, health.Answered)
 	is.True(!tr.Verdict(now).Ill)
 }
 
-func TestCancelledRequestsSayNothing(t *testing.T) {
+func TestCancelledRequestsDoNotCount(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
 	for range 3 * health.MinSamples {
-		serve(tr, 0, health.Cancelled)
+		recordRequest(tr, 0, health.Cancelled)
 	}
 	is.Equal(tr.Verdict(0), health.Verdict{})
 	is.Equal(tr.InFlight(), 0)
 }
 
-func TestHoldDoublesWhileIllnessReturns(t *testing.T) {
+func TestHoldDownGrowsWithRecurringFailures(t *testing.T) {
 	is := is.New(t)
 	tr := health.NewTracker()
-	now, holds := time.Second, []time.Duration{}
+	now, holdDowns := time.Second, []time.Duration{}
 	for range 6 {
-		for range health.RefusedInRow {
-			serve(tr, now, health.Refused)
+		for range health.RefusedThreshold {
+			recordRequest(tr, now, health.Refused)
 		}
-		began := now
-		for tr.Verdict(now).Ill && now-began < time.Minute {
+		start := now
+		for tr.Verdict(now).Ill && now-start < time.Minute {
 			now += tick
-			if tr.Verdict(now).Basis == health.BasisObservation && now-began > health.HoldMax+health.Window {
+			if tr.Verdict(now).Basis == health.BasisObservation && now-start > health.MaxHoldDown+health.Window {
 				break
 			}
 		}
-		holds = append(holds, now-began)
+		holdDowns = append(holdDowns, now-start)
 	}
-	for i := 1; i < len(holds); i++ {
-		is.True(holds[i] >= holds[i-1]) // never shorter while it returns
+	for i := 1; i < len(holdDowns); i++ {
+		is.True(holdDowns[i] >= holdDowns[i-1]) // never shorter while failures recur
 	}
-	is.True(holds[len(holds)-1] <= health.HoldMax+health.Window+tick)
+	is.True(holdDowns[len(holdDowns)-1] <= health.MaxHoldDown+health.Window+tick)
 }
 
-func TestFewFailuresNeverMakeIll(t *testing.T) {
+func TestLowFailureRateIsHealthy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := health.NewTracker()
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "rounds") {
 			now += time.Duration(rapid.Int64Range(0, 300).Draw(t, "ms")) * time.Millisecond
-			tr.Reported(now, health.Report(rapid.IntRange(1, 3).Draw(t, "report")))
-			serve(tr, now, health.Answered)
-			serve(tr, now, health.Answered)
-			serve(tr, now, health.Answered)
-			serve(tr, now, health.Result(rapid.IntRange(1, 5).Draw(t, "result")))
-			serve(tr, now, health.Answered)
+			tr.ReportReceived(now, health.Report(rapid.IntRange(1, 3).Draw(t, "report")))
+			recordRequest(tr, now, health.Answered)
+			recordRequest(tr, now, health.Answered)
+			recordRequest(tr, now, health.Answered)
+			recordRequest(tr, now, health.Result(rapid.IntRange(1, 5).Draw(t, "result")))
+			recordRequest(tr, now, health.Answered)
 			if v := tr.Verdict(now); v.Ill {
-				t.Fatalf("one failure in five made the verdict %+v", v)
+				t.Fatalf("one failure in five resulted in verdict %+v", v)
 			}
 		}
 	})
 }
 
-func TestLoadIsMovedLittleByReports(t *testing.T) {
+func TestReportsChangeLoadLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := health.LoadInput{
 			Requests:        rapid.Float64Range(0, 20).Draw(t, "requests"),
@@ -154,11 +154,11 @@
 			Flows:           rapid.IntRange(0, 4000).Draw(t, "flows"),
 			FlowCapacity:    2000,
 		}
-		honest := health.Load(in)
+		baseline := health.Load(in)
 		in.ReportedRunning = rapid.IntRange(-5, 1<<40).Draw(t, "reported")
-		told := health.Load(in)
-		if told < honest || told > honest+250 {
-			t.Fatalf("a report moved the load from %d to %d", honest, told)
+		withReport := health.Load(in)
+		if withReport < baseline || withReport > baseline+250 {
+			t.Fatalf("a report changed the load from %d to %d", baseline, withReport)
 		}
 	})
 }
--- a/internal/agentd/healthstate.go
+++ b/internal/agentd/healthstate.go
@@ -6,12 +6,14 @@
 	"eelgrasswharf.example/eelgrasswharf/health"
 )
 
-// healthState guards the tracker of the backend server.
+// healthState wraps the health tracker with a lock and a clock.
 type healthState struct {
 	clock clock
 
-	mu       sync.Mutex
-	tracker  *health.Tracker
+	mu      sync.Mutex
+	tracker *health.Tracker
+	// reported is the number of running requests that the backend server last
+	// reported, negative if unknown.
 	reported int
 }
 
@@ -22,30 +24,28 @@
 func (h *healthState) started() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Started(h.clock.now())
+	h.tracker.RequestStarted(h.clock.now())
 }
 
 func (h *healthState) ended(result health.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Ended(h.clock.now(), result)
+	h.tracker.RequestEnded(h.clock.now(), result)
 }
 
-// observe records a result apart from the start of a request, for an answer
-// that failed after its header had counted.
+// observe records a failure after the response header was counted as a success.
 func (h *healthState) observe(result health.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Started(h.clock.now())
-	h.tracker.Ended(h.clock.now(), result)
+	h.tracker.RequestStarted(h.clock.now())
+	h.tracker.RequestEnded(h.clock.now(), result)
 }
 
-// report records a poll of both endpoints. running is negative when the load
-// endpoint gave no figure.
+// report records a poll of both endpoints. running is negative if unknown.
 func (h *healthState) report(report health.Report, running int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tracker.Reported(h.clock.now(), report)
+	h.tracker.ReportReceived(h.clock.now(), report)
 	h.reported = running
 }
 
--- a/internal/controld/isolation.go
+++ b/internal/controld/isolation.go
@@ -9,27 +9,27 @@
 	"eelgrasswharf.example/eelgrasswharf/api/controlpb"
 )
 
-// isolation says whether this host has known no leader for a while. One that is cut
-// off from the others may still be reached by its subscribers, who would stay with an
-// old version.
+// isolation is the isolation state of this host, which is active while no leader has been
+// known for isolationDelay. It is sent to subscribers, which would otherwise stay on the old
+// version of a partitioned host.
 type isolation struct {
-	now     atomic.Bool
-	changed *hub
+	active  atomic.Bool
+	changed *notifier
 }
 
-// isolationLoop follows whether a leader is known.
+// isolationLoop tracks whether a leader is known.
 func (d *Daemon) isolationLoop() {
-	led := time.Now()
+	lastLeader := time.Now()
 	d.every(isolationPeriod, func() {
 		s := d.replicas[controlpb.Group_GROUP_CONFIG].Status()
-		if s.Leader != nil || d.standsBy() {
-			led = time.Now()
+		if s.Leader != nil || d.isStandby() {
+			lastLeader = time.Now()
 		}
-		isolated := time.Since(led) >= isolatedAfter
-		if d.isolation.now.Swap(isolated) == isolated {
+		isolated := time.Since(lastLeader) >= isolationDelay
+		if d.isolation.active.Swap(isolated) == isolated {
 			return
 		}
-		d.log.Info("isolation", zap.Bool("isolated", isolated), zap.Duration("without_leader", time.Since(led)))
+		d.log.Info("isolation state changed", zap.Bool("isolated", isolated), zap.Duration("without_leader", time.Since(lastLeader)))
 		d.isolation.changed.notify()
 	})
 }
--- a/internal/controld/members_test.go
+++ b/internal/controld/members_test.go
@@ -18,16 +18,16 @@
 	"eelgrasswharf.example/eelgrasswharf/raft"
 )
 
-// TestRemovalIsToldOnce removes a member by one call, whichever hosts lead the
-// groups, and tells a quorum's knowledge from one host's.
-func TestRemovalIsToldOnce(t *testing.T) {
+// TestRemoveMember removes a member by one call although the groups may have different
+// leaders. An unknown member is reported only if a quorum confirms it.
+func TestRemoveMember(t *testing.T) {
 	is := is.New(t)
 	d := newGroup(t)
 	d.stop("c3")
 	ops := d.operator("c1", "c2")
 	eventually(t, "removal", func() bool {
 		s, err := ops.Remove(testContext(t), memberRef("c3"))
-		// A call that was made must not be told as a member never known.
+		// A removal that took effect must not be reported as an unknown member.
 		is.True(!errors.Is(err, operator.ErrNotFound))
 		return err == nil && len(s.Groups) == 2
 	})
@@ -35,16 +35,15 @@
 		is.Equal(len(g.Members), 2)
 	}
 	_, err := ops.Remove(testContext(t), memberRef("c3"))
-	is.True(errors.Is(err, operator.ErrNotFound)) // a quorum says so
+	is.True(errors.Is(err, operator.ErrNotFound)) // confirmed by a quorum
 	d.stop("c2")
 	_, err = d.operator("c1").Remove(testContext(t), memberRef("c3"))
-	is.True(errors.Is(err, operator.ErrNotDone)) // nobody can say so
+	is.True(errors.Is(err, operator.ErrNotApplied)) // no quorum
 	is.True(!errors.Is(err, operator.ErrNotFound))
 }
 
-// withLearner is newGroup with a fourth host that asks to join and is never
-// promoted.
-func withLearner(t *testing.T) *deployment {
+// newGroupWithLearner is newGroup with a fourth host as a learner.
+func newGroupWithLearner(t *testing.T) *deployment {
 	t.Helper()
 	d := newDeployment(t, "c1", "c2", "c3", "c4")
 	d.voters = d.voters[:3]
@@ -55,8 +54,7 @@
 	return d
 }
 
-// awaitLearner waits until a host is a learner in all groups and has their
-// leaders.
+// awaitLearner waits until a host is a learner with a leader in all groups.
 func (d *deployment) awaitLearner(name string) {
 	d.t.Helper()
 	eventually(d.t, name+" to follow as a learner", func() bool {
@@ -73,11 +71,10 @@
 	})
 }
 
-// TestLearnerServes asks a learner for all that a control host does: patches,
-// confirmed reads, subscriptions, registrations, announcements and grants. It
-// goes on after its own restart and after the loss of the leader.
+// TestLearnerServes uses each function of a control host on a learner, also after its
+// restart and after the loss of the leader.
 func TestLearnerServes(t *testing.T) {
-	d := withLearner(t)
+	d := newGroupWithLearner(t)
 	checkServes(t, d, "c4", 1)
 	d.start("c4", d.stop("c4").data, true)
 	d.awaitLearner("c4")
@@ -89,7 +86,7 @@
 	}
 }
 
-// checkServes asks one host alone, of which version is the newest.
+// checkServes uses each function of one host, with the given version as the newest.
 func checkServes(t *testing.T, d *deployment, name string, version uint64) {
 	t.Helper()
 	is := is.New(t)
@@ -103,16 +100,16 @@
 	out := d.accept(ops, patch(round, version, put("lodgement", "192.0.2.1:443")))
 	is.Equal(out.GetVersion(), version+1)
 	w.awaitVersion(version + 1)
-	held, err := ops.Outcome(testContext(t), round)
+	outcome, err := ops.Outcome(testContext(t), round)
 	is.NoErr(err)
-	is.Equal(held.GetVersion(), version+1)
+	is.Equal(outcome.GetVersion(), version+1)
 	_, confirmed, err := ops.Config(testContext(t), 0)
 	is.NoErr(err)
 	is.True(confirmed)
 
 	agent := d.link(keys.RoleAgent, "a-"+round, "lodgement", name)
-	record := registered(t, agent, round)
-	announces(t, agent, record)
+	record := registerTarget(t, agent, round)
+	announceTarget(t, agent, record)
 	w.await("the target", func(u *controlpb.SubscribeUpdate) bool {
 		for _, put := range u.GetDirectory().GetPut() {
 			if put.GetNumber() == record.GetNumber() {
@@ -127,26 +124,26 @@
 	is.Equal(call(t, agent, acquireRequest(1, round, "two")).GetGrant().GetDecision(), grantpb.Decision_DECISION_HELD)
 }
 
-// TestLearnerWithoutQuorumSaysSo leaves a learner alone: it refuses at once
-// and tells its subscribers that nothing confirms its version.
-func TestLearnerWithoutQuorumSaysSo(t *testing.T) {
+// TestLearnerWithoutQuorumRefuses checks that a learner without a quorum refuses and marks
+// its version as unconfirmed.
+func TestLearnerWithoutQuorumRefuses(t *testing.T) {
 	is := is.New(t)
-	d := withLearner(t)
+	d := newGroupWithLearner(t)
 	for _, name := range []string{"c1", "c2", "c3"} {
 		d.stop(name)
 	}
 	eventually(t, "loss of the leader", func() bool { return d.status("c4").Groups[0].State == "no leader" })
 	ops := d.operator("c4")
 	_, err := ops.Submit(testContext(t), patch("p2", 1, put("lodgement", "192.0.2.1:443")))
-	is.True(errors.Is(err, operator.ErrNotDone))
+	is.True(errors.Is(err, operator.ErrNotApplied))
 	_, err = ops.Outcome(testContext(t), "p1")
-	is.True(errors.Is(err, operator.ErrNotDone))
+	is.True(errors.Is(err, operator.ErrNotApplied))
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c4"), &controlpb.Subscribe{})
 	is.Equal(w.awaitVersion(1).GetConfirmed(), false)
 }
 
-// TestVotersAreBounded asks for one voter more than there may be. The operator
-// is told why, and the host goes on as a learner.
+// TestVotersAreBounded promotes one voter too many. The promotion is refused with the
+// reason, and the host stays a learner.
 func TestVotersAreBounded(t *testing.T) {
 	is := is.New(t)
 	var names []string
@@ -164,36 +161,34 @@
 	is.True(strings.Contains(err.Error(), raft.ErrTooManyVoters.Error()))
 	refused := int64(0)
 	for _, h := range d.hosts {
-		refused += h.counted("control.membership_changes_refused", "too_many_voters")
+		refused += h.counter("control.membership_changes_refused", "too_many_voters")
 	}
 	is.True(refused > 0)
 	checkServes(t, d, "learner", 1)
 }
 
-// TestFullHostsSendSubscribersOn has one subscriber more than three hosts take.
-// No host takes more than its bound, though it has its peers' links besides;
-// the one left over is refused everywhere with a counted reason, and is served
-// once a place falls free, wherever that is.
-func TestFullHostsSendSubscribersOn(t *testing.T) {
-	const limit, places = 4, 12
+// TestFullHostsRefuseSubscribers has one subscriber more than the link limits of three
+// hosts allow. It is refused until another one leaves, at any host.
+func TestFullHostsRefuseSubscribers(t *testing.T) {
+	const limit, capacity = 4, 12
 	d := newDeployment(t, "c1", "c2", "c3")
 	d.maxLinks = limit
 	d.startAll("c1", "c2", "c3")
 	d.accept(d.operator("c1"), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	var clients [places + 1]*link.Client
-	var subs [places + 1]*subscriber.Subscriber
-	var acting [places + 1]atomic.Uint64
+	var clients [capacity + 1]*link.Client
+	var subs [capacity + 1]*subscriber.Subscriber
+	var active [capacity + 1]atomic.Uint64
 	for i := range subs {
 		clients[i] = d.link(keys.RoleEntry, fmt.Sprintf("e%d", i), "", "c1", "c2", "c3")
 		subs[i] = subscriber.Start(subscriber.Options{
-			Client: clients[i], OnView: func(v *subscriber.View) { acting[i].Store(v.Config.GetVersion()) },
+			Client: clients[i], OnView: func(v *subscriber.View) { active[i].Store(v.Config.GetVersion()) },
 		})
 		t.Cleanup(subs[i].Close)
 	}
-	// on returns the subscribers with the version, and one without it.
+	// on returns the number of subscribers with the version, and one without it.
 	on := func(version uint64) (count, without int) {
-		for i := range acting {
-			if acting[i].Load() == version {
+		for i := range active {
+			if active[i].Load() == version {
 				count++
 				continue
 			}
@@ -201,25 +196,25 @@
 		}
 		return count, without
 	}
-	var left int
-	eventually(t, "the version in force on as many as there are places", func() bool {
+	var excluded int
+	eventually(t, "the version active on as many subscribers as the limits allow", func() bool {
 		var count int
-		count, left = on(1)
-		return count == places
+		count, excluded = on(1)
+		return count == capacity
 	})
 	for name, h := range d.hosts {
-		eventually(t, "a full host that counts a refusal: "+name, func() bool {
+		eventually(t, "a refusal counted by the full host "+name, func() bool {
 			return len(d.status(name).Subscribers) == limit &&
-				h.counted("control.link_server_refused_connections", "capacity") > 0
+				h.counter("control.link_server_refused_connections", "capacity") > 0
 		})
 	}
-	leaver := (left + 1) % len(subs)
-	subs[leaver].Close()
-	clients[leaver].Close()
-	eventually(t, "the one left over to be served", func() bool { return acting[left].Load() == 1 })
+	closed := (excluded + 1) % len(subs)
+	subs[closed].Close()
+	clients[closed].Close()
+	eventually(t, "the excluded subscriber to be served", func() bool { return active[excluded].Load() == 1 })
 	d.accept(d.operator("c2"), patch("p2", 1, put("lodgement", "192.0.2.1:443")))
-	eventually(t, "the next version in force on all others", func() bool {
+	eventually(t, "the next version active on all others", func() bool {
 		count, without := on(2)
-		return count == places && without == leaver
+		return count == capacity && without == closed
 	})
 }
--- a/internal/controld/roles_test.go
+++ b/internal/controld/roles_test.go
@@ -21,16 +21,16 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// counted returns the sum of a counter of a host, of one reason if it is named.
-func (h *host) counted(name, reason string) int64 {
+// counter returns a counter of a host, for one reason if it is not empty.
+func (h *host) counter(name, reason string) int64 {
 	return unittest.Counter(h.scope, name, reason)
 }
 
 // refusals returns the counter of one refusal reason on a host.
-func (h *host) refusals(reason string) int64 { return h.counted("control.refusals", reason) }
+func (h *host) refusals(reason string) int64 { return h.counter("control.refusals", reason) }
 
-// strangers returns how often a host found its group founded without it.
-func (h *host) strangers() int64 { return h.counted("control.stranger_to_its_group", "") }
+// notMemberCount returns how often a host found a group that it is no member of.
+func (h *host) notMemberCount() int64 { return h.counter("control.stranger_to_its_group", "") }
 
 func call(t *testing.T, c *link.Client, req *controlpb.Request) *controlpb.Response {
 	t.Helper()
@@ -45,7 +45,7 @@
 	}}}
 }
 
-// servingRecord is what the agent of a registered target announces.
+// servingRecord returns the record that the agent of a registered target announces.
 func servingRecord(reg *configpb.Registration, name string) *controlpb.TargetRecord {
 	return &controlpb.TargetRecord{
 		Service: reg.GetServiceNumber(), Number: reg.GetTargetNumber(), Incarnation: reg.GetIncarnation(),
@@ -53,9 +53,8 @@
 	}
 }
 
-// registered registers a target of lodgement, when there is a leader, and
-// returns what its agent announces.
-func registered(t *testing.T, agent *link.Client, target string) *controlpb.TargetRecord {
+// registerTarget registers a target once there is a leader and returns its record.
+func registerTarget(t *testing.T, agent *link.Client, target string) *controlpb.TargetRecord {
 	t.Helper()
 	var r *controlpb.TargetRecord
 	eventually(t, "the registration of "+target, func() bool {
@@ -69,13 +68,11 @@
 	return &controlpb.Request{Body: &controlpb.Request_Announce{Announce: &controlpb.Announce{Record: r}}}
 }
 
-// renewEvery is how often announces renews a lease.
+// renewEvery is the interval of lease renewals by announceTarget.
 const renewEvery = 100 * time.Millisecond
 
-// announces announces a target and renews its lease until the test ends, as an
-// agent does: one announcement alone is over after the lease, before a stalled
-// machine may have passed it on.
-func announces(t *testing.T, agent *link.Client, r *controlpb.TargetRecord) {
+// announceTarget announces a target and renews its lease until the test ends.
+func announceTarget(t *testing.T, agent *link.Client, r *controlpb.TargetRecord) {
 	t.Helper()
 	if why := call(t, agent, announceRequest(r)).GetAnnounce().GetRefusal(); why != "" {
 		t.Fatalf("announcement refused: %s", why)
@@ -86,7 +83,7 @@
 		tick := time.NewTicker(renewEvery)
 		defer tick.Stop()
 		for ctx.Err() == nil {
-			_, _ = agent.Call(ctx, announceRequest(r)) // the next one makes good for it
+			_, _ = agent.Call(ctx, announceRequest(r)) // a failure is covered by the next renewal
 			<-tick.C
 		}
 	})
@@ -107,7 +104,7 @@
 }
 
 func TestRolesAreChecked(t *testing.T) {
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
 	entry := d.link(keys.RoleEntry, "e1", "", "c1")
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	control := d.link(keys.RoleControl, "c9", "", "c1")
@@ -131,15 +128,15 @@
 		{"agent propose", agent, propose, "role"},
 		{"entry directory sync", entry, sync, "role"},
 		{"agent replicas", agent, replicas, "role"},
-		{"agent joins", agent, &controlpb.Request{Body: &controlpb.Request_Join{Join: &controlpb.Join{}}}, "role"},
+		{"agent join", agent, &controlpb.Request{Body: &controlpb.Request_Join{Join: &controlpb.Join{}}}, "role"},
 		{"entry register", entry, registerRequest("lodgement", "t1", "x"), "role"},
 		{"entry announce", entry, announceRequest(&controlpb.TargetRecord{}), "role"},
 		{"entry grant", entry, acquireRequest(1, "k", "one"), "role"},
 		{"control register", control, registerRequest("lodgement", "t1", "x"), "role"},
-		{"control speaks for another", control, foreignRaft, "sender"},
+		{"control sends for another host", control, foreignRaft, "sender"},
 		{"agent of another service registers", agent, registerRequest("certificates", "t1", "x"), "service"},
 		{"agent of another service acquires", agent, acquireRequest(2, "k", "one"), "service"},
-		{"agent moves the logical clock", agent, advance, "request"},
+		{"agent advances the logical clock", agent, advance, "request"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -164,7 +161,7 @@
 
 func TestTargetReachesSubscriber(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	reg := call(t, agent, registerRequest("lodgement", "t1", "x")).GetRegistration()
 	is.Equal(reg.GetRefusal(), "")
@@ -184,35 +181,35 @@
 	}
 	w.await("the target", has(controlpb.TargetState_TARGET_STATE_SERVING))
 	other := d.subscribe(d.link(keys.RoleEntry, "e2", "", "c1"), &controlpb.Subscribe{Services: []uint32{reg.GetServiceNumber() + 1}})
-	seen := other.await("an empty list", func(u *controlpb.SubscribeUpdate) bool { return u.GetDirectory() != nil })
-	is.Equal(len(seen.GetDirectory().GetPut()), 0) // out of its scope
+	update := other.await("an empty list", func(u *controlpb.SubscribeUpdate) bool { return u.GetDirectory() != nil })
+	is.Equal(len(update.GetDirectory().GetPut()), 0) // out of its scope
 
 	draining := proto.CloneOf(r)
 	draining.State = controlpb.TargetState_TARGET_STATE_DRAINING
 	draining.Sequence = 2
 	is.Equal(call(t, agent, announceRequest(draining)).GetAnnounce().GetRefusal(), "")
-	w.await("the drain", has(controlpb.TargetState_TARGET_STATE_DRAINING))
+	w.await("the draining target", has(controlpb.TargetState_TARGET_STATE_DRAINING))
 
 	refused := map[string]func(*controlpb.TargetRecord){
 		controld.RefusalIdentity:   func(r *controlpb.TargetRecord) { r.Service++ },
-		controld.RefusalImproper:   func(r *controlpb.TargetRecord) { r.Address = "nowhere" },
+		controld.RefusalInvalid:    func(r *controlpb.TargetRecord) { r.Address = "nowhere" },
 		controld.RefusalSuperseded: func(r *controlpb.TargetRecord) { r.Incarnation = 1 },
 	}
 	next := proto.CloneOf(r)
 	next.Incarnation++
 	is.Equal(call(t, agent, announceRequest(next)).GetAnnounce().GetRefusal(), "")
-	for want, spoil := range refused {
-		bad := proto.CloneOf(next)
-		spoil(bad)
-		is.Equal(call(t, agent, announceRequest(bad)).GetAnnounce().GetRefusal(), want)
+	for want, corrupt := range refused {
+		invalid := proto.CloneOf(next)
+		corrupt(invalid)
+		is.Equal(call(t, agent, announceRequest(invalid)).GetAnnounce().GetRefusal(), want)
 	}
-	draining.Sequence++ // the older process drains: nothing to refuse
+	draining.Sequence++ // the older process is draining, so there is nothing to refuse
 	is.Equal(call(t, agent, announceRequest(draining)).GetAnnounce().GetRefusal(), "")
 }
 
 func TestGrantOverLinks(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	is.Equal(call(t, agent, acquireRequest(1, "k", "one")).GetGrant().GetDecision(), grantpb.Decision_DECISION_GRANTED)
 	is.Equal(call(t, agent, acquireRequest(1, "k", "two")).GetGrant().GetDecision(), grantpb.Decision_DECISION_HELD)
@@ -220,50 +217,50 @@
 		Service: 1, Key: "k", Attempt: []byte("one"), Answer: &grantpb.Answer{Status: 201, Body: []byte("stamped")},
 	}}})
 	is.True(call(t, agent, complete).GetGrant().GetTaken())
-	got := call(t, agent, acquireRequest(1, "k", "three")).GetGrant()
-	is.Equal(got.GetDecision(), grantpb.Decision_DECISION_ANSWERED)
-	is.Equal(string(got.GetAnswer().GetBody()), "stamped")
+	reply := call(t, agent, acquireRequest(1, "k", "three")).GetGrant()
+	is.Equal(reply.GetDecision(), grantpb.Decision_DECISION_ANSWERED)
+	is.Equal(string(reply.GetAnswer().GetBody()), "stamped")
 }
 
 func TestVersionQuery(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	query := &controlpb.Request{Body: &controlpb.Request_Version{Version: &controlpb.VersionQuery{}}}
-	got := call(t, d.link(keys.RoleEntry, "e1", "", "c1"), query).GetVersion()
-	is.Equal(got.GetVersion(), uint64(1))
-	is.True(got.GetConfirmed())
+	reply := call(t, d.link(keys.RoleEntry, "e1", "", "c1"), query).GetVersion()
+	is.Equal(reply.GetVersion(), uint64(1))
+	is.True(reply.GetConfirmed())
 }
 
 func TestOperatorSeesOutcomes(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	ctx := testContext(t)
 	p := patch("lagos/2026-12-02 #1", 0, put("lodgement", "192.0.2.1:443"))
 	first := d.accept(ops, p)
 	again, err := ops.Submit(ctx, p)
 	is.NoErr(err)
 	is.True(proto.Equal(first, again))
-	held, err := ops.Outcome(ctx, p.GetId())
+	outcome, err := ops.Outcome(ctx, p.GetId())
 	is.NoErr(err)
-	is.True(proto.Equal(first, held))
+	is.True(proto.Equal(first, outcome))
 	_, err = ops.Outcome(ctx, "never sent")
 	is.True(isError(err, operator.ErrNotFound))
 
-	late, err := ops.Submit(ctx, patch("p2", 0, put("certificates", "192.0.2.2:443")))
+	conflicting, err := ops.Submit(ctx, patch("p2", 0, put("certificates", "192.0.2.2:443")))
 	is.NoErr(err)
-	is.Equal(late.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_BASE)
-	is.Equal(late.GetVersionPatch(), p.GetId())
-	bad, err := ops.Submit(ctx, patch("p3", 1, put("", "nonsense")))
+	is.Equal(conflicting.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_BASE)
+	is.Equal(conflicting.GetVersionPatch(), p.GetId())
+	invalid, err := ops.Submit(ctx, patch("p3", 1, put("", "nonsense")))
 	is.NoErr(err)
-	is.Equal(bad.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_FINDINGS)
-	is.Equal(len(bad.GetFindings()), 2)
+	is.Equal(invalid.GetVerdict(), configpb.Verdict_VERDICT_REFUSED_FINDINGS)
+	is.Equal(len(invalid.GetFindings()), 2)
 
 	var large []*configpb.Operation
 	for i := range 80 {
-		large = append(large, wide(i))
+		large = append(large, wideService(i))
 	}
 	_, err = ops.Submit(ctx, patch("p4", 1, large...))
-	is.True(isError(err, operator.ErrNotDone)) // more than the log takes
+	is.True(isError(err, operator.ErrNotApplied)) // exceeds the size limit of the log
 
 	cfg, confirmed, err := ops.Config(ctx, 0)
 	is.NoErr(err)
@@ -275,20 +272,20 @@
 
 func TestOnlyOperatorsReachTheAPI(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
-	intruder := operator.NewClient([]string{d.hosts["c1"].daemon.OperatorAddr()}, d.keys.Credentials(keys.RoleAgent, "a1", "lodgement"))
-	defer intruder.Close()
-	_, err := intruder.Submit(testContext(t), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
+	d, ops := newSingleHost(t)
+	agent := operator.NewClient([]string{d.hosts["c1"].daemon.OperatorAddr()}, d.keys.Credentials(keys.RoleAgent, "a1", "lodgement"))
+	defer agent.Close()
+	_, err := agent.Submit(testContext(t), patch("p1", 0, put("lodgement", "192.0.2.1:443")))
 	is.True(err != nil)
 	_, err = ops.Outcome(testContext(t), "p1")
-	is.True(isError(err, operator.ErrNotFound)) // nothing of it got in
+	is.True(isError(err, operator.ErrNotFound)) // not applied
 }
 
 func TestManySubscribersFollow(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	c := d.link(keys.RoleEntry, "e1", "", "c1")
-	var all []*watcher
+	var all []*recorder
 	for range 20 {
 		all = append(all, d.subscribe(c, &controlpb.Subscribe{}))
 	}
--- a/internal/controld/follow_test.go
+++ b/internal/controld/subscription_test.go
@@ -14,58 +14,57 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/operator"
 )
 
-// wides is the number of address sets that wide takes turns with.
-const wides = 3
+// wideServices is the number of distinct address sets of wideService.
+const wideServices = 3
 
-// wide is a service whose updates are large. It takes addresses back that it
-// left before, since those that it leaves stay in the configuration.
-func wide(third int) *configpb.Operation {
+// wideService is a service with large updates. The address sets repeat, since unused
+// addresses stay in the configuration.
+func wideService(set int) *configpb.Operation {
 	s := &configpb.Service{Name: "wide", Slots: 4}
 	for i := range config.MaxAddresses {
-		s.Addresses = append(s.Addresses, fmt.Sprintf("10.%d.%d.%d:443", third, i/250, i%250+1))
+		s.Addresses = append(s.Addresses, fmt.Sprintf("10.%d.%d.%d:443", set, i/250, i%250+1))
 	}
 	return &configpb.Operation{Body: &configpb.Operation_PutService{PutService: s}}
 }
 
-func TestSlowSubscriberGetsCollapsedUpdates(t *testing.T) {
+func TestSlowSubscriberGetsCoalescedUpdates(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{})
 	w.awaitVersion(0)
 	const (
-		versions = 120 // some 20 KB each, far more than the stream takes
-		// It reads one update for so many versions: one that reads nothing is
-		// cut off after a time.
-		pace = 10
+		versions = 120 // each about 20 KB, more in total than the stream buffers
+		// Versions per update read; a subscriber that reads nothing is disconnected.
+		readEvery = 10
 	)
 	updates, last := 0, uint64(0)
-	var held *configpb.Configuration
+	var current *configpb.Configuration
 	follow := func(u *controlpb.SubscribeUpdate) bool {
 		c := u.GetConfig()
 		if c == nil {
 			return false
 		}
 		updates++
-		next, err := config.Merge(held, c)
+		next, err := config.Merge(current, c)
 		is.NoErr(err)
 		is.True(next.GetVersion() > last)
-		held, last = next, next.GetVersion()
+		current, last = next, next.GetVersion()
 		return true
 	}
 	for i := range versions {
-		d.accept(ops, patch(fmt.Sprintf("p%d", i), uint64(i), wide(i%wides)))
-		if i%pace == 0 {
+		d.accept(ops, patch(fmt.Sprintf("p%d", i), uint64(i), wideService(i%wideServices)))
+		if i%readEvery == 0 {
 			w.await("an update", follow)
 		}
 	}
 	w.await("the last version", func(u *controlpb.SubscribeUpdate) bool { return follow(u) && last == versions })
 	is.True(updates < versions)
-	is.Equal(held.GetServices()[0].GetAddresses()[0], "10.2.0.1:443")
+	is.Equal(current.GetServices()[0].GetAddresses()[0], "10.2.0.1:443")
 }
 
-func TestSubscriberResumesByDelta(t *testing.T) {
+func TestSubscriberResumesWithDelta(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	for i := range config.MaxHistory + 20 {
 		d.accept(ops, patch(fmt.Sprintf("p%d", i), uint64(i), put("lodgement", "192.0.2.1:443")))
 	}
@@ -77,8 +76,8 @@
 		delta   bool
 	}{
 		{"nothing", 0, false},
-		{"out of history", 5, false},
-		{"oldest held", newest - config.MaxHistory + 1, true},
+		{"older than history", 5, false},
+		{"oldest in history", newest - config.MaxHistory + 1, true},
 		{"one behind", newest - 1, true},
 		{"the newest", newest, true},
 	}
@@ -98,17 +97,17 @@
 	is.True(u.GetConfirmed())
 }
 
-// restart stops a host and starts it again on its data folder.
+// restart restarts a host on its data directory.
 func (d *deployment) restart(name string) *host {
 	d.t.Helper()
 	return d.start(name, d.stop(name).data, false)
 }
 
-// TestScopedSubscriberFollowsVersions changes one service for a subscriber of
-// another one: it gets each version number and nothing of the service.
-func TestScopedSubscriberFollowsVersions(t *testing.T) {
+// TestScopedSubscriberReceivesEveryVersion changes one service for a subscriber of another:
+// it gets each version number, but not the service.
+func TestScopedSubscriberReceivesEveryVersion(t *testing.T) {
 	is := is.New(t)
-	d, ops := newLone(t)
+	d, ops := newSingleHost(t)
 	d.accept(ops, patch("p1", 0, put("lodgement", "192.0.2.1:443"), put("certificates", "192.0.2.2:443")))
 	c := d.link(keys.RoleAgent, "a1", "certificates", "c1")
 	req := &controlpb.Subscribe{Services: []uint32{2}, ScopedConfig: true}
@@ -121,12 +120,12 @@
 	u := w.awaitVersion(2)
 	is.Equal(u.GetBaseVersion(), uint64(1))
 	is.Equal(len(u.GetPut())+len(u.GetRetired()), 0)
-	// One that reports nothing is cut off after a time.
+	// A subscriber that reports nothing is disconnected.
 	report := func(version uint64) { is.NoErr(w.stream.Send(&controlpb.Heartbeat{Version: version})) }
 	report(2)
-	eventually(t, "the version in force in the status", func() bool {
+	eventually(t, "the active version in the status", func() bool {
 		s := d.status("c1")
-		return len(s.Laggards) == 0 && s.Subscribers[0].Version == 2
+		return len(s.LaggingSubscribers) == 0 && s.Subscribers[0].Version == 2
 	})
 	d.accept(ops, patch("p3", 2, put("certificates", "192.0.2.4:443")))
 	is.Equal(len(w.awaitVersion(3).GetPut()), 1)
@@ -137,29 +136,29 @@
 
 func TestRestartedHostRemovesNoTargets(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	announce := func(target string) {
-		is.Equal(call(t, agent, announceRequest(registered(t, agent, target))).GetAnnounce().GetRefusal(), "")
+		is.Equal(call(t, agent, announceRequest(registerTarget(t, agent, target))).GetAnnounce().GetRefusal(), "")
 	}
 	announce("t1")
 	announce("t2")
 	w := d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{})
-	seen := w.await("a list", func(u *controlpb.SubscribeUpdate) bool { return len(u.GetDirectory().GetPut()) == 2 })
+	before := w.await("a list", func(u *controlpb.SubscribeUpdate) bool { return len(u.GetDirectory().GetPut()) == 2 })
 
 	d.restart("c1")
 	w = d.subscribe(d.link(keys.RoleEntry, "e1", "", "c1"), &controlpb.Subscribe{
-		Version: 1, DirectoryEpoch: seen.GetDirectory().GetEpoch(), DirectorySequence: seen.GetDirectory().GetSequence(),
+		Version: 1, DirectoryEpoch: before.GetDirectory().GetEpoch(), DirectorySequence: before.GetDirectory().GetSequence(),
 	})
 	u := w.await("a directory", func(u *controlpb.SubscribeUpdate) bool { return u.GetDirectory() != nil })
-	is.True(u.GetDirectory().GetEpoch() != seen.GetDirectory().GetEpoch())
+	is.True(u.GetDirectory().GetEpoch() != before.GetDirectory().GetEpoch())
 	is.Equal(u.GetDirectory().GetFull(), false)
 	is.Equal(len(u.GetDirectory().GetRemoved()), 0)
 }
 
 func TestStateSurvivesRestart(t *testing.T) {
 	is := is.New(t)
-	d := newSingle(t, put("lodgement", "192.0.2.1:443"))
+	d := newSingleHostWith(t, put("lodgement", "192.0.2.1:443"))
 	agent := d.link(keys.RoleAgent, "a1", "lodgement", "c1")
 	reg := call(t, agent, registerRequest("lodgement", "t1", "x")).GetRegistration()
 	is.True(call(t, agent, acquireRequest(1, "k", "one")).GetGrant().GetDecision() != 0)
@@ -171,27 +170,27 @@
 	again := call(t, agent, registerRequest("lodgement", "t1", "y")).GetRegistration()
 	is.Equal(again.GetTargetNumber(), reg.GetTargetNumber())
 	is.Equal(again.GetIncarnation(), reg.GetIncarnation()+1)
-	var held *controlpb.Response
+	var reply *controlpb.Response
 	eventually(t, "a decision", func() bool {
-		held = call(t, agent, acquireRequest(1, "k", "two"))
-		return held.GetGrant() != nil
+		reply = call(t, agent, acquireRequest(1, "k", "two"))
+		return reply.GetGrant() != nil
 	})
-	is.Equal(held.GetGrant().GetDecision().String(), "DECISION_HELD") // its holder is gone, nobody else may run it
+	is.Equal(reply.GetGrant().GetDecision().String(), "DECISION_HELD") // the holder is gone, so its outcome is unknown
 }
 
-func TestHostJoins(t *testing.T) {
+func TestOperatorAddsHost(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2")
-	contacts := d.voters[:1] // c1 founds alone
-	d.voters = contacts
+	seeds := d.voters[:1] // c1 bootstraps alone
+	d.voters = seeds
 	d.start("c1", "", false)
 	ops := d.operator("c1")
 	d.accept(ops, patch("p1", 0, put("lodgement", "192.0.2.1:443")))
-	d.voters = nil // without contacts it waits for the operator
+	d.voters = nil // without seed hosts it waits for the operator
 	d.start("c2", "", true)
 	_, err := ops.AddLearner(testContext(t), d.address["c2"])
 	is.NoErr(err)
-	_, err = ops.AddLearner(testContext(t), d.address["c2"]) // making it again is safe
+	_, err = ops.AddLearner(testContext(t), d.address["c2"]) // safe to repeat
 	is.NoErr(err)
 	eventually(t, "promotion", func() bool {
 		s, err := ops.Promote(testContext(t), memberRef("c2"))
@@ -205,7 +204,7 @@
 	is.True(err != nil)
 }
 
-func TestHostAsksToJoin(t *testing.T) {
+func TestHostJoinsAsLearner(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t, "c1", "c2")
 	d.voters = d.voters[:1]
@@ -215,6 +214,6 @@
 	eventually(t, "the version on c2", func() bool { return d.status("c2").Version == 1 })
 	for _, g := range d.status("c1").Groups {
 		is.Equal(len(g.Members), 2)
-		is.True(g.Members[0].Learner || g.Members[1].Learner) // a vote is up to the operators
+		is.True(g.Members[0].Learner || g.Members[1].Learner) // operators promote
 	}
 }
--- a/internal/entryd/change_test.go
+++ b/internal/entryd/apply_test.go
@@ -28,7 +28,7 @@
 	local := r.local(publicOne)
 
 	for version := uint64(2); version < 200; version++ {
-		// Another address and other targets come and go with each version.
+		// Each version adds or removes another address and replaces the targets.
 		s := services(serviceAt(lodgement, publicOne))
 		if version%2 == 0 {
 			s = append(s, serviceAt(certificates, publicTwo))
@@ -41,8 +41,8 @@
 		is.Equal(datagram, packet)
 		is.Equal(h.Service, uint32(lodgement))
 		agent.send(encodeFrame(t, replyTo(h), datagram), from)
-		answer, _ := caller.receive()
-		is.Equal(answer, packet)
+		reply, _ := caller.receive()
+		is.Equal(reply, packet)
 	}
 	is.Equal(r.local(publicOne), local) // the address stayed open
 }
@@ -50,7 +50,7 @@
 func TestNewestOfManyViewsIsApplied(t *testing.T) {
 	is := is.New(t)
 	o := testOptions()
-	o.Pause = 50 * time.Millisecond
+	o.MinApplyInterval = 50 * time.Millisecond
 	r := start(t, o)
 	const last = 500
 	for version := uint64(1); version <= last; version++ {
@@ -59,10 +59,10 @@
 	r.await("the last version", func() bool {
 		return r.scope.Snapshot().Gauges()[scopeName+".configuration_version+"].Value() == last
 	})
-	is.True(r.counter("views_applied", "") < last) // a wave costs less than a view each
+	is.True(r.counter("views_applied", "") < last) // views in quick succession are coalesced
 }
 
-func TestAddressPassesToAnotherService(t *testing.T) {
+func TestAddressReassignedToAnotherService(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	agent, caller := newSocket(t), newSocket(t)
@@ -80,7 +80,7 @@
 	is.Equal(r.local(publicOne), local) // the socket stayed open
 	caller.send(packet, local)
 	after, _, _ := agent.receiveFrame()
-	is.Equal(after.Service, uint32(certificates)) // the agent can tell and refuse
+	is.Equal(after.Service, uint32(certificates)) // so that the agent can refuse
 	is.Equal(after.Target, uint32(1))
 
 	caller.send(initialPacket("made-up-id"), local)
@@ -88,12 +88,12 @@
 	is.Equal(first.Service, uint32(certificates))
 	is.Equal(first.Target, uint32(9))
 
-	// The established flow is answered through the address that its caller
-	// knows, whatever the agent takes the address for.
+	// Replies of the established flow leave through the address that its caller knows,
+	// whatever the service of the frame.
 	for _, h := range []frame.Header{before, after} {
-		agent.send(encodeFrame(t, replyTo(h), []byte("answer")), from)
-		answer, _ := caller.receive()
-		is.Equal(string(answer), "answer")
+		agent.send(encodeFrame(t, replyTo(h), []byte("reply")), from)
+		reply, _ := caller.receive()
+		is.Equal(string(reply), "reply")
 	}
 }
 
@@ -115,12 +115,12 @@
 	caller.send(shortPacket(t, oneSecret, target, ""), local)
 	h, _, from := agent.receiveFrame()
 	is.Equal(h.Kind, frame.Forward)
-	agent.send(encodeFrame(t, replyTo(h), []byte("answer")), from)
-	answer, _ := caller.receive()
-	is.Equal(string(answer), "answer")
+	agent.send(encodeFrame(t, replyTo(h), []byte("reply")), from)
+	reply, _ := caller.receive()
+	is.Equal(string(reply), "reply")
 
 	r.apply(view(3, services(serviceAt(lodgement, publicTwo)), record(lodgement, 1, agent.addr())))
-	is.Equal(r.f.PublicAddrs()[publicOne.String()], "") // released
+	is.Equal(r.f.PublicAddrs()[publicOne.String()], "") // closed
 }
 
 func TestAddressInUseIsRetriedWhileOthersServe(t *testing.T) {
@@ -132,29 +132,29 @@
 	o.Log = zap.New(core)
 	r := start(t, o)
 
-	holder, free := newSocket(t), newSocket(t)
-	taken, other := holder.addr(), free.addr()
+	blocker, free := newSocket(t), newSocket(t)
+	inUse, other := blocker.addr(), free.addr()
 	is.NoErr(free.conn.Close())
 	agent, caller := newSocket(t), newSocket(t)
 	packet := shortPacket(t, oneSecret, connid.Target{Address: agent.addr(), Number: 1}, "")
 
-	r.apply(view(1, services(serviceAt(lodgement, taken, other))))
+	r.apply(view(1, services(serviceAt(lodgement, inUse, other))))
 	r.await("several attempts", func() bool { return r.counter("public_address_open_failed", "") > 3 })
 	is.Equal(r.f.PublicAddrs(), map[string]string{other.String(): other.String()})
 	caller.send(packet, other)
 	_, datagram, _ := agent.receiveFrame()
 	is.Equal(datagram, packet)
 
-	lines := logs.FilterMessage("public address can't be opened, retrying").All()
-	is.Equal(len(lines), 1) // one line for the change, not one for each attempt
-	is.Equal(lines[0].ContextMap()["public"], taken.String())
+	lines := logs.FilterMessage("failed to open public address, will retry").All()
+	is.Equal(len(lines), 1) // logged once, not for each attempt
+	is.Equal(lines[0].ContextMap()["public"], inUse.String())
 	is.True(lines[0].ContextMap()["error"] != nil)
 
-	is.NoErr(holder.conn.Close())
+	is.NoErr(blocker.conn.Close())
 	r.await("the address to open", func() bool { return len(r.f.PublicAddrs()) == 2 })
-	caller.send(packet, taken)
+	caller.send(packet, inUse)
 	h, _, _ := agent.receiveFrame()
-	is.Equal(h.Public, taken)
+	is.Equal(h.Public, inUse)
 }
 
 func TestPublicAddressOfIPv6(t *testing.T) {
@@ -180,9 +180,9 @@
 	is.Equal(datagram, packet)
 	is.Equal(h.Caller, caller.addr())
 	is.Equal(h.Public, public)
-	agent.send(encodeFrame(t, replyTo(h), []byte("answer")), from)
-	answer, source := caller.receive()
-	is.Equal(string(answer), "answer")
+	agent.send(encodeFrame(t, replyTo(h), []byte("reply")), from)
+	reply, source := caller.receive()
+	is.Equal(string(reply), "reply")
 	is.Equal(source, r.local(public))
 }
 
@@ -218,7 +218,7 @@
 	is.Equal(h.Service, uint32(lodgement))
 }
 
-func TestUnusableAddressesAreLeftOut(t *testing.T) {
+func TestInvalidAddressesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	broken := serviceAt(lodgement, publicOne)
@@ -235,7 +235,7 @@
 	r.await("the refusal", func() bool { return r.counter("refused", "no_target") == 1 })
 }
 
-func TestCandidatesAndDampedTargetsAreTold(t *testing.T) {
+func TestCandidateAndDampedGauges(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
 	address := netip.MustParseAddrPort("127.0.0.1:7000")
@@ -247,13 +247,13 @@
 	r.apply(view(1, all, list...))
 	is.Equal(gauge("candidates"), 4.0)
 	is.Equal(gauge("targets_damped"), 0.0)
-	list = slices.Clone(list) // lists and records that views hold are never written to
+	list = slices.Clone(list) // lists and records of views are immutable
 	list[1] = proto.CloneOf(list[1])
 	list[1].Damped = true
 	r.apply(view(2, all, list...))
 	is.Equal(gauge("candidates"), 3.0)
 	is.Equal(gauge("targets_damped"), 1.0)
-	r.apply(view(3, all, list[0])) // the leases of the others have ended
+	r.apply(view(3, all, list[0])) // the leases of the others have expired
 	is.Equal(gauge("candidates"), 1.0)
 	is.Equal(gauge("targets_damped"), 0.0)
 }
@@ -276,10 +276,10 @@
 	}
 }
 
-func TestPanicOfAWorkerEndsRun(t *testing.T) {
+func TestWorkerPanicEndsRun(t *testing.T) {
 	is := is.New(t)
 	r := start(t, testOptions())
-	r.f.guard(func() { panic("worker fault") })()
+	r.f.recoverPanic(func() { panic("worker fault") })()
 	err := <-r.done
 	close(r.done)
 	is.True(err != nil)
--- a/internal/entryd/quic_test.go
+++ b/internal/entryd/quic_test.go
@@ -24,7 +24,7 @@
 	dialled := make(chan struct{})
 	go func() {
 		defer close(dialled)
-		// It never succeeds, as no agent answers.
+		// It always fails, as no agent replies.
 		to := net.UDPAddrFromAddrPort(r.local(publicOne))
 		_, _ = quic.Dial(ctx, caller.conn, to, &tls.Config{NextProtos: []string{"h3"}}, nil)
 	}()
@@ -39,5 +39,5 @@
 	packet, ok := quicheader.Parse(datagram, connid.Length)
 	is.True(ok)
 	is.Equal(packet.Type, quicheader.Initial)
-	is.True(len(datagram) >= quicheader.MinFirstDatagram)
+	is.True(len(datagram) >= quicheader.MinInitialSize)
 }
--- a/internal/flowd/latency.go
+++ b/internal/flowd/latency.go
@@ -7,26 +7,25 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/metrics"
 )
 
-// latency is how long the target takes for its first answers to opening packets and to
-// requests.
+// latency has the response times of the target to openings and requests.
 type latency struct {
 	openings, requests tally.Histogram
 }
 
 func newLatency(scope tally.Scope) latency {
 	return latency{
-		openings: scope.Histogram("opening_seconds", metrics.Durations),
-		requests: scope.Histogram("request_seconds", metrics.Durations),
+		openings: scope.Histogram("opening_seconds", metrics.DurationBuckets),
+		requests: scope.Histogram("request_seconds", metrics.DurationBuckets),
 	}
 }
 
-// count counts how long the target has taken for what the verdict passes on.
+// count records the response time in a verdict, if any.
 func (l *latency) count(v flow.Verdict) {
 	switch {
-	case v.Waited == 0:
-	case v.Began:
-		l.openings.RecordDuration(v.Waited)
+	case v.ResponseTime == 0:
+	case v.Opening:
+		l.openings.RecordDuration(v.ResponseTime)
 	default:
-		l.requests.RecordDuration(v.Waited)
+		l.requests.RecordDuration(v.ResponseTime)
 	}
 }
--- a/internal/keys/secret.go
+++ b/internal/keys/secret.go
@@ -14,30 +14,28 @@
 const (
 	// SecretLength is the length of a data secret in bytes.
 	SecretLength = 32
-	// MaxSecretID is the largest ID of a data secret: connection IDs have
-	// three bits for it.
+	// MaxSecretID is the largest ID of a data secret; connection IDs have three bits for it.
 	MaxSecretID = 7
 )
 
-// ErrSecretsFull is returned when every ID of a data secret is in use.
-var ErrSecretsFull = errors.New("all IDs of data secrets are in use")
+// ErrNoFreeSecretID is returned if all IDs of data secrets are in use.
+var ErrNoFreeSecretID = errors.New("all IDs of data secrets are in use")
 
-// ErrSecretsUnchanged is returned for a step that cannot be taken with the data
-// secrets that there are.
-var ErrSecretsUnchanged = errors.New("data secrets unchanged")
+// ErrInvalidSecretChange is returned for a change that the present data secrets do not allow.
+var ErrInvalidSecretChange = errors.New("data secrets unchanged")
 
 // Secret protects connection IDs and frames.
 type Secret struct {
-	// ID names the secret in connection IDs and frames: 0 to MaxSecretID.
+	// ID identifies the secret in connection IDs and frames: 0 to MaxSecretID.
 	ID  uint8
 	Key [SecretLength]byte
 }
 
-// NewSecret makes a random secret.
+// NewSecret creates a random secret.
 func NewSecret(id uint8) (Secret, error) {
 	s := Secret{ID: id}
 	if id > MaxSecretID {
-		return s, errors.Wrapf(ErrFormat, "data secret ID %d is above %d", id, MaxSecretID)
+		return s, errors.Wrapf(ErrMalformed, "data secret ID %d is above %d", id, MaxSecretID)
 	}
 	if _, err := rand.Read(s.Key[:]); err != nil {
 		return s, errors.Wrap(err, "generate data secret")
@@ -45,9 +43,9 @@
 	return s, nil
 }
 
-// ParseSecrets reads a data secrets file: lines of an ID and 32 bytes in hex.
-// The first secret encodes, all of them decode. Empty lines and lines that
-// start with # are skipped. Errors name the line and never show a secret.
+// ParseSecrets parses a data secrets file: lines with an ID and 32 bytes in hex. The first
+// secret encodes, all of them decode. Empty lines and lines that start with # are skipped.
+// Errors contain line numbers but no secrets.
 func ParseSecrets(data []byte) ([]Secret, error) {
 	var out []Secret
 	used := make(map[uint8]bool)
@@ -61,13 +59,13 @@
 			return nil, errors.Wrapf(err, "line %d", i+1)
 		}
 		if used[s.ID] {
-			return nil, errors.Wrapf(ErrFormat, "line %d: ID %d appears twice", i+1, s.ID)
+			return nil, errors.Wrapf(ErrMalformed, "line %d: ID %d appears twice", i+1, s.ID)
 		}
 		used[s.ID] = true
 		out = append(out, s)
 	}
 	if len(out) == 0 {
-		return nil, errors.Wrap(ErrFormat, "no data secret")
+		return nil, errors.Wrap(ErrMalformed, "no data secret")
 	}
 	return out, nil
 }
@@ -75,22 +73,22 @@
 func parseSecret(line string) (Secret, error) {
 	fields := strings.Fields(line)
 	if len(fields) != 2 {
-		return Secret{}, errors.Wrapf(ErrFormat, "expected an ID and a secret, found %d fields", len(fields))
+		return Secret{}, errors.Wrapf(ErrMalformed, "expected an ID and a secret, found %d fields", len(fields))
 	}
 	id, err := strconv.ParseUint(fields[0], 10, 8)
 	if err != nil || id > MaxSecretID {
-		return Secret{}, errors.Wrapf(ErrFormat, "ID is not a number from 0 to %d", MaxSecretID)
+		return Secret{}, errors.Wrapf(ErrMalformed, "ID is not a number from 0 to %d", MaxSecretID)
 	}
 	key, err := hex.DecodeString(fields[1])
 	if err != nil || len(key) != SecretLength {
-		return Secret{}, errors.Wrapf(ErrFormat, "secret is not %d bytes in hex", SecretLength)
+		return Secret{}, errors.Wrapf(ErrMalformed, "secret is not %d bytes in hex", SecretLength)
 	}
 	s := Secret{ID: uint8(id)}
 	copy(s.Key[:], key)
 	return s, nil
 }
 
-// FormatSecrets writes a data secrets file.
+// FormatSecrets returns the content of a data secrets file.
 func FormatSecrets(secrets []Secret) []byte {
 	var b bytes.Buffer
 	for _, s := range secrets {
@@ -99,9 +97,8 @@
 	return b.Bytes()
 }
 
-// appendSecret adds a new secret with a free ID at the end of the list. It
-// decodes only, until it is made the first one: every process must know a
-// secret before any process encodes with it.
+// appendSecret appends a new secret with a free ID. As it is not the first one it only
+// decodes.
 func appendSecret(secrets []Secret) ([]Secret, Secret, error) {
 	used := make(map[uint8]bool)
 	for _, s := range secrets {
@@ -117,5 +114,5 @@
 		}
 		return append(secrets, s), s, nil
 	}
-	return nil, Secret{}, ErrSecretsFull
+	return nil, Secret{}, ErrNoFreeSecretID
 }
--- a/internal/link/idle_test.go
+++ b/internal/link/idle_test.go
@@ -19,14 +19,13 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/keys"
 )
 
-// Idle connections are measured with the two ends in two processes: the
-// benchmark serves, and a child of it, the same binary, holds the clients.
+// The benchmark process runs the server and a child process runs the clients.
 const (
 	idleChildEnv = "LINK_IDLE_CHILD"
 	idleAddrEnv  = "LINK_IDLE_ADDR"
 	idleDirEnv   = "LINK_IDLE_KEYS"
-	// idleSettle lets heartbeats go round before memory is read.
-	idleSettle = 3 * DefaultHeartbeatPeriod
+	// idleDuration is the time for heartbeats before memory is read.
+	idleDuration = 3 * DefaultHeartbeatInterval
 )
 
 // residentKB returns the resident memory of this process.
@@ -45,7 +44,7 @@
 	return 0, fmt.Errorf("no VmRSS")
 }
 
-// slope fits a line through the points and returns its rise.
+// slope returns the slope of the least-squares line through the points.
 func slope(x, y []float64) float64 {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(x))
@@ -58,9 +57,9 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// BenchmarkIdleConnections reports the resident memory of a connection at
-// each end, as the slope over four sizes, and the bytes a second that its
-// heartbeats cost the client, UDP payload in both directions.
+// BenchmarkIdleConnections reports the resident memory per connection at each end, as the
+// slope over four sizes, and the client's heartbeat traffic in both directions, UDP payload
+// only.
 func BenchmarkIdleConnections(b *testing.B) {
 	is := is.New(b)
 	dir := b.TempDir()
@@ -112,8 +111,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// TestIdleChild holds the clients of BenchmarkIdleConnections; by itself it
-// does nothing.
+// TestIdleChild runs the clients in the child process of BenchmarkIdleConnections.
 func TestIdleChild(t *testing.T) {
 	if os.Getenv(idleChildEnv) == "" {
 		return
@@ -127,31 +125,30 @@
 	})
 	is.NoErr(err)
 	var clients []*Client
-	asked := bufio.NewScanner(os.Stdin)
-	for asked.Scan() {
-		n, err := strconv.Atoi(asked.Text())
+	input := bufio.NewScanner(os.Stdin)
+	for input.Scan() {
+		n, err := strconv.Atoi(input.Text())
 		is.NoErr(err)
 		for len(clients) < n {
 			c, _ := startClient(t, creds, ClientOptions{
 				LocalIP: loopback,
 				Rand:    rand.New(rand.NewPCG(1, uint64(len(clients)))),
 			}, os.Getenv(idleAddrEnv))
-			_, err := c.Call(limited(t), versionQuery())
+			_, err := c.Call(timeoutContext(t), versionQuery())
 			is.NoErr(err)
 			clients = append(clients, c)
 		}
-		time.Sleep(idleSettle)
+		time.Sleep(idleDuration)
 		before := transferred(clients)
-		time.Sleep(idleSettle)
+		time.Sleep(idleDuration)
 		bytes := transferred(clients) - before
 		rss, err := residentKB()
 		is.NoErr(err)
-		fmt.Printf("idle %d %g\n", rss, float64(bytes)/idleSettle.Seconds()/float64(n))
+		fmt.Printf("idle %d %g\n", rss, float64(bytes)/idleDuration.Seconds()/float64(n))
 	}
 }
 
-// transferred returns the bytes of UDP payload that the clients' connections
-// sent and received.
+// transferred returns the bytes of UDP payload sent and received by the clients.
 func transferred(clients []*Client) uint64 {
 	var sum uint64
 	for _, c := range clients {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,102 +19,102 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/unittest"
 )
 
-// fake answers what a test wants.
-type fake struct {
-	submit  func(context.Context, *configpb.Patch) (*configpb.Outcome, error)
-	members error
-	// answers are given to changes of members in turn, before members.
-	answers []error
-	asked   []string
+// fakeHandler records its calls and returns what a test sets.
+type fakeHandler struct {
+	submit    func(context.Context, *configpb.Patch) (*configpb.Outcome, error)
+	changeErr error
+	// changeErrs are returned by changes in turn, then changeErr.
+	changeErrs []error
+	calls      []string
 }
 
-func (f *fake) Submit(ctx context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
-	f.asked = append(f.asked, "submit "+p.GetId())
+func (f *fakeHandler) Submit(ctx context.Context, p *configpb.Patch) (*configpb.Outcome, error) {
+	f.calls = append(f.calls, "submit "+p.GetId())
 	return f.submit(ctx, p)
 }
 
-func (f *fake) Outcome(context.Context, string) (*configpb.Outcome, error) {
+func (f *fakeHandler) Outcome(context.Context, string) (*configpb.Outcome, error) {
 	return nil, operator.ErrNotFound
 }
 
-func (f *fake) Config(_ context.Context, version uint64) (*configpb.Configuration, bool, error) {
+func (f *fakeHandler) Config(_ context.Context, version uint64) (*configpb.Configuration, bool, error) {
 	return &configpb.Configuration{Version: version}, true, nil
 }
 
-func (f *fake) Evacuate(_ context.Context, o *configpb.EvacuationOrder) (*configpb.EvacuationOutcome, error) {
-	f.asked = append(f.asked, fmt.Sprintf("evacuate %s %v %s", o.GetFailureDomain(), o.GetEnd(), o.GetId()))
+func (f *fakeHandler) Evacuate(_ context.Context, o *configpb.EvacuationOrder) (*configpb.EvacuationOutcome, error) {
+	f.calls = append(f.calls, fmt.Sprintf("evacuate %s %v %s", o.GetFailureDomain(), o.GetEnd(), o.GetId()))
 	return &configpb.EvacuationOutcome{Verdict: configpb.EvacuationVerdict_EVACUATION_VERDICT_APPLIED, Version: 3}, f.change()
 }
 
-func (f *fake) Status() *operator.Status { return &operator.Status{Host: "c1"} }
+func (f *fakeHandler) Status() *operator.Status { return &operator.Status{Host: "c1"} }
 
-func (f *fake) AddLearner(_ context.Context, address string) error {
-	f.asked = append(f.asked, "add "+address)
+func (f *fakeHandler) AddLearner(_ context.Context, address string) error {
+	f.calls = append(f.calls, "add "+address)
 	return f.change()
 }
 
-func (f *fake) Promote(_ context.Context, m operator.MemberRef) error {
-	f.asked = append(f.asked, "promote "+m.Name)
+func (f *fakeHandler) Promote(_ context.Context, m operator.MemberRef) error {
+	f.calls = append(f.calls, "promote "+m.Name)
 	return f.change()
 }
 
-func (f *fake) Remove(_ context.Context, m operator.MemberRef) error {
-	f.asked = append(f.asked, "remove "+m.Name)
+func (f *fakeHandler) Remove(_ context.Context, m operator.MemberRef) error {
+	f.calls = append(f.calls, "remove "+m.Name)
 	return f.change()
 }
 
-func (f *fake) SetRetention(_ context.Context, r operator.Retention) error {
-	f.asked = append(f.asked, fmt.Sprint("retention ", r.Answered, " ", r.Held))
+func (f *fakeHandler) SetRetention(_ context.Context, r operator.Retention) error {
+	f.calls = append(f.calls, fmt.Sprint("retention ", r.Answered, " ", r.Held))
 	return f.change()
 }
 
-func (f *fake) change() error {
-	if len(f.answers) == 0 {
-		return f.members
+func (f *fakeHandler) change() error {
+	if len(f.changeErrs) == 0 {
+		return f.changeErr
 	}
-	err := f.answers[0]
-	f.answers = f.answers[1:]
+	err := f.changeErrs[0]
+	f.changeErrs = f.changeErrs[1:]
 	return err
 }
 
-// site has the keys of a test deployment.
-type site struct {
+// deployment has the keys of a test deployment.
+type deployment struct {
 	t    *testing.T
-	keys *unittest.KeyFolder
+	keys *unittest.KeyDir
 }
 
-func newSite(t *testing.T) *site {
+func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	s := &site{t: t, keys: unittest.NewKeyFolder(t)}
-	return s
+	d := &deployment{t: t, keys: unittest.NewKeyDir(t)}
+	return d
 }
 
-func (s *site) credentials(role keys.Role, name string) *keys.Credentials {
-	s.t.Helper()
-	return s.keys.Credentials(role, name, "")
+func (d *deployment) credentials(role keys.Role, name string) *keys.Credentials {
+	d.t.Helper()
+	return d.keys.Credentials(role, name, "")
 }
 
-func (s *site) serve(f *fake) *operator.Server {
-	s.t.Helper()
-	server, err := operator.Listen("127.0.0.1:0", s.credentials(keys.RoleControl, "c1"), f, zap.NewNop(), tally.NoopScope)
+func (d *deployment) serve(f *fakeHandler) *operator.Server {
+	d.t.Helper()
+	server, err := operator.Listen("127.0.0.1:0", d.credentials(keys.RoleControl, "c1"), f, zap.NewNop(), tally.NoopScope)
 	if err != nil {
-		s.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = server.Shutdown(context.Background()) })
+	d.t.Cleanup(func() { _ = server.Shutdown(context.Background()) })
 	return server
 }
 
-func (s *site) client(addrs ...string) *operator.Client {
-	c := operator.NewClient(addrs, s.credentials(keys.RoleOperator, "ada"))
-	s.t.Cleanup(c.Close)
+func (d *deployment) client(addrs ...string) *operator.Client {
+	c := operator.NewClient(addrs, d.credentials(keys.RoleOperator, "ada"))
+	d.t.Cleanup(c.Close)
 	return c
 }
 
-func answering(out *configpb.Outcome, err error) *fake {
-	return &fake{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) { return out, err }}
+func submitHandler(out *configpb.Outcome, err error) *fakeHandler {
+	return &fakeHandler{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) { return out, err }}
 }
 
-func TestOutcomesAreToldApart(t *testing.T) {
+func TestSubmitOutcomes(t *testing.T) {
 	accepted := &configpb.Outcome{Id: "p", Verdict: configpb.Verdict_VERDICT_ACCEPTED, Version: 7, Digest: []byte{1, 2}}
 	refused := &configpb.Outcome{Id: "p", Verdict: configpb.Verdict_VERDICT_REFUSED_FINDINGS,
 		Findings: []*configpb.Finding{{Place: "a.ini:3", Text: "slots"}}}
@@ -126,15 +126,15 @@
 	}{
 		{"accepted", accepted, nil, nil},
 		{"refused", refused, nil, nil},
-		{"not done", nil, errors.Wrap(operator.ErrNotDone, "no leader"), operator.ErrNotDone},
-		{"not known", nil, errors.Wrap(operator.ErrUnknown, "timeout"), operator.ErrUnknown},
-		{"another error is not known", nil, errors.New("surprise"), operator.ErrUnknown},
+		{"not applied", nil, errors.Wrap(operator.ErrNotApplied, "no leader"), operator.ErrNotApplied},
+		{"outcome unknown", nil, errors.Wrap(operator.ErrOutcomeUnknown, "timeout"), operator.ErrOutcomeUnknown},
+		{"other errors mean outcome unknown", nil, errors.New("surprise"), operator.ErrOutcomeUnknown},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t)
-			c := s.client(s.serve(answering(test.out, test.err)).Addr().String())
+			d := newDeployment(t)
+			c := d.client(d.serve(submitHandler(test.out, test.err)).Addr().String())
 			out, err := c.Submit(context.Background(), &configpb.Patch{Id: "p"})
 			if test.want != nil {
 				is.True(errors.Is(err, test.want))
@@ -146,103 +146,102 @@
 	}
 }
 
-func TestPatchGoesToTheNextHost(t *testing.T) {
+func TestSubmitTriesNextHost(t *testing.T) {
 	accepted := &configpb.Outcome{Verdict: configpb.Verdict_VERDICT_ACCEPTED}
 	tests := []struct {
 		name          string
 		first, second error
 		want          error
 	}{
-		{"minority, then accepted", operator.ErrNotDone, nil, nil},
-		{"unknown, then accepted", operator.ErrUnknown, nil, nil},
-		{"minority twice", operator.ErrNotDone, operator.ErrNotDone, operator.ErrNotDone},
-		{"unknown, then minority", operator.ErrUnknown, operator.ErrNotDone, operator.ErrUnknown},
-		{"minority, then unknown", operator.ErrNotDone, operator.ErrUnknown, operator.ErrUnknown},
+		{"minority, then accepted", operator.ErrNotApplied, nil, nil},
+		{"unknown, then accepted", operator.ErrOutcomeUnknown, nil, nil},
+		{"minority twice", operator.ErrNotApplied, operator.ErrNotApplied, operator.ErrNotApplied},
+		{"unknown, then minority", operator.ErrOutcomeUnknown, operator.ErrNotApplied, operator.ErrOutcomeUnknown},
+		{"minority, then unknown", operator.ErrNotApplied, operator.ErrOutcomeUnknown, operator.ErrOutcomeUnknown},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t)
-			a := s.serve(answering(nil, test.first))
-			b := s.serve(answering(accepted, test.second))
-			_, err := s.client(a.Addr().String(), b.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
+			d := newDeployment(t)
+			a := d.serve(submitHandler(nil, test.first))
+			b := d.serve(submitHandler(accepted, test.second))
+			_, err := d.client(a.Addr().String(), b.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
 			is.True(errors.Is(err, test.want) || (err == nil && test.want == nil))
 		})
 	}
 }
 
-func TestMemberChangeStopsAtUnknown(t *testing.T) {
+func TestMembershipChangeStopsAtUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	first := &fake{members: operator.ErrUnknown}
-	second := &fake{}
-	c := s.client(s.serve(first).Addr().String(), s.serve(second).Addr().String())
+	d := newDeployment(t)
+	first := &fakeHandler{changeErr: operator.ErrOutcomeUnknown}
+	second := &fakeHandler{}
+	c := d.client(d.serve(first).Addr().String(), d.serve(second).Addr().String())
 	_, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
-	is.True(errors.Is(err, operator.ErrUnknown))
-	is.Equal(len(second.asked), 0)
+	is.True(errors.Is(err, operator.ErrOutcomeUnknown))
+	is.Equal(len(second.calls), 0)
 
-	first.members = operator.ErrNotDone
+	first.changeErr = operator.ErrNotApplied
 	_, err = c.Promote(context.Background(), operator.MemberRef{Name: "c3"})
 	is.NoErr(err)
-	is.Equal(second.asked, []string{"promote c3"})
+	is.Equal(second.calls, []string{"promote c3"})
 	_, err = c.AddLearner(context.Background(), "192.0.2.1:7000")
 	is.NoErr(err)
-	is.Equal(second.asked[1], "add 192.0.2.1:7000")
+	is.Equal(second.calls[1], "add 192.0.2.1:7000")
 }
 
-// TestGroupsWithDifferentLeaders removes a member when each host leads one
-// group: none of them makes the whole change, and afterwards none knows the
-// member.
+// Each host leads one group and removes the member from it, so no host makes the change
+// in all groups and afterwards the member is unknown to all.
 func TestGroupsWithDifferentLeaders(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	first := &fake{answers: []error{operator.ErrNotEverywhere}, members: operator.ErrNotFound}
-	second := &fake{answers: []error{operator.ErrNotEverywhere}, members: operator.ErrNotFound}
-	c := s.client(s.serve(first).Addr().String(), s.serve(second).Addr().String(), "127.0.0.1:1")
+	d := newDeployment(t)
+	first := &fakeHandler{changeErrs: []error{operator.ErrPartiallyApplied}, changeErr: operator.ErrNotFound}
+	second := &fakeHandler{changeErrs: []error{operator.ErrPartiallyApplied}, changeErr: operator.ErrNotFound}
+	c := d.client(d.serve(first).Addr().String(), d.serve(second).Addr().String(), "127.0.0.1:1")
 	status, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.NoErr(err)
 	is.Equal(status.Host, "c1")
-	// A member that no host ever knew is an error all the same.
+	// A member that no host ever knew is still an error.
 	_, err = c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrNotFound))
 	_, err = c.Promote(context.Background(), operator.MemberRef{Name: "c3"})
 	is.True(errors.Is(err, operator.ErrNotFound))
 }
 
-// TestChangeThatNeverSucceeds ends after some rounds, and as not done.
-func TestChangeThatNeverSucceeds(t *testing.T) {
+// A change that is never fully applied returns ErrNotApplied after some retries.
+func TestChangeGivesUp(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	f := &fake{members: operator.ErrNotEverywhere}
-	c := s.client(s.serve(f).Addr().String())
+	d := newDeployment(t)
+	f := &fakeHandler{changeErr: operator.ErrPartiallyApplied}
+	c := d.client(d.serve(f).Addr().String())
 	_, err := c.Remove(context.Background(), operator.MemberRef{Name: "c3"})
-	is.True(errors.Is(err, operator.ErrNotDone))
-	is.True(len(f.asked) > 1)
+	is.True(errors.Is(err, operator.ErrNotApplied))
+	is.True(len(f.calls) > 1)
 }
 
-func TestUnreachableHostChangedNothing(t *testing.T) {
+func TestUnreachableHostIsNotApplied(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	server := s.serve(&fake{})
+	d := newDeployment(t)
+	server := d.serve(&fakeHandler{})
 	addr := server.Addr().String()
 	is.NoErr(server.Shutdown(context.Background()))
-	_, err := s.client(addr).Submit(context.Background(), &configpb.Patch{Id: "p"})
-	is.True(errors.Is(err, operator.ErrNotDone))
-	_, err = s.client().Submit(context.Background(), &configpb.Patch{Id: "p"})
-	is.True(errors.Is(err, operator.ErrNotDone))
-	is.True(s.client(addr).Status(context.Background())[0].Err != nil)
+	_, err := d.client(addr).Submit(context.Background(), &configpb.Patch{Id: "p"})
+	is.True(errors.Is(err, operator.ErrNotApplied))
+	_, err = d.client().Submit(context.Background(), &configpb.Patch{Id: "p"})
+	is.True(errors.Is(err, operator.ErrNotApplied))
+	is.True(d.client(addr).Status(context.Background())[0].Err != nil)
 }
 
 func TestShutdownWaitsForCall(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	d := newDeployment(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
-	server := s.serve(&fake{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) {
+	server := d.serve(&fakeHandler{submit: func(context.Context, *configpb.Patch) (*configpb.Outcome, error) {
 		close(entered)
 		<-leave
 		return &configpb.Outcome{Verdict: configpb.Verdict_VERDICT_ACCEPTED}, nil
 	}})
-	c := s.client(server.Addr().String())
+	c := d.client(server.Addr().String())
 	var out *configpb.Outcome
 	var callErr, stopErr error
 	var call, stop conc.WaitGroup
@@ -257,23 +256,23 @@
 	is.Equal(out.GetVerdict(), configpb.Verdict_VERDICT_ACCEPTED)
 }
 
-func TestCallsOnTheHostAreBounded(t *testing.T) {
+func TestHandlerDeadline(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	d := newDeployment(t)
 	var left time.Duration
-	server := s.serve(&fake{submit: func(ctx context.Context, _ *configpb.Patch) (*configpb.Outcome, error) {
+	server := d.serve(&fakeHandler{submit: func(ctx context.Context, _ *configpb.Patch) (*configpb.Outcome, error) {
 		deadline, _ := ctx.Deadline()
 		left = time.Until(deadline)
-		return nil, operator.ErrUnknown
+		return nil, operator.ErrOutcomeUnknown
 	}})
-	_, _ = s.client(server.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
+	_, _ = d.client(server.Addr().String()).Submit(context.Background(), &configpb.Patch{Id: "p"})
 	is.True(left > 0 && left <= operator.SubmitTimeout)
 }
 
-func TestVersionIsPassedOn(t *testing.T) {
+func TestConfigVersionParameter(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	c := s.client(s.serve(&fake{}).Addr().String())
+	d := newDeployment(t)
+	c := d.client(d.serve(&fakeHandler{}).Addr().String())
 	cfg, confirmed, err := c.Config(context.Background(), 1<<60)
 	is.NoErr(err)
 	is.Equal(cfg.GetVersion(), uint64(1<<60))
--- a/internal/processtest/commandline.go
+++ b/internal/processtest/commandline.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// Printed is what a command wrote and how it ended.
-type Printed struct {
+// CommandResult holds the output and the exit status of a command.
+type CommandResult struct {
 	Stdout string
 	Stderr string
 	Status int
 }
 
-// Operate runs an operator command against control hosts with these operator
-// addresses, or against all of them if none is named.
-func (c *Cluster) Operate(args []string, control ...netip.AddrPort) Printed {
+// RunOperator runs an operator command against the given operator addresses, or
+// against all control hosts if none is given.
+func (c *Cluster) RunOperator(args []string, control ...netip.AddrPort) CommandResult {
 	c.t.Helper()
-	stdout, stderr, status := c.run(append(args, c.operatorFlags(control)...))
-	return Printed{Stdout: string(stdout), Stderr: string(stderr), Status: status}
+	stdout, stderr, status := c.runCommand(append(args, c.operatorFlags(control)...))
+	return CommandResult{Stdout: string(stdout), Stderr: string(stderr), Status: status}
 }
 
-// SubmitArgs writes the sections as a patch file and returns the command that
-// submits it.
+// SubmitArgs writes a patch file with the sections and returns the arguments of
+// the command that submits it.
 func (c *Cluster) SubmitArgs(base uint64, id string, sections ...string) []string {
 	c.t.Helper()
 	path := c.path("%s.ini", id)
@@ -32,13 +32,13 @@
 	return []string{"patch", "submit", "--base", strconv.FormatUint(base, 10), "--id", id, path}
 }
 
-// Paste gives a printed command to a shell.
-func (c *Cluster) Paste(command string) Printed {
+// RunShell runs a command line in a shell.
+func (c *Cluster) RunShell(command string) CommandResult {
 	c.t.Helper()
 	var stdout, stderr strings.Builder
 	cmd := exec.Command("sh", "-c", command)
 	cmd.Stdout = &stdout
 	cmd.Stderr = &stderr
 	_ = cmd.Run() // the status is read from ProcessState
-	return Printed{Stdout: stdout.String(), Stderr: stderr.String(), Status: cmd.ProcessState.ExitCode()}
+	return CommandResult{Stdout: stdout.String(), Stderr: stderr.String(), Status: cmd.ProcessState.ExitCode()}
 }
--- a/internal/replica/room_test.go
+++ b/internal/replica/diskfull_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// A leader whose disk has no room leaves the group to the others and comes back by
-// itself, with all that was acknowledged meanwhile and before.
-func TestDiskWithoutRoom(t *testing.T) {
+// A leader with a full disk is replaced, and rejoins without losing acknowledged
+// commands once there is space.
+func TestLeaderWithFullDisk(t *testing.T) {
 	is := is.New(t)
-	c, old := newLedCluster(t, 3, Options{WaitForRoom: true})
+	c, old := newLedCluster(t, 3, Options{WaitForDiskSpace: true})
 	c.propose(old, "before")
 	old.disk.fill(true)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -19,18 +19,19 @@
 	_, err := old.replica.Propose(ctx, []byte("refused"))
 	is.True(err != nil)
 	is.True(old.replica.Err() == nil) // it did not fail
-	others := c.leader(old)
-	c.propose(others, "meanwhile")
+	next := c.leader(old)
+	c.propose(next, "while full")
 	old.disk.fill(false)
-	c.propose(others, "after")
+	c.propose(next, "after")
 	c.converge("after")
 	is.NoErr(old.replica.ReadBarrier(ctx))
 }
 
-// The disk is full from the moment when a follower is to write.
-func TestFollowerWithoutRoom(t *testing.T) {
+// A follower with a full disk must not block the group, and must catch up once there
+// is space.
+func TestFollowerWithFullDisk(t *testing.T) {
 	is := is.New(t)
-	c, leader := newLedCluster(t, 3, Options{WaitForRoom: true, SnapshotEntries: 5})
+	c, leader := newLedCluster(t, 3, Options{WaitForDiskSpace: true, SnapshotEntries: 5})
 	var follower *host
 	for _, h := range c.hosts {
 		if h != leader {
--- a/internal/wal/memory.go
+++ b/internal/wal/memfs.go
@@ -9,57 +9,57 @@
 	"sync"
 )
 
-// Memory is a file system in memory, for a log that need not outlive its process. It
-// has no folders of its own: a folder is there as soon as a file is.
-type Memory struct {
+// MemFS is an in-memory file system for a log that need not survive its process.
+// Directories exist implicitly.
+type MemFS struct {
 	mu    sync.Mutex
 	files map[string][]byte
 	locks map[string]bool
 }
 
-// NewMemory returns an empty file system.
-func NewMemory() *Memory {
-	return &Memory{files: map[string][]byte{}, locks: map[string]bool{}}
+// NewMemFS returns an empty file system.
+func NewMemFS() *MemFS {
+	return &MemFS{files: map[string][]byte{}, locks: map[string]bool{}}
 }
 
 // MkdirAll implements FS.
-func (m *Memory) MkdirAll(string) error { return nil }
+func (m *MemFS) MkdirAll(string) error { return nil }
 
 // Create implements FS.
-func (m *Memory) Create(path string) (File, error) {
+func (m *MemFS) Create(path string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[path] = nil
-	return &memoryFile{fs: m, path: path}, nil
+	return &memFSFile{fs: m, path: path}, nil
 }
 
 // Append implements FS.
-func (m *Memory) Append(path string) (File, error) {
+func (m *MemFS) Append(path string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, found := m.files[path]; !found {
-		return nil, missingFile("open", path)
+		return nil, errNotExist("open", path)
 	}
-	return &memoryFile{fs: m, path: path}, nil
+	return &memFSFile{fs: m, path: path}, nil
 }
 
-func missingFile(op, path string) error {
+func errNotExist(op, path string) error {
 	return &os.PathError{Op: op, Path: path, Err: os.ErrNotExist}
 }
 
 // ReadFile implements FS.
-func (m *Memory) ReadFile(path string) ([]byte, error) {
+func (m *MemFS) ReadFile(path string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, found := m.files[path]
 	if !found {
-		return nil, missingFile("read", path)
+		return nil, errNotExist("read", path)
 	}
 	return slices.Clone(data), nil
 }
 
 // ReadDir implements FS.
-func (m *Memory) ReadDir(path string) ([]string, error) {
+func (m *MemFS) ReadDir(path string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var names []string
@@ -73,12 +73,12 @@
 }
 
 // Rename implements FS.
-func (m *Memory) Rename(from, to string) error {
+func (m *MemFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, found := m.files[from]
 	if !found {
-		return missingFile("rename", from)
+		return errNotExist("rename", from)
 	}
 	delete(m.files, from)
 	m.files[to] = data
@@ -86,38 +86,38 @@
 }
 
 // Remove implements FS.
-func (m *Memory) Remove(path string) error {
+func (m *MemFS) Remove(path string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, found := m.files[path]; !found {
-		return missingFile("remove", path)
+		return errNotExist("remove", path)
 	}
 	delete(m.files, path)
 	return nil
 }
 
 // SyncDir implements FS.
-func (m *Memory) SyncDir(string) error { return nil }
+func (m *MemFS) SyncDir(string) error { return nil }
 
 // Lock implements FS.
-func (m *Memory) Lock(path string) (io.Closer, error) {
+func (m *MemFS) Lock(path string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.locks[path] {
 		return nil, ErrLocked
 	}
 	m.locks[path] = true
-	return &memoryLock{fs: m, path: path}, nil
+	return &memFSLock{fs: m, path: path}, nil
 }
 
-// memoryFile appends to one file.
-type memoryFile struct {
-	fs   *Memory
+// memFSFile appends to one file.
+type memFSFile struct {
+	fs   *MemFS
 	path string
 }
 
 // Write implements File.
-func (f *memoryFile) Write(b []byte) (int, error) {
+func (f *memFSFile) Write(b []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	f.fs.files[f.path] = append(f.fs.files[f.path], b...)
@@ -125,18 +125,18 @@
 }
 
 // Sync implements File.
-func (f *memoryFile) Sync() error { return nil }
+func (f *memFSFile) Sync() error { return nil }
 
 // Close implements File.
-func (f *memoryFile) Close() error { return nil }
+func (f *memFSFile) Close() error { return nil }
 
-type memoryLock struct {
-	fs   *Memory
+type memFSLock struct {
+	fs   *MemFS
 	path string
 }
 
 // Close implements io.Closer.
-func (l *memoryLock) Close() error {
+func (l *memFSLock) Close() error {
 	l.fs.mu.Lock()
 	defer l.fs.mu.Unlock()
 	delete(l.fs.locks, l.path)
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -12,62 +12,60 @@
 	"eelgrasswharf.example/eelgrasswharf/membership"
 )
 
-// fleet is the number of targets of the size that the design is made for.
-const fleet = 12_000
+// fleetSize is the number of targets of the largest supported deployment.
+const fleetSize = 12_000
 
 func fill(d *membership.Directory, now time.Duration) {
-	for n := uint32(1); n <= fleet; n++ {
-		d.Announce(now, named(n), membership.Direct)
+	for n := uint32(1); n <= fleetSize; n++ {
+		d.Announce(now, namedRecord(n), membership.Direct)
 	}
 }
 
-// named returns a first record with texts of ordinary length.
-func named(number uint32) *controlpb.TargetRecord {
+// namedRecord returns a first record with names of typical length.
+func namedRecord(number uint32) *controlpb.TargetRecord {
 	r := record(number, 1, 1)
 	r.Name = "lodgement-oke-ado-07"
 	r.FailureDomain = "oke-ado"
 	return r
 }
 
-func heap() uint64 {
+func heapSize() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// BenchmarkFleet measures the memory of a directory and the sizes of its
-// updates, in bytes.
-func BenchmarkFleet(b *testing.B) {
+// BenchmarkDirectory measures the memory of a directory and the sizes of its updates.
+func BenchmarkDirectory(b *testing.B) {
 	for range b.N {
-		before := heap()
+		before := heapSize()
 		d := membership.New(membership.Options{Epoch: 1})
 		fill(d, 0)
-		b.ReportMetric(float64(heap()-before)/fleet, "heap-B/target")
+		b.ReportMetric(float64(heapSize()-before)/fleetSize, "heap-B/target")
 		full := d.Full(time.Minute, nil)
-		b.ReportMetric(float64(proto.Size(full))/fleet, "wire-B/target")
+		b.ReportMetric(float64(proto.Size(full))/fleetSize, "wire-B/target")
 		r := record(7, 1, 2)
 		r.State = controlpb.TargetState_TARGET_STATE_DRAINING
-		before2 := d.Sequence()
+		sequenceBefore := d.Sequence()
 		d.Announce(0, r, membership.Direct)
-		b.ReportMetric(float64(proto.Size(d.Update(0, 1, before2, nil))), "wire-B/delta")
+		b.ReportMetric(float64(proto.Size(d.Update(0, 1, sequenceBefore, nil))), "wire-B/delta")
 		runtime.KeepAlive(d)
 	}
 }
 
-// BenchmarkRenewals measures what 14 control hosts tell a fifteenth one to renew
-// all targets, three times a lease: bytes a second into it, and processor time
-// a second of both ends.
-func BenchmarkRenewals(b *testing.B) {
+// BenchmarkSync measures the renewal of all targets by 14 control hosts at another one, three
+// times a lease: bytes received and CPU time of both ends, per second.
+func BenchmarkSync(b *testing.B) {
 	const hosts = 15
-	for _, targets := range []int{1_000, 3_000, 6_000, fleet} {
+	for _, targets := range []int{1_000, 3_000, 6_000, fleetSize} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			group := make([]*membership.Directory, hosts)
 			for i := range group {
 				group[i] = membership.New(membership.Options{Epoch: uint64(i + 1)})
 			}
 			for n := range targets {
-				group[n%hosts].Announce(0, named(uint32(n+1)), membership.Direct)
+				group[n%hosts].Announce(0, namedRecord(uint32(n+1)), membership.Direct)
 			}
 			var cursors [hosts]uint64
 			now, bytes := time.Duration(0), 0
@@ -85,12 +83,12 @@
 					if err := proto.Unmarshal(data, got); err != nil {
 						b.Fatal(err)
 					}
-					if reply := group[0].Hear(now, membership.Source(fmt.Sprint(i)), got); len(reply.GetDigests()) > 0 {
+					if reply := group[0].ApplySync(now, membership.Source(fmt.Sprint(i)), got); len(reply.GetDigests()) > 0 {
 						b.Fatal("the summary does not match")
 					}
 				}
 			}
-			round() // the records themselves
+			round() // the initial records
 			bytes = 0
 			for b.Loop() {
 				round()
@@ -102,38 +100,37 @@
 	}
 }
 
-// BenchmarkRenew measures one announcement that only renews a lease.
+// BenchmarkRenew measures an announcement that only renews a lease.
 func BenchmarkRenew(b *testing.B) {
 	d := membership.New(membership.Options{Epoch: 1})
 	fill(d, 0)
-	r := named(7)
+	r := namedRecord(7)
 	for i := range b.N {
 		d.Announce(time.Duration(i), proto.CloneOf(r), membership.Direct)
 	}
 }
 
-// BenchmarkMove measures a subscriber's move to a control host whose directory
-// differs in some records: bytes both ways, records sent, and the processor
-// time of both ends.
+// BenchmarkMove measures a subscriber's move to a control host with a slightly different
+// directory: bytes in both directions, records, and CPU time of both ends.
 func BenchmarkMove(b *testing.B) {
-	for _, targets := range []uint32{1_000, 3_000, 6_000, fleet} {
+	for _, targets := range []uint32{1_000, 3_000, 6_000, fleetSize} {
 		for _, differ := range []uint32{0, 10, 100} {
 			b.Run(fmt.Sprintf("%d/%d", targets, differ), func(b *testing.B) {
-				old, next := hostOf(1, targets), hostOf(2, targets)
+				old, next := fullDirectory(1, targets), fullDirectory(2, targets)
 				for n := range differ {
-					r := named(n*targets/differ + 1)
+					r := namedRecord(n*targets/differ + 1)
 					r.Sequence++
 					next.Announce(lease, r, membership.Direct)
 				}
 				var start membership.List
-				u, _ := old.Next(lease, membership.NewFollower(start.Position(), nil))
+				u, _ := old.Next(lease, membership.NewSubscriber(start.Position(), nil))
 				full := proto.Size(u)
 				start.Apply(u, time.Time{})
 				var up, down, records int
 				for b.Loop() {
 					l := start
 					p := l.Position()
-					u, _ := next.Next(lease, membership.NewFollower(p, nil))
+					u, _ := next.Next(lease, membership.NewSubscriber(p, nil))
 					l.Apply(u, time.Time{})
 					up = proto.Size(&controlpb.Subscribe{DirectoryDigests: p.Digests})
 					down, records = proto.Size(u), len(u.GetPut())
@@ -147,19 +144,19 @@
 	}
 }
 
-// BenchmarkScope measures the first list of an entry host: of all targets, and of
-// the failure domains of one region of six.
+// BenchmarkScope measures the first list of an entry host: of all targets, and of the
+// failure domains of one region of six.
 func BenchmarkScope(b *testing.B) {
 	const domains = 21
 	var region []string
 	for i := range domains / 6 {
 		region = append(region, fmt.Sprint("domain-", i))
 	}
-	for _, targets := range []int{1_000, 3_000, 6_000, fleet} {
+	for _, targets := range []int{1_000, 3_000, 6_000, fleetSize} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			d := membership.New(membership.Options{Epoch: 1, Lease: lease})
 			for n := range targets {
-				r := named(uint32(n + 1))
+				r := namedRecord(uint32(n + 1))
 				r.FailureDomain = fmt.Sprint("domain-", n%domains)
 				d.Announce(lease, r, membership.Direct)
 			}
--- a/returnpath/path.go
+++ b/returnpath/path.go
@@ -6,67 +6,67 @@
 )
 
 const (
-	// Depth is the number of entry hosts that a flow remembers.
-	Depth = 4
-	// SilentDatagrams is the number of datagrams sent with nothing heard
-	// after which a flow may move to its next entry host.
-	SilentDatagrams = 4
-	// SilentTime must also have passed since the last datagram was heard: a
+	// MaxPathHosts is the number of entry hosts that a flow remembers.
+	MaxPathHosts = 4
+	// FailoverDatagrams is the number of datagrams sent without a received one after
+	// which a flow may fail over to its next entry host.
+	FailoverDatagrams = 4
+	// FailoverTimeout must also have passed since the last received datagram, as a
 	// burst within one round trip is no sign of a dead path.
-	SilentTime = 150 * time.Millisecond
+	FailoverTimeout = 150 * time.Millisecond
 )
 
-// Path holds the entry hosts that one flow was heard through, the one to use
-// next in front. The zero value is empty. It is not safe for use by several
-// goroutines at once.
+// Path holds the entry hosts of one flow, the one to use next first. The zero value is
+// empty. A Path is not safe for concurrent use.
 type Path struct {
-	hosts  [Depth]netip.AddrPort
-	count  uint8
-	silent uint16
-	// moves counts how often the path moved on since it last heard anything.
-	moves uint16
-	since time.Duration
+	hosts [MaxPathHosts]netip.AddrPort
+	count uint8
+	// unanswered counts the datagrams sent since the last received one, up to
+	// FailoverDatagrams.
+	unanswered uint16
+	// failovers counts the failovers since the last received datagram.
+	failovers    uint16
+	lastReceived time.Duration
 }
 
-// Heard records that a datagram of the flow came through the entry host. now
-// is the time on any monotonic scale.
-func (p *Path) Heard(entry netip.AddrPort, now time.Duration) {
-	p.silent = 0
-	p.moves = 0
-	p.since = now
+// RecordReceived records that a datagram of the flow came through the entry host. now
+// is any monotonic time.
+func (p *Path) RecordReceived(entry netip.AddrPort, now time.Duration) {
+	p.unanswered = 0
+	p.failovers = 0
+	p.lastReceived = now
 	p.toFront(entry)
 }
 
-// Next returns the entry host for the next datagram and counts the datagram.
-// Once SilentDatagrams were sent and SilentTime passed with nothing heard, each
-// datagram goes through another entry host until something is heard: QUIC then
-// sends ever more rarely, and a path that waited for several datagrams on each
-// entry host would outlast its caller's patience. ok is false when no entry host is
-// known. exhausted is set once every remembered entry host was tried in vain.
+// Next returns the entry host for the next datagram and counts the datagram. After
+// FailoverDatagrams and FailoverTimeout without a received datagram, each datagram goes
+// through another entry host: a QUIC sender backs off, so several datagrams per entry
+// host could take longer than the caller's timeout. ok is false if no entry host is
+// known. exhausted is set once every remembered entry host was tried without success.
 func (p *Path) Next(now time.Duration) (entry netip.AddrPort, exhausted, ok bool) {
 	if p.count == 0 {
 		return netip.AddrPort{}, true, false
 	}
-	if p.silent >= SilentDatagrams && now-p.since >= SilentTime {
+	if p.unanswered >= FailoverDatagrams && now-p.lastReceived >= FailoverTimeout {
 		p.rotate()
 	}
-	if p.silent < SilentDatagrams {
-		p.silent++
+	if p.unanswered < FailoverDatagrams {
+		p.unanswered++
 	}
-	return p.hosts[0], p.moves >= uint16(p.count), true
+	return p.hosts[0], p.failovers >= uint16(p.count), true
 }
 
-// rotate moves the front entry host to the end.
+// rotate moves the first entry host to the end.
 func (p *Path) rotate() {
 	front := p.hosts[0]
 	copy(p.hosts[:p.count], p.hosts[1:p.count])
 	p.hosts[p.count-1] = front
-	if p.moves < ^uint16(0) {
-		p.moves++
+	if p.failovers < ^uint16(0) {
+		p.failovers++
 	}
 }
 
-// toFront puts the entry host first; the oldest one falls out of a full path.
+// toFront moves the entry host to the front and drops the last one of a full path.
 func (p *Path) toFront(entry netip.AddrPort) {
 	at := int(p.count)
 	for i := range int(p.count) {
@@ -75,10 +75,10 @@
 			break
 		}
 	}
-	if at == int(p.count) && p.count < Depth {
+	if at == int(p.count) && p.count < MaxPathHosts {
 		p.count++
 	}
-	at = min(at, Depth-1)
+	at = min(at, MaxPathHosts-1)
 	copy(p.hosts[1:at+1], p.hosts[:at])
 	p.hosts[0] = entry
 }
--- a/routing/choose_test.go
+++ b/routing/choose_test.go
@@ -13,43 +13,43 @@
 
 var hashPolicy = &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH}
 
-// reasonCase is a choice between two targets that serve and are past any ramp,
-// but for what the case changes.
+// reasonCase is a choice between two serving targets past their ramps, with the changes
+// of the case applied.
 type reasonCase struct {
-	name   string
-	policy *configpb.Policy
-	change func(list []routing.Target)
-	learn  map[uint32]routing.Report
-	want   routing.Reason
-	target uint32 // 0: any
+	name    string
+	policy  *configpb.Policy
+	change  func(list []routing.Target)
+	reports map[uint32]routing.Report
+	want    routing.Reason
+	target  uint32 // 0: any
 }
 
 var reasonCases = []reasonCase{
-	{name: "equal", want: routing.Equal},
+	{name: "equal", want: routing.EqualCost},
 	{name: "hash", policy: hashPolicy, want: routing.ByHash},
 	{
-		name:   "lower load",
-		learn:  map[uint32]routing.Report{1: {Load: 500}, 2: {Load: 400}},
-		want:   routing.ByCost,
-		target: 2,
+		name:    "lower load",
+		reports: map[uint32]routing.Report{1: {Load: 500}, 2: {Load: 400}},
+		want:    routing.ByCost,
+		target:  2,
 	},
 	{
-		name:   "no figure counts as average",
-		learn:  map[uint32]routing.Report{1: {Load: 500}},
-		want:   routing.Equal,
-		target: 0,
+		name:    "no report counts as average",
+		reports: map[uint32]routing.Report{1: {Load: 500}},
+		want:    routing.EqualCost,
+		target:  0,
 	},
 	{
 		name:   "one draining",
 		change: func(list []routing.Target) { list[0].Draining = true },
-		want:   routing.Only,
+		want:   routing.OnlyCandidate,
 		target: 2,
 	},
 	{
-		name:   "one reports to be draining",
-		learn:  map[uint32]routing.Report{1: {Draining: true}},
-		want:   routing.Only,
-		target: 2,
+		name:    "one draining by report",
+		reports: map[uint32]routing.Report{1: {Draining: true}},
+		want:    routing.OnlyCandidate,
+		target:  2,
 	},
 	{
 		name: "all draining",
@@ -60,45 +60,45 @@
 		want: routing.LastResort,
 	},
 	{
-		name:   "half ill is the panic threshold",
-		change: func(list []routing.Target) { list[0].Ill = true },
+		name:   "half unhealthy reaches the panic threshold",
+		change: func(list []routing.Target) { list[0].Unhealthy = true },
 		want:   routing.Panic,
 		target: 2, // risk still counts
 	},
 	{
-		name:   "ill below the panic threshold",
+		name:   "unhealthy below the panic threshold",
 		policy: &configpb.Policy{PanicPercent: 51},
-		change: func(list []routing.Target) { list[0].Ill = true },
-		want:   routing.Only,
+		change: func(list []routing.Target) { list[0].Unhealthy = true },
+		want:   routing.OnlyCandidate,
 		target: 2,
 	},
 	{
-		name:   "all ill above any threshold",
+		name:   "all unhealthy at any threshold",
 		policy: &configpb.Policy{PanicPercent: 1000},
 		change: func(list []routing.Target) {
-			list[0].Ill = true
-			list[1].Ill = true
+			list[0].Unhealthy = true
+			list[1].Unhealthy = true
 		},
 		want: routing.Panic,
 	},
 	{
-		name:   "the agent's own word is newer than the directory",
-		policy: &configpb.Policy{PanicPercent: 100},
-		change: func(list []routing.Target) { list[0].Ill = true },
-		learn:  map[uint32]routing.Report{1: {Ill: false}, 2: {Ill: true}},
-		want:   routing.Only,
-		target: 1,
+		name:    "report overrides the directory",
+		policy:  &configpb.Policy{PanicPercent: 100},
+		change:  func(list []routing.Target) { list[0].Unhealthy = true },
+		reports: map[uint32]routing.Report{1: {Unhealthy: false}, 2: {Unhealthy: true}},
+		want:    routing.OnlyCandidate,
+		target:  1,
 	},
 	{
-		name:   "the directory's damping outweighs the agent's word",
+		name:   "damping overrides the report",
 		policy: &configpb.Policy{PanicPercent: 51},
 		change: func(list []routing.Target) {
-			list[0].Ill = true
+			list[0].Unhealthy = true
 			list[0].Damped = true
 		},
-		learn:  map[uint32]routing.Report{1: {Ill: false}},
-		want:   routing.Only,
-		target: 2,
+		reports: map[uint32]routing.Report{1: {Unhealthy: false}},
+		want:    routing.OnlyCandidate,
+		target:  2,
 	},
 }
 
@@ -110,9 +110,9 @@
 			if tt.change != nil {
 				tt.change(list)
 			}
-			loads := routing.NewLoads(nil, list)
-			for number, report := range tt.learn {
-				is.True(loads.Learn(number, 1, report, start))
+			loads := routing.NewLoadReports(nil, list)
+			for number, report := range tt.reports {
+				is.True(loads.Record(number, 1, report, start))
 			}
 			table := routing.NewTable(tt.policy, service, list, loads, start)
 			choice, ok := table.Choose(hashes(1)[0], start)
@@ -146,11 +146,11 @@
 	table, _ = build(nil, targets(1))
 	choice, ok := table.Choose(1, start)
 	is.True(ok)
-	is.Equal(choice.Reason, routing.Only)
+	is.Equal(choice.Reason, routing.OnlyCandidate)
 	is.Equal(choice.Alternate, netip.AddrPort{})
 }
 
-func TestUnusableAddressesAreLeftOut(t *testing.T) {
+func TestInvalidAddressesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	list := targets(4)
 	list[0].Address = netip.MustParseAddrPort("[2001:db8::1]:7000")
@@ -171,8 +171,8 @@
 		is.Equal(table.Len(), 1)
 		choice, ok := table.Choose(1, start)
 		is.True(ok)
-		is.Equal(choice.Target, routing.Picked{Number: 1, Incarnation: 2, Address: newer.Address})
-		is.True(!loads.Learn(1, 1, routing.Report{}, start)) // the old one's figures don't count
+		is.Equal(choice.Target, routing.TargetRef{Number: 1, Incarnation: 2, Address: newer.Address})
+		is.True(!loads.Record(1, 1, routing.Report{}, start)) // reports of the old one are ignored
 	}
 }
 
@@ -180,7 +180,7 @@
 	is := is.New(t)
 	list := targets(7)
 	table, loads := build(nil, list)
-	loads.Learn(3, 1, routing.Report{Draining: true}, start)
+	loads.Record(3, 1, routing.Report{Draining: true}, start)
 	counts := count(t, table, hashes(1000))
 	is.Equal(counts[3], 0)
 	is.Equal(len(counts), 6)
@@ -189,33 +189,33 @@
 func TestStaleReportIsIgnored(t *testing.T) {
 	is := is.New(t)
 	list := targets(2)
-	loads := routing.NewLoads(nil, list)
-	loads.Learn(1, 1, routing.Report{Load: 900, Draining: true}, start)
+	loads := routing.NewLoadReports(nil, list)
+	loads.Record(1, 1, routing.Report{Load: 900, Draining: true}, start)
 
 	later := start + routing.MaxReportAge + time.Millisecond
 	table := routing.NewTable(nil, service, list, loads, later)
 	is.Equal(table.Len(), 2)
 	choice, ok := table.Choose(1, later)
 	is.True(ok)
-	is.Equal(choice.Reason, routing.Equal)
+	is.Equal(choice.Reason, routing.EqualCost)
 }
 
-// TestIdleTargetIsNotHeldToItsLastLoad has one target answer all the time. The
-// other one's last report was of a busy moment, and nothing tells of its end.
-func TestIdleTargetIsNotHeldToItsLastLoad(t *testing.T) {
+// A target that became idle sends no newer report and must not stay at its last high
+// load.
+func TestStaleLoadCountsAsAverage(t *testing.T) {
 	is := is.New(t)
 	list := targets(2)
-	loads := routing.NewLoads(nil, list)
-	loads.Learn(1, 1, routing.Report{Load: 250}, start)
+	loads := routing.NewLoadReports(nil, list)
+	loads.Record(1, 1, routing.Report{Load: 250}, start)
 	later := start + 1100*time.Millisecond
-	loads.Learn(2, 1, routing.Report{}, later)
+	loads.Record(2, 1, routing.Report{}, later)
 	counts := map[uint32]int{}
 	table := routing.NewTable(nil, service, list, loads, later)
 	for _, hash := range hashes(100) {
 		choice, ok := table.Choose(hash, later)
 		is.True(ok)
 		counts[choice.Target.Number]++
-		loads.Learn(2, 1, routing.Report{}, later)
+		loads.Record(2, 1, routing.Report{}, later)
 	}
 	is.True(counts[1] > 0)
 }
@@ -223,33 +223,33 @@
 func TestBurstBetweenReportsSpreads(t *testing.T) {
 	is := is.New(t)
 	table, loads := build(nil, targets(2))
-	loads.Learn(1, 1, routing.Report{Load: 100}, start)
-	loads.Learn(2, 1, routing.Report{Load: 110}, start)
+	loads.Record(1, 1, routing.Report{Load: 100}, start)
+	loads.Record(2, 1, routing.Report{Load: 110}, start)
 	counts := count(t, table, hashes(1000))
-	// The lead of 10 per mille counts half, as the weights are equal: after
-	// five flows the costs are the same, then flows alternate.
+	// A lead of 10 per mille counts half, as the weights are equal: after five flows
+	// the costs are the same, then flows alternate.
 	is.Equal(counts[1]+counts[2], 1000)
 	lead := counts[1] - counts[2]
 	is.True(lead >= 4 && lead <= 6)
 }
 
-func TestSilentTargetLosesUntilItsCountDecays(t *testing.T) {
+func TestUnansweredFlowsCountUntilDecay(t *testing.T) {
 	is := is.New(t)
 	table, loads := build(nil, targets(2))
 	choose := func() uint32 {
 		choice, _ := table.Choose(hashes(1)[0], start)
 		return choice.Target.Number
 	}
-	silent := choose()
+	unanswered := choose()
 	for range 100 {
 		choose()
-		loads.Learn(3-silent, 1, routing.Report{}, start) // the other one answers
+		loads.Record(3-unanswered, 1, routing.Report{}, start) // the other target replies
 	}
-	is.Equal(choose(), 3-silent)
+	is.Equal(choose(), 3-unanswered)
 
 	loads.Decay()
-	loads.Learn(3-silent, 1, routing.Report{}, start)
-	is.Equal(choose(), silent) // it is tried again
+	loads.Record(3-unanswered, 1, routing.Report{}, start)
+	is.Equal(choose(), unanswered) // it is tried again
 }
 
 func TestBaselinesIgnoreRampAndRisk(t *testing.T) {
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestNothingIsAllocated(t *testing.T) {
+func TestNoAllocations(t *testing.T) {
 	is := is.New(t)
 	list := targets(12)
 	list[3].Age = time.Second
@@ -277,6 +277,6 @@
 		table.Choose(hash, start)
 	}), 0.0)
 	is.Equal(testing.AllocsPerRun(1000, func() {
-		loads.Learn(1, 1, routing.Report{Load: 1}, start)
+		loads.Record(1, 1, routing.Report{Load: 1}, start)
 	}), 0.0)
 }
--- a/routing/property_test.go
+++ b/routing/property_test.go
@@ -36,16 +36,16 @@
 			Service:     service + number%3,
 			Address:     address(number),
 			Draining:    rapid.Bool().Draw(t, "draining"),
-			Ill:         rapid.Bool().Draw(t, "ill"),
+			Unhealthy:   rapid.Bool().Draw(t, "unhealthy"),
 			Age:         time.Duration(rapid.IntRange(0, 30_000).Draw(t, "age")) * time.Millisecond,
 		})
 	}
 	return list
 }
 
-// newest returns the targets of the service in their newest incarnation; of
-// equal records the last one wins.
-func newest(list []routing.Target) map[uint32][]routing.Target {
+// newestRecords returns the targets of the service in their newest incarnation, with all
+// records of that incarnation.
+func newestRecords(list []routing.Target) map[uint32][]routing.Target {
 	out := make(map[uint32][]routing.Target)
 	for _, target := range list {
 		if target.Service != service {
@@ -73,23 +73,23 @@
 	return false
 }
 
-func TestChoicesKeepTheRules(t *testing.T) {
+func TestChoiceInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		policy := drawPolicy(t)
 		list := drawTargets(t)
-		own := newest(list)
-		loads := routing.NewLoads(nil, list)
+		own := newestRecords(list)
+		loads := routing.NewLoadReports(nil, list)
 		reportsDraining := make(map[uint32]bool)
 		for range rapid.IntRange(0, 10).Draw(t, "reports") {
 			number := rapid.Uint32Range(1, 40).Draw(t, "reporter")
 			report := routing.Report{
-				Load:     rapid.Uint16().Draw(t, "load"),
-				Draining: rapid.Bool().Draw(t, "reports draining"),
-				Ill:      rapid.Bool().Draw(t, "reports ill"),
+				Load:      rapid.Uint16().Draw(t, "load"),
+				Draining:  rapid.Bool().Draw(t, "reports draining"),
+				Unhealthy: rapid.Bool().Draw(t, "reports unhealthy"),
 			}
 			if records := own[number]; len(records) > 0 {
-				is.True(loads.Learn(number, records[0].Incarnation, report, start))
+				is.True(loads.Record(number, records[0].Incarnation, report, start))
 				reportsDraining[number] = report.Draining
 			}
 		}
@@ -129,11 +129,11 @@
 		for i := range list {
 			list[i].Age = time.Duration(rapid.IntRange(0, 20_000).Draw(t, "age")) * time.Millisecond
 		}
-		loads := routing.NewLoads(nil, list)
+		loads := routing.NewLoadReports(nil, list)
 		for i := range list {
 			if rapid.Bool().Draw(t, "known") {
 				load := rapid.Uint16Range(0, 2000).Draw(t, "load")
-				loads.Learn(list[i].Number, 1, routing.Report{Load: load}, start)
+				loads.Record(list[i].Number, 1, routing.Report{Load: load}, start)
 			}
 		}
 		table := routing.NewTable(drawPolicy(t), service, list, loads, start)
@@ -144,18 +144,16 @@
 			is.True(ok)
 			counts[choice.Target.Number]++
 		}
-		// Whatever the figures say, a target is drawn for two flows in n, so no
-		// false or old figure can bring it more. A tenth is for the spread of
-		// the hashes.
+		// A target is drawn for two flows in n, so no wrong load can attract more. The
+		// margin of a tenth is for the variance of the hashes.
 		for _, c := range counts {
 			is.True(c <= flows*2/n*11/10)
 		}
 	})
 }
 
-func TestLoadsEvenOut(t *testing.T) {
-	// Each target reports its true load now and then; the fullest must stay
-	// near the average under the weighted strategy.
+func TestLoadsConverge(t *testing.T) {
+	// The fullest target stays near the average under the weighted strategy.
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		n := rapid.IntRange(2, 30).Draw(t, "targets")
@@ -171,7 +169,7 @@
 			flows[choice.Target.Number]++
 			if i%every == 0 {
 				for number, f := range flows {
-					loads.Learn(number, 1, routing.Report{Load: uint16(f)}, start)
+					loads.Record(number, 1, routing.Report{Load: uint16(f)}, start)
 				}
 			}
 		}
@@ -185,10 +183,9 @@
 	for _, tt := range []struct {
 		name   string
 		policy *configpb.Policy
-		// Bounds of the share of the cold target at age zero and after half of
-		// its ramp, in per cent of the share of a full target. At zero its risk
-		// under the second policy is worth the highest load of the others, so
-		// it may get nothing.
+		// Bounds of the share of a cold target at age zero and halfway through its
+		// ramp, in percent of the share of a full target. With a high broken flow
+		// weight it may get nothing at first.
 		startMin, startMax     int
 		halfwayMin, halfwayMax int
 	}{
@@ -205,16 +202,16 @@
 			for _, age := range []time.Duration{0, ramp / 4, ramp / 2, 3 * ramp / 4, ramp} {
 				list := targets(n)
 				list[0].Age = age
-				// All but the cold target are in equal use; its own load is
-				// low, so it wins every draw that it takes part in.
-				loads := routing.NewLoads(nil, list)
+				// The load of the cold target is low, so it wins every draw in which it
+				// takes part.
+				loads := routing.NewLoadReports(nil, list)
 				counts := 0
 				table := routing.NewTable(tt.policy, service, list, loads, start)
 				for _, hash := range hashes(flows) {
 					for number := uint32(2); number <= n; number++ {
-						loads.Learn(number, 1, routing.Report{Load: 4000}, start)
+						loads.Record(number, 1, routing.Report{Load: 4000}, start)
 					}
-					loads.Learn(1, 1, routing.Report{}, start)
+					loads.Record(1, 1, routing.Report{}, start)
 					choice, _ := table.Choose(hash, start)
 					if choice.Target.Number == 1 {
 						counts++
--- a/routing/weights_test.go
+++ b/routing/weights_test.go
@@ -12,14 +12,13 @@
 	"eelgrasswharf.example/eelgrasswharf/routing"
 )
 
-// fleet is a small model of a service whose targets restart in turn. A flow
-// lives on after the model ends. A cold backend server loses a share of the
-// flows that it gets; the share falls over its ramp.
+// fleet simulates a service whose targets restart in turn. Flows do not end. A cold
+// backend server breaks a share of its new flows, which falls over its ramp.
 type fleet struct {
 	list     []routing.Target
 	flows    []int
 	restarts []time.Duration
-	loads    *routing.Loads
+	loads    *routing.LoadReports
 	rand     *rand.Rand
 
 	broken    int
@@ -48,17 +47,17 @@
 		list:     list,
 		flows:    make([]int, len(list)),
 		restarts: make([]time.Duration, len(list)),
-		loads:    routing.NewLoads(nil, list),
+		loads:    routing.NewLoadReports(nil, list),
 		rand:     rand.New(rand.NewPCG(1, 2)),
 	}
 	for i := range f.flows {
 		f.flows[i] = fleetSeedFlow
-		f.restarts[i] = -old
+		f.restarts[i] = -warmAge
 	}
 	return f
 }
 
-// run plays the model under a policy.
+// run runs the simulation under a policy.
 func (f *fleet) run(p *configpb.Policy) {
 	var table *routing.Table
 	next := 0
@@ -86,7 +85,7 @@
 	for i := range f.list {
 		f.list[i].Age = now - f.restarts[i]
 	}
-	f.loads = routing.NewLoads(f.loads, f.list)
+	f.loads = routing.NewLoadReports(f.loads, f.list)
 	f.loads.Decay()
 	return routing.NewTable(p, service, f.list, f.loads, now)
 }
@@ -95,7 +94,7 @@
 	for range fleetReports {
 		i := f.rand.IntN(len(f.list))
 		load := uint16(float64(f.flows[i]) * millePerFlow)
-		f.loads.Learn(f.list[i].Number, f.list[i].Incarnation, routing.Report{Load: load}, now)
+		f.loads.Record(f.list[i].Number, f.list[i].Incarnation, routing.Report{Load: load}, now)
 	}
 }
 
@@ -128,9 +127,9 @@
 	f.samples++
 }
 
-func TestEachPolicyDoesBetterOnItsOwnMeasure(t *testing.T) {
+func TestWeightsTradeBrokenFlowsForImbalance(t *testing.T) {
 	is := is.New(t)
-	play := func(name string, p *configpb.Policy) (broken int, imbalance float64) {
+	simulate := func(name string, p *configpb.Policy) (broken int, imbalance float64) {
 		p.RampMs = uint32(fleetRamp.Milliseconds())
 		f := newFleet()
 		f.run(p)
@@ -139,13 +138,13 @@
 		return f.broken, imbalance
 	}
 
-	play("hash", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH})
-	baseline, _ := play("two choices", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_TWO_CHOICES})
-	equal, _ := play("equal", &configpb.Policy{})
-	careful, carefulImbalance := play("broken flows", &configpb.Policy{BrokenFlowWeight: 4, ImbalanceWeight: 1})
-	even, evenImbalance := play("imbalance", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4})
+	simulate("hash", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_HASH})
+	baseline, _ := simulate("two choices", &configpb.Policy{Strategy: configpb.Strategy_STRATEGY_TWO_CHOICES})
+	equal, _ := simulate("equal", &configpb.Policy{})
+	careful, carefulImbalance := simulate("broken flows", &configpb.Policy{BrokenFlowWeight: 4, ImbalanceWeight: 1})
+	even, evenImbalance := simulate("imbalance", &configpb.Policy{BrokenFlowWeight: 1, ImbalanceWeight: 4})
 
-	is.True(careful < even)                      // fewer broken flows where these weigh more
-	is.True(evenImbalance < carefulImbalance)    // less imbalance where that weighs more
-	is.True(careful < equal && equal < baseline) // and fewer broken flows than without weights
+	is.True(careful < even)                      // fewer broken flows with a higher weight of these
+	is.True(evenImbalance < carefulImbalance)    // less imbalance with a higher weight of that
+	is.True(careful < equal && equal < baseline) // fewer broken flows than without weights
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -11,101 +11,102 @@
 
 // Kinds of faults.
 const (
-	KillEntry    Kind = "kill entry host"
-	StopEntry    Kind = "stop entry host"
-	FreezeEntry  Kind = "freeze entry host"
-	KillAgent    Kind = "kill agent"
-	FreezeAgent  Kind = "freeze agent"
-	KillControl  Kind = "kill control host"
-	StopControl  Kind = "stop control host"
-	FreezeHost   Kind = "freeze control host"
-	WipeControl  Kind = "lose the disk of a control host"
-	FillControl  Kind = "fill the disk of a control host"
-	KillControls Kind = "kill all control hosts"
-	KillAll      Kind = "kill all processes"
-	Reload       Kind = "reload a process"
-	CrashTarget  Kind = "crash a target"
-	DrainTarget  Kind = "drain a target"
-	LosePackets  Kind = "lose packets to an entry host"
-	DelayPackets Kind = "delay packets to an entry host"
-	CutPath      Kind = "silence the path to an entry host"
-	CutOperator  Kind = "silence an operator's path"
-	DropOperator Kind = "reset an operator's connections"
+	KillEntry     Kind = "kill entry host"
+	StopEntry     Kind = "stop entry host"
+	FreezeEntry   Kind = "freeze entry host"
+	KillAgent     Kind = "kill agent"
+	FreezeAgent   Kind = "freeze agent"
+	KillControl   Kind = "kill control host"
+	StopControl   Kind = "stop control host"
+	FreezeControl Kind = "freeze control host"
+	WipeControl   Kind = "lose the disk of a control host"
+	FillControl   Kind = "fill the disk of a control host"
+	KillControls  Kind = "kill all control hosts"
+	KillAll       Kind = "kill all processes"
+	Reload        Kind = "reload a process"
+	CrashTarget   Kind = "crash a target"
+	DrainTarget   Kind = "drain a target"
+	LosePackets   Kind = "lose packets to an entry host"
+	DelayPackets  Kind = "delay packets to an entry host"
+	CutPath       Kind = "cut the path to an entry host"
+	CutOperator   Kind = "cut an operator's path"
+	ResetOperator Kind = "reset an operator's connections"
 )
 
-// weighted lists the kinds, with how often each is drawn.
-var weighted = []struct {
+// faultWeights lists the kinds with their relative frequency.
+var faultWeights = []struct {
 	kind   Kind
 	weight int
 }{
 	{KillEntry, 4}, {StopEntry, 3}, {FreezeEntry, 3},
 	{KillAgent, 4}, {FreezeAgent, 3},
-	{KillControl, 4}, {StopControl, 2}, {FreezeHost, 3}, {WipeControl, 3}, {FillControl, 2},
+	{KillControl, 4}, {StopControl, 2}, {FreezeControl, 3}, {WipeControl, 3}, {FillControl, 2},
 	{KillControls, 1}, {KillAll, 1}, {Reload, 2},
 	{CrashTarget, 3}, {DrainTarget, 3},
-	{LosePackets, 3}, {DelayPackets, 3}, {CutPath, 2}, {CutOperator, 2}, {DropOperator, 2},
+	{LosePackets, 3}, {DelayPackets, 3}, {CutPath, 2}, {CutOperator, 2}, {ResetOperator, 2},
 }
 
 const (
-	// stepGap is the mean time between two faults, so that some overlap.
-	stepGap = 700 * time.Millisecond
-	// shortest and longest bound how long a fault lasts: up to more than the lease of
-	// a target, 1.2 s, and an election.
-	shortest = 200 * time.Millisecond
-	longest  = 4 * time.Second
-	// catchUp is how long a control host with an empty disk may take to vote again.
-	catchUp = 6 * time.Second
+	// faultInterval is the mean time between two faults. It lets some overlap.
+	faultInterval = 700 * time.Millisecond
+	// minFaultTime and maxFaultTime bound the duration of a fault. The maximum exceeds
+	// the lease of a target and an election.
+	minFaultTime = 200 * time.Millisecond
+	maxFaultTime = 4 * time.Second
+	// catchUpTime bounds the time in which a control host with an empty disk gets its vote.
+	catchUpTime = 6 * time.Second
 )
 
-// Step is one fault.
-type Step struct {
+// Fault is a fault of a plan.
+type Fault struct {
+	// At is the time of the fault after the start of the run.
 	At   time.Duration
 	Kind Kind
-	// Victim chooses among what the fault can disturb.
+	// Victim selects among the possible victims, modulo their number.
 	Victim int
-	// For is how long it lasts.
+	// For is the duration of the fault.
 	For time.Duration
 }
 
-// Plan draws the faults of a run of that length. The same seed gives the same plan.
-func Plan(seed uint64, length time.Duration) []Step {
+// Plan generates the faults of a run. The same seed and length give the same plan.
+func Plan(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, planStream))
-	var plan []Step
-	// No control host is disturbed until noneBefore, and no disk is lost before calm.
-	var noneBefore, calm time.Duration
-	for at := stepGap; at < length; at += time.Duration(random.Float64() * 2 * float64(stepGap)) {
-		s := Step{
+	var plan []Fault
+	// No control host is disturbed before nextControlFault, no disk is lost before nextWipe.
+	var nextControlFault, nextWipe time.Duration
+	for at := faultInterval; at < length; at += time.Duration(random.Float64() * 2 * float64(faultInterval)) {
+		fault := Fault{
 			At:     at,
-			Kind:   draw(random),
+			Kind:   randomKind(random),
 			Victim: random.IntN(1 << 16),
-			For:    shortest + time.Duration(random.Float64()*float64(longest-shortest)),
+			For:    minFaultTime + time.Duration(random.Float64()*float64(maxFaultTime-minFaultTime)),
 		}
-		if !disturbsControl(s.Kind) {
-			plan = append(plan, s)
+		if !affectsControl(fault.Kind) {
+			plan = append(plan, fault)
 			continue
 		}
-		if at < noneBefore || s.Kind == WipeControl && at < calm {
+		if at < nextControlFault || fault.Kind == WipeControl && at < nextWipe {
 			continue
 		}
-		calm = max(calm, at+s.For+catchUp)
-		if s.Kind == WipeControl {
-			noneBefore = at + s.For + catchUp
+		nextWipe = max(nextWipe, at+fault.For+catchUpTime)
+		if fault.Kind == WipeControl {
+			nextControlFault = at + fault.For + catchUpTime
 		}
-		plan = append(plan, s)
+		plan = append(plan, fault)
 	}
 	return plan
 }
 
-// planStream keeps the plan's chance apart from that of callers and operators.
+// planStream is the random stream of the plan.
 const planStream = 1
 
-func draw(random *rand.Rand) Kind {
+func randomKind(random *rand.Rand) Kind {
 	total := 0
-	for _, w := range weighted {
+	for _, w := range faultWeights {
 		total += w.weight
 	}
 	n := random.IntN(total)
-	for _, w := range weighted {
+	for _, w := range faultWeights {
 		if n < w.weight {
 			return w.kind
 		}
@@ -114,7 +115,7 @@
 	return Reload
 }
 
-// disturbsControl reports whether a fault disturbs control hosts.
-func disturbsControl(k Kind) bool {
-	return slices.Contains([]Kind{KillControl, StopControl, FreezeHost, WipeControl, FillControl, KillControls, KillAll}, k)
+// affectsControl reports whether a fault disturbs control hosts.
+func affectsControl(k Kind) bool {
+	return slices.Contains([]Kind{KillControl, StopControl, FreezeControl, WipeControl, FillControl, KillControls, KillAll}, k)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,32 +13,32 @@
 
 func TestMain(m *testing.M) { processtest.Main(m) }
 
-// seeds are played by each test run, for the length that shows their faults. Seeds that
-// ever broke a promise stay here, each with a line on its cause.
+// seeds lists the runs of TestSeeds. The comments name the failure that a run guards
+// against.
 var seeds = []struct {
 	seed   uint64
 	length time.Duration
 }{
 	{1, 6 * time.Second},
-	// An entry host that was frozen reset flows by what it knew before.
+	// An entry host that was frozen resets flows by outdated state.
 	{8, 15 * time.Second},
-	// The stand-in took a late copy of an opening for a new flow.
+	// The stand-in treats a late duplicate of an opening as a new flow.
 	{31, 15 * time.Second},
-	// An entry host bound a flow to a target that was offered it and never answered.
+	// An entry host binds a flow to a target that never replies to the opening.
 	{54, 15 * time.Second},
-	// An agent asked its target for a flow that the caller had opened elsewhere.
+	// An agent queries its target for a flow that is open elsewhere.
 	{32, 15 * time.Second},
 }
 
-// TestSeeds plays a few seconds of faults. How long service takes to be back is no
-// measure here, since other tests run beside it.
+// TestSeeds runs each seed without violations. The margin allows for tests that run
+// concurrently.
 func TestSeeds(t *testing.T) {
 	for _, s := range seeds {
 		o := soak.Options{
-			Binary: processtest.Binary(t), Folder: t.TempDir(), Seed: s.seed,
-			Length: s.length, Patience: time.Minute,
+			Binary: processtest.Binary(t), Dir: t.TempDir(), Seed: s.seed,
+			Length: s.length, TimeoutMargin: time.Minute,
 		}
-		for range soak.Hosts {
+		for range soak.RequiredIPs {
 			o.IPs = append(o.IPs, loopback.Host(t))
 		}
 		result, err := soak.Run(t.Context(), o)
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -6,18 +6,17 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// BenchmarkPatches measures patches of one operator, each against the version
-// that the one before made, on three control hosts.
+// BenchmarkPatches measures sequential patches of one operator on three control hosts.
 func BenchmarkPatches(b *testing.B) {
 	d := &deployment{Cluster: processtest.New(b)}
 	d.controls = d.StartControls(3)
 	d.lodgement = d.NewService("lodgement")
-	base := d.Patch(d.lodgement.Put())
+	base := d.Patch(d.lodgement.PutSection())
 	d.Leader()
 	b.ResetTimer()
 	s := d.startStream(base, d.controls...)
 	for s.version.Load() < base+uint64(b.N) {
-		s.awaitNext()
+		s.waitNext()
 	}
 	b.StopTimer()
 	s.end()
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -12,8 +12,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// operators returns the operator addresses of control hosts.
-func operators(hosts []*processtest.Control) []netip.AddrPort {
+// operatorAddresses returns the operator addresses of control hosts.
+func operatorAddresses(hosts []*processtest.Control) []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, host := range hosts {
 		all = append(all, host.Operator)
@@ -21,10 +21,9 @@
 	return all
 }
 
-// TestLeaderKilledAroundPatch kills the leader while patches follow each other
-// and sends each one again until its outcome is known: each applies exactly
-// once, in order.
-func TestLeaderKilledAroundPatch(t *testing.T) {
+// TestLeaderKilledDuringPatches kills the leader during a sequence of patches and
+// resends each one until its outcome is known. Each applies exactly once, in order.
+func TestLeaderKilledDuringPatches(t *testing.T) {
 	is := is.New(t)
 	const rounds, patches = 4, 6
 	d := deploy(t, 3)
@@ -34,7 +33,7 @@
 		leader := d.Leader()
 		var loss conc.WaitGroup
 		for i := range patches {
-			known := d.Settle(version, fmt.Sprint("to-", version+1), d.lodgement.Put())
+			known := d.SubmitUntilKnown(version, fmt.Sprint("to-", version+1), d.lodgement.PutSection())
 			is.Equal(known.Verdict, processtest.Accepted)
 			is.Equal(known.Version, version+1)
 			version++
@@ -46,7 +45,7 @@
 		leader.Launch()
 		leader.WaitReady()
 	}
-	d.InForce(version, d.entryNames()...)
+	d.WaitActive(version, d.entryNames()...)
 	for v := uint64(2); v <= version; v++ {
 		is.Equal(d.Show(fmt.Sprint("to-", v)).Version, v) // no outcome was lost
 	}
@@ -54,9 +53,9 @@
 	load.stop()
 }
 
-// TestControlHostsRestartInTurn stops each control host gracefully while
-// requests that may not be repeated run: none is cut and none runs twice.
-func TestControlHostsRestartInTurn(t *testing.T) {
+// TestControlHostsRollingRestart stops each control host gracefully while
+// non-repeatable requests run. None is interrupted and none runs twice.
+func TestControlHostsRollingRestart(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -64,9 +63,9 @@
 	for _, host := range d.controls {
 		inFlight := d.startRequests(t, target, 2)
 		host.Terminate()
-		host.WaitExit()
-		for _, fate := range inFlight.wait() {
-			is.Equal(fate, whole)
+		host.WaitCleanExit()
+		for _, result := range inFlight.wait() {
+			is.Equal(result, completed)
 		}
 		host.Launch()
 		host.WaitReady()
@@ -74,52 +73,52 @@
 	for i := range d.inFlight {
 		is.Equal(d.runs(fmt.Sprint("in flight ", i+1)), 1)
 	}
-	d.InForce(d.Patch(d.lodgement.Put()), d.entryNames()...)
+	d.WaitActive(d.Patch(d.lodgement.PutSection()), d.entryNames()...)
 	load.progress()
 	load.stop()
 }
 
-// TestControlHostLosesItsDisk brings a host back with an empty data folder and
-// then kills another one: no accepted patch may be gone.
-func TestControlHostLosesItsDisk(t *testing.T) {
+// TestControlHostDiskLoss replaces a host with an empty data directory and then kills
+// another one. No accepted patch may be lost.
+func TestControlHostDiskLoss(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
 	lost := d.Leader()
 	lost.Kill()
-	lost.LoseDisk()
-	is.Equal(d.Settle(1, "without-the-host", d.lodgement.Put()).Version, uint64(2))
+	lost.RemoveDataDir()
+	is.Equal(d.SubmitUntilKnown(1, "without-the-host", d.lodgement.PutSection()).Version, uint64(2))
 	lost.Launch()
 	lost.WaitReady()
 	lost.Replace()
-	is.Equal(d.Settle(2, "with-the-new-replica", d.lodgement.Put()).Version, uint64(3))
+	is.Equal(d.SubmitUntilKnown(2, "with-the-new-replica", d.lodgement.PutSection()).Version, uint64(3))
 	lost.Others()[0].Kill()
-	is.Equal(d.Settle(3, "after-the-second-loss", d.lodgement.Put()).Version, uint64(4))
+	is.Equal(d.SubmitUntilKnown(3, "after-the-second-loss", d.lodgement.PutSection()).Version, uint64(4))
 	is.Equal(d.Show("without-the-host").Version, uint64(2))
 	is.Equal(d.Show("with-the-new-replica").Version, uint64(3))
-	d.InForce(4, d.entryNames()...)
+	d.WaitActive(4, d.entryNames()...)
 	load.progress()
 	load.stop()
 }
 
-// TestRacingOperators submits patches against one version through all control
-// hosts at once: one wins, the others learn by which version.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentOperators submits patches against one version through all control
+// hosts at once. Exactly one is accepted; the others learn which one.
+func TestConcurrentOperators(t *testing.T) {
 	is := is.New(t)
-	const rounds, racers = 4, 6
+	const rounds, submitters = 4, 6
 	d := deploy(t, 3)
 	base := uint64(1)
 	for round := range rounds {
-		outcomes := make([]processtest.Outcome, racers)
-		var race conc.WaitGroup
-		for i := range racers {
+		outcomes := make([]processtest.Outcome, submitters)
+		var submissions conc.WaitGroup
+		for i := range submitters {
 			host := d.controls[i%len(d.controls)]
-			race.Go(func() {
+			submissions.Go(func() {
 				id := fmt.Sprintf("round-%d-racer-%d", round, i)
-				outcomes[i] = d.Submit(base, id, []string{d.lodgement.Put()}, host.Operator)
+				outcomes[i] = d.Submit(base, id, []string{d.lodgement.PutSection()}, host.Operator)
 			})
 		}
-		race.Wait()
+		submissions.Wait()
 		winner := ""
 		for i, o := range outcomes {
 			if o.Verdict == processtest.Accepted {
@@ -137,13 +136,13 @@
 		}
 		base++
 	}
-	d.InForce(base, d.entryNames()...)
+	d.WaitActive(base, d.entryNames()...)
 }
 
-// TestMinorityRefuses leaves one of three control hosts: it accepts nothing
-// and says so, established work goes on, and nothing of the refused patch is
-// left when the others return.
-func TestMinorityRefuses(t *testing.T) {
+// TestMinorityRefusesPatches leaves one of three control hosts. It accepts nothing,
+// established flows go on, and the refused patch leaves no trace when the others
+// return.
+func TestMinorityRefusesPatches(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
@@ -151,49 +150,49 @@
 	for _, host := range last.Others() {
 		host.Kill()
 	}
-	o := d.Submit(1, "minority", []string{d.lodgement.Put()}, last.Operator)
-	is.True(o.Verdict == processtest.NotDone || o.Verdict == processtest.Unknown)
+	o := d.Submit(1, "minority", []string{d.lodgement.PutSection()}, last.Operator)
+	is.True(o.Verdict == processtest.NotApplied || o.Verdict == processtest.Unknown)
 	is.Equal(d.Show("minority", last.Operator).Verdict, processtest.Unknown)
 	answer := d.lodgement.NewCaller().MustDo(http.MethodPost,
 		processtest.RunPath(0), processtest.KeyHeader("minority"), nil)
-	checkMayComeBack(t, answer)
-	is.Equal(answer.Reason, "grant-unavailable") // nobody holds the key
+	checkUnknownWithRetryAfter(t, answer)
+	is.Equal(answer.Reason, "grant-unavailable") // no attempt holds the key
 	is.Equal(d.runs("minority"), 0)
 	load.progress()
 	for _, host := range last.Others() {
 		host.Launch()
 		host.WaitReady()
 	}
-	is.Equal(d.Settle(1, "minority", d.lodgement.Put()).Version, uint64(2)) // once, whatever was answered
-	d.InForce(2, d.entryNames()...)
+	is.Equal(d.SubmitUntilKnown(1, "minority", d.lodgement.PutSection()).Version, uint64(2)) // exactly once, whatever the first reply was
+	d.WaitActive(2, d.entryNames()...)
 	load.stop()
 }
 
-// TestFrozenLeaderReturns thaws a leader after the others went on without it.
-// It has to know at once that it is behind.
-func TestFrozenLeaderReturns(t *testing.T) {
+// TestFrozenLeaderResumes thaws a leader after the others have elected a new one. It
+// must not accept a patch against the old version.
+func TestFrozenLeaderResumes(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 3)
 	load := d.startLoad(t)
 	frozen := d.Leader()
 	frozen.Freeze()
-	others := operators(frozen.Others())
+	others := operatorAddresses(frozen.Others())
 	var o processtest.Outcome
 	processtest.Eventually(t, "the others accept a patch", func() bool {
-		o = d.Submit(1, "without-the-frozen", []string{d.lodgement.Put()}, others...)
+		o = d.Submit(1, "without-the-frozen", []string{d.lodgement.PutSection()}, others...)
 		return o.Verdict == processtest.Accepted
 	})
 	is.Equal(o.Version, uint64(2))
 	frozen.Thaw()
-	stale := d.Submit(1, "stale", []string{d.certificates.Put()}, frozen.Operator)
+	stale := d.Submit(1, "stale", []string{d.certificates.PutSection()}, frozen.Operator)
 	is.True(stale.Verdict != processtest.Accepted)
-	processtest.Eventually(t, "the thawed host tells the outcome", func() bool {
+	processtest.Eventually(t, "the thawed host returns the outcome", func() bool {
 		o = d.Show("without-the-frozen", frozen.Operator)
 		return o.Verdict != processtest.Unknown
 	})
 	is.Equal(o.Version, uint64(2))
-	is.Equal(d.Settle(1, "stale", d.certificates.Put()).Verdict, processtest.RefusedBase)
-	d.InForce(2, d.entryNames()...)
+	is.Equal(d.SubmitUntilKnown(1, "stale", d.certificates.PutSection()).Verdict, processtest.RefusedBase)
+	d.WaitActive(2, d.entryNames()...)
 	load.progress()
 	load.stop()
 }
--- a/test/points_test.go
+++ b/test/crashpoints_test.go
@@ -12,34 +12,34 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// attempt is one patch on its way through the leader, which is then killed.
+// attempt is one patch submitted to a leader that is then killed.
 type attempt struct {
 	d      *deployment
 	leader *processtest.Control
 	others []*processtest.Control
-	// address is where the operator calls the leader.
+	// address is the relay through which the operator reaches the leader.
 	address *faultproxy.TCPRelay
-	// written is the size of each host's log before the patch.
-	written map[*processtest.Control]int64
+	// logSizes has the size of each host's log before the patch.
+	logSizes map[*processtest.Control]int64
 }
 
-// wrote tells whether the host's log has grown since before the patch.
-func (a *attempt) wrote(host *processtest.Control) bool {
-	return host.LogBytes() > a.written[host]
+// hasWritten reports whether the host's log has grown since before the patch.
+func (a *attempt) hasWritten(host *processtest.Control) bool {
+	return host.ConfigLogBytes() > a.logSizes[host]
 }
 
-// point is how far a patch has come when its leader is killed.
-type point struct {
-	// hold keeps the patch from coming further.
+// crashPoint is the progress of a patch when its leader is killed.
+type crashPoint struct {
+	// hold keeps the patch from further progress.
 	hold func(*attempt)
-	// reached tells that it has come as far as that.
+	// reached reports whether the patch has come this far.
 	reached func(*attempt) bool
 }
 
-// points lists the steps of a patch. A kill -9 leaves what was written to the
-// operating system, so that it cannot tell a write before its sync from one
-// after it: the crash tests of the packages wal and replica do.
-var points = map[string]point{
+// crashPoints lists the steps of a patch. Written data survives kill -9, so that write
+// and sync can't be told apart here: the crash tests of the packages wal and replica
+// do that.
+var crashPoints = map[string]crashPoint{
 	"request lost before the leader": {
 		hold: func(a *attempt) {
 			a.address.SetFaults(faultproxy.ToHost, faultproxy.Faults{Cut: true})
@@ -49,25 +49,25 @@
 	"written by the leader alone": {
 		hold: func(a *attempt) {
 			for _, host := range a.others {
-				cutOff(host, faultproxy.ToHost)
+				cutPeerLinks(host, faultproxy.ToHost)
 			}
 		},
-		reached: func(a *attempt) bool { return a.wrote(a.leader) },
+		reached: func(a *attempt) bool { return a.hasWritten(a.leader) },
 	},
-	"written by one other, not acknowledged": {
+	"written by the leader and one follower, not acknowledged": {
 		hold: func(a *attempt) {
-			cutOff(a.others[0], faultproxy.ToHost)
-			cutOff(a.leader, faultproxy.ToHost)
+			cutPeerLinks(a.others[0], faultproxy.ToHost)
+			cutPeerLinks(a.leader, faultproxy.ToHost)
 		},
-		reached: func(a *attempt) bool { return a.wrote(a.leader) && a.wrote(a.others[1]) },
+		reached: func(a *attempt) bool { return a.hasWritten(a.leader) && a.hasWritten(a.others[1]) },
 	},
 	"written by all, not acknowledged": {
-		hold: func(a *attempt) { cutOff(a.leader, faultproxy.ToHost) },
+		hold: func(a *attempt) { cutPeerLinks(a.leader, faultproxy.ToHost) },
 		reached: func(a *attempt) bool {
-			return a.wrote(a.leader) && a.wrote(a.others[0]) && a.wrote(a.others[1])
+			return a.hasWritten(a.leader) && a.hasWritten(a.others[0]) && a.hasWritten(a.others[1])
 		},
 	},
-	"in force, not answered": {
+	"applied, no reply": {
 		hold: func(a *attempt) {
 			a.address.SetFaults(faultproxy.ToCaller, faultproxy.Faults{Cut: true})
 		},
@@ -78,22 +78,22 @@
 	},
 }
 
-// TestLeaderKilledAtEachPoint holds a patch at each step of its way through
-// the leader and kills the leader there. Sent again through the others the
-// patch becomes version 2, once, and every host tells so.
-func TestLeaderKilledAtEachPoint(t *testing.T) {
-	for name, p := range points {
+// TestLeaderKilledAtEachStepOfPatch kills the leader at each step of a patch. Resent
+// to the other hosts, the patch becomes version 2 exactly once, and every host returns
+// that outcome.
+func TestLeaderKilledAtEachStepOfPatch(t *testing.T) {
+	for name, p := range crashPoints {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			a := newAttempt(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			client := a.d.Client(a.address.Addr())
-			_, _, err := client.Config(ctx, 0) // the connection is there before the fault
+			_, _, err := client.Config(ctx, 0) // connects before the fault
 			is.NoErr(err)
 			p.hold(a)
 			for _, host := range a.d.controls {
-				a.written[host] = host.LogBytes()
+				a.logSizes[host] = host.ConfigLogBytes()
 			}
 			var first error
 			var call conc.WaitGroup
@@ -102,9 +102,9 @@
 			a.leader.Kill()
 			cancel()
 			call.Wait()
-			is.True(first != nil) // the answer is lost
+			is.True(first != nil) // the reply is lost
 			for _, host := range a.d.controls {
-				host.Peers.Heal()
+				host.PeerRelay.Heal()
 			}
 			a.checkOnce(t)
 		})
@@ -113,24 +113,24 @@
 
 func newAttempt(t *testing.T) *attempt {
 	t.Helper()
-	d := historyDeployment(t).withAgent()
+	d := deployRelayed(t).withAgent()
 	leader := d.Leader()
 	return &attempt{
 		d: d, leader: leader, others: leader.Others(),
-		address: leader.OperatorRelay(),
-		written: map[*processtest.Control]int64{},
+		address:  leader.OperatorRelay(),
+		logSizes: map[*processtest.Control]int64{},
 	}
 }
 
-// checkOnce sends the patch again, brings the leader back and expects one
-// outcome everywhere.
+// checkOnce resends the patch, restarts the leader and expects the same outcome from
+// every host.
 func (a *attempt) checkOnce(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
 	others := a.d.Client(a.others[0].Operator, a.others[1].Operator)
 	again := func() (out *configpb.Outcome) {
-		processtest.Eventually(t, "the outcome is told", func() bool {
-			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+		processtest.Eventually(t, "a reply with the outcome", func() bool {
+			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			defer cancel()
 			var err error
 			out, err = others.Submit(ctx, putPatch("held", 1, a.d.lodgement))
@@ -145,11 +145,11 @@
 	is.Equal(replyOf(again()), want)
 	for _, host := range a.d.controls {
 		o := processtest.Outcome{}
-		processtest.Eventually(t, "each host tells the outcome", func() bool {
+		processtest.Eventually(t, "each host returns the outcome", func() bool {
 			o = a.d.Show("held", host.Operator)
-			return o.Verdict != processtest.NotDone && o.Verdict != processtest.Unknown
+			return o.Verdict != processtest.NotApplied && o.Verdict != processtest.Unknown
 		})
 		is.Equal(o.Version, uint64(2))
 	}
-	a.d.checkFollowers(t, 2)
+	a.d.checkSubscribers(t, 2)
 }
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -6,17 +6,17 @@
 	"github.com/matryer/is"
 )
 
-func TestEntryHostLostAndAnotherAdded(t *testing.T) {
+func TestEntryHostsReplaced(t *testing.T) {
 	d := deploy(t, 1)
 	load := d.startLoad(t)
 	d.entries[0].Kill()
-	load.progress() // the fabric still sends half of the packets nowhere
-	d.entries[0].Leave()
+	load.progress() // the fabric still sends half of the packets to the killed host
+	d.entries[0].RemoveFromFabric()
 	d.StartEntry()
 	load.progress()
 	d.entries[1].Kill()
-	d.entries[1].Leave()
-	load.progress() // nothing is left of the entry hosts where the flows began
+	d.entries[1].RemoveFromFabric()
+	load.progress() // no original entry host is left
 	load.stop()
 }
 
@@ -25,7 +25,7 @@
 	load := d.startLoad(t)
 	for _, e := range d.entries {
 		e.Terminate()
-		e.WaitExit()
+		e.WaitCleanExit()
 		load.progress()
 		e.Launch()
 		e.WaitReady()
@@ -39,24 +39,24 @@
 	const patches = 200
 	d := deploy(t, 1)
 	link := d.controls[0].Relay()
-	behind := d.StartEntry(link.Addr())
+	lagging := d.StartEntry(link.Addr())
 	load := d.startLoad(t)
 	link.Cut()
 	var version uint64
 	extra := d.NewService("extra")
 	for range patches / 2 {
-		d.Patch(extra.Put())
-		version = d.Patch(extra.Remove())
+		d.Patch(extra.PutSection())
+		version = d.Patch(extra.RemoveSection())
 	}
-	d.InForce(version, d.entries[0].Host, d.entries[1].Host)
+	d.WaitActive(version, d.entries[0].Host, d.entries[1].Host)
 	load.progress()
 	for _, e := range d.entries {
-		e.Leave() // only the host that missed every patch is left
+		e.RemoveFromFabric() // only the host that missed every patch is left
 	}
 	load.progress()
-	d.checkEchoes(t, "old view", 3)
+	d.checkEchoes(t, "old version", 3)
 	link.Heal()
-	d.InForce(version, behind.Host)
+	d.WaitActive(version, lagging.Host)
 	load.stop()
-	is.True(behind.Running())
+	is.True(lagging.Running())
 }
--- a/test/inflight_test.go
+++ b/test/inflight_test.go
@@ -12,50 +12,50 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// slowWork is long enough that a request is in flight while something else is
-// brought about; no test depends on its length.
-const slowWork = 1500 * time.Millisecond
+// slowWorkTime keeps a request in flight while a test changes something else. No test
+// depends on its length.
+const slowWorkTime = 1500 * time.Millisecond
 
-const whole = "whole"
+// completed is the result of a request with the expected response.
+const completed = "completed"
 
 // requests are slow requests in flight at one target.
 type requests struct {
 	workers conc.WaitGroup
-	fates   []string
+	results []string
 }
 
-// startRequests starts slow requests and returns once the target runs all of
-// them.
+// startRequests starts slow requests and waits until the target runs all of them.
 func (d *deployment) startRequests(t *testing.T, target *processtest.Target, count int) *requests {
 	t.Helper()
-	r := &requests{fates: make([]string, count)}
+	r := &requests{results: make([]string, count)}
 	for i := range count {
 		d.inFlight++
 		key := fmt.Sprint("in flight ", d.inFlight)
 		caller := d.callerOf(t, target)
-		r.workers.Go(func() { r.fates[i] = fateOfRun(caller, key) })
-		processtest.Eventually(t, key+" runs", func() bool { return target.Runs(key) == 1 })
+		r.workers.Go(func() { r.results[i] = runToResult(caller, key) })
+		processtest.Eventually(t, key+" runs", func() bool { return target.RunCount(key) == 1 })
 	}
 	return r
 }
 
-// callerOf returns a caller whose flow is with the target.
+// callerOf returns a caller whose flow is on the target.
 func (d *deployment) callerOf(t *testing.T, target *processtest.Target) *processtest.Caller {
 	t.Helper()
 	var caller *processtest.Caller
 	processtest.Eventually(t, "a flow reaches "+target.Name, func() bool {
 		caller = d.lodgement.NewCaller()
-		return target.Answered(caller.Echo("who?"))
+		return target.Served(caller.Echo("who?"))
 	})
 	return caller
 }
 
-// fateOfRun sends a request that may not be repeated, again while its attempt is
-// said not to have run.
-func fateOfRun(caller *processtest.Caller, key string) string {
+// runToResult sends a non-repeatable request and returns its result. It resends as
+// long as the attempt did not run.
+func runToResult(caller *processtest.Caller, key string) string {
 	for {
 		answer, err := caller.Do(context.Background(), http.MethodPost,
-			processtest.RunPath(slowWork), processtest.KeyHeader(key), []byte(key))
+			processtest.RunPath(slowWorkTime), processtest.KeyHeader(key), []byte(key))
 		switch {
 		case err != nil:
 			return err.Error()
@@ -64,12 +64,12 @@
 		case answer.Status != http.StatusOK || string(answer.Body) != key:
 			return fmt.Sprintf("status %d, %s, %s, %q", answer.Status, answer.Outcome, answer.Reason, answer.Body)
 		}
-		return whole
+		return completed
 	}
 }
 
-// wait returns the fates of all requests.
+// wait returns the results of all requests.
 func (r *requests) wait() []string {
 	r.workers.Wait()
-	return r.fates
+	return r.results
 }
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -11,53 +11,52 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestCallerWithoutTargetIsToldAtOnce opens flows to a service that has no
-// target yet, and to one that loses all of its targets. The callers are told by
-// the entry hosts, and not by their own timeout; flows of the other service go
-// on, and a first target serves new callers.
-func TestCallerWithoutTargetIsToldAtOnce(t *testing.T) {
+// TestCallersWithoutTargetAreRefusedAtOnce opens flows to a service that has no target yet,
+// and to one that lost its targets. Entry hosts refuse the callers instead of letting
+// them time out. Flows of another service go on, and a first target serves new
+// callers.
+func TestCallersWithoutTargetAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t)}
 	d.controls = d.StartControls(1)
 	d.lodgement = d.NewService("lodgement")
 	d.certificates = d.NewService("certificates")
-	d.Patch(d.lodgement.Put(), d.certificates.Put())
+	d.Patch(d.lodgement.PutSection(), d.certificates.PutSection())
 	d.entries = append(d.entries, d.StartEntry(), d.StartEntry())
 	d.certificates.StartTarget("a")
 	watch := d.certificates.NewCaller().Watch()
 
-	expectRefusals(t, d.lodgement) // no target yet
+	waitRefusals(t, d.lodgement) // no target yet
 	first := d.lodgement.StartTarget("a")
-	checkEcho(t, d.lodgement, servedCaller(t, d.lodgement), "the first target")
+	checkEcho(t, d.lodgement, waitServedCaller(t, d.lodgement), "the first target")
 
 	first.Agent.Kill()
 	first.Backend.Kill()
-	expectRefusals(t, d.lodgement) // its lease has ended
-	watch.Advance()
+	waitRefusals(t, d.lodgement) // its lease has expired
+	watch.WaitEvents()
 
 	d.lodgement.StartTarget("b")
-	checkEcho(t, d.lodgement, servedCaller(t, d.lodgement), "served again")
-	watch.Advance()
+	checkEcho(t, d.lodgement, waitServedCaller(t, d.lodgement), "served again")
+	watch.WaitEvents()
 	processtest.Eventually(t, "refusals are counted", func() bool {
 		sent, noTarget := 0.0, 0.0
 		for _, e := range d.entries {
-			sent += e.Counted("entry_connections_refused")
+			sent += e.CounterSum("entry_connections_refused")
 			noTarget += e.Refused("no_target")
 		}
 		return sent > 0 && noTarget >= sent
 	})
 }
 
-// expectRefusals waits until a caller is refused. Entry hosts stay silent while
-// they are not sure: while a control host that has just started still collects
-// the targets, and until a lost lease ends. From then on no caller is left to
-// its own timeout.
-func expectRefusals(t *testing.T, s *processtest.Service) {
+// waitRefusals waits until a caller is refused. Entry hosts drop packets silently
+// until their directory is complete and lost leases have expired. From then on every
+// caller is refused.
+func waitRefusals(t *testing.T, s *processtest.Service) {
 	t.Helper()
 	processtest.Eventually(t, "callers are refused", func() bool { return isRefused(firstRequest(s)) })
 	for range 4 {
 		if err := firstRequest(s); !isRefused(err) {
-			t.Fatalf("a caller of a service without target was told %v", err)
+			t.Fatalf("a caller of a service without target got %v", err)
 		}
 	}
 }
@@ -73,9 +72,9 @@
 	return errors.As(err, &fault) && fault.Remote && fault.ErrorCode == quic.ConnectionRefused
 }
 
-// servedCaller waits until entry hosts know of a target and returns a caller
-// that it serves.
-func servedCaller(t *testing.T, s *processtest.Service) *processtest.Caller {
+// waitServedCaller waits until entry hosts know a target and returns a caller that it
+// serves.
+func waitServedCaller(t *testing.T, s *processtest.Service) *processtest.Caller {
 	t.Helper()
 	var caller *processtest.Caller
 	processtest.Eventually(t, "callers are served", func() bool {
--- a/test/role_test.go
+++ b/test/role_test.go
@@ -10,7 +10,7 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// Exit statuses that the operator commands document.
+// Exit statuses of the operator commands.
 const (
 	exitAccepted = 0
 	exitForced   = 1
@@ -18,9 +18,9 @@
 	exitUnknown  = 4
 )
 
-// TestRolesServeAndEnd ends every process with SIGTERM, those first that others
-// do without.
-func TestRolesServeAndEnd(t *testing.T) {
+// TestProcessesStopOnSIGTERM ends every process with SIGTERM, agents first and backend
+// servers last.
+func TestProcessesStopOnSIGTERM(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	d.checkEchoes(t, "before the end", 1)
@@ -32,83 +32,82 @@
 	entries := []*processtest.Process{d.entries[0].Process, d.entries[1].Process}
 	for _, role := range [][]*processtest.Process{agents, entries, {d.controls[0].Process}} {
 		for _, p := range role {
-			is.True(strings.Contains(p.Metrics(), "# TYPE")) // counters are served
+			is.True(strings.Contains(p.Metrics(), "# TYPE")) // metrics are served
 		}
-		endAll(role)
+		terminateAll(role)
 	}
-	endAll(backends)
+	terminateAll(backends)
 }
 
-// endAll ends processes side by side.
-func endAll(all []*processtest.Process) {
+// terminateAll ends processes concurrently.
+func terminateAll(all []*processtest.Process) {
 	for _, p := range all {
 		p.Terminate()
 	}
 	for _, p := range all {
-		p.WaitExit()
+		p.WaitCleanExit()
 	}
 }
 
-// TestSecondSignalEndsAgentWithItsSessions is the forced end of sessions, the
-// operator's explicit choice.
-func TestSecondSignalEndsAgentWithItsSessions(t *testing.T) {
+// TestSecondSignalForcesAgentExit sends a second SIGTERM to an agent with an open
+// session.
+func TestSecondSignalForcesAgentExit(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
 	watch := d.lodgement.NewCaller().Watch()
-	target, _ := d.holder(t, watch)
-	target.StopAgent()
-	watch.Advance()
+	target, _ := d.sessionTarget(t, watch)
+	target.DrainAgent()
+	watch.WaitEvents()
 	is.True(target.Agent.Running())
 	target.Agent.Terminate()
-	is.Equal(target.Agent.WaitEnd(), exitForced)
+	is.Equal(target.Agent.WaitExitCode(), exitForced)
 }
 
-// TestOperatorLearnsLostOutcome cuts the answer to a patch that was accepted,
-// and runs what the command prints.
-func TestOperatorLearnsLostOutcome(t *testing.T) {
+// TestOperatorRecoversLostOutcome loses the reply to an accepted patch and runs the
+// command that the operator's tool prints.
+func TestOperatorRecoversLostOutcome(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
-	cut := d.CutAnswers()
+	cut := d.StartOutcomeDropper()
 
-	o := d.Submit(1, "cut-json", []string{d.lodgement.Put()}, cut)
-	is.Equal(o.Verdict, processtest.Unknown) // Submit holds it to exit status 4
-	told := d.Paste(o.Next)
-	is.Equal(told.Status, exitAccepted)
-	is.True(strings.Contains(told.Stdout, "patch cut-json: accepted as version 2"))
+	o := d.Submit(1, "cut-json", []string{d.lodgement.PutSection()}, cut)
+	is.Equal(o.Verdict, processtest.Unknown) // Submit checks for exit status 4
+	output := d.RunShell(o.Next)
+	is.Equal(output.Status, exitAccepted)
+	is.True(strings.Contains(output.Stdout, "patch cut-json: accepted as version 2"))
 
-	printed := d.Operate(d.SubmitArgs(1, "cut-text", d.lodgement.Put()), cut)
+	printed := d.RunOperator(d.SubmitArgs(1, "cut-text", d.lodgement.PutSection()), cut)
 	is.Equal(printed.Status, exitUnknown)
 	_, next, found := strings.Cut(printed.Stdout, "To learn it run:\n  ")
 	is.True(found)
-	told = d.Paste(next)
-	is.Equal(told.Status, exitRefused)
-	is.True(strings.Contains(told.Stdout, "the current version is 2, made by patch cut-json"))
+	output = d.RunShell(next)
+	is.Equal(output.Status, exitRefused)
+	is.True(strings.Contains(output.Stdout, "the current version is 2, made by patch cut-json"))
 }
 
-// TestOperatorCommands runs the operator's side against a deployment, for
-// people and for programs.
+// TestOperatorCommands runs the operator's commands with text and JSON output.
 func TestOperatorCommands(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 1)
-	d.Patch(d.lodgement.Put(), d.certificates.Remove())
+	d.Patch(d.lodgement.PutSection(), d.certificates.RemoveSection())
 	for _, args := range [][]string{
 		{"status"}, {"config", "show"}, {"config", "show", "--version", "1"}, {"patch", "show", "patch-1"},
 	} {
-		text := d.Operate(args)
+		text := d.RunOperator(args)
 		is.Equal(text.Status, exitAccepted)
 		is.True(text.Stdout != "")
-		asJSON := d.Operate(append(args, "--json"))
+		asJSON := d.RunOperator(append(args, "--json"))
 		is.Equal(asJSON.Status, exitAccepted)
 		is.True(json.Valid([]byte(asJSON.Stdout)))
 	}
-	is.True(!strings.Contains(d.Operate([]string{"config", "show"}).Stdout, "[service certificates]"))
-	is.True(strings.Contains(d.Operate([]string{"config", "show", "--version", "1"}).Stdout, "[service certificates]"))
+	is.True(!strings.Contains(d.RunOperator([]string{"config", "show"}).Stdout, "[service certificates]"))
+	is.True(strings.Contains(d.RunOperator([]string{"config", "show", "--version", "1"}).Stdout, "[service certificates]"))
 
-	wrong := d.Operate(d.SubmitArgs(2, "wrong",
+	wrong := d.RunOperator(d.SubmitArgs(2, "wrong",
 		"[service lodgement]\naddresses = 192.0.2.1:443\nslots = 0\n", "[remove nobody]\n"))
 	is.Equal(wrong.Status, exitRefused)
-	is.Equal(strings.Count(wrong.Stdout, "wrong.ini:"), 2) // every finding with its place
-	base := d.Operate(append(d.SubmitArgs(1, "old-base", d.lodgement.Put()), "--json"))
+	is.Equal(strings.Count(wrong.Stdout, "wrong.ini:"), 2) // each finding with its place
+	base := d.RunOperator(append(d.SubmitArgs(1, "old-base", d.lodgement.PutSection()), "--json"))
 	is.Equal(base.Status, exitRefused)
 	is.True(json.Valid([]byte(base.Stdout)))
 }
--- a/voters/serving.go
+++ b/voters/serving.go
@@ -1,46 +1,47 @@
 package voters
 
-// Supply is what a group has to serve its subscribers with, as its leader sees it.
-type Supply struct {
-	// Serving is how many members answer, learners included.
+// ServingLoad is the number of serving members and of subscribers, as the leader sees
+// them.
+type ServingLoad struct {
+	// Serving is the number of active members, learners included.
 	Serving int
-	// Subscribers is how many processes follow these members.
+	// Subscribers is the number of processes subscribed to these members.
 	Subscribers int
 }
 
-// ServingLimits bound how many members serve subscribers.
+// ServingLimits bounds the number of members that serve subscribers.
 type ServingLimits struct {
-	// Least is how many members have to serve, however few the subscribers are.
-	Least int
-	// PerHost is how many subscribers one member is to serve at most.
-	PerHost int
+	// MinServing is the minimum number of serving members.
+	MinServing int
+	// MaxSubscribersPerMember is the maximum average number of subscribers per member.
+	MaxSubscribersPerMember int
 }
 
-// Reasons why a host that keeps no log becomes a member, or stands by.
+// Reasons why a host without a durable log becomes a member, or stays a standby.
 const (
-	// ReasonEnough: the members that keep their log serve all subscribers.
-	ReasonEnough Reason = "enough"
-	// ReasonFewServe: too few members answer.
-	ReasonFewServe Reason = "few_serve"
-	// ReasonManySubscribers: the members have more subscribers than they are to serve.
-	ReasonManySubscribers Reason = "many_subscribers"
+	// ReasonSufficient: the current members can serve all subscribers.
+	ReasonSufficient Reason = "enough"
+	// ReasonTooFewServing: too few members are active.
+	ReasonTooFewServing Reason = "few_serve"
+	// ReasonTooManySubscribers: there are too many subscribers per member.
+	ReasonTooManySubscribers Reason = "many_subscribers"
 )
 
-// Lacks reports whether another member is needed that serves subscribers. A host that
-// keeps no log adds nothing to what a group can lose: it costs each other member a link
-// and a copy of all that changes, so it is taken in for its service alone.
-func Lacks(s Supply, l ServingLimits) (bool, Reason) {
+// NeedsServingMember reports whether the group needs another member to serve subscribers,
+// and why. A host without a durable log does not add fault tolerance, but costs each other
+// member a link and a copy of all changes, so it is added only to serve.
+func NeedsServingMember(s ServingLoad, l ServingLimits) (bool, Reason) {
 	switch {
-	case s.Serving < l.Least:
-		return true, ReasonFewServe
-	case s.Subscribers > s.Serving*l.PerHost:
-		return true, ReasonManySubscribers
+	case s.Serving < l.MinServing:
+		return true, ReasonTooFewServing
+	case s.Subscribers > s.Serving*l.MaxSubscribersPerMember:
+		return true, ReasonTooManySubscribers
 	}
-	return false, ReasonEnough
+	return false, ReasonSufficient
 }
 
-// Answering returns the number of members that answer.
-func Answering(members []Member) int {
+// CountActive returns the number of active members.
+func CountActive(members []Member) int {
 	count := 0
 	for _, m := range members {
 		if m.Active {
