--- a/internal/entryd/daemon.go
+++ b/internal/entryd/daemon.go
@@ -127,7 +127,7 @@
 
 func (d *Daemon) replaceSecrets() {
 	if err := d.forwarder.SetSecrets(dataSecrets(d.creds)); err != nil {
-		d.log.Error("failed to replace data secrets", zap.Error(err))
+		d.log.Error("data secrets not reloaded", zap.Error(err))
 	}
 }
 
--- a/test/ramp_test.go
+++ b/test/ramp_test.go
@@ -10,10 +10,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestRampLimitsFlowsOfNewTarget adds a cold target to two warm ones. It gets less
-// than half of an even share of new flows in the first quarter of the ramp, and at
-// least that later. The ramp is as long as the others are old, so a slow machine only
-// makes it longer.
+// TestRampLimitsFlowsOfNewTarget adds a cold target to two warm ones. It gets less than
+// half of an even share of new flows in the first quarter of the ramp, and at least that later.
 func TestRampLimitsFlowsOfNewTarget(t *testing.T) {
 	is := is.New(t)
 	const flows, rounds = 120, 5
--- a/test/refusal_test.go
+++ b/test/refusal_test.go
@@ -11,10 +11,8 @@
 	"eelgrasswharf.example/eelgrasswharf/internal/processtest"
 )
 
-// TestCallersWithoutTargetAreRefusedAtOnce opens flows to a service that has no target yet,
-// and to one that lost its targets. Entry hosts refuse the callers instead of letting
-// them time out. Flows of another service go on, and a first target serves new
-// callers.
+// TestCallersWithoutTargetAreRefusedAtOnce opens flows to services that have no target yet
+// or lost all of theirs. Entry hosts refuse the callers instead of letting them time out.
 func TestCallersWithoutTargetAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	d := &deployment{Cluster: processtest.New(t)}
